--- a/account/book.go
+++ b/accounting/book.go
@@ -1,4 +1,4 @@
-package account
+package accounting
 
 import (
 	"errors"
--- a/account/customer.go
+++ b/accounting/customer.go
@@ -1,4 +1,4 @@
-package account
+package accounting
 
 // customers is a bounded table of customers by name. Who comes when it is full takes the place of the least heavy one
 // that has nothing open, whose figures go to those of the others: no figure is ever lost. Its weight is inherited, as in
--- a/account/reason.go
+++ b/accounting/reason.go
@@ -1,7 +1,7 @@
-// Package account keeps the accounts of reqs: each is opened once and closed once, into served, refused or failed,
+// Package accounting keeps the accounts of reqs: each is opened once and closed once, into served, refused or failed,
 // with a reason, and the figures of all always add up. It is a state machine without I/O, clock or goroutine: the
 // same calls lead to the same book, and a book can be had again from a snapshot and the ops that followed it.
-package account
+package accounting
 
 // Figure is where a closed req is counted.
 type Figure uint8
--- a/backend/ajp.go
+++ b/backend/ajp.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/internal/ajp"
 )
 
@@ -42,8 +42,8 @@
 	return &jp{f: f, e: e, p: ajp.NewServer(f.b.cfg.AJP.packet())}
 }
 
-func (x *jp) front() account.Front { return account.AJP }
-func (x *jp) held() int            { return x.p.Held() }
+func (x *jp) front() accounting.Front { return accounting.AJP }
+func (x *jp) held() int               { return x.p.Held() }
 
 func (x *jp) mid() bool { return x.p.Part() }
 
@@ -94,10 +94,10 @@
 	case ajp.Shutdown: // a front end has no say in that
 		f.cut(e, errShutdown)
 	case ajp.Bad:
-		f.bad(e, ajpSlot, false, f.nameless(e), 0, account.BadFields, "too large a body")
+		f.bad(e, ajpSlot, false, f.nameless(e), 0, accounting.BadFields, "too large a body")
 	case ajp.Request:
 		if own := b.cfg.AJP.Secret; own != "" && subtle.ConstantTimeCompare([]byte(own), m.Secret) != 1 {
-			f.bad(e, ajpSlot, false, f.nameless(e), 0, account.BadSecret, "a wrong secret, or none")
+			f.bad(e, ajpSlot, false, f.nameless(e), 0, accounting.BadSecret, "a wrong secret, or none")
 			return
 		}
 		a := f.newAsked(e, ajpSlot, true, m.Body)
--- a/backend/answer.go
+++ b/backend/answer.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/lifecycle"
 )
 
@@ -60,16 +60,16 @@
 	f.answer(e, slot, keep, &reply{status: status})
 }
 
-func (f *door) done(r *req, why account.Reason, result []byte) {
+func (f *door) done(r *req, why accounting.Reason, result []byte) {
 	r.edge.bad = 0
 	f.final(r, why, &reply{status: 200, body: result})
 }
 
-func (f *door) errored(r *req, why account.Reason) { f.final(r, why, &reply{status: 500}) }
+func (f *door) errored(r *req, why accounting.Reason) { f.final(r, why, &reply{status: 500}) }
 
 // declined answers a req without a result, as the reason has it: refused, where the module has not, or no longer, to decide, or errored.
-func (f *door) declined(r *req, why account.Reason) {
-	if why.Figure() == account.Refused {
+func (f *door) declined(r *req, why accounting.Reason) {
+	if why.Figure() == accounting.Refused {
 		f.final(r, why, &reply{status: 503, after: f.b.awayFor})
 	} else {
 		f.errored(r, why)
@@ -77,10 +77,10 @@
 }
 
 func (f *door) shed(r *req, after time.Duration, dontRetry bool) {
-	f.final(r, account.Shed, &reply{status: 503, after: after, dontRetry: dontRetry})
+	f.final(r, accounting.Shed, &reply{status: 503, after: after, dontRetry: dontRetry})
 }
 
-func (f *door) refused(r *req) { f.final(r, account.NotReady, f.refusal()) }
+func (f *door) refused(r *req) { f.final(r, accounting.NotReady, f.refusal()) }
 
 // refusal is that of a req that the overload controller does not hear of. A process that ends tells how long to stay away from its address.
 func (f *door) refusal() *reply {
@@ -91,7 +91,7 @@
 	return a
 }
 
-func (f *door) final(r *req, why account.Reason, a *reply) {
+func (f *door) final(r *req, why accounting.Reason, a *reply) {
 	if v := lifecycle.Answer(r.edge != nil && r.edge.open[r.slot] != r, r.edge != nil); v != lifecycle.Allowed {
 		f.b.violated("answer", r, v)
 		return
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -13,13 +13,13 @@
 	"syscall"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/arrival"
 	"frosthub/internal/conn"
-	"frosthub/internal/figures"
+	"frosthub/internal/faultinject"
 	"frosthub/internal/invariant"
-	"frosthub/internal/seldom"
-	"frosthub/internal/sysfault"
+	"frosthub/internal/logthrottle"
+	"frosthub/internal/statsfile"
 	"frosthub/lifecycle"
 	"frosthub/overload"
 )
@@ -81,11 +81,11 @@
 	cluster   cluster
 	count     Counters
 	turned    atomic.Int64 // connections that found no room
-	notes     map[string]*seldom.Line
+	notes     map[string]*logthrottle.Line
 	scratch   []byte
-	book      *account.Book     // nil until Serve
-	rows      []uint16          // of the handlers in it
-	record    *figures.Recorder // nil without a figures file
+	book      *accounting.Book    // nil until Serve
+	rows      []uint16            // of the handlers in it
+	record    *statsfile.Recorder // nil without a figures file
 	compareAt time.Duration
 	requested chan func()
 	stopped   chan struct{}
@@ -110,7 +110,7 @@
 		cfg.Limits.Sockets = int(files.Cur) // the process may hold fewer than it was told
 	}
 	b := &Backend{cfg: cfg, log: log, start: time.Now().Add(-startSpan), box: conn.NewInbox(),
-		reqs: map[uint64]*req{}, notes: map[string]*seldom.Line{}, good: true,
+		reqs: map[uint64]*req{}, notes: map[string]*logthrottle.Line{}, good: true,
 		requested: make(chan func()), stopped: make(chan struct{})}
 	part, _ := cfg.Settings["backend"].(map[string]any)
 	b.canStop = part["halt"] != nil && part["halt"] != "off"
@@ -309,7 +309,7 @@
 // clock takes the time of this turn, from both clocks at one moment.
 func (b *Backend) clock() time.Time {
 	t := time.Now()
-	b.now, b.wall = t.Sub(b.start), time.Duration(t.UnixNano())+sysfault.Clock()
+	b.now, b.wall = t.Sub(b.start), time.Duration(t.UnixNano())+faultinject.Clock()
 	b.heartbeat.Beat(b.now)
 	step, stall := b.stamps.Turn(b.now, b.wall)
 	if step != 0 {
--- a/backend/clientconn.go
+++ b/backend/clientconn.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/internal/conn"
 	"frosthub/lifecycle"
 	"frosthub/overload"
@@ -38,7 +38,7 @@
 // answer is a final answer on its way.
 type answer struct {
 	mark   int // bytes of the connection that have left when its last one has
-	ticket account.Ticket
+	ticket accounting.Ticket
 	id     uint64
 }
 
@@ -104,7 +104,7 @@
 		}
 		for _, a := range e.out {
 			f.unanswered(a.id, err)
-			b.book.Close(b.wall, a.ticket, account.Undelivered)
+			b.book.Close(b.wall, a.ticket, accounting.Undelivered)
 		}
 		e.out = nil
 	}
@@ -150,7 +150,7 @@
 }
 
 // owe has the account of a req follow the answer that was just written.
-func (f *door) owe(e *edge, t account.Ticket, id uint64, why account.Reason) {
+func (f *door) owe(e *edge, t accounting.Ticket, id uint64, why accounting.Reason) {
 	if f.b.book.Answer(f.b.wall, t, why) {
 		e.out = append(e.out, answer{e.c.Mark(), t, id})
 	}
@@ -202,7 +202,7 @@
 		case !e.sent && b.now-e.since >= wholeMost:
 			f.cut(e, errPart)
 		case late: // its other reqs may be good
-			f.bad(e, slot, keep, f.nameless(e), 0, account.NotWhole, errPart.Error())
+			f.bad(e, slot, keep, f.nameless(e), 0, accounting.NotWhole, errPart.Error())
 			f.weigh(e)
 		case !e.idle():
 		case e.c.Ending() && b.now-e.used >= keepFor+wholeMost: // half a message keeps it from its end
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -8,15 +8,15 @@
 	"slices"
 	"time"
 
-	"frosthub/account"
-	"frosthub/internal/boxwire"
+	"frosthub/accounting"
+	"frosthub/failover"
+	"frosthub/idempotency"
 	"frosthub/internal/conn"
+	"frosthub/internal/peerproto"
 	"frosthub/internal/processor"
-	"frosthub/keep"
-	"frosthub/members"
+	"frosthub/membership"
 	"frosthub/overload"
 	"frosthub/recovery"
-	"frosthub/takeover"
 )
 
 // Cluster is the boxes that take each other's guarded reqs over. The zero value is a box alone.
@@ -33,7 +33,7 @@
 
 // ClusterMember is one of them, this box among them.
 type ClusterMember struct {
-	takeover.Member
+	failover.Member
 	Address   string `json:"address"`
 	Processor string `json:"processor,omitempty"` // where others may ask its processor how runs ended, once it seems lost; empty: they don't
 }
@@ -54,12 +54,12 @@
 // cluster is the core's side of members and takeover: it carries their messages, and does what they say.
 type cluster struct {
 	b      *Backend
-	list   *members.List
-	box    *takeover.Box // nil until the store is read
+	list   *membership.List
+	box    *failover.Box // nil until the store is read
 	links  map[string]*boxLink
 	life   uint64
 	next   time.Duration
-	store  *keep.Store
+	store  *idempotency.Store
 	way    *recovery.Box // back after a loss; nil until the store is read
 	mark   uint64        // of this process
 	known  memory
@@ -90,8 +90,8 @@
 	c         *conn.Conn
 	dialing   bool
 	dialAt    time.Duration
-	batch     boxwire.Batch // of this turn
-	ask       bool          // what it remembers of this box
+	batch     peerproto.Batch // of this turn
+	ask       bool            // what it remembers of this box
 }
 
 var (
@@ -126,9 +126,9 @@
 		c.store.Forsake(b.keeper.now())
 	}
 	c.pending = true // until it goes by those of its file
-	c.list = members.New(members.Config{Name: b.cfg.Name, Life: c.life, Every: probeEvery, Within: probeAnd}, b.cfg.Seed, b.now)
+	c.list = membership.New(membership.Config{Name: b.cfg.Name, Life: c.life, Every: probeEvery, Within: probeAnd}, b.cfg.Seed, b.now)
 	c.connect()
-	c.box = takeover.New(takeover.Config{Name: b.cfg.Name, Life: c.life, Members: r.Members, Before: r.Before, Promise: b.cfg.Cluster.Promise,
+	c.box = failover.New(failover.Config{Name: b.cfg.Name, Life: c.life, Members: r.Members, Before: r.Before, Promise: b.cfg.Cluster.Promise,
 		Bytes: int(min(b.share(noteShare), noteShare*memoryNone))}, c.store, c, b.cfg.Seed^1,
 		b.keeper.now())
 	c.box.Fenced(fences(c.known.Fences))
@@ -137,15 +137,15 @@
 }
 
 // Alive, Gone and Life are what takeover is told of others. One that is only suspected is tried to be replaced: that harms nothing.
-func (c *cluster) Alive(name string) bool  { return c.list.Of(name).State == members.Alive }
-func (c *cluster) Gone(name string) bool   { return c.list.Of(name).State >= members.Dead }
+func (c *cluster) Alive(name string) bool  { return c.list.Of(name).State == membership.Alive }
+func (c *cluster) Gone(name string) bool   { return c.list.Of(name).State >= membership.Dead }
 func (c *cluster) Life(name string) uint64 { return c.list.Of(name).Life }
 
 // take accepts the connection of another box.
 func (c *cluster) take(n *conn.Conn) {
 	b := c.b
 	from, life := "", uint64(0)
-	p := boxwire.NewParser(func(batch *boxwire.Batch) error {
+	p := peerproto.NewParser(func(batch *peerproto.Batch) error {
 		if c.way == nil && batch.Hello == nil {
 			return nil // not yet read: they ask again
 		}
@@ -180,7 +180,7 @@
 		for i := range batch.Members {
 			c.list.Receive(b.now, from, life, &batch.Members[i])
 		}
-		if len(batch.Claims) > 0 && !takeover.Meet(c.told[from], c.goes) {
+		if len(batch.Claims) > 0 && !failover.Meet(c.told[from], c.goes) {
 			b.note("members differ", "box", from)
 			return nil
 		}
@@ -270,7 +270,7 @@
 }
 
 // askProcessor asks the processor of a lost box how runs ended that were begun there: it hands out its notices after the given one.
-func (c *cluster) askProcessor(p takeover.Processor) {
+func (c *cluster) askProcessor(p failover.Processor) {
 	b, l := c.b, c.links[p.Of]
 	if l == nil || l.processor == "" || c.asked[p.Of] != nil {
 		return
@@ -287,7 +287,7 @@
 		n.Trust(n.Most)
 		n.Closed = func(error) { delete(c.asked, p.Of) }
 		n.Data = b.noting("bad link", processor.NewParser(func(x processor.Notice) {
-			kind := map[overload.Outcome]keep.Kind{overload.OK: keep.Result, overload.Errored: keep.Failed, overload.Stopped: keep.Failed}[x.Outcome]
+			kind := map[overload.Outcome]idempotency.Kind{overload.OK: idempotency.Result, overload.Errored: idempotency.Failed, overload.Stopped: idempotency.Failed}[x.Outcome]
 			switch {
 			case x.Kind == processor.Hi:
 				n.Write(processor.AppendUsage(nil, 1)) // its answer follows all notices that are kept
@@ -319,7 +319,7 @@
 			l.ask = false
 			l.c.Write(c.hello(true))
 		}
-		b.scratch = boxwire.Append(b.scratch[:0], &l.batch)
+		b.scratch = peerproto.Append(b.scratch[:0], &l.batch)
 		l.c.Write(b.scratch)
 	} else if !l.dialing && b.now >= l.dialAt {
 		l.dialing = true
@@ -345,7 +345,7 @@
 			l.ask = false
 		})
 	}
-	l.batch = boxwire.Batch{}
+	l.batch = peerproto.Batch{}
 }
 
 // ask has a guarded req's group asked, before the module hears of it.
@@ -353,7 +353,7 @@
 	g := r.guard
 	r.at = unverified
 	h := &c.b.handlers[r.h]
-	c.box.Ask(c.b.keeper.now(), g.key, g.made, r.id, takeover.Work{Handler: h.name, Body: r.body, Left: int64(g.due - c.b.now),
+	c.box.Ask(c.b.keeper.now(), g.key, g.made, r.id, failover.Work{Handler: h.name, Body: r.body, Left: int64(g.due - c.b.now),
 		Cost: int64(r.ev.Hint), Size: r.ev.Size, Rank: r.ev.Rank, Worth: h.value, Replay: g.replay})
 }
 
@@ -374,7 +374,7 @@
 }
 
 // settled closes the account of a req that was taken over: its answer is the group's.
-func (c *cluster) settled(r *req, why account.Reason) {
+func (c *cluster) settled(r *req, why accounting.Reason) {
 	if !r.taken || r.settled {
 		return
 	}
@@ -410,8 +410,8 @@
 	InDoubt  map[string]int      `json:"in_doubt"` // keys whose end is not known, by handler; "" where that is not known
 	Unwell   int                 `json:"unwell"`   // how slow this box takes itself to be, 0 to 8
 	Members  []MemberStats       `json:"members"`
-	Work     takeover.Stats      `json:"work"`
-	Reqs     []takeover.Req      `json:"reqs"` // some of those that are held, waited for or noted
+	Work     failover.Stats      `json:"work"`
+	Reqs     []failover.Req      `json:"reqs"` // some of those that are held, waited for or noted
 }
 
 // MemberStats are what is believed of a box.
@@ -445,7 +445,7 @@
 			switch told := c.told[m.Name]; {
 			case m.Name == b.cfg.Name, slices.Equal(told, c.goes):
 				goes = "as here"
-			case takeover.Meet(told, c.goes):
+			case failover.Meet(told, c.goes):
 				goes = "beside"
 			case told != nil:
 				goes = "apart"
@@ -465,7 +465,7 @@
 }
 
 // taken has a req that another box held go to the module here; nobody waits for it on a connection.
-func (c *cluster) taken(o takeover.Outcome) {
+func (c *cluster) taken(o failover.Outcome) {
 	b := c.b
 	h := b.handlerOf(o.Work.Handler)
 	left := time.Duration(o.Work.Left)
@@ -477,48 +477,48 @@
 		guard: &guarded{key: o.Key, made: o.Made, due: b.now + left, replay: o.Work.Replay}}
 	r.ev = overload.Event{Kind: overload.Arrived, ID: r.id, Handler: h, Left: left, Hint: time.Duration(o.Work.Cost),
 		Size: cmp.Or(o.Work.Size, sizeTaken), Rank: o.Work.Rank, Unread: max(0, b.handlers[h].timeout-left)}
-	r.ticket = b.book.Open(b.wall, r.id, b.rowOf(h), account.TakenOver, account.Name{})
+	r.ticket = b.book.Open(b.wall, r.id, b.rowOf(h), accounting.TakenOver, accounting.Name{})
 	b.reqs[r.id] = r
 	b.count.Taken++
 	b.events = append(b.events, r.ev)
 }
 
 // outcome carries out what takeover says of a req.
-func (c *cluster) outcome(o takeover.Outcome) {
+func (c *cluster) outcome(o failover.Outcome) {
 	b := c.b
-	if o.Verdict == takeover.Taken {
+	if o.Verdict == failover.Taken {
 		c.taken(o)
 		return
 	}
 	r := b.reqs[o.ID]
 	if r == nil || r.guard == nil || r.guard.key != o.Key {
-		if o.Verdict == keep.Begin { // it was let go in the same moment: it never ran
-			c.box.End(b.keeper.now(), o.Key, o.ID, keep.Never, nil)
+		if o.Verdict == idempotency.Begin { // it was let go in the same moment: it never ran
+			c.box.End(b.keeper.now(), o.Key, o.ID, idempotency.Never, nil)
 		}
 		return
 	}
 	asking := r.at == unverified
 	switch {
-	case o.Verdict == keep.Fresh && asking:
+	case o.Verdict == idempotency.Fresh && asking:
 		c.admitted(r, false)
-	case o.Verdict == keep.Known && r.guard.replay: // it waits, or goes on where it is
-	case o.Verdict == keep.Known && asking:
+	case o.Verdict == idempotency.Known && r.guard.replay: // it waits, or goes on where it is
+	case o.Verdict == idempotency.Known && asking:
 		c.admitted(r, true)
-	case o.Verdict == keep.Known: // it was held here until another took it: it waits for that one
-	case asking && o.Verdict == keep.Repeat:
+	case o.Verdict == idempotency.Known: // it was held here until another took it: it waits for that one
+	case asking && o.Verdict == idempotency.Repeat:
 		b.keeper.reason(o.Verdict)
-		b.door.done(r, account.Repeated, o.Result)
+		b.door.done(r, accounting.Repeated, o.Result)
 		b.answered(r)
 	case asking && r.guard.replay:
 		c.admitted(r, false)
-	case r.guard.replay && o.Verdict != keep.Repeat && r.at != writing && !r.taken: // the module has it
+	case r.guard.replay && o.Verdict != idempotency.Repeat && r.at != writing && !r.taken: // the module has it
 	case asking:
 		b.door.declined(r, b.keeper.reason(o.Verdict))
 		b.answered(r)
-	case o.Verdict == keep.Begin && !b.wanted(r):
+	case o.Verdict == idempotency.Begin && !b.wanted(r):
 		r.guard.kept = true
-		c.box.End(b.keeper.now(), o.Key, o.ID, keep.Never, nil)
-		b.ended(r, overload.Moot, account.NeverRan, 0, nil)
+		c.box.End(b.keeper.now(), o.Key, o.ID, idempotency.Never, nil)
+		b.ended(r, overload.Moot, accounting.NeverRan, 0, nil)
 	default:
 		b.keeper.outcome(o.Outcome)
 	}
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"frosthub/internal/boxwire"
-	"frosthub/internal/keeplog"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/peerproto"
 	"frosthub/internal/stand"
-	"frosthub/keep"
-	"frosthub/members"
+	"frosthub/internal/wal"
+	"frosthub/membership"
 	"frosthub/recovery"
-	"frosthub/takeover"
 )
 
 // written is a log that is read while it is written.
@@ -49,7 +49,7 @@
 		}
 		go func() {
 			defer func() { _ = c.Close() }()
-			p := boxwire.NewParser(func(b *boxwire.Batch) error {
+			p := peerproto.NewParser(func(b *peerproto.Batch) error {
 				if b.Hello == nil || !b.Hello.Ask {
 					return nil
 				}
@@ -57,7 +57,7 @@
 				if err != nil {
 					return err
 				}
-				_, err = d.Write(boxwire.Append(nil, &boxwire.Batch{Hello: &boxwire.Hello{Cluster: "north", From: "n1", Life: 1, Lists: b.Hello.Lists},
+				_, err = d.Write(peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: "north", From: "n1", Life: 1, Lists: b.Hello.Lists},
 					Known: &recovery.Answer{For: b.Hello.Mark}}))
 				return err
 			})
@@ -76,7 +76,7 @@
 // nobody knows do no harm.
 func TestStrangers(t *testing.T) {
 	disk := stand.NewDisk()
-	if err := keeplog.Init(disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
+	if err := wal.Init(disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 		t.Fatal(err)
 	}
 	s := &stage{t: t, edges: map[string]*edgeNode{}, known: map[string]bool{}, options: map[string]string{}}
@@ -93,7 +93,7 @@
 	cfg.Keep = Keep{Dir: t.TempDir(), Handlers: map[string][]Part{"file-claim": {PartBody}}, Disk: disk}
 	cfg.Cluster = Cluster{Name: "north", Listen: address[1]}
 	for _, name := range []string{"n1", "n2", "n3"} {
-		cfg.Cluster.Members = append(cfg.Cluster.Members, ClusterMember{Member: takeover.Member{Name: name}, Address: "127.0.0.1:1"})
+		cfg.Cluster.Members = append(cfg.Cluster.Members, ClusterMember{Member: failover.Member{Name: name}, Address: "127.0.0.1:1"})
 	}
 	other, err := net.Listen("tcp", "127.0.0.1:0") // n1, which tells what it remembers: nothing
 	if err != nil {
@@ -120,13 +120,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	hello := func(cluster, from string, life uint64) []byte {
-		return boxwire.Append(nil, &boxwire.Batch{Hello: &boxwire.Hello{Cluster: cluster, From: from, Life: life,
-			Lists: []uint64{takeover.Digest(plain(cfg.Cluster.Members))}}})
+		return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: cluster, From: from, Life: life,
+			Lists: []uint64{failover.Digest(plain(cfg.Cluster.Members))}}})
 	}
-	claim := boxwire.Append(nil, &boxwire.Batch{Members: []members.Message{{Kind: members.Ping, Number: 1}}, Claims: []takeover.Message{
-		{Kind: takeover.Open, Key: keep.Key{1}, Ballot: takeover.Ballot{N: 1, Box: "n1", Life: 1}, Work: &takeover.Work{Left: int64(time.Minute)}},
-		{Kind: takeover.End, Key: keep.Key{2}, Ballot: takeover.Ballot{N: 2, Box: "who", Life: 9}, End: keep.Result, Result: []byte("x")},
-		{Kind: takeover.Holds, Key: keep.Key{1}, Ballot: takeover.Ballot{N: 2, Box: "who", Life: 9}}, {Kind: 99}}})
+	claim := peerproto.Append(nil, &peerproto.Batch{Members: []membership.Message{{Kind: membership.Ping, Number: 1}}, Claims: []failover.Message{
+		{Kind: failover.Open, Key: idempotency.Key{1}, Ballot: failover.Ballot{N: 1, Box: "n1", Life: 1}, Work: &failover.Work{Left: int64(time.Minute)}},
+		{Kind: failover.End, Key: idempotency.Key{2}, Ballot: failover.Ballot{N: 2, Box: "who", Life: 9}, End: idempotency.Result, Result: []byte("x")},
+		{Kind: failover.Holds, Key: idempotency.Key{1}, Ballot: failover.Ballot{N: 2, Box: "who", Life: 9}}, {Kind: 99}}})
 	for _, c := range []struct {
 		name   string
 		text   []byte
--- a/backend/config.go
+++ b/backend/config.go
@@ -13,8 +13,8 @@
 
 	"github.com/valyala/fastjson"
 
+	"frosthub/internal/faultinject"
 	"frosthub/internal/settings"
-	"frosthub/internal/sysfault"
 	"frosthub/lifecycle"
 )
 
@@ -56,7 +56,7 @@
 		return Config{}, errors.New("PROXY_CONFIG is not set: it names the configuration file")
 	}
 	text, err := os.ReadFile(path)
-	if fault := sysfault.Of(sysfault.ReadFile); fault != nil {
+	if fault := faultinject.Of(faultinject.ReadFile); fault != nil {
 		err = &os.PathError{Op: "read", Path: path, Err: fault}
 	}
 	if err != nil {
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"frosthub/account"
-	"frosthub/internal/seldom"
+	"frosthub/accounting"
+	"frosthub/internal/logthrottle"
 	"frosthub/lifecycle"
 )
 
@@ -25,9 +25,9 @@
 	Stalls                                         int64 // turns of the owner that came later than they were due, by stallTold or more
 	ClockSteps                                     int64 // steps of the time of day
 
-	Reqs    account.Figures  // over all lives that the figures file knows, of this process without one
-	Differs int64            // figures found that do not add up
-	Reasons map[string]int64 // of the reqs that are closed, over the same lives
+	Reqs    accounting.Figures // over all lives that the figures file knows, of this process without one
+	Differs int64              // figures found that do not add up
+	Reasons map[string]int64   // of the reqs that are closed, over the same lives
 }
 
 // LogValue prints the counters in groups.
@@ -57,7 +57,7 @@
 }
 
 // reasonsOf adds up the reasons of all rows of a book.
-func reasonsOf(book *account.Book) map[string]int64 {
+func reasonsOf(book *accounting.Book) map[string]int64 {
 	sums := map[string]int64{}
 	for _, row := range book.Report(false).Rows {
 		for why, n := range row.Reasons {
@@ -77,7 +77,7 @@
 func (b *Backend) note(kind string, args ...any) {
 	line := b.notes[kind]
 	if line == nil {
-		line = &seldom.Line{}
+		line = &logthrottle.Line{}
 		b.notes[kind] = line
 	}
 	leftOut, ok := line.Pass()
--- a/backend/fcgi.go
+++ b/backend/fcgi.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/internal/fastcgi"
 )
 
@@ -17,11 +17,11 @@
 
 func (f *door) fastCGI(e *edge) protocol { return &fcgi{f: f, e: e} }
 
-func (x *fcgi) front() account.Front { return account.FastCGI }
-func (x *fcgi) held() int            { return x.p.Held() }
-func (x *fcgi) open() int            { return x.p.Open() }
-func (x *fcgi) mid() bool            { return x.p.Mid() }
-func (x *fcgi) drop()                { x.p.Drop() }
+func (x *fcgi) front() accounting.Front { return accounting.FastCGI }
+func (x *fcgi) held() int               { return x.p.Held() }
+func (x *fcgi) open() int               { return x.p.Open() }
+func (x *fcgi) mid() bool               { return x.p.Mid() }
+func (x *fcgi) drop()                   { x.p.Drop() }
 
 func (x *fcgi) late(by time.Duration) (slot uint16, keep, any bool) {
 	slot, keep = x.p.Late(by)
@@ -46,16 +46,16 @@
 		whole := fastcgi.Each(m.Params, func(name, v []byte) { a.setAll(f.cgi[string(name)], v) })
 		f.request(a, whole)
 	case fastcgi.Bad:
-		f.bad(e, m.Slot, false, f.nameless(e), 0, account.BadFields, "too large, or without its parameters")
+		f.bad(e, m.Slot, false, f.nameless(e), 0, accounting.BadFields, "too large, or without its parameters")
 	case fastcgi.Abort:
 		f.takenBack(e, m.Slot)
 		x.end(m.Slot, m.Keep, fastcgi.Complete)
 	case fastcgi.Refuse:
 		b.count.BadReqs++
 		b.note("bad req", "why", "role or number of open reqs", "status", m.Status)
-		t, why := f.nameless(e), account.Role
+		t, why := f.nameless(e), accounting.Role
 		if m.Status == fastcgi.Overloaded {
-			why = account.Slots
+			why = accounting.Slots
 		}
 		x.end(m.Slot, m.Keep, m.Status)
 		f.owe(e, t, 0, why)
--- a/backend/figures.go
+++ b/backend/figures.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"frosthub/account"
-	"frosthub/internal/figures"
+	"frosthub/accounting"
 	"frosthub/internal/invariant"
+	"frosthub/internal/statsfile"
 )
 
 const (
@@ -26,11 +26,11 @@
 // openBook makes the book of the accounts, with those of earlier lives where a file has them. Trouble with the file
 // is told, and costs the file alone.
 func (b *Backend) openBook() error {
-	cfg := account.Config{Customers: b.cfg.Figures.Customers, Periods: b.cfg.Figures.Periods, Every: b.cfg.Figures.Every}
+	cfg := accounting.Config{Customers: b.cfg.Figures.Customers, Periods: b.cfg.Figures.Periods, Every: b.cfg.Figures.Every}
 	for _, h := range b.handlers {
 		cfg.Handlers = append(cfg.Handlers, h.name)
 	}
-	book, err := account.New(cfg)
+	book, err := accounting.New(cfg)
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	if b.cfg.Figures.File == "" {
 		book.Begin(b.wall, 0)
 	} else {
-		b.record = figures.NewRecorder(b.cfg.Figures.File, b.cfg.Figures.Trail, b.log)
+		b.record = statsfile.NewRecorder(b.cfg.Figures.File, b.cfg.Figures.Trail, b.log)
 		book = b.record.Open(book, cfg, b.wall, startPatient)
 	}
 	b.book = book
@@ -81,7 +81,7 @@
 
 // compare holds the book against the core's own tables.
 func (b *Backend) compare() {
-	b.book.Compare(b.wall, func(have func(account.Ticket, uint64)) {
+	b.book.Compare(b.wall, func(have func(accounting.Ticket, uint64)) {
 		for _, r := range b.reqs { // a sum: the order does not matter
 			if b.owes(r) || r.taken && !r.settled {
 				have(r.ticket, r.id)
@@ -104,15 +104,15 @@
 
 // settle closes the accounts of a process that ends by itself.
 func (b *Backend) settle() {
-	b.book.Settle(account.CutByStop, account.Left)
+	b.book.Settle(accounting.CutByStop, accounting.Left)
 	if b.record != nil {
 		b.record.Close(b.book, b.wall)
 	}
 }
 
 // Figures gives the accounts of all reqs, while Serve runs and after it.
-func (b *Backend) Figures() account.Report {
-	var out account.Report
+func (b *Backend) Figures() accounting.Report {
+	var out accounting.Report
 	b.ask(func() {
 		if b.book != nil { // Serve got that far
 			out = b.book.Report(false)
--- a/backend/keeper.go
+++ b/backend/keeper.go
@@ -11,14 +11,14 @@
 	"slices"
 	"time"
 
-	"frosthub/account"
-	"frosthub/internal/hold"
+	"frosthub/accounting"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/filelock"
 	"frosthub/internal/invariant"
-	"frosthub/internal/keeplog"
-	"frosthub/keep"
+	"frosthub/internal/wal"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"frosthub/takeover"
 )
 
 // Part is one thing that goes into the key of a guarded req. Its number goes there too.
@@ -34,14 +34,14 @@
 
 // Keep says what must not run twice, also over restarts. The zero value keeps nothing.
 type Keep struct {
-	Dir       string            // of the store; empty: none
-	Handlers  map[string][]Part // the guarded ones, and what their keys are made of
-	KeyField  string            // the header for PartField
-	MadeField string            // the header with the time at which a req was first made, in Unix milliseconds
-	Bounds    keep.Config       // 0 as Defaults has it
-	Gather    time.Duration     // from one commit to the next, unless many records wait; gatherUsual if 0
-
-	Disk keeplog.Disk // in place of the folder, but for its lock: tests have disks that fail
+	Dir       string             // of the store; empty: none
+	Handlers  map[string][]Part  // the guarded ones, and what their keys are made of
+	KeyField  string             // the header for PartField
+	MadeField string             // the header with the time at which a req was first made, in Unix milliseconds
+	Bounds    idempotency.Config // 0 as Defaults has it
+	Gather    time.Duration      // from one commit to the next, unless many records wait; gatherUsual if 0
+
+	Disk wal.Disk // in place of the folder, but for its lock: tests have disks that fail
 }
 
 const (
@@ -93,22 +93,22 @@
 
 // guarded is what a req has that must not run twice.
 type guarded struct {
-	key    keep.Key
-	made   time.Duration  // since 1970; 0 not told
-	due    time.Duration  // it is answered by then, whatever the disk does
-	asked  time.Duration  // when the store, or the group, was asked
-	why    account.Reason // of its answer, once its run has ended
-	kept   bool           // its end was told to the store
-	replay bool           // it may run again: only the boxes of the cluster know of it
+	key    idempotency.Key
+	made   time.Duration     // since 1970; 0 not told
+	due    time.Duration     // it is answered by then, whatever the disk does
+	asked  time.Duration     // when the store, or the group, was asked
+	why    accounting.Reason // of its answer, once its run has ended
+	kept   bool              // its end was told to the store
+	replay bool              // it may run again: only the boxes of the cluster know of it
 }
 
 // keeper is the core's side of the store: it asks it before a guarded req is taken and before it is begun, and carries out what it
 // says. All decisions are the store's.
 type keeper struct {
 	b       *Backend
-	parts   [][]Part    // by handler; nil: not guarded
-	store   *keep.Store // nil until it is read
-	log     *keeplog.Log
+	parts   [][]Part           // by handler; nil: not guarded
+	store   *idempotency.Store // nil until it is read
+	log     *wal.Log
 	lock    *os.File
 	from    time.Duration // the span at which the time of day was base
 	base    time.Duration // both clocks are read once: a jump of one while the process runs changes nothing
@@ -121,16 +121,16 @@
 
 // KeepStats tell what the store has done for reqs, and how it is.
 type KeepStats struct {
-	Reading   bool             `json:"reading"`
-	Broken    bool             `json:"broken"` // nothing can be protected in this life
-	Store     keep.Stats       `json:"store"`
-	Log       keeplog.LogStats `json:"log"`
-	Repeated  int64            `json:"repeated"`
-	InDoubt   int64            `json:"in_doubt"`
-	Aged      int64            `json:"aged"`
-	Blind     int64            `json:"blind"`
-	Refused   int64            `json:"refused"`
-	ReadingMS int64            `json:"reading_ms"`
+	Reading   bool              `json:"reading"`
+	Broken    bool              `json:"broken"` // nothing can be protected in this life
+	Store     idempotency.Stats `json:"store"`
+	Log       wal.LogStats      `json:"log"`
+	Repeated  int64             `json:"repeated"`
+	InDoubt   int64             `json:"in_doubt"`
+	Aged      int64             `json:"aged"`
+	Blind     int64             `json:"blind"`
+	Refused   int64             `json:"refused"`
+	ReadingMS int64             `json:"reading_ms"`
 }
 
 // init finds out what is guarded, and gives the settings with those handlers as uniqued: the module then lets their repeats join,
@@ -197,10 +197,10 @@
 
 // openedStore is what opening a store brings.
 type openedStore struct {
-	store *keep.Store
-	log   *keeplog.Writer
+	store *idempotency.Store
+	log   *wal.Writer
 	lock  *os.File
-	found keeplog.Found
+	found wal.Found
 	aside bool  // its records are as lost
 	lists lists // of a box of a cluster, as what follows
 	known memory
@@ -213,12 +213,12 @@
 func openStore(box string, cfg *Keep, first *lists, now time.Duration, closing chan struct{}, told func(records int)) (o openedStore) {
 	disk := cfg.Disk
 	if disk == nil {
-		disk = keeplog.Folder(cfg.Dir)
+		disk = wal.Folder(cfg.Dir)
 	}
-	if _, o.err = keeplog.Identify(disk); o.err != nil {
+	if _, o.err = wal.Identify(disk); o.err != nil {
 		return o
 	}
-	if o.lock, o.err = hold.Take(filepath.Join(cfg.Dir, keeplog.LockName)); o.err != nil {
+	if o.lock, o.err = filelock.Take(filepath.Join(cfg.Dir, wal.LockName)); o.err != nil {
 		return o
 	}
 	if first != nil {
@@ -229,17 +229,17 @@
 			return o
 		}
 	}
-	if o.aside, o.err = keeplog.Try(disk); o.err != nil {
+	if o.aside, o.err = wal.Try(disk); o.err != nil {
 		return o
 	}
 	defer func() {
-		if err := keeplog.Tried(disk); o.err == nil {
+		if err := wal.Tried(disk); o.err == nil {
 			o.err = err
 		}
 	}()
-	o.store = keep.New(cfg.Bounds)
+	o.store = idempotency.New(cfg.Bounds)
 	n, last := 0, time.Now()
-	o.log, o.found, o.err = keeplog.Start(disk, box, o.store, now, func(keep.Write) error {
+	o.log, o.found, o.err = wal.Start(disk, box, o.store, now, func(idempotency.Write) error {
 		if n++; n%lookEach != 0 {
 			return nil
 		}
@@ -273,7 +273,7 @@
 		b.log.Error("keep", "dir", dir, "damage", what)
 	}
 	k.store = o.store
-	k.log = keeplog.NewLog(o.log, b.cfg.Keep.Gather, gatherEnough, func(seq uint64, err error) {
+	k.log = wal.NewLog(o.log, b.cfg.Keep.Gather, gatherEnough, func(seq uint64, err error) {
 		b.box.Post(func() { k.durable(seq, err) })
 	})
 	if b.cluster.on() {
@@ -343,14 +343,14 @@
 			put(part, a.r.body)
 		}
 	}
-	return &guarded{key: keep.Key(h.Sum(nil)), made: time.Duration(a.made * float64(time.Millisecond)), replay: replay}
+	return &guarded{key: idempotency.Key(h.Sum(nil)), made: time.Duration(a.made * float64(time.Millisecond)), replay: replay}
 }
 
 // admit lets a guarded req go to the module, or answers it at once where that has nothing to decide: nothing can be run of it.
 func (k *keeper) admit(r *req) bool {
 	b := k.b
 	r.guard.due = b.now - r.ev.Unread + b.handlers[r.h].timeout - answerBefore
-	var verdict keep.Verdict
+	var verdict idempotency.Verdict
 	switch {
 	case r.guard.replay && (b.cluster.box == nil || k.broken):
 		r.guard = nil
@@ -363,19 +363,19 @@
 	case k.store != nil:
 		verdict = k.store.Look(k.now(), r.guard.made, r.guard.key)
 	case k.broken:
-		verdict = keep.Unguarded
+		verdict = idempotency.Unguarded
 	}
 	switch verdict {
-	case keep.Fresh:
+	case idempotency.Fresh:
 		return true
-	case keep.Known:
+	case idempotency.Known:
 		if r.fore = k.store.Forerunner(r.guard.key); r.fore == 0 || b.reqs[r.fore] == nil {
 			r.fore = binary.LittleEndian.Uint64(r.guard.key[:]) | 1 // of an earlier life, or ended: the module knows nothing of it
 		}
 		r.ev.RepeatOf = r.fore
 		return true
 	}
-	why := account.StillReading
+	why := accounting.StillReading
 	if verdict != 0 {
 		why = k.reason(verdict)
 	}
@@ -385,33 +385,33 @@
 }
 
 // reason says how a verdict that ends a req is accounted for, and counts it.
-func (k *keeper) reason(v keep.Verdict) account.Reason {
+func (k *keeper) reason(v idempotency.Verdict) accounting.Reason {
 	switch v {
-	case keep.Repeat:
+	case idempotency.Repeat:
 		k.stats.Repeated++
-		return account.Repeated
-	case keep.Broken:
-		return account.Forerunner
-	case keep.InDoubt:
+		return accounting.Repeated
+	case idempotency.Broken:
+		return accounting.Forerunner
+	case idempotency.InDoubt:
 		k.stats.InDoubt++
-		return account.KeptDoubt
-	case keep.TooLate:
+		return accounting.KeptDoubt
+	case idempotency.TooLate:
 		k.stats.Aged++
-		return account.KeptAged
-	case keep.Blind:
+		return accounting.KeptAged
+	case idempotency.Blind:
 		k.stats.Blind++
-		return account.KeptBlind
+		return accounting.KeptBlind
 	}
 	k.stats.Refused++
 	switch v {
-	case keep.NoRoom:
-		return account.KeepFull
-	case keep.Fresh:
-		return account.ComeAgain
-	case takeover.Undecided:
-		return account.Undecided
-	}
-	return account.Unprotected
+	case idempotency.NoRoom:
+		return accounting.KeepFull
+	case idempotency.Fresh:
+		return accounting.ComeAgain
+	case failover.Undecided:
+		return accounting.Undecided
+	}
+	return accounting.Unprotected
 }
 
 // note has a req that the module wants run wait for its intent.
@@ -426,7 +426,7 @@
 		k.b.cluster.box.Begin(k.now(), r.guard.key, r.id, k.b.link.last)
 		return
 	}
-	if o := k.store.Arrive(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Verdict != keep.Wait {
+	if o := k.store.Arrive(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Verdict != idempotency.Wait {
 		k.outcome(o)
 	}
 }
@@ -438,12 +438,12 @@
 		k.b.cluster.box.Join(k.now(), r.guard.key, r.id)
 		return
 	}
-	if k.store.Look(k.now(), r.guard.made, r.guard.key) != keep.Known { // proved never to have run since the module was told
-		k.outcome(keep.Outcome{ID: r.id, Verdict: keep.Fresh})
+	if k.store.Look(k.now(), r.guard.made, r.guard.key) != idempotency.Known { // proved never to have run since the module was told
+		k.outcome(idempotency.Outcome{ID: r.id, Verdict: idempotency.Fresh})
 		return
 	}
 	r.at = joined
-	if o := k.store.Arrive(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Verdict != keep.Wait {
+	if o := k.store.Arrive(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Verdict != idempotency.Wait {
 		k.outcome(o)
 	}
 }
@@ -459,36 +459,36 @@
 	}
 }
 
-func (k *keeper) heed(all []keep.Outcome) {
+func (k *keeper) heed(all []idempotency.Outcome) {
 	for _, o := range all {
 		k.outcome(o)
 	}
 }
 
 // outcome carries out what the store says of a req.
-func (k *keeper) outcome(o keep.Outcome) {
+func (k *keeper) outcome(o idempotency.Outcome) {
 	b := k.b
 	r := b.reqs[o.ID]
 	if r == nil || r.guard == nil || r.guard.kept && r.at != writing {
-		invariant.Check(o.Verdict != keep.Begin, "what is to be begun is there")
+		invariant.Check(o.Verdict != idempotency.Begin, "what is to be begun is there")
 		return
 	}
 	delete(k.writing, r)
 	switch o.Verdict {
-	case keep.Begin:
+	case idempotency.Begin:
 		if !b.wanted(r) || r.at != noting { // nobody waits and it never ran, or the module has it joined
-			why := account.NeverRan
+			why := accounting.NeverRan
 			if r.at == joined {
-				why = account.ComeAgain
+				why = accounting.ComeAgain
 			}
 			r.guard.kept = true
-			others := k.store.Ended(k.now(), r.guard.key, keep.Never, nil)
+			others := k.store.Ended(k.now(), r.guard.key, idempotency.Never, nil)
 			b.ended(r, overload.Moot, why, 0, nil)
 			k.heed(others)
 			return
 		}
 		b.begin(r)
-	case keep.Done:
+	case idempotency.Done:
 		b.cluster.settled(r, r.guard.why)
 		delete(b.reqs, r.id)
 		if b.owes(r) {
@@ -496,14 +496,14 @@
 			b.owed--
 			r.edge = nil
 		}
-	case keep.Repeat:
+	case idempotency.Repeat:
 		r.guard.kept = true
 		b.ended(r, overload.OK, k.reason(o.Verdict), 0, o.Result)
 	default:
 		r.guard.kept = true
 		how := overload.Errored
 		why := k.reason(o.Verdict)
-		if why.Figure() == account.Refused {
+		if why.Figure() == accounting.Refused {
 			how = overload.Moot
 		}
 		b.ended(r, how, why, 0, nil)
@@ -511,7 +511,7 @@
 }
 
 // writes follows the end of a guarded req, and tells whether its answer has to wait for the disk.
-func (k *keeper) writes(r *req, how overload.Outcome, why account.Reason, body []byte) bool {
+func (k *keeper) writes(r *req, how overload.Outcome, why accounting.Reason, body []byte) bool {
 	g := r.guard
 	if g.replay {
 		switch {
@@ -520,9 +520,9 @@
 			k.leave(r)
 		default:
 			g.kept = true
-			kind := keep.Never
+			kind := idempotency.Never
 			if how == overload.OK {
-				kind = keep.Result
+				kind = idempotency.Result
 			}
 			k.b.cluster.box.End(k.now(), g.key, r.id, kind, body)
 		}
@@ -539,11 +539,11 @@
 		k.leave(r)
 		return false
 	}
-	kind := map[overload.Outcome]keep.Kind{overload.OK: keep.Result, overload.Moot: keep.Never}[how]
+	kind := map[overload.Outcome]idempotency.Kind{overload.OK: idempotency.Result, overload.Moot: idempotency.Never}[how]
 	if kind == 0 {
-		kind = keep.Failed
+		kind = idempotency.Failed
 	}
-	if kind == keep.Result {
+	if kind == idempotency.Result {
 		g.why, r.at = why, writing
 		k.writing[r] = struct{}{}
 	}
@@ -552,7 +552,7 @@
 	} else {
 		k.heed(k.store.Ended(k.now(), g.key, kind, body))
 	}
-	return kind == keep.Result
+	return kind == idempotency.Result
 }
 
 // lookAtTime answers what waits for the disk and can wait no longer. Its result is kept all the same once the disk has it.
@@ -568,11 +568,11 @@
 			continue
 		}
 		if b.owes(r) {
-			b.door.errored(r, account.NotWritten)
+			b.door.errored(r, accounting.NotWritten)
 			b.answered(r)
 		}
 		if delete(k.writing, r); b.cluster.on() { // too few of its group may ever answer
-			b.cluster.settled(r, account.NotWritten)
+			b.cluster.settled(r, accounting.NotWritten)
 			delete(b.reqs, r.id)
 		}
 	}
--- a/backend/keys.go
+++ b/backend/keys.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/overload"
 )
 
@@ -77,26 +77,26 @@
 // is remembered from then on, since its repeat may come in the same batch. It gives why the req can't be taken: there is no
 // room to remember it, nobody could be asked whether the processor knows it, or its id is that of another try. Each try has its own, so somebody plays back what an edge node
 // sent: the processor knows the id, and would not be asked to run what is answered from here.
-func (k *keys) meet(r *req) account.Reason {
+func (k *keys) meet(r *req) accounting.Reason {
 	if r.of.name == "" {
-		return account.None // nothing by which a repeat could be known
+		return accounting.None // nothing by which a repeat could be known
 	}
 	if e := k.repeats(r); e != nil {
 		if k.b.canStop && !r.proved {
-			return account.NotReady // nobody could be asked whether it is an edge node's
+			return accounting.NotReady // nobody could be asked whether it is an edge node's
 		}
 		if r.id == e.id || slices.Contains(e.asked, r.id) {
-			return account.Stranger
+			return accounting.Stranger
 		}
 		e.asked = append(e.asked[max(0, len(e.asked)-askedMost+1):], r.id)
 		r.fore = e.id
 		r.ev.RepeatOf = e.id
-		return account.None
+		return accounting.None
 	}
 	if k.b.handlers[r.h].uniqued && !k.add(r) {
-		return account.KeepFull
+		return accounting.KeepFull
 	}
-	return account.None
+	return accounting.None
 }
 
 // add remembers a req and tells whether there was room, also for the result of one that must run once.
@@ -161,11 +161,11 @@
 func (k *keys) repeated(r *req, ran, ok bool, result []byte) {
 	switch {
 	case ok:
-		k.b.ended(r, overload.OK, account.Repeated, 0, result)
+		k.b.ended(r, overload.OK, accounting.Repeated, 0, result)
 	case ran:
-		k.b.ended(r, overload.Errored, account.Forerunner, 0, nil)
+		k.b.ended(r, overload.Errored, accounting.Forerunner, 0, nil)
 	default:
-		k.b.ended(r, overload.Errored, account.ComeAgain, 0, nil)
+		k.b.ended(r, overload.Errored, accounting.ComeAgain, 0, nil)
 	}
 }
 
--- a/backend/keys_test.go
+++ b/backend/keys_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/overload"
 )
 
@@ -64,7 +64,7 @@
 	b := keysAt(t, "1")
 	taken := 0
 	for i := range uint64(100) {
-		if r := b.reads(i+1, 1, fmt.Sprint(i), 0); b.keys.meet(r) == account.None {
+		if r := b.reads(i+1, 1, fmt.Sprint(i), 0); b.keys.meet(r) == accounting.None {
 			taken++
 		}
 	}
@@ -73,12 +73,12 @@
 	}
 	for i := range uint64(taken) {
 		b.keys.ended(b.reads(i+1, 1, fmt.Sprint(i), 0), overload.Errored, true, nil)
-		if r := b.reads(i+1000, 1, fmt.Sprint(i), 0); b.keys.meet(r) != account.None || r.fore != i+1 {
+		if r := b.reads(i+1000, 1, fmt.Sprint(i), 0); b.keys.meet(r) != accounting.None || r.fore != i+1 {
 			t.Fatal(i, "is forgotten")
 		}
 	}
 	b.keys.ended(&req{id: 1}, overload.Errored, false, nil)
-	if r := b.reads(2000, 1, "0", 0); b.keys.meet(r) != account.None || r.fore != 0 {
+	if r := b.reads(2000, 1, "0", 0); b.keys.meet(r) != accounting.None || r.fore != 0 {
 		t.Error("what never ran is still known")
 	}
 }
--- a/backend/lease.go
+++ b/backend/lease.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"frosthub/internal/control"
-	"frosthub/internal/sysfault"
+	"frosthub/internal/faultinject"
 )
 
 // Fifteen in the 3 s after which a silent backend leaves the list: datagrams are lost, and cost little.
@@ -59,7 +59,7 @@
 	if ready := b.good && b.ctl != nil; b.now >= l.next || ready != l.said {
 		l.next, l.said = b.now+reportEvery, ready
 		l.buf = control.AppendLease(l.buf[:0], b.cfg.Name, ready)
-		err := sysfault.Of(sysfault.Send)
+		err := faultinject.Of(faultinject.Send)
 		if err == nil {
 			_, err = l.c.Write(l.buf)
 		}
--- a/backend/main.go
+++ b/backend/main.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
+	"frosthub/internal/asynclog"
 	"frosthub/internal/conn"
-	"frosthub/internal/logline"
 )
 
 const (
@@ -36,7 +36,7 @@
 	}
 	cfg.Limits.Apply()
 	signal.Ignore(syscall.SIGPIPE) // who reads the log may go: that ends nothing
-	lines := logline.New(os.Stderr)
+	lines := asynclog.New(os.Stderr)
 	defer lines.Flush(lastLines)
 	log := slog.New(slog.NewTextHandler(lines, nil))
 	conn.Prepare(log)
--- a/backend/peers.go
+++ b/backend/peers.go
@@ -12,8 +12,8 @@
 	"frosthub/internal/ajp"
 	"frosthub/internal/conn"
 	"frosthub/internal/invariant"
+	"frosthub/loadbalance"
 	"frosthub/overload"
-	"frosthub/route"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // NextAJP is a next tier of several servers that speak AJP. Without peers there is none.
 type NextAJP struct {
-	Route  route.Config
+	Route  loadbalance.Config
 	Secret string // that each call brings; empty: none
 }
 
@@ -43,8 +43,8 @@
 // have run; one that may have run is the module's to make again.
 type peers struct {
 	b     *Backend
-	r     *route.Router
-	pools map[*route.Target]*pool
+	r     *loadbalance.Router
+	pools map[*loadbalance.Target]*pool
 	calls map[uint64]*call
 	wires int // connections, and those being dialled
 }
@@ -58,7 +58,7 @@
 type peerWire struct {
 	c    *conn.Conn
 	p    *ajp.Client
-	at   *route.Target
+	at   *loadbalance.Target
 	k    *call         // in hand; nil idle
 	pong time.Duration // asked whether anybody is there, and waiting until then; 0 not
 	rest []byte        // of the body, still to be asked for
@@ -71,10 +71,10 @@
 var errNoPong = errors.New("nobody answers there")
 
 func newPeers(b *Backend) *peers {
-	p := &peers{b: b, pools: map[*route.Target]*pool{}, calls: map[uint64]*call{}}
+	p := &peers{b: b, pools: map[*loadbalance.Target]*pool{}, calls: map[uint64]*call{}}
 	cfg := b.cfg.NextAJP.Route
 	cfg.Seed = b.cfg.Seed
-	p.r = route.New(cfg)
+	p.r = loadbalance.New(cfg)
 	return p
 }
 
@@ -104,7 +104,7 @@
 		return
 	}
 	if p.wires >= p.room() && !p.closeOldest() {
-		p.done(k, route.Dropped)
+		p.done(k, loadbalance.Dropped)
 		p.end(k, overload.Full)
 		return
 	}
@@ -113,7 +113,7 @@
 	b.box.Dial(at.Address, func(c *conn.Conn, err error) { p.dialled(at, k, c, err) })
 }
 
-func (p *peers) pool(t *route.Target) *pool {
+func (p *peers) pool(t *loadbalance.Target) *pool {
 	l := p.pools[t]
 	if l == nil {
 		l = &pool{}
@@ -137,14 +137,14 @@
 	return true
 }
 
-func (p *peers) dialled(at *route.Target, k *call, c *conn.Conn, err error) {
+func (p *peers) dialled(at *loadbalance.Target, k *call, c *conn.Conn, err error) {
 	b := p.b
 	waits := k.r.call == k && k.at == at && k.jw == nil
 	if err != nil {
 		p.wires--
 		b.note("next tier not reached", "peer", at.Address, "why", err)
 		if waits {
-			p.elsewhere(k, route.Fault, overload.NoConnection)
+			p.elsewhere(k, loadbalance.Fault, overload.NoConnection)
 		}
 		return
 	}
@@ -176,13 +176,13 @@
 }
 
 // done tells the router how a call ended at its peer, where it is no more.
-func (p *peers) done(k *call, how route.Outcome) {
+func (p *peers) done(k *call, how loadbalance.Outcome) {
 	p.r.Done(p.b.now, k.at, how)
 	k.at, k.jw = nil, nil
 }
 
 // elsewhere follows the proof that a call never ran at its peer: another may have it.
-func (p *peers) elsewhere(k *call, how route.Outcome, proved overload.Outcome) {
+func (p *peers) elsewhere(k *call, how loadbalance.Outcome, proved overload.Outcome) {
 	k.tried, k.proved = append(k.tried, k.at), proved
 	p.done(k, how)
 	if p.b.now >= k.till {
@@ -239,7 +239,7 @@
 	}
 	switch a.Status {
 	case 200:
-		p.done(k, route.Good)
+		p.done(k, loadbalance.Good)
 		b.link.answer(k.r, a.Body)
 		p.end(k, overload.OK)
 	case 429, 503: // it never ran
@@ -248,17 +248,17 @@
 			here = here || bytes.EqualFold(name, dontRetryName) && string(value) == "1"
 		})
 		if here {
-			p.done(k, route.Declined)
+			p.done(k, loadbalance.Declined)
 			p.end(k, overload.Full)
 			return
 		}
-		p.elsewhere(k, route.Declined, overload.Full)
+		p.elsewhere(k, loadbalance.Declined, overload.Full)
 	default:
 		how := overload.Errored
 		if a.Status == 504 {
 			how = overload.TimedOut
 		}
-		p.done(k, route.Good)
+		p.done(k, loadbalance.Good)
 		p.end(k, how)
 	}
 }
@@ -301,9 +301,9 @@
 	switch {
 	case k == nil:
 	case w.pong > 0 || c.Sent() <= w.sent:
-		p.elsewhere(k, route.Fault, overload.NoConnection)
+		p.elsewhere(k, loadbalance.Fault, overload.NoConnection)
 	default:
-		p.done(k, route.Fault)
+		p.done(k, loadbalance.Fault)
 		p.end(k, overload.BrokenOff)
 	}
 }
@@ -316,7 +316,7 @@
 }
 
 // drop takes a call from its peer, of which nothing is known, and ends its connection: AJP has no other abort.
-func (p *peers) drop(k *call, how route.Outcome) {
+func (p *peers) drop(k *call, how loadbalance.Outcome) {
 	w := k.jw
 	if k.at != nil {
 		p.done(k, how)
@@ -332,7 +332,7 @@
 	if k == nil {
 		return
 	}
-	p.drop(k, route.Dropped)
+	p.drop(k, loadbalance.Dropped)
 	delete(p.calls, r.id)
 	r.call, r.at = nil, asking
 }
@@ -361,9 +361,9 @@
 		}
 		switch w := k.jw; {
 		case b.now >= k.till+callGrace:
-			how := route.Silent
+			how := loadbalance.Silent
 			if w == nil || w.pong > 0 { // it never got that far
-				how = route.Fault
+				how = loadbalance.Fault
 			}
 			p.drop(k, how)
 			p.end(k, overload.TimedOut)
@@ -371,7 +371,7 @@
 			b.note("next tier not reached", "peer", w.at.Address, "why", errNoPong)
 			w.k = nil
 			p.close(w)
-			p.elsewhere(k, route.Fault, overload.NoConnection)
+			p.elsewhere(k, loadbalance.Fault, overload.NoConnection)
 		default:
 			b.at(k.till + callGrace)
 			if w != nil && w.pong > 0 {
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -4,16 +4,16 @@
 	"errors"
 	"slices"
 
-	"frosthub/keep"
+	"frosthub/failover"
+	"frosthub/idempotency"
 	"frosthub/recovery"
-	"frosthub/takeover"
 )
 
 const settleKeys = 4096 // in doubt at a start that the others are asked about: as many as are in hand at most
 
 // refilling is the core's side of being told again what this box's disk lacks, and of how runs ended whose end it does not know.
 type refilling struct {
-	from   *recovery.Refill[takeover.Cursor] // nil while nothing is lacking
+	from   *recovery.Refill[failover.Cursor] // nil while nothing is lacking
 	doubts *recovery.Settling
 }
 
@@ -27,14 +27,14 @@
 	if c.store.Whole() {
 		return
 	}
-	r := recovery.NewRefill[takeover.Cursor](recovery.RefillConfig{Life: c.life, Others: c.others()}, c.mark)
+	r := recovery.NewRefill[failover.Cursor](recovery.RefillConfig{Life: c.life, Others: c.others()}, c.mark)
 	for _, name := range c.others() {
 		if c.known.Forgotten(name) {
 			r.Without(name)
 		}
 	}
 	c.refill.from = r
-	c.store.Proves(func(key keep.Key) bool { return r.Covers(c.box.Others(key)) })
+	c.store.Proves(func(key idempotency.Key) bool { return r.Covers(c.box.Others(key)) })
 	c.toldAll() // where an operator has said of all others that they never come back
 }
 
@@ -51,22 +51,22 @@
 // refillTick asks for what is due.
 func (c *cluster) refillTick() {
 	b, now := c.b, c.b.keeper.now()
-	var ask []keep.Key
-	for _, k := range c.refill.doubts.Tick(now, func(k [16]byte) bool { return c.store.Meet(now, 0, k).Verdict == keep.InDoubt }) {
+	var ask []idempotency.Key
+	for _, k := range c.refill.doubts.Tick(now, func(k [16]byte) bool { return c.store.Meet(now, 0, k).Verdict == idempotency.InDoubt }) {
 		ask = append(ask, k)
 	}
 	c.box.Settle(now, ask)
 	if r := c.refill.from; r != nil && !r.Done() {
 		for _, q := range r.Tick(b.now, c.Alive) {
 			if l := c.links[q.To]; l != nil {
-				l.batch.Telling = &takeover.Telling{Life: c.life, From: q.From}
+				l.batch.Telling = &failover.Telling{Life: c.life, From: q.From}
 			}
 		}
 	}
 }
 
 // tells answers a box that has lost something.
-func (c *cluster) tells(from string, life uint64, t *takeover.Telling) {
+func (c *cluster) tells(from string, life uint64, t *failover.Telling) {
 	if t.Life != life || life < c.Life(from) {
 		return
 	}
@@ -79,18 +79,18 @@
 }
 
 // fences are those on the disk, once what is remembered is.
-func fences(known map[string]uint64) (out []takeover.Fence) {
+func fences(known map[string]uint64) (out []failover.Fence) {
 	for name, life := range known {
-		out = append(out, takeover.Fence{Box: name, Life: life})
+		out = append(out, failover.Fence{Box: name, Life: life})
 	}
 	return out
 }
 
 // toldAgain takes a page.
-func (c *cluster) toldAgain(from string, life uint64, p *takeover.Page) {
+func (c *cluster) toldAgain(from string, life uint64, p *failover.Page) {
 	b, r := c.b, c.refill.from
-	info := recovery.PageInfo[takeover.Cursor]{Life: p.Life, From: p.From, Next: p.Next, Keys: len(p.Told) + len(p.InHand),
-		Last: p.Next.Step == takeover.StepDone, Full: p.Whole && p.Heeded}
+	info := recovery.PageInfo[failover.Cursor]{Life: p.Life, From: p.From, Next: p.Next, Keys: len(p.Told) + len(p.InHand),
+		Last: p.Next.Step == failover.StepDone, Full: p.Whole && p.Heeded}
 	if r == nil || r.Done() || !c.box.Goes(p) || !r.Wants(from, life, &info) {
 		return
 	}
--- a/backend/req.go
+++ b/backend/req.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
@@ -33,7 +33,7 @@
 	body  []byte
 	at    place
 
-	ticket account.Ticket
+	ticket accounting.Ticket
 	edge   *edge // who waits for the answer; nil once it is given or nobody does
 	slot   uint16
 	keep   bool
@@ -104,7 +104,7 @@
 		}
 		if v := b.process.Start(r.since); v != lifecycle.Allowed && !r.taken {
 			b.violated("start", r, v)
-			b.ended(r, overload.Moot, account.NotReady, 0, nil)
+			b.ended(r, overload.Moot, accounting.NotReady, 0, nil)
 			return
 		}
 		if r.guard != nil {
@@ -118,11 +118,11 @@
 			b.count.Stopped++
 			b.link.interrupt(r)
 		case r.at == noting:
-			b.ended(r, overload.Moot, account.NeverRan, 0, nil)
+			b.ended(r, overload.Moot, accounting.NeverRan, 0, nil)
 		}
 	case overload.Shed:
 		if r.taken {
-			b.cluster.settled(r, account.Shed)
+			b.cluster.settled(r, accounting.Shed)
 			b.unowed(r)
 			return
 		}
@@ -132,19 +132,19 @@
 		if invariant.Check(r.at == held, "what is shed never ran") {
 			b.door.shed(r, a.RetryAfter, a.DontRetry)
 		} else {
-			b.door.errored(r, account.GivenUp)
+			b.door.errored(r, accounting.GivenUp)
 		}
 		b.answered(r)
 	case overload.Error:
 		if b.owes(r) {
-			why := account.GivenUp
+			why := accounting.GivenUp
 			if r.at == asking && r.unserved {
-				why = account.CallFailed
+				why = accounting.CallFailed
 			}
 			b.door.errored(r, why)
 			b.answered(r)
 		} else if r.taken && r.at < noting {
-			b.cluster.settled(r, account.GivenUp)
+			b.cluster.settled(r, accounting.GivenUp)
 			b.unowed(r)
 		} else if r.at >= asking {
 			b.endRun(r) // nobody waits, but the run does
@@ -179,8 +179,8 @@
 		}
 	} else {
 		switch why := b.keys.meet(r); why {
-		case account.None:
-		case account.Stranger:
+		case accounting.None:
+		case accounting.Stranger:
 			b.door.unknown(r)
 			return
 		default:
@@ -217,9 +217,9 @@
 // gone follows the edge node's word that it no longer waits, or (BrokenOff) the end of its connection.
 func (b *Backend) gone(r *req, how overload.Outcome) {
 	b.owed--
-	why := account.Aborted
+	why := accounting.Aborted
 	if how == overload.BrokenOff {
-		why = account.ConnectionLost
+		why = accounting.ConnectionLost
 	}
 	b.book.Close(b.wall, r.ticket, why)
 	r.edge = nil
@@ -247,7 +247,7 @@
 }
 
 // ended follows the end of a run, why says how it is accounted for; body is the result.
-func (b *Backend) ended(r *req, how overload.Outcome, why account.Reason, took time.Duration, body []byte) {
+func (b *Backend) ended(r *req, how overload.Outcome, why accounting.Reason, took time.Duration, body []byte) {
 	if r.at >= running {
 		b.count.Ended++
 	}
@@ -272,18 +272,18 @@
 	}
 	b.cluster.settled(r, why)
 	delete(b.reqs, r.id)
-	b.keys.ended(r, how, r.sent && why != account.NeverRan, body)
+	b.keys.ended(r, how, r.sent && why != accounting.NeverRan, body)
 }
 
 // reasonOf says how the end of a run is accounted for.
-func reasonOf(how overload.Outcome) account.Reason {
+func reasonOf(how overload.Outcome) accounting.Reason {
 	switch how {
 	case overload.OK:
-		return account.Ran
+		return accounting.Ran
 	case overload.Stopped:
-		return account.RunStopped
+		return accounting.RunStopped
 	case overload.Moot:
-		return account.NeverRan
+		return accounting.NeverRan
 	}
-	return account.RunFailed
+	return accounting.RunFailed
 }
--- a/backend/request.go
+++ b/backend/request.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"frosthub/account"
-	"frosthub/internal/lines"
+	"frosthub/accounting"
+	"frosthub/internal/lineproto"
 	"frosthub/lifecycle"
 	"frosthub/overload"
 )
@@ -39,15 +39,15 @@
 }
 
 // bad answers a req that can't be taken. Who goes on with such is closed: it would begin again at once.
-func (f *door) bad(e *edge, slot uint16, keep bool, t account.Ticket, id uint64, reason account.Reason, why string) {
+func (f *door) bad(e *edge, slot uint16, keep bool, t accounting.Ticket, id uint64, reason accounting.Reason, why string) {
 	f.b.count.BadReqs++
 	f.b.note("bad req", "why", why)
 	e.bad++
 	status := 400
 	switch reason {
-	case account.NoHandler:
+	case accounting.NoHandler:
 		status = 404
-	case account.BadSecret:
+	case accounting.BadSecret:
 		status = 403
 	}
 	f.answer(e, slot, keep && e.bad < badMost, &reply{status: status})
@@ -61,13 +61,13 @@
 func (f *door) refusePart(e *edge, slot uint16, keep bool) {
 	t := f.nameless(e)
 	f.answer(e, slot, keep, f.refusal())
-	f.owe(e, t, 0, account.NotReady)
+	f.owe(e, t, 0, accounting.NotReady)
 	f.weigh(e)
 }
 
 // nameless takes a req of which neither id nor handler is known.
-func (f *door) nameless(e *edge) account.Ticket {
-	return f.b.book.Open(f.b.wall, 0, 0, e.p.front(), account.Name{})
+func (f *door) nameless(e *edge) accounting.Ticket {
+	return f.b.book.Open(f.b.wall, 0, 0, e.p.front(), accounting.Name{})
 }
 
 // takenBack follows the word that nobody waits any more.
@@ -108,7 +108,7 @@
 	path, query string
 	started     float64
 	hasStart    bool
-	customer    account.Name
+	customer    accounting.Name
 	owner       []byte  // the customer's name whole, and
 	key         []byte  // the field that names what must not run twice: both only where something is guarded
 	made        float64 // Unix milliseconds; 0 not told
@@ -146,7 +146,7 @@
 		a.query = string(v)
 	case idField:
 		a.r.name = string(v)
-		a.r.id, _ = lines.ID(v)
+		a.r.id, _ = lineproto.ID(v)
 	case startField:
 		a.started, a.hasStart = a.number(v, math.MaxInt64/2), true
 	case callerField:
@@ -182,7 +182,7 @@
 
 // owned takes its customer.
 func (a *asked) owned(v []byte) {
-	a.customer = account.NameOf(v)
+	a.customer = accounting.NameOf(v)
 	if a.b.keeper.on() {
 		a.owner = append(a.owner[:0], v...)
 	}
@@ -198,13 +198,13 @@
 	}
 	name, isInvoke := strings.CutPrefix(a.path, "/invoke/")
 	r.h = b.handlerOf(name)
-	reason := account.BadFields
+	reason := accounting.BadFields
 	why := a.why
 	switch {
 	case !whole:
 		why = "parameters cut short"
 	case !isInvoke || r.h < 0:
-		why, reason = "unknown handler", account.NoHandler
+		why, reason = "unknown handler", accounting.NoHandler
 	case why != "":
 	case r.id == 0:
 		why = "no id of 16 hex digits"
@@ -225,9 +225,9 @@
 	unread := b.stamps.Unread(time.Duration(a.started*float64(time.Millisecond)), e.known || !b.canStop)
 	refuses := b.ctl == nil || b.process.Take() != lifecycle.Allowed
 	if refuses || unread > b.handlers[r.h].timeout || r.waits > 0 && unread > r.waits { // nobody waits; so old a start would tell of a standstill
-		reason = account.Aged
+		reason = accounting.Aged
 		if refuses {
-			reason = account.NotReady
+			reason = accounting.NotReady
 		}
 		f.answer(e, r.slot, r.keep, f.refusal())
 		f.owe(e, r.ticket, r.id, reason)
@@ -249,6 +249,6 @@
 // nobody knows is no edge node.
 func (f *door) unknown(r *req) {
 	delete(r.edge.open, r.slot)
-	f.bad(r.edge, r.slot, false, r.ticket, r.id, account.Stranger, "no req of this machine")
+	f.bad(r.edge, r.slot, false, r.ticket, r.id, accounting.Stranger, "no req of this machine")
 	f.b.answered(r)
 }
--- a/backend/return.go
+++ b/backend/return.go
@@ -11,11 +11,11 @@
 	"slices"
 	"time"
 
-	"frosthub/internal/boxwire"
-	"frosthub/internal/keeplog"
-	"frosthub/keep"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/peerproto"
+	"frosthub/internal/wal"
 	"frosthub/recovery"
-	"frosthub/takeover"
 )
 
 const (
@@ -49,7 +49,7 @@
 }
 
 // returns begins a box's way back, once its store is read.
-func (c *cluster) returns(store *keep.Store, o openedStore) {
+func (c *cluster) returns(store *idempotency.Store, o openedStore) {
 	b := c.b
 	c.store, c.lists, c.known = store, o.lists, o.known
 	c.life, c.goes, c.mark = store.Stats().Life, c.lists.roster().Digests(), rand.Uint64()
@@ -64,11 +64,11 @@
 // witnesses are the boxes that remember how far this one's disk is: some of each list, the same whoever asks, so that what is told and asked
 // does not grow with the fleet.
 func (c *cluster) witnesses() (names []string) {
-	var key keep.Key
+	var key idempotency.Key
 	copy(key[:], c.b.cfg.Name)
 	for _, list := range [][]ClusterMember{c.lists.Members, c.lists.Before} {
 		n := 0
-		for _, name := range takeover.Group(plain(list), key, witnessMost+1) {
+		for _, name := range failover.Group(plain(list), key, witnessMost+1) {
 			if name == c.b.cfg.Name || n == witnessMost || c.known.Forgotten(name) {
 				continue
 			}
@@ -119,7 +119,7 @@
 }
 
 // heard takes what a box says of itself, and answers what it asks.
-func (c *cluster) heard(h *boxwire.Hello) {
+func (c *cluster) heard(h *peerproto.Hello) {
 	if c.way == nil {
 		return // it asks again
 	}
@@ -167,7 +167,7 @@
 	dir, noted := b.cfg.Keep.Dir, fences(c.known.Fences)
 	go func() { // the disk may be slow
 		if err == nil {
-			err = keeplog.Put(keeplog.Folder(dir), memoryName, text)
+			err = wal.Put(wal.Folder(dir), memoryName, text)
 		}
 		b.box.Post(func() {
 			c.known.writing = false
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -12,12 +12,12 @@
 	"strings"
 	"time"
 
-	"frosthub/internal/boxwire"
+	"frosthub/failover"
 	"frosthub/internal/conn"
-	"frosthub/internal/keeplog"
-	"frosthub/members"
+	"frosthub/internal/peerproto"
+	"frosthub/internal/wal"
+	"frosthub/membership"
 	"frosthub/recovery"
-	"frosthub/takeover"
 )
 
 const (
@@ -36,15 +36,15 @@
 // wanted are those of the operator's file.
 func (c *Cluster) wanted() lists { return lists{Members: c.Members, Before: c.Former} }
 
-func plain(list []ClusterMember) (out []takeover.Member) {
+func plain(list []ClusterMember) (out []failover.Member) {
 	for _, m := range list {
 		out = append(out, m.Member)
 	}
 	return out
 }
 
-func (l *lists) roster() takeover.Roster {
-	return takeover.Roster{Members: plain(l.Members), Before: plain(l.Before), Since: l.Since}
+func (l *lists) roster() failover.Roster {
+	return failover.Roster{Members: plain(l.Members), Before: plain(l.Before), Since: l.Since}
 }
 
 func has(list []ClusterMember, name string) bool {
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	return keeplog.Put(keeplog.Folder(dir), rosterName, append(text, '\n'))
+	return wal.Put(wal.Folder(dir), rosterName, append(text, '\n'))
 }
 
 // change has the box go by the lists of another configuration as soon as it may.
@@ -119,7 +119,7 @@
 			c.record(l)
 			return
 		}
-		c.why = fmt.Sprintf("%v: %s", takeover.ErrBehind, strings.Join(behind, ", "))
+		c.why = fmt.Sprintf("%v: %s", failover.ErrBehind, strings.Join(behind, ", "))
 	}
 	if !c.pending {
 		return
@@ -127,7 +127,7 @@
 	want := b.cfg.Cluster.wanted()
 	next, err := r.Next(b.keeper.now(), c.wait(), want.roster())
 	if err != nil {
-		if c.why == "" || !errors.Is(err, takeover.ErrBehind) {
+		if c.why == "" || !errors.Is(err, failover.ErrBehind) {
 			c.why = err.Error()
 		}
 		b.note("members not changed", "why", c.why)
@@ -237,8 +237,8 @@
 }
 
 // forget lets go of a box that is no member any more once it is taken for dead. One that leaves may still wait for the ends of its runs.
-func (c *cluster) forget(x members.Update) {
-	if x.State == members.Dead {
+func (c *cluster) forget(x membership.Update) {
+	if x.State == membership.Dead {
 		n := len(c.leavers)
 		if c.leavers = slices.DeleteFunc(c.leavers, func(m ClusterMember) bool { return m.Name == x.Name }); len(c.leavers) < n {
 			c.connect()
@@ -249,6 +249,6 @@
 // hello is what a connection to another box begins with, and what it is told when the lists change.
 func (c *cluster) hello(ask bool) []byte {
 	b := c.b
-	return boxwire.Append(nil, &boxwire.Batch{Hello: &boxwire.Hello{Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Life: c.life,
+	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Life: c.life,
 		Lists: c.goes, Seq: c.store.Last(), Mark: c.mark, Ask: ask, Knows: recovery.Fences}})
 }
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
@@ -83,7 +83,7 @@
 			if r.at < running {
 				b.door.refused(r)
 			} else {
-				b.door.errored(r, account.GivenUp)
+				b.door.errored(r, accounting.GivenUp)
 			}
 			b.answered(r)
 		}
--- a/backend/stand_test.go
+++ b/backend/stand_test.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"frosthub/internal/ajp"
-	"frosthub/internal/keeplog"
 	"frosthub/internal/stand"
+	"frosthub/internal/wal"
 )
 
 const (
@@ -482,7 +482,7 @@
 	s.options = options
 	if options["keep"] != "" && s.disk == nil {
 		s.newDisk(stand.NewDisk())
-		if err := keeplog.Init(s.disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
+		if err := wal.Init(s.disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 			s.t.Fatal(err)
 		}
 	}
--- a/backend/tier.go
+++ b/backend/tier.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"frosthub/internal/conn"
-	"frosthub/internal/nexttier"
+	"frosthub/internal/upstreamproto"
 	"frosthub/lifecycle"
+	"frosthub/loadbalance"
 	"frosthub/overload"
-	"frosthub/route"
 )
 
 const (
@@ -58,10 +58,10 @@
 	idle  time.Duration // of the connection before
 	mark  int           // bytes written there before
 
-	at     *route.Target    // over AJP: its peer
-	jw     *peerWire        // and its connection; nil while that is dialled
-	tried  []*route.Target  // peers at which it is proved never to have run
-	proved overload.Outcome // and what the last of them proved
+	at     *loadbalance.Target   // over AJP: its peer
+	jw     *peerWire             // and its connection; nil while that is dialled
+	tried  []*loadbalance.Target // peers at which it is proved never to have run
+	proved overload.Outcome      // and what the last of them proved
 }
 
 func newTier(b *Backend) *tier {
@@ -146,7 +146,7 @@
 	w := &wire{c: c, calls: map[uint64]*call{}, used: b.now}
 	t.wires[w] = struct{}{}
 	c.Most = wireMost
-	c.Data = b.noting("bad reply", nexttier.NewParser(func(p nexttier.Reply) { t.reply(w, p) }).Feed)
+	c.Data = b.noting("bad reply", upstreamproto.NewParser(func(p upstreamproto.Reply) { t.reply(w, p) }).Feed)
 	c.Closed = func(error) { t.closed(w) }
 	t.free(w)
 }
@@ -182,11 +182,11 @@
 	k.sent, k.idle, k.mark = b.now, b.now-w.used, w.c.Mark()
 	k.w, w.last, w.used = w, k.r.id, b.now
 	w.calls[k.r.id] = k
-	b.scratch = nexttier.AppendInvoke(b.scratch[:0], k.r.name, k.till-b.now, k.r.ask)
+	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], k.r.name, k.till-b.now, k.r.ask)
 	w.c.Write(b.scratch)
 }
 
-func (t *tier) reply(w *wire, p nexttier.Reply) {
+func (t *tier) reply(w *wire, p upstreamproto.Reply) {
 	k := w.calls[p.ID]
 	if k == nil {
 		return // given up, a second copy, or none of ours
@@ -305,7 +305,7 @@
 		return
 	}
 	w.doubt = true
-	t.b.scratch = nexttier.AppendCancel(t.b.scratch[:0], r.name)
+	t.b.scratch = upstreamproto.AppendCancel(t.b.scratch[:0], r.name)
 	w.c.Write(t.b.scratch)
 	if len(w.calls) == 0 {
 		t.forget(w)
--- a/cmd/frosthub/figures_test.go
+++ b/cmd/frosthub/figures_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"frosthub/account"
-	"frosthub/internal/figures"
+	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/internal/stand"
+	"frosthub/internal/statsfile"
 )
 
 var (
@@ -98,16 +98,16 @@
 type fate struct {
 	sent, closed bool
 	doubt        bool
-	why          account.Reason // of the answer or the end
+	why          accounting.Reason // of the answer or the end
 }
 
 // fates reads the changes of one life.
-func fates(t *testing.T, path string) (map[uint64]fate, *account.Book) {
-	book, data, err := figures.ReadFile(path)
+func fates(t *testing.T, path string) (map[uint64]fate, *accounting.Book) {
+	book, data, err := statsfile.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ops, err := figures.Trail(data)
+	ops, err := statsfile.Trail(data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,18 +116,18 @@
 		id := at[op.Slot]
 		f := out[id]
 		switch op.Kind {
-		case account.OpOpen:
+		case accounting.OpOpen:
 			if _, again := out[op.ID]; again && op.ID != 0 {
 				t.Errorf("%016x is taken twice", op.ID)
 			}
 			at[op.Slot] = op.ID
 			out[op.ID] = fate{}
 			continue
-		case account.OpAnswer:
+		case accounting.OpAnswer:
 			f.why = op.Reason
-		case account.OpSent:
+		case accounting.OpSent:
 			f.sent = true
-		case account.OpClose:
+		case accounting.OpClose:
 			f.closed, f.why = true, op.Reason
 		default:
 			continue
@@ -139,16 +139,16 @@
 
 // agrees tells whether box and edge node say the same of a req.
 func agrees(o stand.Outcome, f fate, taken bool) bool {
-	var want account.Figure
+	var want accounting.Figure
 	switch o {
 	case stand.Served:
-		want = account.Served
+		want = accounting.Served
 	case stand.Refused:
-		want = account.Refused
+		want = accounting.Refused
 	case stand.Failed:
-		want = account.Failed
+		want = accounting.Failed
 	case stand.TakenOff:
-		return f.closed && f.why == account.Aborted
+		return f.closed && f.why == accounting.Aborted
 	case stand.Sent, stand.NotSent: // nothing has come of it: never taken, or closed without an answer
 		return !taken || !f.sent
 	default:
@@ -177,7 +177,7 @@
 		Handlers: []string{"status", "field-update", "file-claim"}, Abort: 0.05, Close: 0.02, Bad: 0.02, Body: "a field"}
 	stream := stand.Stream{Rate: 250, Handlers: load.Handlers, CostMS: 2, Target: time.Second, Patient: 3 * time.Second, Body: "a field"}
 	r := rand.New(rand.NewPCG(seed, 7))
-	var sums account.Figures // as the edge nodes have them
+	var sums accounting.Figures // as the edge nodes have them
 	var doubts, most, lives int
 	settled := strings.Builder{}
 	for left := kills + drains; left > 0; left-- {
@@ -215,7 +215,7 @@
 		<-loaded
 		of, book := fates(t, path)
 		if kill {
-			book.Settle(account.CutByKill, account.Killed)
+			book.Settle(accounting.CutByKill, accounting.Killed)
 		}
 		list, _, _ := book.Lives()
 		life := list[len(list)-1]
@@ -226,7 +226,7 @@
 		}
 		doubts, most = doubts+len(life.Doubt), max(most, len(life.Doubt))
 		all := tally.All()
-		var mine account.Figures // of this life, settled by the tally
+		var mine accounting.Figures // of this life, settled by the tally
 		for id, o := range all {
 			f, taken := of[id]
 			if !agrees(o, f, taken) {
@@ -267,9 +267,9 @@
 		for _, id := range life.Doubt {
 			switch all[id] {
 			case stand.Served:
-				got = got.Moved(account.Served)
+				got = got.Moved(accounting.Served)
 			case stand.Refused:
-				got = got.Moved(account.Refused)
+				got = got.Moved(accounting.Refused)
 			}
 		}
 		if got != mine {
@@ -293,7 +293,7 @@
 		t.Fatal(err, string(out))
 	}
 	var told []struct {
-		Report    account.Report
+		Report    accounting.Report
 		DoubtIDs  []string `json:"doubt_ids"`
 		Different string   `json:"difference"`
 	}
--- a/cmd/frosthub/keep_test.go
+++ b/cmd/frosthub/keep_test.go
@@ -20,9 +20,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"frosthub/backend"
-	"frosthub/internal/keeplog"
+	"frosthub/idempotency"
 	"frosthub/internal/stand"
-	"frosthub/keep"
+	"frosthub/internal/wal"
 )
 
 var keepKills = flag.Int("keepkills", 30, "how often boxes that keep results are killed under repeats; 500 outside CI")
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	if disk != nil {
-		if err := keeplog.Init(disk, cfg.Name, time.Duration(time.Now().UnixNano()), 1); err != nil {
+		if err := wal.Init(disk, cfg.Name, time.Duration(time.Now().UnixNano()), 1); err != nil {
 			t.Fatal(err)
 		}
 		cfg.Keep = backend.Keep{Dir: t.TempDir(), Handlers: map[string][]backend.Part{"file-claim": {by}}, Disk: disk}
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	var size int64
-	d := keeplog.Folder(dir)
+	d := wal.Folder(dir)
 	names, err := d.Names()
 	if err != nil {
 		t.Fatal(err)
@@ -356,18 +356,18 @@
 // fillStore has a store hold what ran with so many keys, the newest of them as results and the rest as prints.
 func fillStore(t *testing.T, dir string, entries, keys, segment int) {
 	t.Helper()
-	bounds := keep.Config{Entries: entries, Bytes: entries*100 + 1<<20, ResultMost: 1 << 16, Lifetime: time.Hour,
+	bounds := idempotency.Config{Entries: entries, Bytes: entries*100 + 1<<20, ResultMost: 1 << 16, Lifetime: time.Hour,
 		Horizon: 24 * time.Hour, Segments: 1000, Prints: segment, SegmentBytes: 64 << 20}
-	s, disk := keep.New(bounds), keeplog.Folder(dir)
+	s, disk := idempotency.New(bounds), wal.Folder(dir)
 	now := time.Duration(time.Now().UnixNano())
-	w, _, err := keeplog.Start(disk, "n1", s, now, nil)
+	w, _, err := wal.Start(disk, "n1", s, now, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range keys {
-		key := keep.Key{0: 1, 8: byte(i >> 16), 9: byte(i >> 8), 10: byte(i)}
+		key := idempotency.Key{0: 1, 8: byte(i >> 16), 9: byte(i >> 8), 10: byte(i)}
 		s.Arrive(now, 0, key, "file-claim", uint64(i+1))
-		s.Ended(now, key, keep.Result, []byte("a result of some bytes"))
+		s.Ended(now, key, idempotency.Result, []byte("a result of some bytes"))
 		if i%1000 == 0 || i == keys-1 {
 			seq, err := w.Commit(s.Writes())
 			if err != nil {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"frosthub/internal/simwire"
+	"frosthub/internal/simproto"
 )
 
 func main() {
-	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simproto.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
--- a/takeover/group.go
+++ b/failover/group.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"frosthub/keep"
+	"frosthub/idempotency"
 )
 
 // Member is one box of a cluster, as the operators' files name it.
@@ -20,7 +20,7 @@
 
 // Group gives the names of the boxes that note what becomes of a key, by weighted rendezvous hashing: who comes or goes moves only the
 // keys that are its own. Where there are zones enough no two of a group are in one; they are never all in one where there are two.
-func Group(members []Member, key keep.Key, size int) []string {
+func Group(members []Member, key idempotency.Key, size int) []string {
 	type scored struct {
 		Member
 		score float64
--- a/takeover/refill.go
+++ b/failover/refill.go
@@ -1,11 +1,11 @@
-package takeover
+package failover
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"frosthub/keep"
+	"frosthub/idempotency"
 )
 
 // A box whose disk is older than what others know does not know what it does not have: in the groups of such keys it counts for neither
@@ -49,14 +49,14 @@
 	Next   Cursor
 	Whole  bool // it can answer for all that it has ever had
 	Heeded bool // all other boxes are known to heed fences: an older program does not
-	Told   []keep.Told
+	Told   []idempotency.Told
 	InHand []InHand
-	Prints []keep.Aged
+	Prints []idempotency.Aged
 }
 
 // InHand is a key whose run may be going on.
 type InHand struct {
-	Key    keep.Key
+	Key    idempotency.Key
 	Ballot Ballot
 	Made   time.Duration
 	Left   time.Duration
@@ -88,7 +88,7 @@
 func (b *Box) Page(now time.Duration, to string, t Telling) Page {
 	b.now = max(b.now, now)
 	p := Page{Life: t.Life, Goes: b.goes, From: t.From, Next: t.From, Whole: b.whole()}
-	shares := func(key keep.Key) bool { return slices.Contains(b.all(key), to) }
+	shares := func(key idempotency.Key) bool { return slices.Contains(b.all(key), to) }
 	switch t.From.Step {
 	case StepHand:
 		if f := b.fences[to]; f.life < t.Life {
@@ -110,7 +110,7 @@
 		a, at, ok := b.store.Prints(t.From.Print)
 		switch {
 		case ok && off != rulePrints:
-			p.Prints, p.Next.Print = []keep.Aged{a}, at
+			p.Prints, p.Next.Print = []idempotency.Aged{a}, at
 		case b.fences[to].durable && b.fences[to].life >= t.Life || off == ruleFence:
 			p.Next.Step = StepDone
 		}
@@ -144,7 +144,7 @@
 }
 
 // fencesOf are those of a key's group, for a word on it.
-func (b *Box) fencesOf(key keep.Key) (out []Fence) {
+func (b *Box) fencesOf(key idempotency.Key) (out []Fence) {
 	if len(b.fences) == 0 || off == ruleFence {
 		return nil
 	}
@@ -199,8 +199,8 @@
 			continue
 		}
 		switch v := b.store.Meet(b.now, 0, t.Key).Verdict; v {
-		case keep.Fresh, keep.Blind, keep.InDoubt:
-			if !b.store.Learn(b.now, t) && (v != keep.InDoubt || t.Kind != 0) {
+		case idempotency.Fresh, idempotency.Blind, idempotency.InDoubt:
+			if !b.store.Learn(b.now, t) && (v != idempotency.InDoubt || t.Kind != 0) {
 				return false
 			}
 		}
@@ -223,11 +223,11 @@
 		return true // or it was asked for since, and what is noted of it is newer
 	}
 	switch b.store.Meet(b.now, h.Made, h.Key).Verdict {
-	case keep.Fresh, keep.Blind:
-		if !b.store.Learn(b.now, keep.Told{Key: h.Key}) {
+	case idempotency.Fresh, idempotency.Blind:
+		if !b.store.Learn(b.now, idempotency.Told{Key: h.Key}) {
 			return false
 		}
-	case keep.InDoubt:
+	case idempotency.InDoubt:
 	default:
 		return true // its end is known here
 	}
@@ -243,13 +243,13 @@
 }
 
 // Others are the boxes that share a key's group with this one: who may know of it what this one has lost.
-func (b *Box) Others(key keep.Key) []string {
+func (b *Box) Others(key idempotency.Key) []string {
 	return slices.DeleteFunc(b.all(key), func(name string) bool { return name == b.cfg.Name })
 }
 
 // Settle has the group asked how the runs of keys in doubt ended, for nobody in particular; those that are asked about already are left to that.
 // What is found is noted by a majority, this box among them.
-func (b *Box) Settle(now time.Duration, keys []keep.Key) {
+func (b *Box) Settle(now time.Duration, keys []idempotency.Key) {
 	b.now = max(b.now, now)
 	for _, key := range keys {
 		if b.claims[key] == nil && b.notes[key] == nil {
--- a/takeover/roster.go
+++ b/failover/roster.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"cmp"
--- a/takeover/sim_test.go
+++ b/failover/sim_test.go
@@ -1,4 +1,4 @@
-package takeover
+package failover
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"frosthub/idempotency"
 	"frosthub/internal/stand"
-	"frosthub/keep"
 	"frosthub/recovery"
 )
 
@@ -21,7 +21,7 @@
 
 const noon = 500_000 * time.Hour
 
-var bounds = keep.Config{Entries: 1000, Bytes: 100_000, ResultMost: 1000, Lifetime: time.Hour, Horizon: 24 * time.Hour, Segments: 20, Prints: 100,
+var bounds = idempotency.Config{Entries: 1000, Bytes: 100_000, ResultMost: 1000, Lifetime: time.Hour, Horizon: 24 * time.Hour, Segments: 20, Prints: 100,
 	SegmentBytes: 10_000}
 
 // world is a cluster in one process: links that delay, cut one way, lose and repeat; boxes that die and come back with what their disk had
@@ -37,7 +37,7 @@
 	wrong    float64       // share of beliefs that are
 	disk     time.Duration // a write takes up to so long
 	lives    bool          // processors outlive their boxes
-	keys     map[keep.Key]*truth
+	keys     map[idempotency.Key]*truth
 	ids      uint64
 	moved    int // boxes that came to the end of the change
 	runs     int
@@ -53,7 +53,7 @@
 	refills  int  // that came to their end
 	lost     int  // disks
 	history  []stand.Event
-	verdicts map[keep.Verdict]int
+	verdicts map[idempotency.Verdict]int
 	askedAt  map[uint64]time.Duration
 }
 
@@ -74,10 +74,10 @@
 	up      bool
 	still   time.Duration // stands still until then
 	b       *Box
-	store   *keep.Store
-	disk    []keep.Write
-	waiting []keep.Write // handed over, not confirmed
-	ids     map[uint64]keep.Key
+	store   *idempotency.Store
+	disk    []idempotency.Write
+	waiting []idempotency.Write // handed over, not confirmed
+	ids     map[uint64]idempotency.Key
 	known   []uint64 // lives of others, as heard
 	roster  Roster   // on its disk
 	goes    []uint64 // its digests
@@ -91,7 +91,7 @@
 // ended is a run that is over.
 type ended struct {
 	run    uint64
-	kind   keep.Kind
+	kind   idempotency.Kind
 	result []byte
 }
 
@@ -141,13 +141,13 @@
 
 func (x *box) start() {
 	x.life++
-	x.up, x.still, x.ids = true, 0, map[uint64]keep.Key{}
+	x.up, x.still, x.ids = true, 0, map[uint64]idempotency.Key{}
 	x.known = make([]uint64, len(x.w.boxes))
 	limits := bounds
 	if x.w.loses && x.w.seed%2 == 0 {
 		limits.Entries = 4 // so that keys age
 	}
-	x.store, x.waiting, x.refill = keep.New(limits), nil, nil
+	x.store, x.waiting, x.refill = idempotency.New(limits), nil, nil
 	if !x.w.lives {
 		x.ends = nil
 	}
@@ -181,7 +181,7 @@
 		}
 	}
 	x.refill = recovery.NewRefill[Cursor](c, x.w.r.Uint64())
-	x.store.Proves(func(key keep.Key) bool {
+	x.store.Proves(func(key idempotency.Key) bool {
 		if off == ruleEvery {
 			return slices.ContainsFunc(x.b.Others(key), func(name string) bool { return x.refill.Covers([]string{name}) })
 		}
@@ -363,13 +363,13 @@
 	w := x.w
 	k := w.keys[o.Key]
 	w.verdicts[o.Verdict]++
-	if o.Verdict != keep.Known && o.Verdict != keep.Begin && (o.Verdict != keep.Fresh || x.ids[o.ID] == (keep.Key{})) {
+	if o.Verdict != idempotency.Known && o.Verdict != idempotency.Begin && (o.Verdict != idempotency.Fresh || x.ids[o.ID] == (idempotency.Key{})) {
 		w.answered[o.ID] = true
 	}
 	w.log("%s/%d %x %d: verdict %d %q", x.name, x.life, o.Key[15], o.ID, o.Verdict, o.Result)
 	switch o.Verdict {
-	case keep.Fresh, Taken:
-		if o.Verdict == keep.Fresh && x.ids[o.ID] == (keep.Key{}) {
+	case idempotency.Fresh, Taken:
+		if o.Verdict == idempotency.Fresh && x.ids[o.ID] == (idempotency.Key{}) {
 			return // refused: it had been let in before
 		}
 		delete(x.ids, o.ID)
@@ -378,7 +378,7 @@
 				x.b.Runs(w.Now, o.Key, o.ID)
 				k.effects++
 				result := fmt.Appendf(nil, "run %d of %x", k.effects, o.Key[15])
-				x.on(w.span(20*time.Millisecond), func() { x.b.End(w.Now, o.Key, o.ID, keep.Result, result) })
+				x.on(w.span(20*time.Millisecond), func() { x.b.End(w.Now, o.Key, o.ID, idempotency.Result, result) })
 				w.answered[o.ID] = true
 				return
 			}
@@ -389,15 +389,15 @@
 				x.b.Begin(w.Now, o.Key, o.ID, 0)
 			}
 		})
-	case keep.Known:
+	case idempotency.Known:
 		if k.replay {
 			return // it waits
 		}
 		delete(x.ids, o.ID)
 		x.b.Join(w.Now, o.Key, o.ID)
-	case keep.Begin:
+	case idempotency.Begin:
 		if w.r.IntN(10) == 0 {
-			x.b.End(w.Now, o.Key, o.ID, keep.Never, nil) // nobody waits any more
+			x.b.End(w.Now, o.Key, o.ID, idempotency.Never, nil) // nobody waits any more
 			w.answered[o.ID] = true
 			return
 		}
@@ -406,9 +406,9 @@
 		if k.effects > 1 {
 			w.broken("key %x ran twice, on %s/%d now", o.Key[15], x.name, x.life)
 		}
-		e := ended{o.ID, keep.Result, fmt.Appendf(nil, "run %d of %x", w.runs, o.Key[15])}
+		e := ended{o.ID, idempotency.Result, fmt.Appendf(nil, "run %d of %x", w.runs, o.Key[15])}
 		if w.r.IntN(12) == 0 {
-			e.kind, e.result = keep.Failed, nil
+			e.kind, e.result = idempotency.Failed, nil
 		}
 		w.history = append(w.history, stand.Event{Key: string(o.Key[:]), Ran: true, Result: string(e.result), Asked: int64(w.Now), Heard: int64(w.Now)})
 		life := x.life
@@ -418,10 +418,10 @@
 			}
 			if x.up && x.life == life {
 				x.on(w.span(4*time.Millisecond), func() { x.b.End(w.Now, o.Key, o.ID, e.kind, e.result) })
-				w.answered[o.ID] = w.answered[o.ID] || e.kind == keep.Failed
+				w.answered[o.ID] = w.answered[o.ID] || e.kind == idempotency.Failed
 			}
 		})
-	case keep.Done, keep.Repeat:
+	case idempotency.Done, idempotency.Repeat:
 		if k.replay {
 			w.replayed++
 			return
@@ -433,7 +433,7 @@
 		if !bytes.Equal(k.answer, o.Result) {
 			w.broken("key %x: %q, and %q before", o.Key[15], o.Result, k.answer)
 		}
-	case keep.InDoubt, keep.Broken:
+	case idempotency.InDoubt, idempotency.Broken:
 		w.heard(o, false)
 		if at, ok := w.askedAt[o.ID]; ok && k.answer != nil && at > k.since { // who asked before may have been told what was so then
 			w.broken("key %x was answered, and is %d now", o.Key[15], o.Verdict)
@@ -449,7 +449,7 @@
 }
 
 func (w *world) ask() {
-	key := keep.Key{13: 1, 15: byte(w.r.IntN(12))} // none is all zero
+	key := idempotency.Key{13: 1, 15: byte(w.r.IntN(12))} // none is all zero
 	key[14] = byte(w.Count() / 4000)
 	left := time.Second
 	if w.moves { // nobody asks for it again after a while
@@ -513,7 +513,7 @@
 // write has the first of what waits be on the disk.
 func (x *box) write(n int) {
 	for _, r := range x.waiting[:n] {
-		x.lost = x.lost && r.Kind != keep.Gap
+		x.lost = x.lost && r.Kind != idempotency.Gap
 	}
 	x.disk = append(x.disk, x.waiting[:n]...)
 	x.waiting = x.waiting[n:]
@@ -604,7 +604,7 @@
 // newWorld has boxes up in one process, and nothing happening yet.
 func newWorld(t testing.TB, seed uint64, n int, kind kind) *world {
 	r := rand.New(rand.NewPCG(seed, 5))
-	w := &world{t: t, r: r, seed: seed, Schedule: stand.Schedule{Now: noon}, cut: map[[2]int]bool{}, keys: map[keep.Key]*truth{}, verdicts: map[keep.Verdict]int{},
+	w := &world{t: t, r: r, seed: seed, Schedule: stand.Schedule{Now: noon}, cut: map[[2]int]bool{}, keys: map[idempotency.Key]*truth{}, verdicts: map[idempotency.Verdict]int{},
 		askedAt: map[uint64]time.Duration{}, answered: map[uint64]bool{}}
 	w.loss, w.wrong = []float64{0, 0, 0.02, 0.1}[r.IntN(4)], []float64{0, 0.02, 0.3}[r.IntN(3)]
 	w.disk = []time.Duration{4 * time.Millisecond, 60 * time.Millisecond}[r.IntN(2)]
@@ -664,7 +664,7 @@
 
 // TestClusters: whatever fails, no key runs twice, and who is answered is answered alike.
 func TestClusters(t *testing.T) {
-	verdicts, runs, asked, replayed, found := map[keep.Verdict]int{}, 0, 0, 0, int64(0)
+	verdicts, runs, asked, replayed, found := map[idempotency.Verdict]int{}, 0, 0, 0, int64(0)
 	for seed := range uint64(*schedules) {
 		w := simulate(t, seed, 1200*time.Millisecond, usual)
 		w.sound(t)
@@ -683,7 +683,7 @@
 	if found == 0 || replayed == 0 {
 		t.Error("no end was told by a processor, or no replayable req joined")
 	}
-	for _, v := range []keep.Verdict{keep.Done, keep.Repeat, keep.InDoubt, Taken, Undecided} {
+	for _, v := range []idempotency.Verdict{idempotency.Done, idempotency.Repeat, idempotency.InDoubt, Taken, Undecided} {
 		if verdicts[v] == 0 {
 			t.Errorf("verdict %d was never met", v)
 		}
@@ -758,7 +758,7 @@
 		for seed := range uint64(60) {
 			w := newWorld(t, seed, 4, losing)
 			w.loss, w.wrong, w.disk, w.calm = 0, 0, 4*time.Millisecond, true
-			key := keep.Key{13: 1}
+			key := idempotency.Key{13: 1}
 			w.keys[key] = &truth{}
 			names := w.boxes[0].b.all(key)
 			group := map[string]bool{}
@@ -849,7 +849,7 @@
 	}
 	count, moved := map[string]int{}, 0
 	for i := range 3000 {
-		key := keep.Key{byte(i), byte(i >> 8), 9}
+		key := idempotency.Key{byte(i), byte(i >> 8), 9}
 		g := Group(members, key, 3)
 		zones := map[string]bool{}
 		for _, name := range g {
--- a/takeover/takeover.go
+++ b/failover/takeover.go
@@ -1,11 +1,11 @@
-// Package takeover decides which box goes on with a req that must not run twice when the one that read it is lost. It is a state machine
+// Package failover decides which box goes on with a req that must not run twice when the one that read it is lost. It is a state machine
 // without I/O, clock or goroutine: calls take events, Take gives what is to be sent and what becomes of reqs.
 //
 // Each key has a group of boxes, the same whoever asks. The box that reads a req asks its group for the key under a ballot, and holds it
 // when a majority has granted that; it begins the run only when a majority has noted, durably, that this ballot is about to. Two
 // majorities share a box, so two ballots never both begin; nothing of this hangs on a clock or on who is believed to be alive. Those
 // only tell when to try: a box of the group whose holder seems lost asks under a higher ballot.
-package takeover
+package failover
 
 import (
 	"cmp"
@@ -14,8 +14,8 @@
 	"slices"
 	"time"
 
-	"frosthub/internal/chance"
-	"frosthub/keep"
+	"frosthub/idempotency"
+	"frosthub/internal/prng"
 )
 
 // Config says who takes part.
@@ -91,13 +91,13 @@
 // Message is one between boxes about a key.
 type Message struct {
 	Kind   Kind
-	Key    keep.Key
+	Key    idempotency.Key
 	Ballot Ballot
 	Force  bool
 	Made   time.Duration // since 1970, as its caller told it; 0 not told
 	Vote   Vote
 	By     Ballot
-	End    keep.Kind
+	End    idempotency.Kind
 	Result []byte
 	Work   *Work
 	Replay bool    // the req may run again: nothing of it is durable, and whoever lost its holder may begin
@@ -121,17 +121,17 @@
 // Outcome is what becomes of a req here. Beside keep's verdicts of reqs: Fresh in answer to Ask has it go to the module; else it is
 // refused, as it never ran and its key is free again. Known has it join.
 type Outcome struct {
-	Key  keep.Key
+	Key  idempotency.Key
 	Made time.Duration
 	Work *Work // Taken: this box holds it from now on
-	keep.Outcome
+	idempotency.Outcome
 }
 
 // Taken is the verdict that this box has taken a req over, under the id of the outcome.
-const Taken keep.Verdict = 100
+const Taken idempotency.Verdict = 100
 
 // Undecided is the verdict where the group could not be asked: refused, it never ran.
-const Undecided keep.Verdict = 101
+const Undecided idempotency.Verdict = 101
 
 // Peers tells what is believed of boxes.
 type Peers interface {
@@ -142,7 +142,7 @@
 
 // note is what this box keeps for a holder.
 type note struct {
-	key     keep.Key
+	key     idempotency.Key
 	ballot  Ballot
 	begun   bool
 	durable bool
@@ -177,7 +177,7 @@
 
 // claim is a key that reqs here are about.
 type claim struct {
-	key     keep.Key
+	key     idempotency.Key
 	made    time.Duration
 	work    Work
 	due     time.Duration
@@ -195,7 +195,7 @@
 	tries   int
 	taken   bool // first is no req that came here
 	passed  bool // its end is another's, passed on
-	kind    keep.Kind
+	kind    idempotency.Kind
 	result  []byte
 	told    bool // the module knows of the first
 	replay  bool
@@ -207,22 +207,22 @@
 // Box is one box's part. Make it with New.
 type Box struct {
 	cfg     Config
-	store   *keep.Store
+	store   *idempotency.Store
 	peers   Peers
 	now     time.Duration
-	notes   map[keep.Key]*note
-	byNote  map[uint64]keep.Key
+	notes   map[idempotency.Key]*note
+	byNote  map[uint64]idempotency.Key
 	byRun   map[run]*note // begun ones whose holder's processor may be asked
-	claims  map[keep.Key]*claim
+	claims  map[idempotency.Key]*claim
 	noted   []*note  // in the order in which they came; some may be gone
 	claimed []*claim // so too
-	groups  map[keep.Key][][]string
+	groups  map[idempotency.Key][][]string
 	top     uint64 // the highest ballot seen
 	ids     uint64
 	noteIDs uint64 // of intents in the store, which may still have some of an earlier Box in hand
 	sends   []Send
 	out     []Outcome
-	chance  chance.Chance
+	chance  prng.Chance
 	stats   Stats
 	leaving bool
 	waits   []*note // of this turn: those to be taken over, as far as there is room
@@ -301,12 +301,12 @@
 }
 
 // New returns a box's part, on its store.
-func New(cfg Config, store *keep.Store, peers Peers, seed uint64, now time.Duration) *Box {
+func New(cfg Config, store *idempotency.Store, peers Peers, seed uint64, now time.Duration) *Box {
 	cfg.Size, cfg.Patient, cfg.Again = cmp.Or(cfg.Size, sizeUsual), cmp.Or(cfg.Patient, patientUsual), cmp.Or(cfg.Again, againUsual)
 	cfg.Notes, cfg.InHand, cfg.Bytes = cmp.Or(cfg.Notes, notesUsual), cmp.Or(cfg.InHand, inHandUsual), cmp.Or(cfg.Bytes, bytesUsual)
-	return &Box{cfg: cfg, store: store, peers: peers, now: now, notes: map[keep.Key]*note{}, byNote: map[uint64]keep.Key{}, byRun: map[run]*note{},
-		claims: map[keep.Key]*claim{}, groups: map[keep.Key][][]string{}, fences: map[string]fence{}, noteIDs: cfg.Life << 32,
-		chance: chance.New(seed), goes: goes(cfg)}
+	return &Box{cfg: cfg, store: store, peers: peers, now: now, notes: map[idempotency.Key]*note{}, byNote: map[uint64]idempotency.Key{}, byRun: map[run]*note{},
+		claims: map[idempotency.Key]*claim{}, groups: map[idempotency.Key][][]string{}, fences: map[string]fence{}, noteIDs: cfg.Life << 32,
+		chance: prng.New(seed), goes: goes(cfg)}
 }
 
 // Take hands over what is to be sent, and what becomes of reqs, since the last call.
@@ -336,7 +336,7 @@
 }
 
 // groupsOf are the groups of which majorities are needed.
-func (b *Box) groupsOf(key keep.Key) [][]string {
+func (b *Box) groupsOf(key idempotency.Key) [][]string {
 	if g := b.groups[key]; g != nil {
 		return g
 	}
@@ -352,7 +352,7 @@
 }
 
 // all are the boxes of both groups.
-func (b *Box) all(key keep.Key) []string {
+func (b *Box) all(key idempotency.Key) []string {
 	var out []string
 	for _, g := range b.groupsOf(key) {
 		for _, name := range g {
@@ -365,7 +365,7 @@
 }
 
 // most tells whether those that count are a majority of each group.
-func (b *Box) most(key keep.Key, counts func(name string) bool) bool {
+func (b *Box) most(key idempotency.Key, counts func(name string) bool) bool {
 	for _, g := range b.groupsOf(key) {
 		n := 0
 		for _, name := range g {
@@ -412,18 +412,18 @@
 	}
 }
 
-func (b *Box) tell(c *claim, id uint64, v keep.Verdict, result []byte) {
-	b.out = append(b.out, Outcome{Key: c.key, Made: c.made, Outcome: keep.Outcome{ID: id, Verdict: v, Result: result}})
+func (b *Box) tell(c *claim, id uint64, v idempotency.Verdict, result []byte) {
+	b.out = append(b.out, Outcome{Key: c.key, Made: c.made, Outcome: idempotency.Outcome{ID: id, Verdict: v, Result: result}})
 	switch v {
-	case keep.Repeat:
+	case idempotency.Repeat:
 		b.stats.Joined++
-	case keep.InDoubt:
+	case idempotency.InDoubt:
 		b.stats.InDoubt++
 	}
 }
 
 // tellAll ends a claim: all its reqs hear.
-func (b *Box) tellAll(c *claim, v keep.Verdict, result []byte) {
+func (b *Box) tellAll(c *claim, v idempotency.Verdict, result []byte) {
 	delete(b.claims, c.key)
 	if c.first != 0 {
 		b.tell(c, c.first, v, result)
@@ -438,7 +438,7 @@
 }
 
 // Ask takes a req that was read here. The outcome is Fresh (it may go to the module), Known (it may join), or what it meets.
-func (b *Box) Ask(now time.Duration, key keep.Key, made time.Duration, id uint64, w Work) {
+func (b *Box) Ask(now time.Duration, key idempotency.Key, made time.Duration, id uint64, w Work) {
 	b.now = max(b.now, now)
 	if c := b.claims[key]; c != nil {
 		c.ids = append(c.ids, id)
@@ -453,14 +453,14 @@
 	b.open(c, false)
 }
 
-func (b *Box) newClaim(key keep.Key, made time.Duration) *claim {
+func (b *Box) newClaim(key idempotency.Key, made time.Duration) *claim {
 	c := &claim{key: key, made: made, from: b.now}
 	b.claims[key] = c
 	b.claimed = append(b.claimed, c)
 	return c
 }
 
-func (b *Box) newNote(key keep.Key) *note {
+func (b *Box) newNote(key idempotency.Key) *note {
 	n := &note{key: key}
 	b.notes[key] = n
 	b.noted = append(b.noted, n)
@@ -475,7 +475,7 @@
 // tellKnown lets those that ask join.
 func (b *Box) tellKnown(c *claim) {
 	for _, id := range c.untold {
-		b.tell(c, id, keep.Known, nil)
+		b.tell(c, id, idempotency.Known, nil)
 	}
 	c.untold = nil
 }
@@ -496,7 +496,7 @@
 }
 
 // Forerunner is the req here that a repeat of a key would join, 0 if there is none.
-func (b *Box) Forerunner(key keep.Key) uint64 {
+func (b *Box) Forerunner(key idempotency.Key) uint64 {
 	if c := b.claims[key]; c != nil {
 		return c.first
 	}
@@ -505,12 +505,12 @@
 
 // Begin says that the module wants a req to run. The outcome Begin lets it; else it hears how another ran. notice is the last that was read
 // of the processor.
-func (b *Box) Begin(now time.Duration, key keep.Key, id, notice uint64) {
+func (b *Box) Begin(now time.Duration, key idempotency.Key, id, notice uint64) {
 	b.now = max(b.now, now)
 	c := b.claims[key]
 	switch {
 	case c == nil || c.stage == peeking:
-		b.out = append(b.out, Outcome{Key: key, Outcome: keep.Outcome{ID: id, Verdict: keep.Fresh}})
+		b.out = append(b.out, Outcome{Key: key, Outcome: idempotency.Outcome{ID: id, Verdict: idempotency.Fresh}})
 	case c.stage == holding && c.first == id:
 		c.run, c.notice = id, notice
 		b.begin(c)
@@ -520,7 +520,7 @@
 }
 
 // Runs says that a replayable req runs: nobody is asked for that.
-func (b *Box) Runs(now time.Duration, key keep.Key, id uint64) {
+func (b *Box) Runs(now time.Duration, key idempotency.Key, id uint64) {
 	b.now = max(b.now, now)
 	if c := b.claims[key]; c != nil && c.replay && c.first == id && c.stage == holding {
 		b.enter(c, runs)
@@ -537,15 +537,15 @@
 }
 
 // Join has a repeat wait for what its forerunner gets.
-func (b *Box) Join(now time.Duration, key keep.Key, id uint64) {
+func (b *Box) Join(now time.Duration, key idempotency.Key, id uint64) {
 	b.now = max(b.now, now)
 	if b.claims[key] == nil { // it ended since
-		b.out = append(b.out, Outcome{Key: key, Outcome: keep.Outcome{ID: id, Verdict: keep.Fresh}})
+		b.out = append(b.out, Outcome{Key: key, Outcome: idempotency.Outcome{ID: id, Verdict: idempotency.Fresh}})
 	}
 }
 
 // Leave says that a req no longer waits, and never ran: refused, given up, its caller gone.
-func (b *Box) Leave(now time.Duration, key keep.Key, id uint64) {
+func (b *Box) Leave(now time.Duration, key idempotency.Key, id uint64) {
 	b.now = max(b.now, now)
 	c := b.claims[key]
 	if c == nil {
@@ -572,11 +572,11 @@
 // release gives a key back that surely never ran under the claim's ballot.
 func (b *Box) release(c *claim) {
 	c.first = 0
-	b.end(c, keep.Never, nil)
+	b.end(c, idempotency.Never, nil)
 }
 
 // End says how a run that was begun ended. Done is the outcome of a good one, when a majority has noted it.
-func (b *Box) End(now time.Duration, key keep.Key, id uint64, kind keep.Kind, result []byte) {
+func (b *Box) End(now time.Duration, key idempotency.Key, id uint64, kind idempotency.Kind, result []byte) {
 	b.now = max(b.now, now)
 	c := b.claims[key]
 	if c == nil || c.first != id || c.stage != runs {
@@ -585,18 +585,18 @@
 	b.end(c, kind, result)
 }
 
-func (b *Box) end(c *claim, kind keep.Kind, result []byte) {
+func (b *Box) end(c *claim, kind idempotency.Kind, result []byte) {
 	if c.replay {
 		b.endReplay(c, kind, result)
 		return
 	}
 	b.enter(c, ends)
 	c.kind, c.result = kind, slices.Clone(result)
-	v := keep.Broken
-	if kind == keep.Never {
-		v = keep.Fresh
+	v := idempotency.Broken
+	if kind == idempotency.Never {
+		v = idempotency.Fresh
 	}
-	if kind == keep.Failed || kind == keep.Never {
+	if kind == idempotency.Failed || kind == idempotency.Never {
 		c.first = 0 // it was answered
 		for _, id := range c.ids {
 			b.tell(c, id, v, nil)
@@ -608,27 +608,27 @@
 
 // endReplay tells the group once how a run ended that may be run again: nobody waits for its word, and where it is lost, one more run
 // is all that follows.
-func (b *Box) endReplay(c *claim, kind keep.Kind, result []byte) {
+func (b *Box) endReplay(c *claim, kind idempotency.Kind, result []byte) {
 	b.enter(c, ends)
-	if kind != keep.Result {
-		kind, result = keep.Never, nil
+	if kind != idempotency.Result {
+		kind, result = idempotency.Never, nil
 	}
 	delete(b.claims, c.key)
 	for _, name := range b.all(c.key) {
 		b.send(name, Message{Kind: End, Key: c.key, Ballot: c.ballot, End: kind, Result: result, Replay: true})
 	}
-	if kind == keep.Never {
+	if kind == idempotency.Never {
 		for _, id := range c.ids {
-			b.tell(c, id, keep.Fresh, nil)
+			b.tell(c, id, idempotency.Fresh, nil)
 		}
 		return
 	}
 	c.first = 0 // it was answered
-	b.tellAll(c, keep.Repeat, result)
+	b.tellAll(c, idempotency.Repeat, result)
 }
 
 // Hands gives up what this box holds and has not begun, for another to take over; reqs that came here wait for it.
-func (b *Box) Hands(now time.Duration, key keep.Key, id uint64) bool {
+func (b *Box) Hands(now time.Duration, key idempotency.Key, id uint64) bool {
 	b.now = max(b.now, now)
 	c := b.claims[key]
 	if c == nil || c.first != id || c.stage != holding || c.taken {
@@ -666,7 +666,7 @@
 }
 
 // stored follows what the store says of notes.
-func (b *Box) stored(all []keep.Outcome) {
+func (b *Box) stored(all []idempotency.Outcome) {
 	for _, o := range all {
 		key, ok := b.byNote[o.ID]
 		if !ok {
@@ -674,14 +674,14 @@
 		}
 		n := b.notes[key]
 		switch o.Verdict {
-		case keep.Begin:
+		case idempotency.Begin:
 			n.durable = true
 			b.send(n.ballot.Box, Message{Kind: Begun, Key: key, Ballot: n.ballot, Vote: Granted})
-		case keep.Done, keep.Repeat:
+		case idempotency.Done, idempotency.Repeat:
 			b.forget(key, n)
 			b.send(n.ballot.Box, Message{Kind: Ended, Key: key, Ballot: n.ballot, Vote: Granted})
-			b.tellWaiting(key, n, keep.Result, o.Result)
-		case keep.Unguarded:
+			b.tellWaiting(key, n, idempotency.Result, o.Result)
+		case idempotency.Unguarded:
 			b.forget(key, n)
 			b.send(n.ballot.Box, Message{Kind: Begun, Key: key, Ballot: n.ballot, Vote: Full})
 		}
@@ -689,13 +689,13 @@
 }
 
 // tellWaiting lets boxes know that asked while it was in hand.
-func (b *Box) tellWaiting(key keep.Key, n *note, kind keep.Kind, result []byte) {
+func (b *Box) tellWaiting(key idempotency.Key, n *note, kind idempotency.Kind, result []byte) {
 	for _, name := range slices.Sorted(maps.Keys(n.waiting)) {
 		b.send(name, Message{Kind: Took, Key: key, Ballot: n.ballot, Vote: Over, End: kind, Result: result})
 	}
 }
 
-func (b *Box) forget(key keep.Key, n *note) {
+func (b *Box) forget(key idempotency.Key, n *note) {
 	if n.replay {
 		b.replays--
 		b.bytes -= len(n.result)
@@ -720,7 +720,7 @@
 	b.top = max(b.top, m.Ballot.N, m.By.N)
 	switch m.Kind {
 	case Open, Begin, End: // of the holder itself, in this life, or it is not heeded; how a run ended others pass on
-		if (m.Kind != End || m.End == keep.Never) && (m.Ballot.Box != from || m.Ballot.Life != life) {
+		if (m.Kind != End || m.End == idempotency.Never) && (m.Ballot.Box != from || m.Ballot.Life != life) {
 			return
 		}
 	}
@@ -754,7 +754,7 @@
 func (b *Box) vote(m *Message, from string) Message {
 	if n := b.notes[m.Key]; n != nil {
 		if n.over {
-			return Message{Vote: Over, End: keep.Result, Result: n.result}
+			return Message{Vote: Over, End: idempotency.Result, Result: n.result}
 		}
 		if n.waiting == nil {
 			n.waiting = map[string]bool{}
@@ -772,7 +772,7 @@
 			v = Running
 		}
 		if n.ending {
-			return Message{Vote: v, By: n.ballot, End: keep.Result}
+			return Message{Vote: v, By: n.ballot, End: idempotency.Result}
 		}
 		return Message{Vote: v, By: n.ballot}
 	}
@@ -781,13 +781,13 @@
 	}
 	o := b.store.Meet(b.now, m.Made, m.Key)
 	switch o.Verdict {
-	case keep.Fresh:
+	case idempotency.Fresh:
 		return Message{Vote: None}
-	case keep.Repeat:
-		return Message{Vote: Over, End: keep.Result, Result: o.Result}
-	case keep.Broken:
-		return Message{Vote: Over, End: keep.Failed}
-	case keep.InDoubt:
+	case idempotency.Repeat:
+		return Message{Vote: Over, End: idempotency.Result, Result: o.Result}
+	case idempotency.Broken:
+		return Message{Vote: Over, End: idempotency.Failed}
+	case idempotency.InDoubt:
 		if b.store.Printed(m.Key) { // it ended where it has aged since
 			return Message{Vote: Gone}
 		}
@@ -795,9 +795,9 @@
 			return Message{Vote: Silent}
 		}
 		return Message{Vote: Doubted}
-	case keep.TooLate:
+	case idempotency.TooLate:
 		return Message{Vote: Gone}
-	case keep.Unguarded:
+	case idempotency.Unguarded:
 		return Message{Vote: Full}
 	}
 	return Message{Vote: Silent}
@@ -814,7 +814,7 @@
 	case v.Vote == Held && (m.Force || n.ballot.Box == from) && m.Ballot.compare(n.ballot) > 0,
 		v.Vote == Running && !n.filled && !n.ending && n.ballot.Box == from && n.ballot.Life == m.Ballot.Life && m.Ballot.compare(n.ballot) > 0:
 		if v.Vote == Running { // who was about to begin has not, and gives that ballot up
-			b.stored(b.store.Ended(b.now, m.Key, keep.Never, nil))
+			b.stored(b.store.Ended(b.now, m.Key, idempotency.Never, nil))
 			b.forget(m.Key, n)
 			waiting := n.waiting
 			n = b.newNote(m.Key)
@@ -864,7 +864,7 @@
 	default:
 		n.id = b.noteID()
 		o := b.store.Arrive(b.now, m.Made, m.Key, n.work.Handler, n.id)
-		if o.Verdict != keep.Wait {
+		if o.Verdict != idempotency.Wait {
 			answer(Full, Ballot{})
 			return
 		}
@@ -900,15 +900,15 @@
 func (b *Box) noteEnd(from string, m *Message) {
 	n := b.notes[m.Key]
 	answer := func(v Vote) { b.send(from, Message{Kind: Ended, Key: m.Key, Ballot: m.Ballot, Vote: v}) }
-	if m.Replay && m.End == keep.Result {
+	if m.Replay && m.End == idempotency.Result {
 		if n != nil && n.replay && !n.over && b.bytes+len(m.Result) <= b.cfg.Bytes {
 			n.over, n.result = true, slices.Clone(m.Result)
 			b.bytes += len(n.result)
-			b.tellWaiting(m.Key, n, keep.Result, n.result)
+			b.tellWaiting(m.Key, n, idempotency.Result, n.result)
 		}
 		return
 	}
-	if m.End == keep.Never {
+	if m.End == idempotency.Never {
 		switch {
 		case n == nil:
 		case n.ballot == m.Ballot && len(n.rest) > 0:
@@ -917,7 +917,7 @@
 			n.rest = slices.DeleteFunc(n.rest, func(o Ballot) bool { return o == m.Ballot })
 		default:
 			if n.begun {
-				b.stored(b.store.Ended(b.now, m.Key, keep.Never, nil))
+				b.stored(b.store.Ended(b.now, m.Key, idempotency.Never, nil))
 			}
 			b.forget(m.Key, n)
 		}
@@ -927,16 +927,16 @@
 	if n == nil {
 		v := b.store.Meet(b.now, m.Made, m.Key).Verdict
 		switch v {
-		case keep.Repeat, keep.Broken, keep.TooLate: // it is noted already
+		case idempotency.Repeat, idempotency.Broken, idempotency.TooLate: // it is noted already
 			answer(Granted)
 			return
-		case keep.Fresh, keep.InDoubt, keep.Blind: // others noted its begin, or an earlier life of this box did, or may have
-			if v == keep.Blind && !b.store.Learn(b.now, keep.Told{Key: m.Key}) {
+		case idempotency.Fresh, idempotency.InDoubt, idempotency.Blind: // others noted its begin, or an earlier life of this box did, or may have
+			if v == idempotency.Blind && !b.store.Learn(b.now, idempotency.Told{Key: m.Key}) {
 				answer(Full)
 				return
 			}
 			n = b.newNote(m.Key)
-			n.begun = v != keep.Fresh
+			n.begun = v != idempotency.Fresh
 		default:
 			answer(Full)
 			return
@@ -948,7 +948,7 @@
 		b.store.Resume(m.Key, n.id)
 	}
 	if !n.begun {
-		if o := b.store.Arrive(b.now, m.Made, m.Key, n.work.Handler, n.id); o.Verdict != keep.Wait {
+		if o := b.store.Arrive(b.now, m.Made, m.Key, n.work.Handler, n.id); o.Verdict != idempotency.Wait {
 			b.forget(m.Key, n)
 			answer(Full)
 			return
@@ -956,9 +956,9 @@
 		n.begun = true
 	}
 	b.byNote[n.id] = m.Key
-	if m.End == keep.Failed {
-		b.store.Ended(b.now, m.Key, keep.Failed, nil)
-		b.tellWaiting(m.Key, n, keep.Failed, nil)
+	if m.End == idempotency.Failed {
+		b.store.Ended(b.now, m.Key, idempotency.Failed, nil)
+		b.tellWaiting(m.Key, n, idempotency.Failed, nil)
 		b.forget(m.Key, n)
 		answer(Granted)
 		return
@@ -997,13 +997,13 @@
 		switch {
 		case b.voted(c, Granted), off == ruleMajority && m.Vote == Granted:
 			b.enter(c, runs)
-			b.tell(c, c.first, keep.Begin, nil)
+			b.tell(c, c.first, idempotency.Begin, nil)
 		case possible:
 		case lost: // another ballot is needed, or another box has it
 			c.rebegin = true
 			b.open(c, false)
 		default:
-			b.refuse(c, keep.Unguarded)
+			b.refuse(c, idempotency.Unguarded)
 		}
 	case m.Kind == Ended && c.stage == ends:
 		c.count(from, life, m)
@@ -1020,48 +1020,48 @@
 func (b *Box) ended(c *claim) {
 	delete(b.claims, c.key)
 	switch c.kind { // those that came meanwhile hear too
-	case keep.Never:
-		b.tellAll(c, keep.Fresh, nil)
+	case idempotency.Never:
+		b.tellAll(c, idempotency.Fresh, nil)
 		return
-	case keep.Failed:
-		b.tellAll(c, keep.Broken, nil)
+	case idempotency.Failed:
+		b.tellAll(c, idempotency.Broken, nil)
 		return
 	}
 	if c.first != 0 && !c.passed {
-		b.tell(c, c.first, keep.Done, c.result)
+		b.tell(c, c.first, idempotency.Done, c.result)
 		c.first = 0
 	}
-	b.tellAll(c, keep.Repeat, c.result)
+	b.tellAll(c, idempotency.Repeat, c.result)
 }
 
 // over ends a claim by another's run. Its result is an answer once a majority has noted it: who died may have told only one.
 func (b *Box) over(c *claim, m *Message) {
 	switch m.End {
-	case keep.Result:
+	case idempotency.Result:
 		if c.replay || b.voted(c, Over) {
-			b.tellAll(c, keep.Repeat, m.Result)
+			b.tellAll(c, idempotency.Repeat, m.Result)
 			return
 		}
 		b.tellKnown(c)
 		b.enter(c, ends)
-		c.kind, c.result, c.passed, c.told = keep.Result, m.Result, true, true
-		b.toAll(c, Message{Kind: End, End: keep.Result, Result: c.result, Made: c.made})
-	case keep.Long:
-		b.tellAll(c, keep.TooLate, nil)
+		c.kind, c.result, c.passed, c.told = idempotency.Result, m.Result, true, true
+		b.toAll(c, Message{Kind: End, End: idempotency.Result, Result: c.result, Made: c.made})
+	case idempotency.Long:
+		b.tellAll(c, idempotency.TooLate, nil)
 	default:
-		b.tellAll(c, keep.Broken, nil)
+		b.tellAll(c, idempotency.Broken, nil)
 	}
 }
 
 // refuse ends a claim that was never begun: what was granted is given back.
-func (b *Box) refuse(c *claim, v keep.Verdict) {
+func (b *Box) refuse(c *claim, v idempotency.Verdict) {
 	first, ids := c.first, c.ids
 	c.first, c.ids = 0, nil
 	if c.replay {
-		v = keep.Fresh // served as without a cluster
+		v = idempotency.Fresh // served as without a cluster
 	}
 	if c.stage == opening || c.stage == begins {
-		b.end(c, keep.Never, nil)
+		b.end(c, idempotency.Never, nil)
 	} else {
 		delete(b.claims, c.key)
 	}
@@ -1084,7 +1084,7 @@
 		}
 		switch m.Vote {
 		case Over:
-			if over == nil || m.End == keep.Result {
+			if over == nil || m.End == idempotency.Result {
 				over = &m.Message
 			}
 		case Running:
@@ -1121,20 +1121,20 @@
 	case !every:
 	case gone: // it did end, though some never heard of that
 		b.dropGrants(c)
-		b.tellAll(c, keep.TooLate, nil)
+		b.tellAll(c, idempotency.TooLate, nil)
 	case !ending && (by != nil && by.Vote == Running && b.lost(by.By) || doubted && (by == nil || by.Vote != Running)):
 		b.dropGrants(c)
 		if c.asked >= c.since { // who came since may have a right to better
 			b.look(c)
 			return
 		}
-		v := keep.InDoubt
+		v := idempotency.InDoubt
 		if !told { // most of the group's disks have lost something: its end may have been there
-			v = keep.Blind
+			v = idempotency.Blind
 		}
 		b.tellAll(c, v, nil)
 	case c.stage == peeking && b.voted(c, None):
-		b.tellAll(c, keep.Fresh, nil)
+		b.tellAll(c, idempotency.Fresh, nil)
 	case by != nil && (ending || (by.Vote == Running || !b.lost(by.By)) && by.By.Box != b.cfg.Name):
 		if !b.contests(c, by) {
 			b.waitFor(c, by.By)
@@ -1147,9 +1147,9 @@
 	case c.stage == opening:
 		v := Undecided
 		if silent && all {
-			v = keep.Blind
+			v = idempotency.Blind
 		} else if full {
-			v = keep.NoRoom
+			v = idempotency.NoRoom
 		}
 		b.refuse(c, v)
 	}
@@ -1195,10 +1195,10 @@
 		b.stats.Taken++
 		w := c.work
 		w.Left = int64(c.due - b.now)
-		b.out = append(b.out, Outcome{Key: c.key, Made: c.made, Work: &w, Outcome: keep.Outcome{ID: c.first, Verdict: Taken}})
+		b.out = append(b.out, Outcome{Key: c.key, Made: c.made, Work: &w, Outcome: idempotency.Outcome{ID: c.first, Verdict: Taken}})
 	case c.first != 0 && !c.told:
 		c.told = true
-		b.tell(c, c.first, keep.Fresh, nil)
+		b.tell(c, c.first, idempotency.Fresh, nil)
 	}
 	b.tellKnown(c)
 }
@@ -1210,7 +1210,7 @@
 	}
 	for _, name := range b.all(c.key) {
 		if c.votes[name].Vote == Granted {
-			b.send(name, Message{Kind: End, Key: c.key, Ballot: c.ballot, End: keep.Never})
+			b.send(name, Message{Kind: End, Key: c.key, Ballot: c.ballot, End: idempotency.Never})
 		}
 	}
 }
@@ -1223,13 +1223,13 @@
 	}
 	if c.taken { // the module need not run it after all
 		if c.told {
-			b.tell(c, c.first, keep.Fresh, nil)
+			b.tell(c, c.first, idempotency.Fresh, nil)
 		}
 		c.taken, c.first = false, 0
 	}
 	b.enter(c, waits)
 	if c.first != 0 && !c.told {
-		b.tell(c, c.first, keep.Known, nil)
+		b.tell(c, c.first, idempotency.Known, nil)
 	}
 	c.rebegin, c.told = false, true
 	c.votes["holder"] = word{Message: Message{By: by}}
@@ -1253,7 +1253,7 @@
 }
 
 // takeOver has this box ask for a key whose holder is lost, or leaves.
-func (b *Box) takeOver(key keep.Key, n *note) {
+func (b *Box) takeOver(key idempotency.Key, n *note) {
 	c := b.claims[key]
 	if c == nil {
 		c = b.newClaim(key, n.made)
@@ -1327,7 +1327,7 @@
 	switch c.stage {
 	case opening:
 		if c.replay && b.now-c.since >= replayWait {
-			b.refuse(c, keep.Fresh)
+			b.refuse(c, idempotency.Fresh)
 			return
 		}
 		if b.now-c.since >= b.cfg.Patient {
@@ -1383,7 +1383,7 @@
 	if !c.replay || !b.leaving && b.now-c.from < time.Duration(joinShare*float64(c.work.Left)) {
 		return false
 	}
-	b.tellAll(c, keep.Fresh, nil)
+	b.tellAll(c, idempotency.Fresh, nil)
 	return true
 }
 
@@ -1418,7 +1418,7 @@
 }
 
 // Found says how a run ended at the processor of a lost box.
-func (b *Box) Found(now time.Duration, of string, id uint64, kind keep.Kind, result []byte) {
+func (b *Box) Found(now time.Duration, of string, id uint64, kind idempotency.Kind, result []byte) {
 	b.now = max(b.now, now)
 	n := b.byRun[run{of, id}]
 	if n == nil {
@@ -1435,7 +1435,7 @@
 }
 
 // pass has the group note how another's run ended; who waits here hears it then.
-func (b *Box) pass(c *claim, by Ballot, kind keep.Kind, result []byte) {
+func (b *Box) pass(c *claim, by Ballot, kind idempotency.Kind, result []byte) {
 	b.dropGrants(c)
 	if c.taken { // it was never told to the module: its holder had begun
 		c.taken, c.first = false, 0
@@ -1453,7 +1453,7 @@
 }
 
 // tickNote looks whether a holder is lost, and lets go of what is past its time.
-func (b *Box) tickNote(key keep.Key, n *note) {
+func (b *Box) tickNote(key idempotency.Key, n *note) {
 	if n.over {
 		if b.now > n.due {
 			b.forget(key, n)
--- a/keep/keep.go
+++ b/idempotency/keep.go
@@ -1,11 +1,11 @@
-// Package keep remembers what must not run twice, and what came of it, over restarts: each key passes from intent by begun to a
+// Package idempotency remembers what must not run twice, and what came of it, over restarts: each key passes from intent by begun to a
 // result, a failure or doubt, and ages into a print. It is a state machine without I/O, clock or goroutine: calls return
 // what may happen, Writes what is to be put on the disk in order, and only what is durable lets anything happen.
 //
 // What is on the disk stands in segments, one after the other. A key's intent and end are records of the segment that was
 // open then. What ended first ages first, so segments age from the front: one of which every key has aged is replaced by the prints
 // of its keys, and those are dropped when nobody repeats so old a req any more.
-package keep
+package idempotency
 
 import (
 	"cmp"
--- a/keep/keep_test.go
+++ b/idempotency/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package idempotency
 
 import (
 	"bytes"
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/backend"
 )
 
@@ -35,7 +35,7 @@
 
 // Source has the figures.
 type Source interface {
-	Figures() account.Report
+	Figures() accounting.Report
 	FiguresRecorded() bool
 	KeepStats() *backend.KeepStats       // nil where nothing is kept
 	ClusterStats() *backend.ClusterStats // nil without a cluster
@@ -85,7 +85,7 @@
 		count(taken, row.Figures.Taken, row.Handler, row.Front)
 		gauge(open, float64(row.Figures.Open), row.Handler, row.Front)
 		for why, n := range row.Reasons {
-			count(closed, n, account.ReasonOf(why).Figure().String(), why, row.Handler, row.Front)
+			count(closed, n, accounting.ReasonOf(why).Figure().String(), why, row.Handler, row.Front)
 		}
 	}
 	for _, x := range r.Customers {
--- a/internal/logline/logline.go
+++ b/internal/asynclog/logline.go
@@ -1,6 +1,6 @@
-// Package logline keeps the writing of log lines apart from what logs them: where the pipe or disk behind the log is full, slow or gone, a
+// Package asynclog keeps the writing of log lines apart from what logs them: where the pipe or disk behind the log is full, slow or gone, a
 // line waits or is left out, and nobody waits for it.
-package logline
+package asynclog
 
 import (
 	"fmt"
--- a/internal/logline/logline_test.go
+++ b/internal/asynclog/logline_test.go
@@ -1,4 +1,4 @@
-package logline
+package asynclog
 
 import (
 	"errors"
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -10,7 +10,7 @@
 
 	"frosthub/backend"
 	"frosthub/internal/admin"
-	"frosthub/internal/operator"
+	"frosthub/internal/conffile"
 )
 
 // confName names the operator's file in the environment.
@@ -53,10 +53,10 @@
 }
 
 func serve(conf string) error {
-	var op operator.Config
+	var op conffile.Config
 	set := func(c *backend.Config) (err error) { // at the start, and anew at SIGHUP
 		if conf != "" {
-			if op, err = operator.Load(conf); err != nil {
+			if op, err = conffile.Load(conf); err != nil {
 				return err
 			}
 		}
@@ -106,6 +106,6 @@
 		}
 		return nil
 	}
-	_, err = operator.Load(file)
+	_, err = conffile.Load(file)
 	return err
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"frosthub/account"
+	"frosthub/accounting"
 	"frosthub/backend"
+	"frosthub/failover"
+	"frosthub/idempotency"
 	"frosthub/internal/admin"
-	"frosthub/internal/figures"
-	"frosthub/internal/keeplog"
-	"frosthub/keep"
-	"frosthub/takeover"
+	"frosthub/internal/statsfile"
+	"frosthub/internal/wal"
 )
 
 // run runs a command and gives its output with the folder's name taken out.
@@ -34,20 +34,20 @@
 }
 
 // written writes the figures file of a box with two lives, the second killed with one answer on its way.
-func written(t *testing.T, path string, at time.Duration) *account.Book {
+func written(t *testing.T, path string, at time.Duration) *accounting.Book {
 	t.Helper()
-	cfg := account.Config{Handlers: []string{"status", "file-claim"}, Customers: 2, Periods: 3, Every: time.Minute}
-	var b *account.Book
+	cfg := accounting.Config{Handlers: []string{"status", "file-claim"}, Customers: 2, Periods: 3, Every: time.Minute}
+	var b *accounting.Book
 	for life := range 2 {
 		now := at + time.Duration(life)*time.Hour
-		fresh, err := account.New(cfg)
+		fresh, err := accounting.New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := figures.NewRecorder(path, 0, slog.New(slog.DiscardHandler))
+		r := statsfile.NewRecorder(path, 0, slog.New(slog.DiscardHandler))
 		b = r.Open(fresh, cfg, at, 5*time.Second)
-		for i, why := range []account.Reason{account.Ran, account.Shed, account.RunFailed} {
-			k := b.Open(now, uint64(16*life+i+1), uint16(1+i%2), account.FastCGI, account.NameOf([]byte("4")))
+		for i, why := range []accounting.Reason{accounting.Ran, accounting.Shed, accounting.RunFailed} {
+			k := b.Open(now, uint64(16*life+i+1), uint16(1+i%2), accounting.FastCGI, accounting.NameOf([]byte("4")))
 			b.Answer(now, k, why)
 			if i < 2 || life == 0 {
 				b.Sent(now, k)
@@ -55,7 +55,7 @@
 		}
 		r.Append(b, now)
 		if life == 0 {
-			b.Settle(account.CutByStop, account.Left)
+			b.Settle(accounting.CutByStop, accounting.Left)
 			r.Close(b, at)
 		} else {
 			r.Abandon()
@@ -157,27 +157,27 @@
 			t.Error(args, "is taken")
 		}
 	}
-	disk := keeplog.Folder(store)
-	write := func(key byte, end keep.Kind) {
+	disk := wal.Folder(store)
+	write := func(key byte, end idempotency.Kind) {
 		t.Helper()
-		s := keep.New(keep.Config{Entries: 10, Bytes: 100, ResultMost: 50, Lifetime: time.Hour, Horizon: time.Hour, Segments: 9, Prints: 9, SegmentBytes: 999})
+		s := idempotency.New(idempotency.Config{Entries: 10, Bytes: 100, ResultMost: 50, Lifetime: time.Hour, Horizon: time.Hour, Segments: 9, Prints: 9, SegmentBytes: 999})
 		now := time.Duration(time.Now().UnixNano())
-		w, _, err := keeplog.Start(disk, "n1", s, now, nil)
+		w, _, err := wal.Start(disk, "n1", s, now, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Arrive(now, 0, keep.Key{key}, "", 1)
+		s.Arrive(now, 0, idempotency.Key{key}, "", 1)
 		if end > 0 {
-			s.Ended(now, keep.Key{key}, end, []byte("yes"))
+			s.Ended(now, idempotency.Key{key}, end, []byte("yes"))
 		}
 		_, err = w.Commit(s.Writes())
 		if err := errors.Join(err, w.Close()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(1, keep.Result)
+	write(1, idempotency.Result)
 	write(2, 0)
-	write(3, keep.Failed)
+	write(3, idempotency.Failed)
 	out, errs, err := run(dir, "keep", "check", store)
 	if !strings.Contains(out, "store: box n1, no process uses it, 3 lives, 9 records in 1 segments since ") || errs != "" || err != nil ||
 		!strings.Contains(out, "store: 3 keys, 1 of them in doubt, 3 bytes of results, prints of 0 more\n") {
@@ -211,13 +211,13 @@
 }
 
 // source is a box that stands still.
-type source struct{ report account.Report }
+type source struct{ report accounting.Report }
 
-func (s source) Figures() account.Report { return s.report }
-func (s source) FiguresRecorded() bool   { return true }
+func (s source) Figures() accounting.Report { return s.report }
+func (s source) FiguresRecorded() bool      { return true }
 func (s source) ClusterStats() *backend.ClusterStats {
 	return &backend.ClusterStats{Name: "north", Life: 2, Phase: "asking", PhaseWhy: "others are asked", Missing: []string{"n2"}, InDoubt: map[string]int{"file-claim": 3, "": 1},
-		Members: []backend.MemberStats{{Name: "n1", Life: 2, State: "alive", Goes: "as here"}, {Name: "n2", Life: 7, State: "suspected", Goes: "unknown"}}, Reqs: []takeover.Req{
+		Members: []backend.MemberStats{{Name: "n1", Life: 2, State: "alive", Goes: "as here"}, {Name: "n2", Life: 7, State: "suspected", Goes: "unknown"}}, Reqs: []failover.Req{
 			{Key: "00112233445566778899aabbccddeeff", Handler: "file-claim", Part: "notes", Step: "begun", Holder: "n2", Left: 1500 * time.Millisecond}}}
 }
 func (s source) Trust() error { return backend.ErrNoDoubt }
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
-	"frosthub/account"
-	"frosthub/internal/figures"
+	"frosthub/accounting"
+	"frosthub/internal/statsfile"
 )
 
 // asked is what the figures command is asked for.
@@ -49,13 +49,13 @@
 
 // box is one file's figures.
 type box struct {
-	File      string         `json:"file"`
-	Runs      bool           `json:"runs"` // a process holds it
-	Report    account.Report `json:"report"`
-	InDoubt   int64          `json:"in_doubt"`   // ids whose answer may have left or not
-	Settled   int64          `json:"settled"`    // and of them those that the tally settled
-	DoubtIDs  []string       `json:"doubt_ids"`  // the others
-	Different string         `json:"difference"` // what does not add up
+	File      string            `json:"file"`
+	Runs      bool              `json:"runs"` // a process holds it
+	Report    accounting.Report `json:"report"`
+	InDoubt   int64             `json:"in_doubt"`   // ids whose answer may have left or not
+	Settled   int64             `json:"settled"`    // and of them those that the tally settled
+	DoubtIDs  []string          `json:"doubt_ids"`  // the others
+	Different string            `json:"difference"` // what does not add up
 }
 
 func (a *asked) run(out, errs io.Writer, files []string) error {
@@ -77,7 +77,7 @@
 	bad := false
 	var boxes []box
 	for _, file := range files {
-		book, data, err := figures.ReadFile(file)
+		book, data, err := statsfile.ReadFile(file)
 		if err != nil {
 			fmt.Fprintf(errs, "%s: %v\n", file, err)
 			bad = true
@@ -89,9 +89,9 @@
 			}
 			continue
 		}
-		x := box{File: file, Runs: figures.Held(file)}
-		if list, _, _ := book.Lives(); !x.Runs && len(list) > 0 && list[len(list)-1].Ending == account.Runs {
-			book.Settle(account.CutByKill, account.Killed) // as its next start will
+		x := box{File: file, Runs: statsfile.Held(file)}
+		if list, _, _ := book.Lives(); !x.Runs && len(list) > 0 && list[len(list)-1].Ending == accounting.Runs {
+			book.Settle(accounting.CutByKill, accounting.Killed) // as its next start will
 		}
 		x.Report = book.Report(since > 0 || a.by == "period" || a.json)
 		x.settle(tally)
@@ -100,7 +100,7 @@
 			bad = true
 		}
 		if since > 0 {
-			x.Report.Periods = slices.DeleteFunc(x.Report.Periods, func(p account.Period) bool { return p.Start < since })
+			x.Report.Periods = slices.DeleteFunc(x.Report.Periods, func(p accounting.Period) bool { return p.Start < since })
 		}
 		boxes = append(boxes, x)
 	}
@@ -136,7 +136,7 @@
 }
 
 // readTally reads what callers know of their reqs.
-func readTally(path string) (map[uint64]account.Figure, error) {
+func readTally(path string) (map[uint64]accounting.Figure, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -145,8 +145,8 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
-	words := map[string]account.Figure{"served": account.Served, "refused": account.Refused, "failed": account.Failed}
-	out := map[uint64]account.Figure{}
+	words := map[string]accounting.Figure{"served": accounting.Served, "refused": accounting.Refused, "failed": accounting.Failed}
+	out := map[uint64]accounting.Figure{}
 	s := bufio.NewScanner(f)
 	for n := 1; s.Scan(); n++ {
 		w := strings.Fields(s.Text())
@@ -163,7 +163,7 @@
 }
 
 // settle has the tally say what became of the ids in doubt.
-func (x *box) settle(tally map[uint64]account.Figure) {
+func (x *box) settle(tally map[uint64]accounting.Figure) {
 	for i := range x.Report.Lives {
 		l := &x.Report.Lives[i]
 		x.InDoubt += l.Doubted
@@ -183,13 +183,13 @@
 // line is one of a table.
 type line struct {
 	key string
-	account.Figures
+	accounting.Figures
 }
 
 // table sums the figures of all boxes by what was asked for.
 func (a *asked) table(boxes []box, periods bool) []line {
 	var out []line
-	add := func(key string, f account.Figures) {
+	add := func(key string, f accounting.Figures) {
 		i := slices.IndexFunc(out, func(l line) bool { return l.key == key })
 		if i < 0 {
 			out = append(out, line{key: key})
@@ -197,18 +197,18 @@
 		}
 		out[i].Figures = out[i].Plus(f)
 	}
-	row := func(r account.Row) {
+	row := func(r accounting.Row) {
 		switch a.by {
 		case "front":
 			add(r.Front, r.Figures)
 		case "reason":
 			for why, n := range r.Reasons {
-				f := account.Figures{Taken: n}
-				f.Add(account.ReasonOf(why), n)
+				f := accounting.Figures{Taken: n}
+				f.Add(accounting.ReasonOf(why), n)
 				add(why, f)
 			}
 			if r.Figures.Open != 0 {
-				add("(open)", account.Figures{Taken: r.Figures.Open, Open: r.Figures.Open})
+				add("(open)", accounting.Figures{Taken: r.Figures.Open, Open: r.Figures.Open})
 			}
 		default:
 			add(r.Handler, r.Figures)
@@ -228,7 +228,7 @@
 			}
 		case a.by == "period":
 			for _, p := range x.Report.Periods {
-				var f account.Figures
+				var f accounting.Figures
 				for _, r := range p.Rows {
 					f = f.Plus(r.Figures)
 				}
@@ -252,7 +252,7 @@
 	return out
 }
 
-func sumOf(lines []line) (f account.Figures) {
+func sumOf(lines []line) (f accounting.Figures) {
 	for _, l := range lines {
 		f = f.Plus(l.Figures)
 	}
@@ -261,7 +261,7 @@
 
 var columns = []string{"taken", "served", "refused", "failed", "open"}
 
-func cellsOf(f account.Figures) []string {
+func cellsOf(f accounting.Figures) []string {
 	var out []string
 	for _, n := range [...]int64{f.Taken, f.Served, f.Refused, f.Failed, f.Open} {
 		out = append(out, strconv.FormatInt(n, 10))
@@ -305,7 +305,7 @@
 }
 
 func printTrail(out io.Writer, data []byte) error {
-	ops, err := figures.Trail(data)
+	ops, err := statsfile.Trail(data)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -16,10 +16,10 @@
 	"github.com/spf13/cobra"
 
 	"frosthub/backend"
-	"frosthub/internal/hold"
-	"frosthub/internal/keeplog"
-	"frosthub/internal/operator"
-	"frosthub/keep"
+	"frosthub/idempotency"
+	"frosthub/internal/conffile"
+	"frosthub/internal/filelock"
+	"frosthub/internal/wal"
 )
 
 func keepCommand(conf *string) *cobra.Command {
@@ -41,7 +41,7 @@
 			if err := os.MkdirAll(args[0], 0o750); err != nil {
 				return err
 			}
-			if err := keeplog.Init(keeplog.Folder(args[0]), box, time.Duration(time.Now().UnixNano()), rand.Uint64()); err != nil {
+			if err := wal.Init(wal.Folder(args[0]), box, time.Duration(time.Now().UnixNano()), rand.Uint64()); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: an empty store for box %s\n", args[0], box)
@@ -91,9 +91,9 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			w := bufio.NewWriter(c.OutOrStdout())
-			var each func(keep.Write) error
+			var each func(idempotency.Write) error
 			if records {
-				each = func(r keep.Write) error {
+				each = func(r idempotency.Write) error {
 					_, err := fmt.Fprintf(w, "%d %s %s %x %d bytes\n", r.Seq, stamp(r.At), r.Kind, r.Key, len(r.Data))
 					return err
 				}
@@ -111,7 +111,7 @@
 	list.Flags().BoolVar(&doubts, "in-doubt", false, "only those that may have run or not")
 	list.Flags().BoolVar(&records, "records", false, "all records instead, in their order")
 	list.MarkFlagsMutuallyExclusive("in-doubt", "records")
-	change := func(use, short, long string, do func(s *keep.Store, now time.Duration)) *cobra.Command {
+	change := func(use, short, long string, do func(s *idempotency.Store, now time.Duration)) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				if err := changeStore(args[0], *conf, do); err != nil {
@@ -126,11 +126,11 @@
 	}
 	c.AddCommand(makes, look, list,
 		change("compact DIR", "Age what is past its lifetime, and replace records by prints", "compact works by the bounds of --conf, or the usual ones, "+
-			"on a store that no box uses. A box that runs does the same by itself.", func(s *keep.Store, now time.Duration) { s.Tidy(now) }),
+			"on a store that no box uses. A box that runs does the same by itself.", func(s *idempotency.Store, now time.Duration) { s.Tidy(now) }),
 		change("accept DIR", "Answer for records that are lost",
 			"accept says that whatever ran and is lost from the records is not being repeated any more, or may run twice.\n"+
 				"From then on what is not in the store is taken for fresh again. It is recorded in the store.",
-			func(s *keep.Store, now time.Duration) { s.Accept(now) }))
+			func(s *idempotency.Store, now time.Duration) { s.Accept(now) }))
 	return c
 }
 
@@ -139,12 +139,12 @@
 }
 
 // bounds are those of the operator's file, or the usual ones.
-func bounds(conf string) (keep.Config, error) {
+func bounds(conf string) (idempotency.Config, error) {
 	var k backend.Keep
 	if conf != "" {
-		op, err := operator.Load(conf)
+		op, err := conffile.Load(conf)
 		if err != nil {
-			return keep.Config{}, err
+			return idempotency.Config{}, err
 		}
 		k = op.Keep
 	}
@@ -154,23 +154,23 @@
 
 // storeReport is what is in a store.
 type storeReport struct {
-	Dir     string     `json:"dir"`
-	Box     string     `json:"box"`
-	Runs    bool       `json:"runs"` // a process uses it
-	Records int        `json:"records"`
-	Cut     int        `json:"cut"`
-	Damage  []string   `json:"damage"`
-	Store   keep.Stats `json:"store"`
+	Dir     string            `json:"dir"`
+	Box     string            `json:"box"`
+	Runs    bool              `json:"runs"` // a process uses it
+	Records int               `json:"records"`
+	Cut     int               `json:"cut"`
+	Damage  []string          `json:"damage"`
+	Store   idempotency.Stats `json:"store"`
 }
 
-func readStore(dir, conf string, each func(keep.Write) error) (storeReport, *keep.Store, error) {
-	r := storeReport{Dir: dir, Runs: hold.Taken(filepath.Join(dir, keeplog.LockName))}
+func readStore(dir, conf string, each func(idempotency.Write) error) (storeReport, *idempotency.Store, error) {
+	r := storeReport{Dir: dir, Runs: filelock.Taken(filepath.Join(dir, wal.LockName))}
 	cfg, err := bounds(conf)
 	if err != nil {
 		return r, nil, err
 	}
-	s := keep.New(cfg)
-	found, err := keeplog.Read(keeplog.Folder(dir), "", s, each)
+	s := idempotency.New(cfg)
+	found, err := wal.Read(wal.Folder(dir), "", s, each)
 	if err != nil {
 		return r, nil, err
 	}
@@ -181,23 +181,23 @@
 }
 
 // changeStore has a life begin that does one thing, and end.
-func changeStore(dir, conf string, do func(s *keep.Store, now time.Duration)) error {
+func changeStore(dir, conf string, do func(s *idempotency.Store, now time.Duration)) error {
 	cfg, err := bounds(conf)
 	if err != nil {
 		return err
 	}
-	disk := keeplog.Folder(dir)
-	if _, err := keeplog.Identify(disk); err != nil {
+	disk := wal.Folder(dir)
+	if _, err := wal.Identify(disk); err != nil {
 		return err
 	}
-	lock, err := hold.Take(filepath.Join(dir, keeplog.LockName))
+	lock, err := filelock.Take(filepath.Join(dir, wal.LockName))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = lock.Close() }()
-	s := keep.New(cfg)
+	s := idempotency.New(cfg)
 	now := time.Duration(time.Now().UnixNano())
-	w, _, err := keeplog.Start(disk, "", s, now, nil)
+	w, _, err := wal.Start(disk, "", s, now, nil)
 	if err != nil {
 		return err
 	}
@@ -227,15 +227,15 @@
 	}
 }
 
-func listKeys(w io.Writer, s *keep.Store, doubts bool) {
+func listKeys(w io.Writer, s *idempotency.Store, doubts bool) {
 	type row struct {
-		key   keep.Key
+		key   idempotency.Key
 		at    time.Duration
 		state string
 		bytes int
 	}
 	var rows []row
-	s.Each(func(key keep.Key, at time.Duration, state string, bytes int) {
+	s.Each(func(key idempotency.Key, at time.Duration, state string, bytes int) {
 		if !doubts || state == "in doubt" {
 			rows = append(rows, row{key, at, state, bytes})
 		}
--- a/internal/operator/operator.go
+++ b/internal/conffile/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file: one directive a line, words, numbers, spans and options, comments after #.
+// Package conffile reads the operator's file: one directive a line, words, numbers, spans and options, comments after #.
 // What may stand there is data (Directives); all messages and checks come from it.
-package operator
+package conffile
 
 import (
 	"errors"
--- a/internal/operator/operator_test.go
+++ b/internal/conffile/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package conffile
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"frosthub/backend"
-	"frosthub/keep"
+	"frosthub/idempotency"
 )
 
 // TestParse: what stands in a file is taken, and what is wrong is told with its place and what was expected.
@@ -26,7 +26,7 @@
 		"keep entries 1000\nkeep lifetime 2h\nkeep horizon 48h\n")
 	want = Config{Keep: backend.Keep{Dir: "/k", KeyField: "X-Claim", Handlers: map[string][]backend.Part{
 		"file-claim": {backend.PartField, backend.PartBody}, "other": {backend.PartID}},
-		Bounds: keep.Config{Entries: 1000, Lifetime: 2 * time.Hour, Horizon: 48 * time.Hour}}}
+		Bounds: idempotency.Config{Entries: 1000, Lifetime: 2 * time.Hour, Horizon: 48 * time.Hour}}}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
--- a/internal/operator/schema.go
+++ b/internal/conffile/schema.go
@@ -1,4 +1,4 @@
-package operator
+package conffile
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	"time"
 
 	"frosthub/backend"
-	"frosthub/internal/figures"
-	"frosthub/route"
-	"frosthub/takeover"
+	"frosthub/failover"
+	"frosthub/internal/statsfile"
+	"frosthub/loadbalance"
 )
 
 // Directive is one that may stand in the file.
@@ -84,7 +84,7 @@
 					return errors.New("it is there already")
 				}
 			}
-			c.NextAJP.Route.Peers = append(c.NextAJP.Route.Peers, route.Peer{Address: v})
+			c.NextAJP.Route.Peers = append(c.NextAJP.Route.Peers, loadbalance.Peer{Address: v})
 			return nil
 		}}},
 		Options: []Arg{
@@ -277,9 +277,9 @@
 			return nil
 		}}}},
 	{Name: "figures trail", Needs: "figures file", Help: "how many of the last changes the file holds one by one",
-		Args: []Arg{{Name: "number", Kind: fmt.Sprintf("a number from %d to 1048576, a power of two", figures.OpsLeast),
+		Args: []Arg{{Name: "number", Kind: fmt.Sprintf("a number from %d to 1048576, a power of two", statsfile.OpsLeast),
 			Set: func(c *Config, v string) error {
-				n, err := whole(v, figures.OpsLeast, 1<<20)
+				n, err := whole(v, statsfile.OpsLeast, 1<<20)
 				if err == nil && n&(n-1) != 0 {
 					err = errors.New("no power of two")
 				}
@@ -372,7 +372,7 @@
 					return errors.New("it is there already")
 				}
 			}
-			*list = append(*list, backend.ClusterMember{Member: takeover.Member{Name: v}})
+			*list = append(*list, backend.ClusterMember{Member: failover.Member{Name: v}})
 			return shortName(v)
 		}},
 		{Name: "address", Kind: "an address and a port, as 127.0.0.1:9700", Set: func(c *Config, v string) error {
@@ -477,7 +477,9 @@
 }
 
 // lastPeer is the one that options belong to.
-func (c *Config) lastPeer() *route.Peer { return &c.NextAJP.Route.Peers[len(c.NextAJP.Route.Peers)-1] }
+func (c *Config) lastPeer() *loadbalance.Peer {
+	return &c.NextAJP.Route.Peers[len(c.NextAJP.Route.Peers)-1]
+}
 
 func loopback(c *Config, v string) error {
 	c.Admin = v
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -27,8 +27,8 @@
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
 
-	"frosthub/internal/seldom"
-	"frosthub/internal/sysfault"
+	"frosthub/internal/faultinject"
+	"frosthub/internal/logthrottle"
 )
 
 const (
@@ -423,7 +423,7 @@
 			c.mu.Unlock()
 			return false
 		}
-		n, err := 0, sysfault.Of(sysfault.Write)
+		n, err := 0, faultinject.Of(faultinject.Write)
 		if err == nil {
 			n, err = syscall.Write(c.fd, c.out.Peek())
 		}
@@ -497,7 +497,7 @@
 	log *slog.Logger
 
 	mu   sync.Mutex
-	line seldom.Line
+	line logthrottle.Line
 }
 
 func (w *logWriter) Write(p []byte) (int, error) {
@@ -579,7 +579,7 @@
 	go func() {
 		start := time.Now()
 		var nc netpoll.Connection
-		err := sysfault.Of(sysfault.Connect)
+		err := faultinject.Of(faultinject.Connect)
 		if err == nil {
 			nc, err = netpoll.DialConnection("tcp", address, dialFor)
 		}
--- a/internal/conn/fault_test.go
+++ b/internal/conn/fault_test.go
@@ -6,7 +6,7 @@
 	"io"
 	"testing"
 
-	"frosthub/internal/sysfault"
+	"frosthub/internal/faultinject"
 )
 
 // TestPassingErrors: a write that fails for a moment costs no answer, and an accept no connection.
@@ -17,8 +17,8 @@
 			var conns []*Conn
 			var ends []error
 			address, refused := serve(t, b, 10, &conns, &ends)
-			sysfault.Tell(fault)
-			t.Cleanup(func() { sysfault.Tell("") })
+			faultinject.Tell(fault)
+			t.Cleanup(func() { faultinject.Tell("") })
 			peer := dial(t, address)
 			_, _ = peer.Write([]byte("hello"))
 			heard := make(chan error, 1)
@@ -27,7 +27,7 @@
 				heard <- err
 			}()
 			owner(b, func() bool { return len(refused) > 0 || b.Stalled() > 0 || len(ends) > 0 }) // it has failed
-			sysfault.Tell("")
+			faultinject.Tell("")
 			done := false
 			if !owner(b, func() bool {
 				select {
@@ -50,8 +50,8 @@
 	var conns []*Conn
 	var ends []error
 	address, _ := serve(t, b, 10, &conns, &ends)
-	sysfault.Tell("connect ENOBUFS")
-	t.Cleanup(func() { sysfault.Tell("") })
+	faultinject.Tell("connect ENOBUFS")
+	t.Cleanup(func() { faultinject.Tell("") })
 	told := make(chan error, 1)
 	tried := func() error {
 		b.Dial(address, func(_ *Conn, err error) { told <- err })
@@ -61,7 +61,7 @@
 	if err := tried(); err == nil {
 		t.Error("it did not fail: nothing is shown")
 	}
-	sysfault.Tell("")
+	faultinject.Tell("")
 	if err := tried(); err != nil {
 		t.Error(err)
 	}
--- a/internal/sysfault/call.go
+++ b/internal/faultinject/call.go
@@ -1,4 +1,4 @@
-package sysfault
+package faultinject
 
 // Call is a kind of call of the system that may be told to fail.
 type Call uint8
--- a/internal/sysfault/sysfault.go
+++ b/internal/faultinject/sysfault.go
@@ -1,8 +1,8 @@
 //go:build !faults && !powerloss
 
-// Package sysfault is where rigs have the system fail: in builds of their own, tagged faults or powerloss, it reads from a file which calls fail
+// Package faultinject is where rigs have the system fail: in builds of their own, tagged faults or powerloss, it reads from a file which calls fail
 // now and by how much the time of day is wrong. In all other builds it does nothing and costs nothing.
-package sysfault
+package faultinject
 
 import "time"
 
--- a/internal/hold/hold.go
+++ b/internal/filelock/hold.go
@@ -1,5 +1,5 @@
-// Package hold has a lock on a file that ends with the process that holds it, however that ends.
-package hold
+// Package filelock has a lock on a file that ends with the process that holds it, however that ends.
+package filelock
 
 import (
 	"errors"
--- a/internal/lines/lines.go
+++ b/internal/lineproto/lines.go
@@ -1,5 +1,5 @@
-// Package lines cuts a stream into lines of words, each with a body where its last word says so.
-package lines
+// Package lineproto cuts a stream into lines of words, each with a body where its last word says so.
+package lineproto
 
 import (
 	"bytes"
--- a/internal/seldom/seldom.go
+++ b/internal/logthrottle/seldom.go
@@ -1,5 +1,5 @@
-// Package seldom keeps a kind of log line from flooding.
-package seldom
+// Package logthrottle keeps a kind of log line from flooding.
+package logthrottle
 
 import "time"
 
--- a/internal/boxwire/bench_test.go
+++ b/internal/peerproto/bench_test.go
@@ -1,4 +1,4 @@
-package boxwire
+package peerproto
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/mem"
 
+	"frosthub/failover"
+	"frosthub/idempotency"
 	"frosthub/internal/conn"
-	"frosthub/keep"
-	"frosthub/takeover"
 )
 
 var wires = flag.Int("wires", 0, "batches sent and answered over connections of the core and over gRPC, to compare what they cost")
@@ -24,8 +24,8 @@
 func question() *Batch {
 	b := &Batch{}
 	for i := range inBatch {
-		b.Claims = append(b.Claims, takeover.Message{Kind: takeover.Open, Key: keep.Key{byte(i)}, Ballot: takeover.Ballot{N: 8, Box: "n1", Life: 3},
-			Work: &takeover.Work{Handler: "file-claim", Body: make([]byte, 500), Left: 9, Cost: 4, Size: 24.5, Rank: 0.625}})
+		b.Claims = append(b.Claims, failover.Message{Kind: failover.Open, Key: idempotency.Key{byte(i)}, Ballot: failover.Ballot{N: 8, Box: "n1", Life: 3},
+			Work: &failover.Work{Handler: "file-claim", Body: make([]byte, 500), Left: 9, Cost: 4, Size: 24.5, Rank: 0.625}})
 	}
 	return b
 }
@@ -33,7 +33,7 @@
 func answer(q *Batch) *Batch {
 	b := &Batch{}
 	for _, m := range q.Claims {
-		b.Claims = append(b.Claims, takeover.Message{Kind: takeover.Opened, Key: m.Key, Ballot: m.Ballot, Vote: takeover.Granted})
+		b.Claims = append(b.Claims, failover.Message{Kind: failover.Opened, Key: m.Key, Ballot: m.Ballot, Vote: failover.Granted})
 	}
 	return b
 }
--- a/internal/boxwire/boxwire.go
+++ b/internal/peerproto/boxwire.go
@@ -1,5 +1,5 @@
-// Package boxwire has the messages that boxes of a cluster send each other as bytes, by the schema in boxes.proto, and back.
-package boxwire
+// Package peerproto has the messages that boxes of a cluster send each other as bytes, by the schema in boxes.proto, and back.
+package peerproto
 
 import (
 	"encoding/binary"
@@ -9,10 +9,10 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"frosthub/keep"
-	"frosthub/members"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/membership"
 	"frosthub/recovery"
-	"frosthub/takeover"
 )
 
 const listsMost = 8 // of a hello; two are in use
@@ -40,11 +40,11 @@
 // Batch is what one frame carries.
 type Batch struct {
 	Hello   *Hello
-	Members []members.Message
-	Claims  []takeover.Message
+	Members []membership.Message
+	Claims  []failover.Message
 	Known   *recovery.Answer
-	Telling *takeover.Telling // tell me what I may have lost
-	Page    *takeover.Page
+	Telling *failover.Telling // tell me what I may have lost
+	Page    *failover.Page
 }
 
 func uintField(b []byte, n protowire.Number, v uint64) []byte {
@@ -116,7 +116,7 @@
 	return b
 }
 
-func appendMember(b []byte, m *members.Message) []byte {
+func appendMember(b []byte, m *membership.Message) []byte {
 	b = bytesField(uintField(uintField(b, 1, uint64(m.Kind)), 2, m.Number), 3, m.For)
 	for _, u := range m.Updates {
 		b = part(b, 4, uintField(uintField(uintField(bytesField(nil, 1, u.Name), 2, u.Life), 3, u.Incarnation), 4, uint64(u.State)))
@@ -124,11 +124,11 @@
 	return b
 }
 
-func ballot(v takeover.Ballot) []byte {
+func ballot(v failover.Ballot) []byte {
 	return uintField(bytesField(uintField(nil, 1, v.N), 2, v.Box), 3, v.Life)
 }
 
-func appendClaim(b []byte, m *takeover.Message) []byte {
+func appendClaim(b []byte, m *failover.Message) []byte {
 	b = bytesField(uintField(b, 1, uint64(m.Kind)), 2, m.Key[:])
 	b = boolField(bytesField(b, 3, ballot(m.Ballot)), 4, m.Force)
 	b = uintField(uintField(b, 5, uint64(m.Made)), 6, uint64(m.Vote))
@@ -285,17 +285,17 @@
 	return batch, err
 }
 
-func parseMember(b []byte) (m members.Message, err error) {
+func parseMember(b []byte) (m membership.Message, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, p []byte) error {
 		switch n {
 		case 1:
-			m.Kind = members.Kind(v)
+			m.Kind = membership.Kind(v)
 		case 2:
 			m.Number = v
 		case 3:
 			m.For = string(p)
 		case 4:
-			var u members.Update
+			var u membership.Update
 			if err := fields(p, func(n protowire.Number, v uint64, p []byte) error {
 				switch n {
 				case 1:
@@ -305,7 +305,7 @@
 				case 3:
 					u.Incarnation = v
 				case 4:
-					u.State = members.State(min(v, uint64(members.Left)))
+					u.State = membership.State(min(v, uint64(membership.Left)))
 				}
 				return nil
 			}); err != nil {
@@ -318,7 +318,7 @@
 	return m, err
 }
 
-func parseBallot(b []byte) (out takeover.Ballot, err error) {
+func parseBallot(b []byte) (out failover.Ballot, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, p []byte) error {
 		switch n {
 		case 1:
@@ -333,11 +333,11 @@
 	return out, err
 }
 
-func parseClaim(b []byte) (m takeover.Message, err error) {
+func parseClaim(b []byte) (m failover.Message, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, p []byte) (err error) {
 		switch n {
 		case 1:
-			m.Kind = takeover.Kind(v)
+			m.Kind = failover.Kind(v)
 		case 2:
 			m.Key, err = parseKey(p)
 		case 3:
@@ -347,15 +347,15 @@
 		case 5:
 			m.Made = time.Duration(v)
 		case 6:
-			m.Vote = takeover.Vote(v)
+			m.Vote = failover.Vote(v)
 		case 7:
 			m.By, err = parseBallot(p)
 		case 8:
-			m.End = keep.Kind(v)
+			m.End = idempotency.Kind(v)
 		case 9:
 			m.Result = append([]byte(nil), p...)
 		case 10:
-			w := &takeover.Work{}
+			w := &failover.Work{}
 			m.Work = w
 			err = fields(p, func(n protowire.Number, v uint64, p []byte) error {
 				switch n {
@@ -385,7 +385,7 @@
 		case 13:
 			m.Notice = v
 		case 14:
-			var f takeover.Fence
+			var f failover.Fence
 			f, err = parseFence(p)
 			m.Fences = append(m.Fences, f)
 		}
--- a/internal/boxwire/boxwire_test.go
+++ b/internal/peerproto/boxwire_test.go
@@ -1,4 +1,4 @@
-package boxwire
+package peerproto
 
 import (
 	"slices"
@@ -7,24 +7,24 @@
 	"github.com/bits-and-blooms/bloom/v3"
 	"github.com/google/go-cmp/cmp"
 
-	"frosthub/keep"
-	"frosthub/members"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/membership"
 	"frosthub/recovery"
-	"frosthub/takeover"
 )
 
 var whole = Batch{Hello: &Hello{"north", "n1", 3, []uint64{5, 0}, 70, 9, true, 1},
 	Known:   &recovery.Answer{Memory: recovery.Memory{Life: 4, Seq: 11}, For: 9, Blank: true},
-	Members: []members.Message{{Kind: members.Ping, Number: 7, For: "n2", Updates: []members.Update{{Name: "n3", Life: 2, Incarnation: 5, State: members.Dead}, {}}}},
-	Claims: []takeover.Message{{Kind: takeover.Open, Key: keep.Key{1, 2, 15: 9}, Ballot: takeover.Ballot{N: 8, Box: "n1", Life: 3}, Force: true, Made: 5,
-		Vote: takeover.Running, By: takeover.Ballot{N: 4, Box: "n2", Life: 1}, End: keep.Result, Result: []byte("filed"),
-		Work: &takeover.Work{Handler: "file-claim", Body: []byte("hail"), Left: 9, Cost: 4, Size: 24.5, Rank: 0.625, Worth: 3, Replay: true}, Replay: true, Run: 17, Notice: 4,
-		Fences: []takeover.Fence{{Box: "n4", Life: 6}, {}}}, {}},
-	Telling: &takeover.Telling{Life: 6, From: takeover.Cursor{Step: takeover.StepEnded, At: 3, End: 9}},
-	Page: &takeover.Page{Life: 6, Goes: 12, Next: takeover.Cursor{Step: takeover.StepPrints, Print: 2}, Whole: true, Heeded: true,
-		Told:   []keep.Told{{Key: keep.Key{4}, Kind: keep.Result, Result: []byte("filed")}, {}},
-		InHand: []takeover.InHand{{Key: keep.Key{5}, Ballot: takeover.Ballot{N: 2, Box: "n2", Life: 1}, Made: 6, Left: -7, Run: 8, Notice: 9}},
-		Prints: []keep.Aged{{Number: 3, Till: 4, Filter: aged()}}}}
+	Members: []membership.Message{{Kind: membership.Ping, Number: 7, For: "n2", Updates: []membership.Update{{Name: "n3", Life: 2, Incarnation: 5, State: membership.Dead}, {}}}},
+	Claims: []failover.Message{{Kind: failover.Open, Key: idempotency.Key{1, 2, 15: 9}, Ballot: failover.Ballot{N: 8, Box: "n1", Life: 3}, Force: true, Made: 5,
+		Vote: failover.Running, By: failover.Ballot{N: 4, Box: "n2", Life: 1}, End: idempotency.Result, Result: []byte("filed"),
+		Work: &failover.Work{Handler: "file-claim", Body: []byte("hail"), Left: 9, Cost: 4, Size: 24.5, Rank: 0.625, Worth: 3, Replay: true}, Replay: true, Run: 17, Notice: 4,
+		Fences: []failover.Fence{{Box: "n4", Life: 6}, {}}}, {}},
+	Telling: &failover.Telling{Life: 6, From: failover.Cursor{Step: failover.StepEnded, At: 3, End: 9}},
+	Page: &failover.Page{Life: 6, Goes: 12, Next: failover.Cursor{Step: failover.StepPrints, Print: 2}, Whole: true, Heeded: true,
+		Told:   []idempotency.Told{{Key: idempotency.Key{4}, Kind: idempotency.Result, Result: []byte("filed")}, {}},
+		InHand: []failover.InHand{{Key: idempotency.Key{5}, Ballot: failover.Ballot{N: 2, Box: "n2", Life: 1}, Made: 6, Left: -7, Run: 8, Notice: 9}},
+		Prints: []idempotency.Aged{{Number: 3, Till: 4, Filter: aged()}}}}
 
 func aged() *bloom.BloomFilter {
 	f := bloom.New(100, 3)
--- a/internal/boxwire/page.go
+++ b/internal/peerproto/page.go
@@ -1,4 +1,4 @@
-package boxwire
+package peerproto
 
 import (
 	"encoding/binary"
@@ -7,8 +7,8 @@
 	"github.com/bits-and-blooms/bloom/v3"
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"frosthub/keep"
-	"frosthub/takeover"
+	"frosthub/failover"
+	"frosthub/idempotency"
 )
 
 const (
@@ -17,19 +17,19 @@
 	wordBits   = 64
 )
 
-func appendCursor(b []byte, c takeover.Cursor) []byte {
+func appendCursor(b []byte, c failover.Cursor) []byte {
 	return uintField(uintField(uintField(uintField(b, 1, uint64(c.Step)), 2, c.At), 3, c.End), 4, c.Print)
 }
 
-func appendTelling(b []byte, t *takeover.Telling) []byte {
+func appendTelling(b []byte, t *failover.Telling) []byte {
 	return bytesField(uintField(b, 1, t.Life), 2, appendCursor(nil, t.From))
 }
 
-func appendFence(b []byte, f takeover.Fence) []byte {
+func appendFence(b []byte, f failover.Fence) []byte {
 	return uintField(bytesField(b, 1, f.Box), 2, f.Life)
 }
 
-func appendPage(b []byte, p *takeover.Page) []byte {
+func appendPage(b []byte, p *failover.Page) []byte {
 	b = fixedField(uintField(b, 1, p.Life), 2, p.Goes)
 	b = bytesField(bytesField(b, 3, appendCursor(nil, p.From)), 4, appendCursor(nil, p.Next))
 	b = boolField(boolField(b, 5, p.Whole), 9, p.Heeded)
@@ -54,14 +54,14 @@
 	return b
 }
 
-func parseCursor(b []byte) (c takeover.Cursor, err error) {
+func parseCursor(b []byte) (c failover.Cursor, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, _ []byte) error {
 		switch n {
 		case 1:
-			if v > uint64(takeover.StepDone) {
+			if v > uint64(failover.StepDone) {
 				return ErrFrame
 			}
-			c.Step = takeover.Step(v)
+			c.Step = failover.Step(v)
 		case 2:
 			c.At = v
 		case 3:
@@ -74,7 +74,7 @@
 	return c, err
 }
 
-func parseTelling(b []byte) (t takeover.Telling, err error) {
+func parseTelling(b []byte) (t failover.Telling, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, p []byte) (err error) {
 		switch n {
 		case 1:
@@ -87,7 +87,7 @@
 	return t, err
 }
 
-func parseFence(b []byte) (f takeover.Fence, err error) {
+func parseFence(b []byte) (f failover.Fence, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, p []byte) error {
 		switch n {
 		case 1:
@@ -100,14 +100,14 @@
 	return f, err
 }
 
-func parseKey(p []byte) (key keep.Key, err error) {
+func parseKey(p []byte) (key idempotency.Key, err error) {
 	if len(p) != len(key) {
 		return key, ErrFrame
 	}
-	return keep.Key(p), nil
+	return idempotency.Key(p), nil
 }
 
-func parsePage(b []byte) (p takeover.Page, err error) {
+func parsePage(b []byte) (p failover.Page, err error) {
 	err = fields(b, func(n protowire.Number, v uint64, field []byte) (err error) {
 		switch n {
 		case 1:
@@ -121,13 +121,13 @@
 		case 5:
 			p.Whole = v == 1
 		case 6:
-			var t keep.Told
+			var t idempotency.Told
 			err = fields(field, func(n protowire.Number, v uint64, p []byte) (err error) {
 				switch n {
 				case 1:
 					t.Key, err = parseKey(p)
 				case 2:
-					if t.Kind = keep.Kind(v); t.Kind != keep.Result && t.Kind != keep.Failed && t.Kind != keep.Long && t.Kind != 0 {
+					if t.Kind = idempotency.Kind(v); t.Kind != idempotency.Result && t.Kind != idempotency.Failed && t.Kind != idempotency.Long && t.Kind != 0 {
 						err = ErrFrame
 					}
 				case 3:
@@ -137,7 +137,7 @@
 			})
 			p.Told = append(p.Told, t)
 		case 7:
-			var h takeover.InHand
+			var h failover.InHand
 			err = fields(field, func(n protowire.Number, v uint64, p []byte) (err error) {
 				switch n {
 				case 1:
@@ -157,7 +157,7 @@
 			})
 			p.InHand = append(p.InHand, h)
 		case 8:
-			var a keep.Aged
+			var a idempotency.Aged
 			a, err = parseAged(field)
 			p.Prints = append(p.Prints, a)
 		case 9:
@@ -169,7 +169,7 @@
 }
 
 // parseAged reads prints whose sizes fit each other: what is taken is no larger than what was sent.
-func parseAged(b []byte) (a keep.Aged, err error) {
+func parseAged(b []byte) (a idempotency.Aged, err error) {
 	var bits, hashes uint64
 	var words []byte
 	err = fields(b, func(n protowire.Number, v uint64, p []byte) error {
--- a/internal/chance/chance.go
+++ b/internal/prng/chance.go
@@ -1,5 +1,5 @@
-// Package chance is the chance of the state machines that boxes of a cluster share: small, and one run a seed.
-package chance
+// Package prng is the chance of the state machines that boxes of a cluster share: small, and one run a seed.
+package prng
 
 // Chance is a row of numbers by xorshift (Marsaglia, 2003). Make it with New.
 type Chance uint64
--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"frosthub/internal/lines"
+	"frosthub/internal/lineproto"
 	"frosthub/overload"
 )
 
@@ -47,30 +47,30 @@
 }
 
 // NewParser returns a parser that hands each notice to f.
-func NewParser(f func(Notice)) *lines.Reader {
-	return lines.Messages(parse, func(n *Notice, body []byte) { n.Body = body }, f)
+func NewParser(f func(Notice)) *lineproto.Reader {
+	return lineproto.Messages(parse, func(n *Notice, body []byte) { n.Body = body }, f)
 }
 
 func parse(line []byte) (Notice, int, error) {
 	var n Notice
 	good := true
 	word := func() []byte {
-		w, rest := lines.Cut(line)
+		w, rest := lineproto.Cut(line)
 		line = rest
 		return w
 	}
 	number := func() uint64 {
-		v, ok := lines.Uint(word())
+		v, ok := lineproto.Uint(word())
 		good = good && ok
 		return v
 	}
 	id := func() uint64 {
-		v, ok := lines.ID(word())
+		v, ok := lineproto.ID(word())
 		good = good && ok
 		return v
 	}
 	millis := func() time.Duration {
-		v, ok := lines.Millis(word())
+		v, ok := lineproto.Millis(word())
 		good = good && ok
 		return v
 	}
@@ -104,7 +104,7 @@
 		n.Kind, n.Tag, n.Outcome = Tried, number(), outcome()
 	case "reject":
 		n.Kind, n.Text = Reject, string(word())
-		n.ID, _ = lines.ID(word())
+		n.ID, _ = lineproto.ID(word())
 	case "remark":
 		n.Kind, n.N, n.Text = Remark, number(), string(line)
 		line = nil
--- a/internal/simwire/simwire.go
+++ b/internal/simproto/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire speaks the simulator's wire: batches of events in, one reply per batch out.
+// Package simproto speaks the simulator's wire: batches of events in, one reply per batch out.
 // Names and units of the wire end here; all decisions are in package overload.
-package simwire
+package simproto
 
 import (
 	"bufio"
--- a/internal/simwire/simwire_test.go
+++ b/internal/simproto/simwire_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simproto
 
 import (
 	"strings"
--- a/internal/stand/disk.go
+++ b/internal/stand/disk.go
@@ -8,7 +8,7 @@
 	"slices"
 	"sync"
 
-	"frosthub/internal/keeplog"
+	"frosthub/internal/wal"
 )
 
 // ErrPower is what a disk without power answers.
@@ -104,7 +104,7 @@
 }
 
 // Append opens a file.
-func (d *Disk) Append(name string, size int64) (keeplog.File, error) {
+func (d *Disk) Append(name string, size int64) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	dies, err := d.op("open", name)
--- a/internal/figures/figures_test.go
+++ b/internal/statsfile/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package statsfile
 
 import (
 	"bytes"
@@ -14,20 +14,20 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"frosthub/account"
-	"frosthub/internal/hold"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 )
 
-var cfg = account.Config{Handlers: []string{"status", "file-claim"}, Customers: 3, Periods: 5, Every: time.Second}
+var cfg = accounting.Config{Handlers: []string{"status", "file-claim"}, Customers: 3, Periods: 5, Every: time.Second}
 
 const noon = 500_000 * time.Hour
 
 // recorded has a book and a recorder on a file.
-func recorded(t testing.TB, path string) (*account.Book, *Recorder, *bytes.Buffer) {
+func recorded(t testing.TB, path string) (*accounting.Book, *Recorder, *bytes.Buffer) {
 	t.Helper()
 	var log bytes.Buffer
 	r := NewRecorder(path, OpsLeast, slog.New(slog.NewTextHandler(&log, nil)))
-	fresh, err := account.New(cfg)
+	fresh, err := accounting.New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,20 +35,20 @@
 }
 
 // step makes the i-th of a script of changes: reqs that come, are answered, sent, given up, over seconds.
-func step(b *account.Book, i int, open []account.Ticket) []account.Ticket {
+func step(b *accounting.Book, i int, open []accounting.Ticket) []accounting.Ticket {
 	at := noon + time.Duration(i)*70*time.Millisecond
 	switch i % 5 {
 	case 0, 1:
-		open = append(open, b.Open(at, uint64(i), uint16(i%3), account.Front(i%2), account.NameOf([]byte{byte(i % 7)})))
+		open = append(open, b.Open(at, uint64(i), uint16(i%3), accounting.Front(i%2), accounting.NameOf([]byte{byte(i % 7)})))
 	case 2:
-		b.Answer(at, open[0], account.Ran)
+		b.Answer(at, open[0], accounting.Ran)
 		b.Flush(at, true)
 	case 3:
 		b.Sent(at, open[0])
 		b.Flush(at, false)
 		open = open[1:]
 	case 4:
-		b.Close(at, open[len(open)-1], account.Aborted)
+		b.Close(at, open[len(open)-1], accounting.Aborted)
 		open = open[:len(open)-1]
 	}
 	return open
@@ -60,7 +60,7 @@
 	path := filepath.Join(t.TempDir(), "figures")
 	b, r, _ := recorded(t, path)
 	defer r.Close(b, noon)
-	var open []account.Ticket
+	var open []accounting.Ticket
 	var wants [][]byte // the snapshots after each op
 	plain, _, err := ReadFile(path)
 	if err != nil {
@@ -70,8 +70,8 @@
 	cuts, rolls := 0, uint64(0)
 	for i := range 3 * OpsLeast {
 		open = step(b, i, open)
-		var ops []account.Op
-		b.Drain(func(o []account.Op) { ops = append(ops, o...) })
+		var ops []accounting.Op
+		b.Drain(func(o []accounting.Op) { ops = append(ops, o...) })
 		before := bytes.Clone(r.file.data)
 		for _, op := range ops { // the books that there were
 			if err := plain.Apply(op); err != nil {
@@ -143,32 +143,32 @@
 func TestLives(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
 	var got []string
-	say := func(b *account.Book) {
+	say := func(b *accounting.Book) {
 		list, _, _ := b.Lives()
 		l := list[len(list)-1]
 		got = append(got, strings.Join([]string{l.Ending.String(), figuresText(l.Figures), figuresText(b.Total())}, ", "))
 	}
 	b, r, _ := recorded(t, path)
-	k := b.Open(noon, 1, b.Handler("file-claim"), account.FastCGI, account.Name{})
-	b.Answer(noon, k, account.Ran)
+	k := b.Open(noon, 1, b.Handler("file-claim"), accounting.FastCGI, accounting.Name{})
+	b.Answer(noon, k, accounting.Ran)
 	b.Sent(noon, k)
-	b.Open(noon, 2, b.Handler("status"), account.FastCGI, account.Name{})
-	b.Settle(account.CutByStop, account.Left)
+	b.Open(noon, 2, b.Handler("status"), accounting.FastCGI, accounting.Name{})
+	b.Settle(accounting.CutByStop, accounting.Left)
 	r.Close(b, noon)
 	b, _, _ = ReadFile(path)
 	say(b)
 	b, r, _ = recorded(t, path)
-	k = b.Open(noon, 3, b.Handler("status"), account.FastCGI, account.Name{})
-	b.Open(noon, 4, b.Handler("status"), account.FastCGI, account.Name{})
-	b.Answer(noon, k, account.Shed)
+	k = b.Open(noon, 3, b.Handler("status"), accounting.FastCGI, accounting.Name{})
+	b.Open(noon, 4, b.Handler("status"), accounting.FastCGI, accounting.Name{})
+	b.Answer(noon, k, accounting.Shed)
 	b.Flush(noon, true)
 	r.Append(b, noon)
 	r.Abandon()
 	b, _, _ = ReadFile(path)
 	say(b)
-	cfg = account.Config{Handlers: []string{"claims", "status"}}
+	cfg = accounting.Config{Handlers: []string{"claims", "status"}}
 	defer func() {
-		cfg = account.Config{Handlers: []string{"status", "file-claim"}, Customers: 3, Periods: 5, Every: time.Second}
+		cfg = accounting.Config{Handlers: []string{"status", "file-claim"}, Customers: 3, Periods: 5, Every: time.Second}
 	}()
 	b, r, _ = recorded(t, path)
 	list, _, _ := b.Lives()
@@ -177,7 +177,7 @@
 	if killed.Doubted != 1 || killed.Doubt[0] != 3 {
 		t.Error("in doubt: ", killed.Doubt)
 	}
-	b.Open(noon, 5, b.Handler("claims"), account.FastCGI, account.Name{})
+	b.Open(noon, 5, b.Handler("claims"), accounting.FastCGI, accounting.Name{})
 	r.Append(b, noon)
 	for _, row := range b.Report(false).Rows {
 		got = append(got, row.Handler+" "+figuresText(row.Figures))
@@ -190,7 +190,7 @@
 	}
 }
 
-func figuresText(f account.Figures) string {
+func figuresText(f accounting.Figures) string {
 	var b strings.Builder
 	for i, n := range []int64{f.Taken, f.Served, f.Refused, f.Failed, f.Open} {
 		b.WriteString([]string{"", "=", "+", "+", "+"}[i] + string(rune('0'+n)))
@@ -205,7 +205,7 @@
 		path := filepath.Join(dir, "whole")
 		b, r, _ := recorded(t, path)
 		for i := range 40 {
-			b.Open(noon, uint64(i), 1, account.FastCGI, account.Name{})
+			b.Open(noon, uint64(i), 1, accounting.FastCGI, accounting.Name{})
 		}
 		r.Append(b, noon)
 		r.Close(b, noon)
@@ -248,7 +248,7 @@
 			if err != nil || !bytes.Equal(kept, bad) || !strings.Contains(log.String(), "level=ERROR") || !r.Up() {
 				t.Error(err, log)
 			}
-			b.Open(noon, 7, 1, account.FastCGI, account.Name{})
+			b.Open(noon, 7, 1, accounting.FastCGI, accounting.Name{})
 			r.Append(b, noon)
 			if again, _, err := ReadFile(path); err != nil || again.Total().Taken != 1 {
 				t.Error(err)
@@ -270,13 +270,13 @@
 		t.Error("it is held")
 	}
 	other, second, log := recorded(t, path)
-	if second.Up() || !strings.Contains(log.String(), hold.ErrBusy.Error()) {
+	if second.Up() || !strings.Contains(log.String(), filelock.ErrBusy.Error()) {
 		t.Error(log)
 	}
-	other.Open(noon, 9, 1, account.FastCGI, account.Name{})
+	other.Open(noon, 9, 1, accounting.FastCGI, accounting.Name{})
 	second.Append(other, noon)
 	second.Close(other, noon)
-	b.Open(noon, 8, 1, account.FastCGI, account.Name{})
+	b.Open(noon, 8, 1, accounting.FastCGI, accounting.Name{})
 	r.Append(b, noon)
 	if book, _, err := ReadFile(path); err != nil || book.Total().Taken != 1 {
 		t.Error(err)
@@ -305,7 +305,7 @@
 			}
 			id++
 			at += time.Second
-			b.Open(at, id, 1, account.FastCGI, account.Name{})
+			b.Open(at, id, 1, accounting.FastCGI, accounting.Name{})
 			r.Append(b, at)
 			time.Sleep(time.Millisecond) // what runs in the background has no other sign
 		}
@@ -348,7 +348,7 @@
 	}
 	otherDisk.Store(nil)
 	until(true)
-	b.Open(at, id+1, 1, account.FastCGI, account.Name{})
+	b.Open(at, id+1, 1, accounting.FastCGI, accounting.Name{})
 	r.Append(b, at)
 	book, _, err := ReadFile(path)
 	if err != nil || book.Total() != b.Total() {
@@ -367,7 +367,7 @@
 	at := noon
 	size := len(r.file.data)
 	for i := range 16 * openSpare {
-		b.Open(noon, uint64(i), 1, account.FastCGI, account.Name{})
+		b.Open(noon, uint64(i), 1, accounting.FastCGI, accounting.Name{})
 		if i%100 == 0 {
 			at += time.Second
 			r.Append(b, at)
@@ -392,7 +392,7 @@
 	path := filepath.Join(f.TempDir(), "figures")
 	small := cfg
 	small.Periods = 0
-	b, _ := account.New(small)
+	b, _ := accounting.New(small)
 	b.Begin(noon, 0)
 	l := layout{ops: OpsLeast, snap: 4096}
 	x := &file{layout: l, path: path, data: make([]byte, l.size())}
@@ -401,7 +401,7 @@
 	if err := x.start(b); err != nil {
 		f.Fatal(err)
 	}
-	var open []account.Ticket
+	var open []accounting.Ticket
 	for i := range 90 {
 		open = step(b, i, open)
 		if err := x.append(b); err != nil {
@@ -429,7 +429,7 @@
 
 // BenchmarkAppend: what a batch of a hundred reqs costs the owner.
 func BenchmarkAppend(b *testing.B) {
-	book, _ := account.New(cfg)
+	book, _ := accounting.New(cfg)
 	r := NewRecorder(filepath.Join(b.TempDir(), "figures"), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	book = r.Open(book, cfg, noon, 5*time.Second)
 	defer r.Close(book, noon)
@@ -438,8 +438,8 @@
 	for i := range b.N {
 		at += 10 * time.Millisecond
 		for k := range 100 {
-			t := book.Open(at, uint64(i*100+k), 1, account.FastCGI, account.Name{})
-			book.Answer(at, t, account.Ran)
+			t := book.Open(at, uint64(i*100+k), 1, accounting.FastCGI, accounting.Name{})
+			book.Answer(at, t, accounting.Ran)
 			book.Sent(at, t)
 		}
 		r.Append(book, at)
@@ -450,7 +450,7 @@
 func BenchmarkTurns(b *testing.B) {
 	many := cfg
 	many.Customers = 64
-	book, _ := account.New(many)
+	book, _ := accounting.New(many)
 	r := NewRecorder(filepath.Join(b.TempDir(), "figures"), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	book = r.Open(book, many, noon, 5*time.Second)
 	defer r.Close(book, noon)
@@ -458,9 +458,9 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		at += 500 * time.Microsecond
-		t := book.Open(at, uint64(i), 1, account.FastCGI, account.NameOf([]byte{byte(i), byte(i >> 8), byte(i >> 16)}))
+		t := book.Open(at, uint64(i), 1, accounting.FastCGI, accounting.NameOf([]byte{byte(i), byte(i >> 8), byte(i >> 16)}))
 		r.Append(book, at)
-		book.Answer(at, t, account.Ran)
+		book.Answer(at, t, accounting.Ran)
 		book.Flush(at, true)
 		r.Append(book, at)
 		book.Sent(at, t)
@@ -485,8 +485,8 @@
 			if i%1000 == 0 {
 				at += time.Second
 			}
-			k := b.Open(at, uint64(i), uint16(i%3), account.FastCGI, account.NameOf([]byte{byte(i), byte(i >> 8), byte(i >> 16)}))
-			b.Answer(at, k, account.Shed)
+			k := b.Open(at, uint64(i), uint16(i%3), accounting.FastCGI, accounting.NameOf([]byte{byte(i), byte(i >> 8), byte(i >> 16)}))
+			b.Answer(at, k, accounting.Shed)
 			b.Sent(at, k)
 			if i%10 == 0 {
 				r.Append(b, at)
@@ -517,7 +517,7 @@
 	})
 	var log bytes.Buffer
 	r := NewRecorder(path, OpsLeast, slog.New(slog.NewTextHandler(&log, nil)))
-	fresh, err := account.New(cfg)
+	fresh, err := accounting.New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -525,7 +525,7 @@
 	if b == fresh || r.Up() || !strings.Contains(log.String(), "does not answer") {
 		t.Error("it waits, or shares its book: ", log.String())
 	}
-	b.Open(noon, 1, 1, account.FastCGI, account.Name{})
+	b.Open(noon, 1, 1, accounting.FastCGI, accounting.Name{})
 	r.Append(b, noon)
 	r.Close(b, noon)
 	close(slow)
--- a/internal/figures/file.go
+++ b/internal/statsfile/file.go
@@ -1,6 +1,6 @@
-// Package figures keeps a book of accounts in a mapped file, so that it outlives the process however that ends: what
+// Package statsfile keeps a book of accounts in a mapped file, so that it outlives the process however that ends: what
 // was stored in the map is the system's, not the process's. The format is told in docs/notes/figures.md.
-package figures
+package statsfile
 
 import (
 	"encoding/binary"
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"frosthub/account"
-	"frosthub/internal/hold"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 )
 
 const (
@@ -51,8 +51,8 @@
 	ops, snap, period, places int // how many ops; room of a snapshot, of a period; how many periods
 }
 
-func (l layout) opAt(seq uint64) int { return headLen + int(seq%uint64(l.ops))*account.OpSize }
-func (l layout) snapAt(i int) int    { return headLen + l.ops*account.OpSize + i*l.snap }
+func (l layout) opAt(seq uint64) int { return headLen + int(seq%uint64(l.ops))*accounting.OpSize }
+func (l layout) snapAt(i int) int    { return headLen + l.ops*accounting.OpSize + i*l.snap }
 func (l layout) periodAt(n uint64) int {
 	return l.snapAt(2) + int(n%uint64(max(1, l.places)))*l.period
 }
@@ -64,7 +64,7 @@
 }
 
 // layoutOf is the one for such a book.
-func layoutOf(b *account.Book, ops, periods int) layout {
+func layoutOf(b *accounting.Book, ops, periods int) layout {
 	const page = 4096
 	up := func(n int) int { return (n + page - 1) / page * page }
 	l := layout{ops: ops, snap: up(snapHead + b.SnapshotSize(int(b.Total().Open)+openSpare))}
@@ -80,7 +80,7 @@
 	for i, v := range [...]int{version, l.ops, l.snap, l.period, l.places} {
 		le.PutUint32(b[8+4*i:], uint32(v))
 	}
-	le.PutUint32(b[28:], account.Checksum(b[:28]))
+	le.PutUint32(b[28:], accounting.Checksum(b[:28]))
 }
 
 func (l *layout) get(b []byte) error {
@@ -90,7 +90,7 @@
 		return ErrForeign
 	case le.Uint32(b[8:]) != version:
 		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, le.Uint32(b[8:]), version)
-	case len(b) < headLen || le.Uint32(b[28:]) != account.Checksum(b[:28]):
+	case len(b) < headLen || le.Uint32(b[28:]) != accounting.Checksum(b[:28]):
 		return fmt.Errorf("%w: its header", ErrDamaged)
 	}
 	for i, v := range [...]*int{&l.ops, &l.snap, &l.period, &l.places} {
@@ -103,13 +103,13 @@
 }
 
 // Read has the book that the bytes of a file hold: its newest whole snapshot, and the ops that followed it.
-func Read(data []byte) (*account.Book, error) {
+func Read(data []byte) (*accounting.Book, error) {
 	var l layout
 	if err := l.get(data); err != nil {
 		return nil, err
 	}
 	le := binary.LittleEndian
-	var book *account.Book
+	var book *accounting.Book
 	var why error
 	for i := range 2 {
 		at := l.snapAt(i)
@@ -117,11 +117,11 @@
 		if n == 0 {
 			continue // not written yet
 		}
-		if n > uint64(l.snap-snapHead) || le.Uint32(data[at+8:]) != account.Checksum(data[at+snapHead:at+snapHead+int(n)]) {
+		if n > uint64(l.snap-snapHead) || le.Uint32(data[at+8:]) != accounting.Checksum(data[at+snapHead:at+snapHead+int(n)]) {
 			why = fmt.Errorf("%w: a snapshot", ErrDamaged)
 			continue // being written when the process ended
 		}
-		b, err := account.Restore(data[at+snapHead:at+snapHead+int(n)], func(n uint64) []byte { return periodIn(data, l, n) })
+		b, err := accounting.Restore(data[at+snapHead:at+snapHead+int(n)], func(n uint64) []byte { return periodIn(data, l, n) })
 		if err != nil {
 			why = fmt.Errorf("%w: %w", ErrDamaged, err)
 			continue
@@ -137,9 +137,9 @@
 		return nil, why
 	}
 	for {
-		var op account.Op
+		var op accounting.Op
 		at := l.opAt(book.Seq() + 1)
-		if !op.Get(data[at:at+account.OpSize]) || op.Seq != book.Seq()+1 {
+		if !op.Get(data[at:at+accounting.OpSize]) || op.Seq != book.Seq()+1 {
 			break
 		}
 		if err := book.Apply(op); err != nil {
@@ -148,9 +148,9 @@
 	}
 	book.Rested()
 	for k := range l.ops {
-		var op account.Op
-		at := headLen + k*account.OpSize
-		if op.Get(data[at:at+account.OpSize]) && op.Seq > book.Seq() {
+		var op accounting.Op
+		at := headLen + k*accounting.OpSize
+		if op.Get(data[at:at+accounting.OpSize]) && op.Seq > book.Seq() {
 			return book, fmt.Errorf("%w: ops after %d are missing", ErrDamaged, book.Seq())
 		}
 	}
@@ -164,29 +164,29 @@
 	le := binary.LittleEndian
 	p := data[l.periodAt(number):][:l.period]
 	n := int(le.Uint32(p[8:]))
-	if le.Uint64(p) != number || n > l.period-periodHead || le.Uint32(p[12:]) != account.Checksum(p[periodHead:periodHead+n]) {
+	if le.Uint64(p) != number || n > l.period-periodHead || le.Uint32(p[12:]) != accounting.Checksum(p[periodHead:periodHead+n]) {
 		return nil
 	}
 	return p[periodHead : periodHead+n]
 }
 
 // Trail gives the ops that a file still holds, in order.
-func Trail(data []byte) ([]account.Op, error) {
+func Trail(data []byte) ([]accounting.Op, error) {
 	var l layout
 	if err := l.get(data); err != nil {
 		return nil, err
 	}
 	last := uint64(0)
-	bySeq := map[uint64]account.Op{}
+	bySeq := map[uint64]accounting.Op{}
 	for k := range l.ops {
-		var op account.Op
-		at := headLen + k*account.OpSize
-		if op.Get(data[at : at+account.OpSize]) {
+		var op accounting.Op
+		at := headLen + k*accounting.OpSize
+		if op.Get(data[at : at+accounting.OpSize]) {
 			bySeq[op.Seq] = op
 			last = max(last, op.Seq)
 		}
 	}
-	var out []account.Op
+	var out []accounting.Op
 	for seq := last; ; seq-- {
 		op, ok := bySeq[seq]
 		if !ok {
@@ -199,7 +199,7 @@
 }
 
 // ReadFile reads a file that may be in use: one that was changed meanwhile is read again.
-func ReadFile(path string) (b *account.Book, data []byte, err error) {
+func ReadFile(path string) (b *accounting.Book, data []byte, err error) {
 	for range 5 {
 		if data, err = os.ReadFile(path); err != nil {
 			return nil, nil, err
@@ -309,14 +309,14 @@
 }
 
 // append writes ops, closed periods, and a snapshot when it is time.
-func (f *file) append(b *account.Book) error {
+func (f *file) append(b *accounting.Book) error {
 	many := false
-	b.Drain(func(ops []account.Op) {
+	b.Drain(func(ops []accounting.Op) {
 		if many = len(ops) > f.ops/4; many {
 			return // they would write over what the last snapshot needs; the next one holds them all at once
 		}
 		for i := range ops {
-			ops[i].Put(f.data[f.opAt(ops[i].Seq):][:account.OpSize])
+			ops[i].Put(f.data[f.opAt(ops[i].Seq):][:accounting.OpSize])
 		}
 	})
 	if f.putPeriods(b) || many || b.Seq()-f.at > uint64(f.ops/4) {
@@ -326,7 +326,7 @@
 }
 
 // putPeriods writes the closed periods that are not written, and tells whether there were any.
-func (f *file) putPeriods(b *account.Book) bool {
+func (f *file) putPeriods(b *accounting.Book) bool {
 	first, next := b.Periods()
 	if f.places == 0 || next <= f.next {
 		return false
@@ -344,11 +344,11 @@
 	copy(p[periodHead:], data)
 	le.PutUint64(p, number)
 	le.PutUint32(p[8:], uint32(len(data)))
-	le.PutUint32(p[12:], account.Checksum(data))
+	le.PutUint32(p[12:], accounting.Checksum(data))
 }
 
 // checkpoint writes the book down in the older of the two areas.
-func (f *file) checkpoint(b *account.Book) error {
+func (f *file) checkpoint(b *accounting.Book) error {
 	f.buf = b.AppendSnapshot(f.buf[:0])
 	if len(f.buf) > f.layout.snap-snapHead {
 		return ErrFull
@@ -356,15 +356,15 @@
 	le := binary.LittleEndian
 	p := f.data[f.snapAt(f.snap):][:f.layout.snap]
 	le.PutUint64(p, uint64(len(f.buf)))
-	le.PutUint32(p[8:], account.Checksum(f.buf))
+	le.PutUint32(p[8:], accounting.Checksum(f.buf))
 	copy(p[snapHead:], f.buf)
 	f.snap, f.at = 1-f.snap, b.Seq()
 	return nil
 }
 
 // start writes a book into a new file: all its closed periods and a snapshot. Ops since the last drain are in it.
-func (f *file) start(b *account.Book) error {
-	b.Drain(func([]account.Op) {})
+func (f *file) start(b *accounting.Book) error {
+	b.Drain(func([]accounting.Op) {})
 	f.putPeriods(b)
 	return f.checkpoint(b)
 }
@@ -376,4 +376,4 @@
 }
 
 // Held tells whether a process records in that file.
-func Held(path string) bool { return hold.Taken(path + lockMark) }
+func Held(path string) bool { return filelock.Taken(path + lockMark) }
--- a/internal/figures/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -1,4 +1,4 @@
-package figures
+package statsfile
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"frosthub/account"
-	"frosthub/internal/hold"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 )
 
 const (
@@ -45,7 +45,7 @@
 
 // opened is what opening a file brings.
 type opened struct {
-	book *account.Book
+	book *accounting.Book
 	file *file
 	lock *os.File
 	errs []error
@@ -54,7 +54,7 @@
 
 // Open takes the file and gives the book to go on with: that of earlier lives with a new one begun, or the fresh one. A
 // disk that does not answer within the time given costs the record of this life.
-func (r *Recorder) Open(fresh *account.Book, cfg account.Config, at, patient time.Duration) *account.Book {
+func (r *Recorder) Open(fresh *accounting.Book, cfg accounting.Config, at, patient time.Duration) *accounting.Book {
 	r.periods = cfg.Periods
 	done := make(chan opened, 1)
 	go func() { done <- openFile(r.path, r.ops, fresh, cfg, at) }()
@@ -78,7 +78,7 @@
 	case <-timer.C:
 		r.log.Error("figures file", "file", r.path, "why", "the disk does not answer: this life is not recorded")
 		r.off = true
-		own, err := account.New(cfg) // the other is in the hands of what still waits for the disk
+		own, err := accounting.New(cfg) // the other is in the hands of what still waits for the disk
 		if err != nil {
 			return fresh // not reached: the same made the other
 		}
@@ -88,9 +88,9 @@
 }
 
 // openFile takes the lock, reads what is there, and puts a new file in its place.
-func openFile(path string, ops int, fresh *account.Book, cfg account.Config, at time.Duration) (o opened) {
+func openFile(path string, ops int, fresh *accounting.Book, cfg accounting.Config, at time.Duration) (o opened) {
 	fail := func(err error) { o.errs = append(o.errs, err) }
-	lock, err := hold.Take(path + lockMark)
+	lock, err := filelock.Take(path + lockMark)
 	if err != nil {
 		fail(err)
 		return o
@@ -168,7 +168,7 @@
 	return time.Duration(time.Now().Unix()-int64(info.Uptime)) * time.Second
 }
 
-func rebooted(b *account.Book) bool {
+func rebooted(b *accounting.Book) bool {
 	list, _, _ := b.Lives()
 	return len(list) > 0 && list[len(list)-1].Rebooted(boot())
 }
@@ -177,7 +177,7 @@
 func (r *Recorder) Up() bool { return r.file != nil }
 
 // Append records what has happened since the last call.
-func (r *Recorder) Append(b *account.Book, now time.Duration) {
+func (r *Recorder) Append(b *accounting.Book, now time.Duration) {
 	if r.off {
 		return
 	}
@@ -223,7 +223,7 @@
 }
 
 // heard follows what the background has done.
-func (r *Recorder) heard(b *account.Book, news any, now time.Duration) {
+func (r *Recorder) heard(b *accounting.Book, news any, now time.Duration) {
 	switch n := news.(type) {
 	case *file:
 		err := guarded(func() error { return n.start(b) })
@@ -253,7 +253,7 @@
 }
 
 // lost goes on in memory.
-func (r *Recorder) lost(b *account.Book, err error, now time.Duration) {
+func (r *Recorder) lost(b *accounting.Book, err error, now time.Duration) {
 	r.log.Error("figures file", "file", r.path, "why", err, "again_in", retryEvery)
 	r.file.unmap()
 	r.file = nil
@@ -273,7 +273,7 @@
 }
 
 // Close writes the settled book down and lets go of the file.
-func (r *Recorder) Close(b *account.Book, now time.Duration) {
+func (r *Recorder) Close(b *accounting.Book, now time.Duration) {
 	if r.file != nil {
 		if err := guarded(func() error {
 			if err := r.file.append(b); err != nil {
--- a/internal/nexttier/nexttier.go
+++ b/internal/upstreamproto/nexttier.go
@@ -1,12 +1,12 @@
-// Package nexttier makes calls to the next tier: replies in, calls out.
-package nexttier
+// Package upstreamproto makes calls to the next tier: replies in, calls out.
+package upstreamproto
 
 import (
 	"errors"
 	"strconv"
 	"time"
 
-	"frosthub/internal/lines"
+	"frosthub/internal/lineproto"
 	"frosthub/overload"
 )
 
@@ -26,16 +26,16 @@
 }
 
 // NewParser returns a parser that hands each reply to f.
-func NewParser(f func(Reply)) *lines.Reader {
-	return lines.Messages(parse, func(r *Reply, body []byte) { r.Body = body }, f)
+func NewParser(f func(Reply)) *lineproto.Reader {
+	return lineproto.Messages(parse, func(r *Reply, body []byte) { r.Body = body }, f)
 }
 
 func parse(line []byte) (Reply, int, error) {
-	first, rest := lines.Cut(line)
-	word, rest := lines.Cut(rest)
-	id, good := lines.ID(first)
+	first, rest := lineproto.Cut(line)
+	word, rest := lineproto.Cut(rest)
+	id, good := lineproto.ID(first)
 	if string(word) == "ok" {
-		n, whole := lines.Uint(rest)
+		n, whole := lineproto.Uint(rest)
 		if !good || !whole {
 			return Reply{}, 0, ErrLine
 		}
--- a/internal/nexttier/nexttier_test.go
+++ b/internal/upstreamproto/nexttier_test.go
@@ -1,4 +1,4 @@
-package nexttier
+package upstreamproto
 
 import (
 	"testing"
--- a/internal/keeplog/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -1,4 +1,4 @@
-package keeplog_test
+package wal_test
 
 import (
 	"bytes"
@@ -10,20 +10,20 @@
 	"testing"
 	"time"
 
-	"frosthub/internal/keeplog"
+	"frosthub/idempotency"
 	"frosthub/internal/stand"
-	"frosthub/keep"
+	"frosthub/internal/wal"
 )
 
 var cuts = flag.Int("cuts", 600, "histories with power lost by chance; 100000 outside CI")
 
 // small has segments that fill, retire and go within a hundred reqs.
-var small = keep.Config{Entries: 20, Bytes: 600, ResultMost: 64, Lifetime: 20 * time.Second, Horizon: 160 * time.Second, Segments: 24,
+var small = idempotency.Config{Entries: 20, Bytes: 600, ResultMost: 64, Lifetime: 20 * time.Second, Horizon: 160 * time.Second, Segments: 24,
 	Prints: 12, SegmentBytes: 1500}
 
 const noon = 500_000 * time.Hour
 
-func keyOf(n int) (k keep.Key) {
+func keyOf(n int) (k idempotency.Key) {
 	binary.BigEndian.PutUint64(k[8:], uint64(n))
 	return k
 }
@@ -36,8 +36,8 @@
 	now  time.Duration
 	note string
 
-	s *keep.Store
-	w *keeplog.Writer
+	s *idempotency.Store
+	w *wal.Writer
 
 	ids     uint64
 	keyOf   map[uint64]int
@@ -53,7 +53,7 @@
 func newLab(t *testing.T, seed uint64, note string) *lab {
 	l := &lab{t: t, r: rand.New(rand.NewPCG(seed, 3)), disk: stand.NewDisk(), now: noon, note: note, keyOf: map[uint64]int{},
 		effects: map[int]int{}, answers: map[int][]byte{}, first: map[int]time.Duration{}}
-	if err := keeplog.Init(l.disk, "n1", noon, seed); err != nil {
+	if err := wal.Init(l.disk, "n1", noon, seed); err != nil {
 		t.Fatal(err)
 	}
 	return l
@@ -66,8 +66,8 @@
 
 // start reads the disk; it may lose power in that.
 func (l *lab) start() bool {
-	l.s, l.running, l.keyOf = keep.New(small), nil, map[uint64]int{}
-	w, found, err := keeplog.Start(l.disk, "n1", l.s, l.now, nil)
+	l.s, l.running, l.keyOf = idempotency.New(small), nil, map[uint64]int{}
+	w, found, err := wal.Start(l.disk, "n1", l.s, l.now, nil)
 	if err != nil && !errors.Is(err, stand.ErrPower) {
 		l.fatal("reading: %v", err)
 	}
@@ -92,29 +92,29 @@
 
 func resultOf(key int) []byte { return fmt.Appendf(nil, "claim %d is filed, %x", key, key*key) }
 
-func (l *lab) heed(all []keep.Outcome) {
+func (l *lab) heed(all []idempotency.Outcome) {
 	for _, o := range all {
 		key := l.keyOf[o.ID]
 		l.offered[o.Verdict]++
 		switch o.Verdict {
-		case keep.Begin:
+		case idempotency.Begin:
 			if l.effects[key]++; l.effects[key] > 1 {
 				l.fatal("key %d ran twice", key)
 			}
 			l.running = append(l.running, o.ID)
-		case keep.Done, keep.Repeat:
+		case idempotency.Done, idempotency.Repeat:
 			if !bytes.Equal(o.Result, resultOf(key)) {
 				l.fatal("key %d: %q, not the first answer", key, o.Result)
 			}
 			l.answers[key] = o.Result
-		case keep.InDoubt:
+		case idempotency.InDoubt:
 			if l.answers[key] != nil {
 				l.fatal("key %d was answered, and is in doubt now", key)
 			}
 			l.doubted++
-		case keep.Blind:
+		case idempotency.Blind:
 			l.fatal("key %d: nothing is lost, and nobody can tell", key)
-		case keep.NoRoom, keep.Unguarded, keep.Fresh:
+		case idempotency.NoRoom, idempotency.Unguarded, idempotency.Fresh:
 			if l.effects[key] > 0 {
 				l.fatal("key %d ran and is refused", key)
 			}
@@ -137,7 +137,7 @@
 		}
 		l.ids++
 		l.keyOf[l.ids] = key
-		l.heed([]keep.Outcome{l.s.Arrive(l.now, l.first[key], keyOf(key), "", l.ids)})
+		l.heed([]idempotency.Outcome{l.s.Arrive(l.now, l.first[key], keyOf(key), "", l.ids)})
 	case n < 7 && len(l.running) > 0:
 		i := l.r.IntN(len(l.running))
 		id := l.running[i]
@@ -145,12 +145,12 @@
 		key := l.keyOf[id]
 		switch l.r.IntN(12) {
 		case 0:
-			l.heed(l.s.Ended(l.now, keyOf(key), keep.Failed, nil))
+			l.heed(l.s.Ended(l.now, keyOf(key), idempotency.Failed, nil))
 		case 1:
 			l.effects[key]--
-			l.heed(l.s.Ended(l.now, keyOf(key), keep.Never, nil))
+			l.heed(l.s.Ended(l.now, keyOf(key), idempotency.Never, nil))
 		default:
-			l.heed(l.s.Ended(l.now, keyOf(key), keep.Result, resultOf(key)))
+			l.heed(l.s.Ended(l.now, keyOf(key), idempotency.Result, resultOf(key)))
 		}
 	case n < 9:
 		return l.commit()
@@ -184,7 +184,7 @@
 	whole := newLab(t, 1, "no cut")
 	whole.play(steps)
 	ops := whole.disk.Done()
-	if whole.keys < 100 || ops < 300 || whole.offered[keep.TooLate] == 0 || whole.offered[keep.Repeat] == 0 {
+	if whole.keys < 100 || ops < 300 || whole.offered[idempotency.TooLate] == 0 || whole.offered[idempotency.Repeat] == 0 {
 		t.Fatal("the script shows too little: ", whole.keys, ops, whole.offered)
 	}
 	doubts := 0
--- a/internal/keeplog/folder.go
+++ b/internal/wal/folder.go
@@ -1,6 +1,6 @@
 //go:build !powerloss
 
-package keeplog
+package wal
 
 // Folder is the system's file system in that folder.
 func Folder(path string) Disk { return folder(path) }
--- a/internal/keeplog/folder_powerloss.go
+++ b/internal/wal/folder_powerloss.go
@@ -1,6 +1,6 @@
 //go:build powerloss
 
-package keeplog
+package wal
 
 import (
 	"errors"
--- a/internal/keeplog/format.go
+++ b/internal/wal/format.go
@@ -1,6 +1,6 @@
-// Package keeplog puts what package keep writes on a disk, and reads it back. It decides nothing: what stands where, when a
+// Package wal puts what package keep writes on a disk, and reads it back. It decides nothing: what stands where, when a
 // segment ends and when it may go is keep's. The format is told in docs/notes/keep.md.
-package keeplog
+package wal
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"github.com/bits-and-blooms/bloom/v3"
 	"github.com/cespare/xxhash/v2"
 
-	"frosthub/keep"
+	"frosthub/idempotency"
 )
 
 const (
@@ -117,13 +117,13 @@
 }
 
 // appendFrame appends the records as one frame; all are of one segment, their numbers follow each other.
-func (i ID) appendFrame(b []byte, records []keep.Write) []byte {
+func (i ID) appendFrame(b []byte, records []idempotency.Write) []byte {
 	at := len(b)
 	b = append(b, make([]byte, frameHead)...)
 	for k := range records {
 		w := &records[k]
 		key := w.Key
-		if w.Kind == keep.Open || w.Kind == keep.Drop {
+		if w.Kind == idempotency.Open || w.Kind == idempotency.Drop {
 			binary.LittleEndian.PutUint64(key[:], w.About)
 		}
 		b = append(b, byte(w.Kind))
@@ -147,7 +147,7 @@
 
 // frameAt reads the frame that begins with b, calls f for each of its records, and gives its length. short is how long b
 // would have to be for it to be whole, as far as its head tells; 0 if it is.
-func (i ID) frameAt(b []byte, segment uint64, f func(keep.Write)) (n, short int, err error) {
+func (i ID) frameAt(b []byte, segment uint64, f func(idempotency.Write)) (n, short int, err error) {
 	if len(b) < frameHead {
 		return 0, frameHead, errFrame
 	}
@@ -170,14 +170,14 @@
 		if len(payload) < recordHead {
 			return 0, 0, errFrame
 		}
-		w := keep.Write{Seq: seq, Kind: keep.Kind(payload[0]), Segment: segment, At: time.Duration(binary.LittleEndian.Uint64(payload[1:])),
-			Key: keep.Key(payload[9:25])}
+		w := idempotency.Write{Seq: seq, Kind: idempotency.Kind(payload[0]), Segment: segment, At: time.Duration(binary.LittleEndian.Uint64(payload[1:])),
+			Key: idempotency.Key(payload[9:25])}
 		size := int(binary.LittleEndian.Uint32(payload[25:]))
 		if payload = payload[recordHead:]; size > len(payload) {
 			return 0, 0, errFrame
 		}
-		if w.Kind == keep.Open || w.Kind == keep.Drop {
-			w.About, w.Key = binary.LittleEndian.Uint64(w.Key[:]), keep.Key{}
+		if w.Kind == idempotency.Open || w.Kind == idempotency.Drop {
+			w.About, w.Key = binary.LittleEndian.Uint64(w.Key[:]), idempotency.Key{}
 		}
 		w.Data, payload = payload[:size:size], payload[size:]
 		f(w)
@@ -204,7 +204,7 @@
 }
 
 // appendPrints is the file of a segment of which only the prints are left.
-func (i ID) appendPrints(b []byte, p *keep.Prints) ([]byte, error) {
+func (i ID) appendPrints(b []byte, p *idempotency.Prints) ([]byte, error) {
 	var filter []byte
 	if p.Filter != nil {
 		var err error
@@ -225,8 +225,8 @@
 	return append(append(b, head...), filter...), nil
 }
 
-func (i ID) parsePrints(b []byte, number uint64) (keep.Prints, error) {
-	var p keep.Prints
+func (i ID) parsePrints(b []byte, number uint64) (idempotency.Prints, error) {
+	var p idempotency.Prints
 	if len(b) < printsHead || binary.LittleEndian.Uint32(b) != printsMagic {
 		return p, errFrame
 	}
@@ -235,7 +235,7 @@
 	if int(binary.LittleEndian.Uint32(b[4:])) != len(filter) || at(64) != i.sum(number, b[:64], filter) || at(8) != number {
 		return p, errFrame
 	}
-	p = keep.Prints{Number: number, Last: at(16), From: time.Duration(at(24)), Till: time.Duration(at(32)), Keys: int(at(40)),
+	p = idempotency.Prints{Number: number, Last: at(16), From: time.Duration(at(24)), Till: time.Duration(at(32)), Keys: int(at(40)),
 		Hole: time.Duration(at(48)), Accepted: at(56) == 1}
 	if len(filter) > 0 {
 		p.Filter = &bloom.BloomFilter{}
--- a/internal/keeplog/read.go
+++ b/internal/wal/read.go
@@ -1,4 +1,4 @@
-package keeplog
+package wal
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"frosthub/keep"
+	"frosthub/idempotency"
 )
 
 // Found is what a disk has.
@@ -64,8 +64,8 @@
 type reader struct {
 	Found
 	d      Disk
-	s      *keep.Store
-	each   func(keep.Write) error
+	s      *idempotency.Store
+	each   func(idempotency.Write) error
 	stop   error         // what it said
 	at     time.Duration // of the last record
 	broken bool          // what was read last ended in damage: the next record ends the hole
@@ -77,7 +77,7 @@
 
 // Read reads what there is into a store, in its order; each, if it is not nil, is called for each record, and ends
 // the reading by an error. What is damaged is told to the store as a hole. Other errors are of the disk, or say that the store is not ours.
-func Read(d Disk, box string, s *keep.Store, each func(keep.Write) error) (Found, error) {
+func Read(d Disk, box string, s *idempotency.Store, each func(idempotency.Write) error) (Found, error) {
 	r := reader{d: d, s: s, each: each}
 	var err error
 	if r.ID, err = Identify(d); err != nil {
@@ -136,7 +136,7 @@
 		}
 	}
 	if r.broken {
-		s.Hole(keep.Forever)
+		s.Hole(idempotency.Forever)
 	}
 	if r.oldest > 0 && r.first > r.oldest {
 		r.damage("segments %d to %d are missing", r.oldest, r.first-1)
@@ -249,7 +249,7 @@
 			return -1
 		}
 		from += i
-		if _, _, err := r.ID.frameAt(data[from:], segment, func(keep.Write) {}); err == nil {
+		if _, _, err := r.ID.frameAt(data[from:], segment, func(idempotency.Write) {}); err == nil {
 			return from
 		}
 		from++
@@ -257,8 +257,8 @@
 	return -1
 }
 
-func (r *reader) record(w keep.Write) {
-	if w.Kind != keep.Open && r.any != w.Segment { // its head is gone
+func (r *reader) record(w idempotency.Write) {
+	if w.Kind != idempotency.Open && r.any != w.Segment { // its head is gone
 		r.s.LoadLost(w.Segment)
 	}
 	r.any = w.Segment
@@ -267,9 +267,9 @@
 	r.seq, r.at = w.Seq, max(r.at, w.At)
 	r.Records++
 	switch w.Kind {
-	case keep.Open:
+	case idempotency.Open:
 		r.oldest = max(r.oldest, w.About)
-	case keep.Drop:
+	case idempotency.Drop:
 		r.oldest = max(r.oldest, w.About+1)
 	}
 	r.s.Load(w)
