--- a/internal/keeplog/read_test.go
+++ b/internal/wal/read_test.go
@@ -1,4 +1,4 @@
-package keeplog_test
+package wal_test
 
 import (
 	"errors"
@@ -10,16 +10,16 @@
 	"testing"
 	"time"
 
-	"frosthub/internal/hold"
-	"frosthub/internal/keeplog"
+	"frosthub/idempotency"
+	"frosthub/internal/filelock"
 	"frosthub/internal/stand"
-	"frosthub/keep"
+	"frosthub/internal/wal"
 )
 
 // filled is a disk with the records of a few dozen claims in several segments, some of which are prints.
 func filled(t testing.TB) *stand.Disk {
 	d := stand.NewDisk()
-	if err := keeplog.Init(d, "n1", noon, 7); err != nil {
+	if err := wal.Init(d, "n1", noon, 7); err != nil {
 		t.Fatal(err)
 	}
 	s, w := reopen(t, d, noon)
@@ -28,7 +28,7 @@
 		s.Arrive(at, at, keyOf(i), "", uint64(i+1))
 		commit(t, s, w)
 		if i < 20 || i%10 != 9 { // some stay without an end
-			s.Ended(at, keyOf(i), keep.Result, resultOf(i))
+			s.Ended(at, keyOf(i), idempotency.Result, resultOf(i))
 		}
 		s.Tidy(at)
 		commit(t, s, w)
@@ -36,10 +36,10 @@
 	return d
 }
 
-func reopen(t testing.TB, d keeplog.Disk, at time.Duration) (*keep.Store, *keeplog.Writer) {
+func reopen(t testing.TB, d wal.Disk, at time.Duration) (*idempotency.Store, *wal.Writer) {
 	t.Helper()
-	s := keep.New(small)
-	w, _, err := keeplog.Start(d, "n1", s, at, nil)
+	s := idempotency.New(small)
+	w, _, err := wal.Start(d, "n1", s, at, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	return s, w
 }
 
-func commit(t testing.TB, s *keep.Store, w *keeplog.Writer) {
+func commit(t testing.TB, s *idempotency.Store, w *wal.Writer) {
 	t.Helper()
 	seq, err := w.Commit(s.Writes())
 	if err != nil {
@@ -56,7 +56,7 @@
 	s.Durable(seq)
 }
 
-func names(t testing.TB, d keeplog.Disk, mark string) []string {
+func names(t testing.TB, d wal.Disk, mark string) []string {
 	all, err := d.Names()
 	if err != nil {
 		t.Fatal(err)
@@ -118,8 +118,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := filled(t)
 			c.do(d)
-			s := keep.New(small)
-			found, err := keeplog.Read(d, "n1", s, nil)
+			s := idempotency.New(small)
+			found, err := wal.Read(d, "n1", s, nil)
 			if err != nil || found.Whole() {
 				t.Fatal("not found: ", found, err)
 			}
@@ -128,11 +128,11 @@
 				now := at + time.Duration(life)*time.Second
 				s, w := reopen(t, d, now)
 				for i := range 60 {
-					if v := s.Look(now, 0, keyOf(i)); v == keep.Fresh {
+					if v := s.Look(now, 0, keyOf(i)); v == idempotency.Fresh {
 						t.Fatalf("life %d: claim %d is fresh", life, i)
 					}
 				}
-				if made := now + time.Millisecond; s.Look(made, made, keyOf(1000)) != keep.Fresh {
+				if made := now + time.Millisecond; s.Look(made, made, keyOf(1000)) != idempotency.Fresh {
 					t.Errorf("life %d: a claim made since is not run", life)
 				}
 				s.Tidy(now)
@@ -145,31 +145,31 @@
 // TestOthers: a folder that is not this store's is not touched.
 func TestOthers(t *testing.T) {
 	dir := t.TempDir()
-	d := keeplog.Folder(dir)
-	if _, err := keeplog.Read(d, "n1", keep.New(small), nil); !errors.Is(err, keeplog.ErrNone) {
+	d := wal.Folder(dir)
+	if _, err := wal.Read(d, "n1", idempotency.New(small), nil); !errors.Is(err, wal.ErrNone) {
 		t.Error(err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "letter"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := keeplog.Init(d, "n1", noon, 1); err == nil {
+	if err := wal.Init(d, "n1", noon, 1); err == nil {
 		t.Error("made in a folder with other things")
 	}
 	_ = os.Remove(filepath.Join(dir, "letter"))
-	if err := keeplog.Init(d, "n1", noon, 1); err != nil {
+	if err := wal.Init(d, "n1", noon, 1); err != nil {
 		t.Fatal(err)
 	}
-	if err := keeplog.Init(d, "n1", noon, 1); err == nil {
+	if err := wal.Init(d, "n1", noon, 1); err == nil {
 		t.Error("made anew over one that is there")
 	}
-	if _, err := keeplog.Read(d, "n2", keep.New(small), nil); !errors.Is(err, keeplog.ErrForeign) {
+	if _, err := wal.Read(d, "n2", idempotency.New(small), nil); !errors.Is(err, wal.ErrForeign) {
 		t.Error(err)
 	}
-	lock, err := hold.Take(filepath.Join(dir, keeplog.LockName))
+	lock, err := filelock.Take(filepath.Join(dir, wal.LockName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := hold.Take(filepath.Join(dir, keeplog.LockName)); !errors.Is(err, hold.ErrBusy) || !hold.Taken(filepath.Join(dir, keeplog.LockName)) {
+	if _, err := filelock.Take(filepath.Join(dir, wal.LockName)); !errors.Is(err, filelock.ErrBusy) || !filelock.Taken(filepath.Join(dir, wal.LockName)) {
 		t.Error("two hold it: ", err)
 	}
 	_ = lock.Close()
@@ -178,7 +178,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "store"), []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := keeplog.Identify(d); err == nil {
+		if _, err := wal.Identify(d); err == nil {
 			t.Errorf("%q is taken for a store", bad)
 		}
 	}
@@ -198,7 +198,7 @@
 		}
 		told := make(chan error, 1000)
 		var durable uint64
-		l := keeplog.NewLog(w, 0, 1, func(seq uint64, err error) {
+		l := wal.NewLog(w, 0, 1, func(seq uint64, err error) {
 			if err == nil {
 				durable = max(durable, seq)
 				return
@@ -209,7 +209,7 @@
 		for i := 100; i < 160; i++ { // enough to open, retire and drop segments
 			at := noon + time.Duration(i)*6*time.Second
 			s.Arrive(at, at, keyOf(i), "", uint64(i))
-			s.Ended(at, keyOf(i), keep.Failed, nil)
+			s.Ended(at, keyOf(i), idempotency.Failed, nil)
 			s.Tidy(at)
 			l.Append(s.Writes())
 		}
@@ -222,9 +222,9 @@
 			t.Error(what, "is not told")
 		}
 		_ = l.Close(time.Second)
-		after := keep.New(small)
+		after := idempotency.New(small)
 		d.Fail = nil
-		if _, err := keeplog.Read(d, "n1", after, func(r keep.Write) error { confirmed = max(confirmed, r.Seq); return nil }); err != nil {
+		if _, err := wal.Read(d, "n1", after, func(r idempotency.Write) error { confirmed = max(confirmed, r.Seq); return nil }); err != nil {
 			t.Error(err)
 		}
 		if durable > confirmed {
@@ -249,8 +249,8 @@
 		d := filled(t)
 		was, err := d.Read(name)
 		d.Put(name, b)
-		s := keep.New(small)
-		found, failed := keeplog.Read(d, "n1", s, nil)
+		s := idempotency.New(small)
+		found, failed := wal.Read(d, "n1", s, nil)
 		if failed != nil || !found.Whole() {
 			return
 		}
@@ -264,14 +264,14 @@
 // BenchmarkRead measures how fast a store is read, a key's two records as one.
 func BenchmarkRead(b *testing.B) {
 	dir := b.TempDir()
-	d := keeplog.Folder(dir)
-	if err := keeplog.Init(d, "n1", noon, 7); err != nil {
+	d := wal.Folder(dir)
+	if err := wal.Init(d, "n1", noon, 7); err != nil {
 		b.Fatal(err)
 	}
-	cfg := keep.Config{Entries: 1 << 21, Bytes: 1 << 30, ResultMost: 1 << 16, Lifetime: time.Hour, Horizon: 24 * time.Hour, Segments: 64,
+	cfg := idempotency.Config{Entries: 1 << 21, Bytes: 1 << 30, ResultMost: 1 << 16, Lifetime: time.Hour, Horizon: 24 * time.Hour, Segments: 64,
 		Prints: 1 << 17, SegmentBytes: 64 << 20}
-	s := keep.New(cfg)
-	w, _, err := keeplog.Start(d, "n1", s, noon, nil)
+	s := idempotency.New(cfg)
+	w, _, err := wal.Start(d, "n1", s, noon, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -279,15 +279,15 @@
 	result := make([]byte, 100)
 	for i := range keys {
 		s.Arrive(noon, 0, keyOf(i), "", uint64(i+1))
-		s.Ended(noon, keyOf(i), keep.Result, result)
+		s.Ended(noon, keyOf(i), idempotency.Result, result)
 		if i%1000 == 999 {
 			commit(b, s, w)
 		}
 	}
 	b.ResetTimer()
 	for range b.N {
-		after := keep.New(cfg)
-		if _, err := keeplog.Read(d, "n1", after, nil); err != nil || after.Stats().Keys != keys {
+		after := idempotency.New(cfg)
+		if _, err := wal.Read(d, "n1", after, nil); err != nil || after.Stats().Keys != keys {
 			b.Fatal(err, fmt.Sprintf("%+v", after.Stats()))
 		}
 	}
--- a/internal/keeplog/tries.go
+++ b/internal/wal/tries.go
@@ -1,4 +1,4 @@
-package keeplog
+package wal
 
 import (
 	"errors"
--- a/internal/keeplog/write.go
+++ b/internal/wal/write.go
@@ -1,11 +1,11 @@
-package keeplog
+package wal
 
 import (
 	"fmt"
 	"sync"
 	"time"
 
-	"frosthub/keep"
+	"frosthub/idempotency"
 )
 
 // Writer puts writes on a disk, one batch after the other. After an error it takes no more: what the disk has then is not known.
@@ -26,7 +26,7 @@
 
 // Start has a life of a store begin: it reads what there is, as Read does, removes what earlier lives left, and gives what puts the
 // store's writes on the disk.
-func Start(d Disk, box string, s *keep.Store, now time.Duration, each func(keep.Write) error) (*Writer, Found, error) {
+func Start(d Disk, box string, s *idempotency.Store, now time.Duration, each func(idempotency.Write) error) (*Writer, Found, error) {
 	found, err := Read(d, box, s, each)
 	if err != nil {
 		return nil, found, err
@@ -41,16 +41,16 @@
 }
 
 // Commit puts all that on the disk and returns when the disk has confirmed it, up to which record.
-func (w *Writer) Commit(writes []keep.Write) (seq uint64, err error) {
+func (w *Writer) Commit(writes []idempotency.Write) (seq uint64, err error) {
 	for i := range writes {
 		seq = max(seq, writes[i].Seq)
 	}
 	return seq, w.commit(writes)
 }
 
-func (w *Writer) commit(writes []keep.Write) error {
+func (w *Writer) commit(writes []idempotency.Write) error {
 	for from := 0; from < len(writes); {
-		if k := writes[from].Kind; k == keep.Retire {
+		if k := writes[from].Kind; k == idempotency.Retire {
 			if err := w.retire(writes[from].Prints); err != nil {
 				return err
 			}
@@ -58,7 +58,7 @@
 			continue
 		}
 		to, size := from+1, len(writes[from].Data)
-		for to < len(writes) && writes[to].Kind != keep.Retire && writes[to].Segment == writes[from].Segment && size < frameMost {
+		for to < len(writes) && writes[to].Kind != idempotency.Retire && writes[to].Segment == writes[from].Segment && size < frameMost {
 			size += len(writes[to].Data)
 			to++
 		}
@@ -71,7 +71,7 @@
 }
 
 // frame writes records of one segment as one frame, and then removes what they say may go.
-func (w *Writer) frame(records []keep.Write) error {
+func (w *Writer) frame(records []idempotency.Write) error {
 	made := false
 	if number := records[0].Segment; w.file == nil || number != w.number {
 		if w.file != nil {
@@ -112,7 +112,7 @@
 		w.buf = nil
 	}
 	for i := range records {
-		if records[i].Kind == keep.Drop {
+		if records[i].Kind == idempotency.Drop {
 			if err := w.remove(logName(records[i].About), printsName(records[i].About)); err != nil {
 				return err
 			}
@@ -127,7 +127,7 @@
 )
 
 // retire puts a segment's prints in the place of its records.
-func (w *Writer) retire(p *keep.Prints) error {
+func (w *Writer) retire(p *idempotency.Prints) error {
 	data, err := w.id.appendPrints(nil, p)
 	if err != nil {
 		return err
@@ -165,7 +165,7 @@
 	told   func(seq uint64, err error)
 
 	mu     sync.Mutex
-	queue  []keep.Write
+	queue  []idempotency.Write
 	closed bool
 	wake   chan struct{}
 	done   chan struct{}
@@ -188,7 +188,7 @@
 }
 
 // Append hands over writes; it never waits for the disk.
-func (l *Log) Append(writes []keep.Write) {
+func (l *Log) Append(writes []idempotency.Write) {
 	if len(writes) == 0 {
 		return
 	}
--- a/route/route.go
+++ b/loadbalance/route.go
@@ -1,8 +1,8 @@
-// Package route decides which peer of the next tier gets a call: least outstanding among those in service, sticky by
+// Package loadbalance decides which peer of the next tier gets a call: least outstanding among those in service, sticky by
 // route name, with ejection on proved faults, a trial on return, a floor, and a budget of further tries. It is a state
 // machine without I/O, clock or goroutine: the same calls at the same times lead to the same picks. Whether a call is made
 // at all, and whether one that may have run is made again, is not decided here.
-package route
+package loadbalance
 
 import (
 	"math"
--- a/route/route_test.go
+++ b/loadbalance/route_test.go
@@ -1,4 +1,4 @@
-package route
+package loadbalance
 
 import (
 	"container/heap"
--- a/members/members.go
+++ b/membership/members.go
@@ -1,7 +1,7 @@
-// Package members tells which boxes are there: alive, suspected, dead or left, each by its life. It is SWIM with the refinements of
+// Package membership tells which boxes are there: alive, suspected, dead or left, each by its life. It is SWIM with the refinements of
 // Lifeguard, as published, as a state machine without I/O, clock or goroutine. What it says is a guess: a suspicion is never a proof,
 // and nothing that must not happen twice may hang on it.
-package members
+package membership
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"frosthub/internal/chance"
+	"frosthub/internal/prng"
 )
 
 // State is what is believed of a box.
@@ -120,7 +120,7 @@
 	number    uint64
 	unwell    int // Lifeguard: how slow this box itself seems
 	news      news
-	chance    chance.Chance
+	chance    prng.Chance
 	sends     []Send
 	changes   []Change
 }
@@ -129,7 +129,7 @@
 func New(cfg Config, seed uint64, now time.Duration) *List {
 	cfg.Every, cfg.Within = cmp.Or(cfg.Every, everyUsual), cmp.Or(cfg.Within, withinUsual)
 	cfg.Helpers, cfg.Patient = cmp.Or(cfg.Helpers, helpersUsual), cmp.Or(cfg.Patient, patientUsual)
-	l := &List{cfg: cfg, self: Update{cfg.Name, cfg.Life, 0, Alive}, peers: map[string]*peer{}, chance: chance.New(seed),
+	l := &List{cfg: cfg, self: Update{cfg.Name, cfg.Life, 0, Alive}, peers: map[string]*peer{}, chance: prng.New(seed),
 		probeAt: now}
 	for _, name := range cfg.Others {
 		if name != cfg.Name {
--- a/members/members_test.go
+++ b/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"flag"
--- a/members/news.go
+++ b/membership/news.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 // item is a box of which there is news.
 type item struct {
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"frosthub/internal/chance"
+	"frosthub/internal/prng"
 )
 
 // Phase is how far a box is on its way back.
@@ -136,14 +136,14 @@
 	every   time.Duration
 	answers map[string]Answer
 	actions []Action
-	chance  chance.Chance
+	chance  prng.Chance
 	why     string
 }
 
 // New returns a box that is cold.
 func New(cfg Config, seed uint64) *Box {
 	cfg.Patient, cfg.Alone = cmp.Or(cfg.Patient, patientUsual), cmp.Or(cfg.Alone, aloneUsual)
-	return &Box{cfg: cfg, answers: map[string]Answer{}, chance: chance.New(seed)}
+	return &Box{cfg: cfg, answers: map[string]Answer{}, chance: prng.New(seed)}
 }
 
 // Take hands over what is to be done since the last call.
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"frosthub/internal/chance"
+	"frosthub/internal/prng"
 )
 
 // Refill is how a box that has lost something of its disk is told it again by the others, while it serves. It decides whom to ask for the next
@@ -16,7 +16,7 @@
 	sources map[string]*source[P]
 	names   []string        // in the order in which they are asked
 	without map[string]bool // boxes that never come back, by an operator's word
-	chance  chance.Chance
+	chance  prng.Chance
 	done    bool
 }
 
@@ -53,7 +53,7 @@
 // NewRefill begins one.
 func NewRefill[P comparable](cfg RefillConfig, seed uint64) *Refill[P] {
 	cfg.Every, cfg.AtOnce = cmp.Or(cfg.Every, pageEvery), cmp.Or(cfg.AtOnce, atOnceMost)
-	r := &Refill[P]{cfg: cfg, without: map[string]bool{}, chance: chance.New(seed)}
+	r := &Refill[P]{cfg: cfg, without: map[string]bool{}, chance: prng.New(seed)}
 	r.Members(cfg.Others)
 	return r
 }
