--- a/accounting/book_test.go
+++ b/accounting/book_test.go
@@ -15,21 +15,21 @@
 
 func init() { golden.SameDraws() }
 
-var testConfig = Config{Handlers: []string{"status", "file-claim"}, Customers: 3, Periods: 4, Every: time.Second}
+var testConfig = Config{Handlers: []string{"status", "file-claim"}, MaxCustomers: 3, MaxPeriods: 4, PeriodLength: time.Second}
 
-func newBook(t testing.TB, cfg Config) *Book {
+func newBook(t testing.TB, cfg Config) *Ledger {
 	t.Helper()
 	b, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Begin(time.Hour, time.Minute)
-	b.KeepOps(true)
+	b.StartIncarnation(time.Hour, time.Minute)
+	b.RecordEntries(true)
 	return b
 }
 
 // again has a book from a snapshot.
-func again(b *Book) (*Book, error) {
+func again(b *Ledger) (*Ledger, error) {
 	return Restore(b.AppendSnapshot(nil), func(n uint64) []byte { return b.PeriodData(n) })
 }
 
@@ -38,10 +38,12 @@
 	ids     map[Ticket]uint64
 	answer  map[Ticket]Reason
 	cells   map[string]int64
-	figures Figures
+	figures Counts
 }
 
-func (m *model) key(h uint16, f Front, why Reason) string { return fmt.Sprintf("%d %d %d", h, f, why) }
+func (m *model) key(h uint16, f Frontend, why Reason) string {
+	return fmt.Sprintf("%d %d %d", h, f, why)
+}
 
 // TestAgainstModel: after any calls in any order, also such as are not allowed, the book has the figures of the plain
 // model, finds nothing wrong but what was not allowed, and is had again from a snapshot and the ops that followed it.
@@ -52,28 +54,28 @@
 			t.Fatal(err)
 		}
 		at := 1000 * time.Hour
-		b.Begin(at, time.Minute)
-		b.KeepOps(true)
+		b.StartIncarnation(at, time.Minute)
+		b.RecordEntries(true)
 		m := model{ids: map[Ticket]uint64{}, answer: map[Ticket]Reason{}, cells: map[string]int64{}}
 		of := map[Ticket][2]uint16{}
 		var open, ended []Ticket
-		snapshot, since := b.AppendSnapshot(nil), []Op(nil)
+		snapshot, since := b.AppendSnapshot(nil), []Entry(nil)
 		periods := map[uint64][]byte{}
 		wrong := int64(0)
 		closed := func(k Ticket, why Reason) {
 			m.figures.closed(why)
-			m.cells[m.key(of[k][0], Front(of[k][1]), why)]++
+			m.cells[m.key(of[k][0], Frontend(of[k][1]), why)]++
 			open = slices.DeleteFunc(open, func(o Ticket) bool { return o == k })
 			ended = append(ended, k)
 		}
-		reason := rapid.SampledFrom([]Reason{Ran, Shed, Aged, BadFields, Aborted, ConnectionLost, RunFailed})
+		reason := rapid.SampledFrom([]Reason{Completed, Shed, Expired, BadFields, Aborted, ConnectionLost, RunFailed})
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(-2500, 2600).Draw(t, "ms")) * time.Millisecond / 2
 			switch step := rapid.IntRange(0, 9).Draw(t, "step"); {
 			case step < 4 || len(open) == 0 && step < 8:
 				id, h := rapid.Uint64().Draw(t, "id"), uint16(rapid.IntRange(0, 2).Draw(t, "handler"))
-				f := Front(rapid.IntRange(0, fronts-1).Draw(t, "front"))
-				k := b.Open(at, id, h, f, NameOf([]byte(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "who"))))
+				f := Frontend(rapid.IntRange(0, fronts-1).Draw(t, "front"))
+				k := b.Open(at, id, h, f, NewCustomerName([]byte(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "who"))))
 				m.ids[k], of[k] = id, [2]uint16{h, uint16(f)}
 				m.figures.opened()
 				m.cells[m.key(h, f, None)]++
@@ -112,7 +114,7 @@
 			default:
 				b.Flush(at, rapid.Bool().Draw(t, "begins"))
 			}
-			b.Drain(func(ops []Op) { since = append(since, ops...) })
+			b.TakeEntries(func(ops []Entry) { since = append(since, ops...) })
 			if rapid.IntRange(0, 30).Draw(t, "snapshot") == 0 {
 				snapshot, since = b.AppendSnapshot(nil), nil
 				first, next := b.Periods()
@@ -128,11 +130,11 @@
 			}
 		})
 		told := int64(len(b.known))
-		if b.Total() != m.figures || b.Differences() > wrong || wrong > 0 && told == 0 {
-			t.Fatalf("%+v, not %+v; %d differences, %d not allowed: %v", b.Total(), m.figures, b.Differences(), wrong, b.known)
+		if b.Total() != m.figures || b.Mismatches() > wrong || wrong > 0 && told == 0 {
+			t.Fatalf("%+v, not %+v; %d differences, %d not allowed: %v", b.Total(), m.figures, b.Mismatches(), wrong, b.known)
 		}
 		for i, n := range b.cells {
-			if k := m.key(uint16(i/reasons/fronts), Front(i/reasons%fronts), Reason(i%reasons)); n != m.cells[k] {
+			if k := m.key(uint16(i/reasons/fronts), Frontend(i/reasons%fronts), Reason(i%reasons)); n != m.cells[k] {
 				t.Fatalf("cell %s: %d, not %d", k, n, m.cells[k])
 			}
 		}
@@ -145,21 +147,21 @@
 				t.Fatal(op, err)
 			}
 		}
-		c.Rested()
+		c.EndReplay()
 		if diff := cmp.Diff(b.AppendSnapshot(nil), c.AppendSnapshot(nil)); diff != "" {
 			t.Fatal("not the same book from its snapshot and ops: ", diff)
 		}
 		if _, err := again(c); err != nil {
 			t.Fatal(err)
 		}
-		n, err := c.Renew(Config{Handlers: []string{"file-claim", "new"}, Customers: 2, Periods: 3, Every: 2 * time.Second},
+		n, err := c.Restart(Config{Handlers: []string{"file-claim", "new"}, MaxCustomers: 2, MaxPeriods: 3, PeriodLength: 2 * time.Second},
 			at, time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.Audit(at)
-		if f := n.Total(); f.Open != 0 || f.Taken != m.figures.Taken || f.Served != m.figures.Served || f.Taken != f.Sum() ||
-			len(n.Found()) > 0 {
+		if f := n.Total(); f.Open != 0 || f.Received != m.figures.Received || f.Served != m.figures.Served || f.Received != f.Sum() ||
+			len(n.TakeMismatches()) > 0 {
 			t.Fatalf("a new life: %+v of %+v, %v", f, m.figures, n.known)
 		}
 		if _, err := again(n); err != nil {
@@ -170,35 +172,35 @@
 
 // TestDifferences: figures that were spoilt are found, told with both sides, once, and counted.
 func TestDifferences(t *testing.T) {
-	for name, spoil := range map[string]func(b *Book){
-		"total":    func(b *Book) { b.total.Taken++ },
-		"row":      func(b *Book) { b.rows[row(1, FastCGI)].Served++ },
-		"cell":     func(b *Book) { b.cells[row(1, FastCGI)*reasons+int(Shed)]++ },
-		"customer": func(b *Book) { b.customers.list[1].Failed-- },
-		"life":     func(b *Book) { b.lives.list[0].Refused++ },
-		"period":   func(b *Book) { b.periods.kept[3]++ },
-		"place":    func(b *Book) { b.unused = append(b.unused, 7) },
+	for name, spoil := range map[string]func(b *Ledger){
+		"total":    func(b *Ledger) { b.total.Received++ },
+		"row":      func(b *Ledger) { b.rows[row(1, FastCGI)].Served++ },
+		"cell":     func(b *Ledger) { b.cells[row(1, FastCGI)*reasons+int(Shed)]++ },
+		"customer": func(b *Ledger) { b.customers.list[1].Failed-- },
+		"life":     func(b *Ledger) { b.lives.list[0].Rejected++ },
+		"period":   func(b *Ledger) { b.periods.kept[3]++ },
+		"place":    func(b *Ledger) { b.unused = append(b.unused, 7) },
 	} {
 		b := newBook(t, testConfig)
-		k := b.Open(time.Hour, 7, b.Handler("status"), FastCGI, NameOf([]byte("a")))
+		k := b.Open(time.Hour, 7, b.Handler("status"), FastCGI, NewCustomerName([]byte("a")))
 		b.Audit(time.Hour)
-		if b.Differences() != 0 {
-			t.Fatal(name, b.Found())
+		if b.Mismatches() != 0 {
+			t.Fatal(name, b.TakeMismatches())
 		}
 		spoil(b)
 		b.Audit(time.Hour)
-		n := b.Differences()
-		found := b.Found()
+		n := b.Mismatches()
+		found := b.TakeMismatches()
 		if n == 0 || len(found) == 0 || found[0].Left == found[0].Right || found[0].Trail != "1:open(0,0000000000000007)" {
 			t.Error(name, n, found)
 		}
 		b.Audit(time.Hour)
-		if b.Differences() != n {
+		if b.Mismatches() != n {
 			t.Error(name, "told again")
 		}
 		b.Close(time.Hour, k, Aborted)
 		b.Compare(time.Hour, func(have func(Ticket, uint64)) { have(k, 7) })
-		if found = b.Found(); len(found) == 0 || found[len(found)-1].What != "reqs open in the book and in the box" {
+		if found = b.TakeMismatches(); len(found) == 0 || found[len(found)-1].What != "reqs open in the book and in the box" {
 			t.Error(name, found)
 		}
 	}
@@ -207,13 +209,13 @@
 // TestPeriods: a clock that jumps opens periods with earlier or later labels, and they still add up.
 func TestPeriods(t *testing.T) {
 	cfg := testConfig
-	cfg.Periods = 5
+	cfg.MaxPeriods = 5
 	b := newBook(t, cfg)
 	at := 5 * time.Hour
 	for i, step := range []time.Duration{0, 500, 600, -200, -3600_000, 10, 900, 7200_000, 10, 5000} {
 		at += step * time.Millisecond
-		k := b.Open(at, uint64(i), 1, FastCGI, Name{})
-		b.Answer(at, k, Ran)
+		k := b.Open(at, uint64(i), 1, FastCGI, CustomerName{})
+		b.Answer(at, k, Completed)
 		b.Sent(at, k)
 		b.Audit(at)
 	}
@@ -228,10 +230,10 @@
 		got = append(got, fmt.Sprint(first, ": ", start, " for ", span, ": ", sums[row(1, FastCGI)*reasons]))
 	}
 	want := []string{"0: 5h0m0s for 1s: 2", "1: 5h0m1s for 1s: 2", "2: 4h0m0s for 1s: 2", "3: 4h0m1s for 1s: 1", "4: 6h0m1s for 1s: 2"}
-	if diff := cmp.Diff(want, got); diff != "" || b.Total().Taken != 10 {
+	if diff := cmp.Diff(want, got); diff != "" || b.Total().Received != 10 {
 		t.Error(diff, b.Total())
 	}
-	if len(b.Found()) > 0 {
+	if len(b.TakeMismatches()) > 0 {
 		t.Error(b.known)
 	}
 }
@@ -239,9 +241,9 @@
 // TestCustomers: who comes often keeps a place although ever new ones come, and memory does not grow.
 func TestCustomers(t *testing.T) {
 	b := newBook(t, testConfig)
-	heavy := NameOf([]byte("a co-operative whose name is far too long for an op"))
+	heavy := NewCustomerName([]byte("a co-operative whose name is far too long for an op"))
 	for i := range 10_000 {
-		name := NameOf(fmt.Appendf(nil, "farmer-%d", i))
+		name := NewCustomerName(fmt.Appendf(nil, "farmer-%d", i))
 		if i%3 == 0 {
 			name = heavy
 		}
@@ -251,10 +253,10 @@
 	}
 	b.Audit(time.Hour)
 	i := b.customers.byName[heavy]
-	if i == 0 || b.customers.list[i].Taken < 3000 || len(b.customers.list) != 4 || len(b.customers.byName) != 3 {
+	if i == 0 || b.customers.list[i].Received < 3000 || len(b.customers.list) != 4 || len(b.customers.byName) != 3 {
 		t.Errorf("%v %+v", i, b.customers.list)
 	}
-	if len(b.Found()) > 0 {
+	if len(b.TakeMismatches()) > 0 {
 		t.Error(b.known)
 	}
 }
@@ -265,12 +267,12 @@
 	i := uint64(0)
 	once := func() {
 		i++
-		k := b.Open(time.Hour, i, 1, FastCGI, NameOf([]byte{byte(i), byte(i >> 8)}))
-		b.Answer(time.Hour, k, Ran)
+		k := b.Open(time.Hour, i, 1, FastCGI, NewCustomerName([]byte{byte(i), byte(i >> 8)}))
+		b.Answer(time.Hour, k, Completed)
 		b.Flush(time.Hour, true)
 		b.Sent(time.Hour, k)
 		b.Flush(time.Hour, false)
-		b.Drain(func([]Op) {})
+		b.TakeEntries(func([]Entry) {})
 	}
 	once()
 	if n := testing.AllocsPerRun(20_000, once); n != 0 {
@@ -282,9 +284,9 @@
 func FuzzRestore(f *testing.F) {
 	b := newBook(f, testConfig)
 	for i := range 12 {
-		k := b.Open(time.Hour+time.Duration(i)*time.Second, uint64(i), uint16(i%3), Front(i%2), NameOf([]byte{byte(i)}))
+		k := b.Open(time.Hour+time.Duration(i)*time.Second, uint64(i), uint16(i%3), Frontend(i%2), NewCustomerName([]byte{byte(i)}))
 		if i%4 > 0 {
-			b.Answer(2*time.Hour, k, Ran)
+			b.Answer(2*time.Hour, k, Completed)
 		}
 		if i%4 > 1 {
 			b.Sent(2*time.Hour, k)
@@ -300,11 +302,11 @@
 		if _, err := again(b); err != nil {
 			t.Error("what was read is not read again: ", err)
 		}
-		if _, err := b.Renew(testConfig, time.Hour, time.Hour); err != nil {
+		if _, err := b.Restart(testConfig, time.Hour, time.Hour); err != nil {
 			t.Error(err)
 		}
 		b.Audit(0)
-		if found := b.Found(); len(found) > 0 {
+		if found := b.TakeMismatches(); len(found) > 0 {
 			t.Error(found)
 		}
 	})
@@ -312,12 +314,12 @@
 
 func BenchmarkTransitions(b *testing.B) {
 	book := newBook(b, testConfig)
-	name := NameOf([]byte("4"))
+	name := NewCustomerName([]byte("4"))
 	b.ReportAllocs()
 	for i := range b.N {
 		k := book.Open(time.Hour, uint64(i), 1, FastCGI, name)
-		book.Answer(time.Hour, k, Ran)
+		book.Answer(time.Hour, k, Completed)
 		book.Sent(time.Hour, k)
-		book.Drain(func([]Op) {})
+		book.TakeEntries(func([]Entry) {})
 	}
 }
--- a/accounting/check.go
+++ b/accounting/check.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Difference is two figures that should be the same and are not.
-type Difference struct {
+// Mismatch is two figures that should be the same and are not.
+type Mismatch struct {
 	At          time.Duration
 	What        string
 	Left, Right int64
@@ -15,7 +15,7 @@
 }
 
 // differ takes note of a difference, counts it and has it recorded. The same one is told again only when it changes.
-func (b *Book) differ(at time.Duration, what string, left, right int64) {
+func (b *Ledger) differ(at time.Duration, what string, left, right int64) {
 	if gap, told := b.known[what]; told && gap == left-right && left != right {
 		return
 	}
@@ -23,20 +23,20 @@
 		b.known[what] = left - right
 	}
 	trail := b.trailText()
-	b.do(Op{Kind: OpDiffer, At: at})
+	b.do(Entry{Kind: EntryMismatch, At: at})
 	if len(b.found) < foundMost {
-		b.found = append(b.found, Difference{at, what, left, right, trail})
+		b.found = append(b.found, Mismatch{at, what, left, right, trail})
 	}
 }
 
-// Found gives the differences since the last call.
-func (b *Book) Found() []Difference {
+// TakeMismatches gives the differences since the last call.
+func (b *Ledger) TakeMismatches() []Mismatch {
 	found := b.found
 	b.found = nil
 	return found
 }
 
-func (b *Book) trailText() string {
+func (b *Ledger) trailText() string {
 	var out strings.Builder
 	for k := uint64(trailLen); k > 0; k-- {
 		if b.seq < k {
@@ -50,71 +50,71 @@
 }
 
 // String is the op as it is shown in a trail.
-func (o *Op) String() string {
+func (o *Entry) String() string {
 	switch o.Kind {
-	case OpOpen:
+	case EntryOpen:
 		return fmt.Sprintf("%d:open(%d,%016x)", o.Seq, o.Slot, o.ID)
-	case OpAnswer, OpClose:
+	case EntryAnswer, EntryClose:
 		return fmt.Sprintf("%d:%s(%d,%s)", o.Seq, o.Kind, o.Slot, o.Reason)
 	}
 	return fmt.Sprintf("%d:%s(%d)", o.Seq, o.Kind, o.Slot)
 }
 
 // equal makes a difference of figures that are not the same.
-func (b *Book) equal(at time.Duration, what string, left, right int64) {
+func (b *Ledger) equal(at time.Duration, what string, left, right int64) {
 	if left != right {
 		b.differ(at, what, left, right)
 	}
 }
 
 // sums compares what is kept twice for all: the total with itself and with its rows, customers and lives.
-func (b *Book) sums(at time.Duration) {
-	b.equal(at, "taken and served + refused + failed + open", b.total.Taken, b.total.Sum())
-	var byRow, byCustomer Figures
+func (b *Ledger) sums(at time.Duration) {
+	b.equal(at, "taken and served + refused + failed + open", b.total.Received, b.total.Sum())
+	var byRow, byCustomer Counts
 	for i := range b.rows {
-		if f := &b.rows[i]; f.Taken != f.Sum() {
-			b.differ(at, "taken and the sum of its figures, of "+b.rowName(i), f.Taken, f.Sum())
+		if f := &b.rows[i]; f.Received != f.Sum() {
+			b.differ(at, "taken and the sum of its figures, of "+b.rowName(i), f.Received, f.Sum())
 		}
 		byRow = byRow.Plus(b.rows[i])
 	}
 	for i := range b.customers.list {
 		c := &b.customers.list[i]
-		b.equal(at, "taken and the sum of its figures, of a customer", c.Taken, c.Sum())
-		byCustomer = byCustomer.Plus(c.Figures)
+		b.equal(at, "taken and the sum of its figures, of a customer", c.Received, c.Sum())
+		byCustomer = byCustomer.Plus(c.Counts)
 	}
 	byLife := b.lives.earlier
 	for i := range b.lives.list {
-		byLife = byLife.Plus(b.lives.list[i].Figures)
+		byLife = byLife.Plus(b.lives.list[i].Counts)
 	}
 	b.same(at, "the total and its handlers and fronts", b.total, byRow)
 	b.same(at, "the total and its customers", b.total, byCustomer)
 	b.same(at, "the total and its lives", b.total, byLife)
 }
 
-func (b *Book) same(at time.Duration, what string, x, y Figures) {
+func (b *Ledger) same(at time.Duration, what string, x, y Counts) {
 	if x == y {
 		return
 	}
-	b.equal(at, what+", taken", x.Taken, y.Taken)
+	b.equal(at, what+", taken", x.Received, y.Received)
 	b.equal(at, what+", served", x.Served, y.Served)
-	b.equal(at, what+", refused", x.Refused, y.Refused)
+	b.equal(at, what+", refused", x.Rejected, y.Rejected)
 	b.equal(at, what+", failed", x.Failed, y.Failed)
 	b.equal(at, what+", open", x.Open, y.Open)
 }
 
-func (b *Book) rowName(i int) string {
-	return b.handlers[i/fronts] + " over " + Front(i%fronts).String()
+func (b *Ledger) rowName(i int) string {
+	return b.handlers[i/fronts] + " over " + Frontend(i%fronts).String()
 }
 
 // Audit compares all sums that are kept with what they are sums of. Its cost does not grow with the reqs.
-func (b *Book) Audit(at time.Duration) {
+func (b *Ledger) Audit(at time.Duration) {
 	b.sums(at)
 	for i := range b.rows {
-		var f Figures
+		var f Counts
 		for why, n := range b.cells[i*reasons : (i+1)*reasons] {
 			f.Add(Reason(why), n)
 		}
-		f.Open = f.Taken - f.Sum()
+		f.Open = f.Received - f.Sum()
 		if f != b.rows[i] {
 			b.same(at, "the figures and the reasons of "+b.rowName(i), b.rows[i], f)
 		}
@@ -130,7 +130,7 @@
 }
 
 // Compare looks whether what the box itself takes for open is what the book does: each calls back for every one.
-func (b *Book) Compare(at time.Duration, each func(have func(t Ticket, id uint64))) {
+func (b *Ledger) Compare(at time.Duration, each func(have func(t Ticket, id uint64))) {
 	b.round++
 	n := int64(0)
 	each(func(t Ticket, id uint64) {
--- a/accounting/customer.go
+++ b/accounting/customer.go
@@ -6,13 +6,13 @@
 type customers struct {
 	list    []customer // the first is all others
 	weights []uint64   // of the same: apart, as a newcomer looks at all
-	byName  map[Name]uint16
+	byName  map[CustomerName]uint16
 	most    int
 }
 
 type customer struct {
-	Figures
-	name Name
+	Counts
+	name CustomerName
 }
 
 // add gives a customer a place of its own.
@@ -25,13 +25,13 @@
 
 func (c *customers) init(most int) {
 	c.most = most
-	c.list = append(make([]customer, 0, most+1), customer{name: NameOf([]byte(others))})
+	c.list = append(make([]customer, 0, most+1), customer{name: NewCustomerName([]byte(others))})
 	c.weights = append(make([]uint64, 0, most+1), 0)
-	c.byName = make(map[Name]uint16, most)
+	c.byName = make(map[CustomerName]uint16, most)
 }
 
 // find is the number of a customer, who may take another's place.
-func (c *customers) find(name Name) uint16 {
+func (c *customers) find(name CustomerName) uint16 {
 	if i, ok := c.byName[name]; ok {
 		c.weights[i]++
 		return i
@@ -52,7 +52,7 @@
 		return 0 // all have something open
 	}
 	old := &c.list[least]
-	c.list[0].Figures = c.list[0].Plus(old.Figures)
+	c.list[0].Counts = c.list[0].Plus(old.Counts)
 	delete(c.byName, old.name)
 	*old = customer{name: name}
 	c.weights[least]++
--- a/accounting/encode.go
+++ b/accounting/encode.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrRecord is a record that can't be read.
-var ErrRecord = errors.New("a record that can't be read")
+// ErrCorrupt is a record that can't be read.
+var ErrCorrupt = errors.New("a record that can't be read")
 
 func appendUint(b []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
@@ -56,9 +56,9 @@
 	})
 }
 
-func appendFigures(b []byte, field protowire.Number, f Figures) []byte {
+func appendFigures(b []byte, field protowire.Number, f Counts) []byte {
 	return appendPart(b, field, func(b []byte) []byte {
-		for i, n := range [...]int64{f.Taken, f.Served, f.Refused, f.Failed, f.Open} {
+		for i, n := range [...]int64{f.Received, f.Served, f.Rejected, f.Failed, f.Open} {
 			b = appendInt(b, protowire.Number(i+1), n)
 		}
 		return b
@@ -70,7 +70,7 @@
 }
 
 // AppendSnapshot adds all of the book but its closed periods.
-func (b *Book) AppendSnapshot(out []byte) []byte {
+func (b *Ledger) AppendSnapshot(out []byte) []byte {
 	out = appendUint(out, 1, b.seq)
 	for _, h := range b.handlers {
 		out = protowire.AppendString(protowire.AppendTag(out, 2, protowire.BytesType), h)
@@ -92,7 +92,7 @@
 		c := &b.customers.list[i]
 		out = appendPart(out, 9, func(p []byte) []byte {
 			p = protowire.AppendBytes(protowire.AppendTag(p, 1, protowire.BytesType), c.name.bytes[:c.name.length])
-			return appendFigures(appendUint(p, 2, b.customers.weights[i]), 3, c.Figures)
+			return appendFigures(appendUint(p, 2, b.customers.weights[i]), 3, c.Counts)
 		})
 	}
 	if p := &b.periods; p.most > 0 {
@@ -103,19 +103,19 @@
 	for i := range b.lives.list {
 		l := &b.lives.list[i]
 		out = appendPart(out, 17, func(p []byte) []byte {
-			p = appendInt(appendInt(appendInt(appendUint(p, 1, l.Number), 2, l.Boot), 3, l.Started), 4, l.Last)
-			p = appendInt(appendUint(p, 5, uint64(l.Ending)), 6, l.Doubted)
-			for _, id := range l.Doubt {
+			p = appendInt(appendInt(appendInt(appendUint(p, 1, l.Number), 2, l.Boot), 3, l.Started), 4, l.LastEntry)
+			p = appendInt(appendUint(p, 5, uint64(l.Ending)), 6, l.Uncertain)
+			for _, id := range l.UncertainIDs {
 				p = appendFixed(p, 7, id)
 			}
-			return appendFigures(p, 8, l.Figures)
+			return appendFigures(p, 8, l.Counts)
 		})
 	}
 	return appendUint(appendFigures(out, 18, b.lives.earlier), 19, b.lives.before)
 }
 
 // SnapshotSize is how long a snapshot of a book like this one can be with so many open reqs, in bytes.
-func (b *Book) SnapshotSize(open int) int {
+func (b *Ledger) SnapshotSize(open int) int {
 	return 4096 + 3*14*len(b.cells) + 64*len(b.handlers) + 128*(b.customers.most+1) + 80*open +
 		livesMost*(192+9*doubtMost)
 }
@@ -132,7 +132,7 @@
 	for len(b) > 0 {
 		number, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return ErrRecord
+			return ErrCorrupt
 		}
 		b = b[n:]
 		x := field{number: number}
@@ -144,10 +144,10 @@
 		case protowire.BytesType:
 			x.bytes, n = protowire.ConsumeBytes(b)
 		default:
-			return ErrRecord
+			return ErrCorrupt
 		}
 		if n < 0 {
-			return ErrRecord
+			return ErrCorrupt
 		}
 		b = b[n:]
 		if err := f(x); err != nil {
@@ -163,13 +163,13 @@
 		for p := x.bytes; len(p) > 0; {
 			key, k := protowire.ConsumeVarint(p)
 			if k < 0 {
-				return ErrRecord
+				return ErrCorrupt
 			}
 			n, m := protowire.ConsumeVarint(p[k:])
 			front, why := key>>8&0xf, key&0xff
 			if m < 0 || n > math.MaxInt64 || key>>12 >= handlersMost || front >= fronts || why >= reasons ||
-				why != 0 && Reason(why).Figure() == 0 {
-				return ErrRecord
+				why != 0 && Reason(why).Category() == 0 {
+				return ErrCorrupt
 			}
 			p = p[k+m:]
 			if err := f((int(key>>12)*fronts+int(front))*reasons+int(why), int64(n)); err != nil {
@@ -184,7 +184,7 @@
 func addCells(cells []int64, b []byte) error {
 	return eachCell(b, func(cell int, n int64) error {
 		if cell >= len(cells) {
-			return ErrRecord
+			return ErrCorrupt
 		}
 		cells[cell] += n
 		return nil
@@ -205,16 +205,16 @@
 		return nil
 	})
 	if err == nil && (start <= 0 || span <= 0) {
-		err = ErrRecord
+		err = ErrCorrupt
 	}
 	return start, span, cells, err
 }
 
-func readFigures(b []byte) (f Figures, err error) {
+func readFigures(b []byte) (f Counts, err error) {
 	err = eachField(b, func(x field) error {
-		to := [...]*int64{&f.Taken, &f.Served, &f.Refused, &f.Failed, &f.Open}
+		to := [...]*int64{&f.Received, &f.Served, &f.Rejected, &f.Failed, &f.Open}
 		if x.number > 5 || x.v > math.MaxInt64 {
-			return ErrRecord
+			return ErrCorrupt
 		}
 		*to[x.number-1] = int64(x.v)
 		return nil
@@ -223,23 +223,23 @@
 }
 
 // Restore has a book again from a snapshot. period gives a closed period that was recorded, nil if it is lost.
-func Restore(snapshot []byte, period func(number uint64) []byte) (*Book, error) {
+func Restore(snapshot []byte, period func(number uint64) []byte) (*Ledger, error) {
 	var handlers []string
 	var cfg Config
 	var first, next uint64
 	wrong := func(what string, args ...any) error {
-		return fmt.Errorf("%w: %s", ErrRecord, fmt.Sprintf(what, args...))
+		return fmt.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(what, args...))
 	}
 	if err := eachField(snapshot, func(x field) error { // what gives the others their size
 		switch x.number {
 		case 2:
 			handlers = append(handlers, string(x.bytes))
 		case 8:
-			cfg.Customers = int(min(x.v, math.MaxInt32))
+			cfg.MaxCustomers = int(min(x.v, math.MaxInt32))
 		case 10:
-			cfg.Periods = int(min(x.v, math.MaxInt32))
+			cfg.MaxPeriods = int(min(x.v, math.MaxInt32))
 		case 11:
-			cfg.Every = time.Duration(x.v)
+			cfg.PeriodLength = time.Duration(x.v)
 		case 12:
 			first = x.v
 		case 13:
@@ -262,8 +262,8 @@
 	b.handlers = handlers
 	b.lay()
 	b.periods.init(b.cfg, len(b.cells))
-	if next < first || next-first > uint64(cfg.Periods) {
-		return nil, wrong("periods %d to %d of %d", first, next, cfg.Periods)
+	if next < first || next-first > uint64(cfg.MaxPeriods) {
+		return nil, wrong("periods %d to %d of %d", first, next, cfg.MaxPeriods)
 	}
 	p := &b.periods
 	p.first, p.next = first, next
@@ -289,7 +289,7 @@
 }
 
 // read takes a field of a snapshot.
-func (b *Book) read(x field, customersRead *int) (err error) {
+func (b *Ledger) read(x field, customersRead *int) (err error) {
 	p := &b.periods
 	switch x.number {
 	case 1:
@@ -322,12 +322,12 @@
 	return err
 }
 
-func (b *Book) readOpen(part []byte) error {
+func (b *Ledger) readOpen(part []byte) error {
 	var slot uint64
 	var e entry
 	if err := eachField(part, func(x field) error {
 		if x.number != 2 && x.number != 3 && x.v > math.MaxUint32 {
-			return ErrRecord
+			return ErrCorrupt
 		}
 		switch x.number {
 		case 1:
@@ -339,7 +339,7 @@
 		case 4:
 			e.handler = uint16(min(x.v, math.MaxUint16))
 		case 5:
-			e.front = Front(min(x.v, fronts))
+			e.front = Frontend(min(x.v, fronts))
 		case 6:
 			e.customer = uint16(min(x.v, math.MaxUint16))
 		case 7:
@@ -353,30 +353,30 @@
 	}
 	e.gen = 1 // tickets do not outlive a process
 	if slot >= openMost || int(e.handler) >= len(b.handlers) || e.front >= fronts || e.state != waits && e.state != answering ||
-		e.state == answering && e.reason.Figure() == 0 || int(e.customer) > b.customers.most {
-		return fmt.Errorf("%w: an open req", ErrRecord)
+		e.state == answering && e.reason.Category() == 0 || int(e.customer) > b.customers.most {
+		return fmt.Errorf("%w: an open req", ErrCorrupt)
 	}
 	for int(slot) >= len(b.entries) {
 		b.entries = append(b.entries, entry{})
 	}
 	if b.entries[slot].state != free {
-		return fmt.Errorf("%w: two open reqs in one place", ErrRecord)
+		return fmt.Errorf("%w: two open reqs in one place", ErrCorrupt)
 	}
 	b.entries[slot] = e
 	return nil
 }
 
-func (b *Book) readCustomer(part []byte, read *int) error {
+func (b *Ledger) readCustomer(part []byte, read *int) error {
 	var c customer
 	var weight uint64
 	if err := eachField(part, func(x field) (err error) {
 		switch x.number {
 		case 1:
-			c.name = NameOf(x.bytes)
+			c.name = NewCustomerName(x.bytes)
 		case 2:
 			weight = x.v
 		case 3:
-			c.Figures, err = readFigures(x.bytes)
+			c.Counts, err = readFigures(x.bytes)
 		}
 		return err
 	}); err != nil {
@@ -387,14 +387,14 @@
 		return nil
 	}
 	if _, twice := b.customers.byName[c.name]; twice || len(b.customers.list) > b.customers.most {
-		return fmt.Errorf("%w: customers", ErrRecord)
+		return fmt.Errorf("%w: customers", ErrCorrupt)
 	}
 	b.customers.add(c, weight)
 	return nil
 }
 
-func (b *Book) readLife(part []byte) error {
-	var l Life
+func (b *Ledger) readLife(part []byte) error {
+	var l Incarnation
 	if err := eachField(part, func(x field) (err error) {
 		switch x.number {
 		case 1:
@@ -404,40 +404,40 @@
 		case 3:
 			l.Started = time.Duration(x.v)
 		case 4:
-			l.Last = time.Duration(x.v)
+			l.LastEntry = time.Duration(x.v)
 		case 5:
 			l.Ending = Ending(min(x.v, uint64(Rebooted)))
 		case 6:
-			l.Doubted = int64(x.v)
+			l.Uncertain = int64(x.v)
 		case 7:
-			l.Doubt = append(l.Doubt, x.v)
+			l.UncertainIDs = append(l.UncertainIDs, x.v)
 		case 8:
-			l.Figures, err = readFigures(x.bytes)
+			l.Counts, err = readFigures(x.bytes)
 		}
 		return err
 	}); err != nil {
 		return err
 	}
-	if len(b.lives.list) >= livesMost || len(l.Doubt) > doubtMost {
-		return fmt.Errorf("%w: lives", ErrRecord)
+	if len(b.lives.list) >= livesMost || len(l.UncertainIDs) > doubtMost {
+		return fmt.Errorf("%w: lives", ErrCorrupt)
 	}
 	b.lives.list = append(b.lives.list, l)
 	return nil
 }
 
 // finish works out what a snapshot does not hold.
-func (b *Book) finish() {
+func (b *Ledger) finish() {
 	for i, n := range b.cells {
 		b.rows[i/reasons].Add(Reason(i%reasons), n)
 	}
 	for i := range b.rows {
-		b.rows[i].Open = b.rows[i].Taken - b.rows[i].Sum()
+		b.rows[i].Open = b.rows[i].Received - b.rows[i].Sum()
 	}
-	b.Rested()
+	b.EndReplay()
 }
 
-// Rested ends a replay: places are given anew from here on.
-func (b *Book) Rested() {
+// EndReplay ends a replay: places are given anew from here on.
+func (b *Ledger) EndReplay() {
 	b.unused, b.answering = b.unused[:0], 0
 	for slot := range b.entries {
 		switch b.entries[slot].state {
--- a/accounting/life.go
+++ b/accounting/life.go
@@ -12,8 +12,8 @@
 
 // The endings. The numbers stand in files.
 const (
-	Runs     Ending = iota // or nothing is known of its end yet
-	Left                   // by itself, and said so
+	Running  Ending = iota // or nothing is known of its end yet
+	Exited                 // by itself, and said so
 	Killed                 // without a word
 	Rebooted               // without a word, and the machine has started since: what was not on the disk is lost
 )
@@ -23,73 +23,73 @@
 	return [...]string{"runs", "left", "killed", "rebooted"}[min(e, Rebooted)]
 }
 
-// Life is one process: its number, when it was, and its figures.
-type Life struct {
-	Figures
-	Number  uint64
-	Boot    time.Duration // of the machine, by its clock
-	Started time.Duration
-	Last    time.Duration // the last op
-	Ending  Ending
-	Doubted int64    // reqs whose answer may have been handed over or not
-	Doubt   []uint64 // their ids
+// Incarnation is one process: its number, when it was, and its figures.
+type Incarnation struct {
+	Counts
+	Number       uint64
+	Boot         time.Duration // of the machine, by its clock
+	Started      time.Duration
+	LastEntry    time.Duration // the last op
+	Ending       Ending
+	Uncertain    int64    // reqs whose answer may have been handed over or not
+	UncertainIDs []uint64 // their ids
 }
 
 type lives struct {
-	list    []Life
-	earlier Figures // of those no longer told one by one
-	before  uint64  // how many those are
+	list    []Incarnation
+	earlier Counts // of those no longer told one by one
+	before  uint64 // how many those are
 }
 
 // now is the figures of the present life.
-func (l *lives) now() *Figures {
+func (l *lives) now() *Counts {
 	if len(l.list) == 0 {
-		l.list = append(l.list, Life{Number: l.before + 1})
+		l.list = append(l.list, Incarnation{Number: l.before + 1})
 	}
-	return &l.list[len(l.list)-1].Figures
+	return &l.list[len(l.list)-1].Counts
 }
 
 func (l *lives) seen(at time.Duration) {
 	l.now()
-	l.list[len(l.list)-1].Last = at
+	l.list[len(l.list)-1].LastEntry = at
 }
 
-// Lives are those told one by one, the present one last, and the figures and number of all earlier ones.
-func (b *Book) Lives() (list []Life, earlier Figures, before uint64) {
+// Incarnations are those told one by one, the present one last, and the figures and number of all earlier ones.
+func (b *Ledger) Incarnations() (list []Incarnation, earlier Counts, before uint64) {
 	return b.lives.list, b.lives.earlier, b.lives.before
 }
 
-// Begin opens a new life. What the last one left open stays on its account: as in doubt where its answer was being handed
+// StartIncarnation opens a new life. What the last one left open stays on its account: as in doubt where its answer was being handed
 // over, else as cut.
-func (b *Book) Begin(at, boot time.Duration) {
+func (b *Ledger) StartIncarnation(at, boot time.Duration) {
 	l := &b.lives
-	if n := len(l.list); n > 0 && l.list[n-1].Ending == Runs {
+	if n := len(l.list); n > 0 && l.list[n-1].Ending == Running {
 		how := Killed
 		if l.list[n-1].Rebooted(boot) {
 			how = Rebooted
 		}
-		b.Settle(CutByKill, how)
+		b.CloseAll(OpenAtKill, how)
 	}
 	number := l.before + uint64(len(l.list)) + 1
 	if len(l.list) >= livesMost {
-		l.earlier = l.earlier.Plus(l.list[0].Figures)
+		l.earlier = l.earlier.Plus(l.list[0].Counts)
 		l.before++
 		l.list = append(l.list[:0], l.list[1:]...)
 	}
-	l.list = append(l.list, Life{Number: number, Boot: boot, Started: at, Last: at})
+	l.list = append(l.list, Incarnation{Number: number, Boot: boot, Started: at, LastEntry: at})
 }
 
 // bootSlack is how far the time of one boot may seem to move: it is worked out from a clock that is set at times.
 const bootSlack = time.Minute
 
 // Rebooted tells whether the machine, which started at boot, has done so since the life.
-func (l *Life) Rebooted(boot time.Duration) bool {
+func (l *Incarnation) Rebooted(boot time.Duration) bool {
 	apart := boot - l.Boot
 	return apart > bootSlack || apart < -bootSlack
 }
 
-// Settle closes all that is open, at the end of a life.
-func (b *Book) Settle(why Reason, how Ending) {
+// CloseAll closes all that is open, at the end of a life.
+func (b *Ledger) CloseAll(why Reason, how Ending) {
 	b.lives.now()
 	life := &b.lives.list[len(b.lives.list)-1]
 	for slot := range b.entries {
@@ -99,14 +99,14 @@
 		case e.state == free:
 			continue
 		case e.state == answering && b.flushing:
-			reason = InDoubt
-			life.Doubted++
-			if len(life.Doubt) < doubtMost {
-				life.Doubt = append(life.Doubt, e.id)
+			reason = DeliveryUnknown
+			life.Uncertain++
+			if len(life.UncertainIDs) < doubtMost {
+				life.UncertainIDs = append(life.UncertainIDs, e.id)
 			}
 		}
-		b.do(Op{Kind: OpClose, At: life.Last, Slot: uint32(slot), Reason: reason})
+		b.do(Entry{Kind: EntryClose, At: life.LastEntry, Slot: uint32(slot), Reason: reason})
 	}
-	b.Flush(life.Last, false)
+	b.Flush(life.LastEntry, false)
 	life.Ending = how
 }
--- a/accounting/op.go
+++ b/accounting/op.go
@@ -9,44 +9,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OpKind tells what an Op changes.
-type OpKind uint8
+// EntryKind tells what an Op changes.
+type EntryKind uint8
 
 // The ops.
 const (
-	OpOpen   OpKind = iota + 1 // a req was taken
-	OpAnswer                   // its final answer is written, and is still to be handed to the system
-	OpSent                     // the last byte of that was handed to the system: closed
-	OpClose                    // closed without that
-	OpFlush                    // answers that were left are being handed over anew (Slot 1), or no longer (Slot 0)
-	OpDiffer                   // figures were found that do not add up
+	EntryOpen     EntryKind = iota + 1 // a req was taken
+	EntryAnswer                        // its final answer is written, and is still to be handed to the system
+	EntrySent                          // the last byte of that was handed to the system: closed
+	EntryClose                         // closed without that
+	EntryFlush                         // answers that were left are being handed over anew (Slot 1), or no longer (Slot 0)
+	EntryMismatch                      // figures were found that do not add up
 )
 
-// Op is one change of a book. Fields that do not belong to its kind are zero.
-type Op struct {
+// Entry is one change of a book. Fields that do not belong to its kind are zero.
+type Entry struct {
 	Seq      uint64        // 1 for the first of a book, one more for each
 	At       time.Duration // since the start of 1970, by the box's clock
 	ID       uint64        // OpOpen
 	Slot     uint32        // the place of the req in the book; used again after its end
-	Kind     OpKind
-	Reason   Reason // OpAnswer, OpClose
-	Front    Front  // OpOpen
-	Handler  uint16 // OpOpen
-	Customer Name   // OpOpen
+	Kind     EntryKind
+	Reason   Reason       // OpAnswer, OpClose
+	Front    Frontend     // OpOpen
+	Handler  uint16       // OpOpen
+	Customer CustomerName // OpOpen
 }
 
 // nameMost is the longest name kept as it is: with it an op has 64 bytes.
 const nameMost = 24
 
-// Name is a customer's name, comparable and without a pointer. A longer one is cut, and told apart by a hash.
-type Name struct {
+// CustomerName is a customer's name, comparable and without a pointer. A longer one is cut, and told apart by a hash.
+type CustomerName struct {
 	length uint8
 	bytes  [nameMost]byte
 }
 
-// NameOf makes a name.
-func NameOf(b []byte) Name {
-	var n Name
+// NewCustomerName makes a name.
+func NewCustomerName(b []byte) CustomerName {
+	var n CustomerName
 	if len(b) <= nameMost {
 		n.length = uint8(copy(n.bytes[:], b))
 		return n
@@ -60,10 +60,10 @@
 }
 
 // String is the name as text.
-func (n Name) String() string { return string(n.bytes[:n.length]) }
+func (n CustomerName) String() string { return string(n.bytes[:n.length]) }
 
-// OpSize is the length of an encoded op, in bytes.
-const OpSize = 64
+// EntrySize is the length of an encoded op, in bytes.
+const EntrySize = 64
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -71,8 +71,8 @@
 func Checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
 // Put writes the op into the first OpSize bytes.
-func (o *Op) Put(b []byte) {
-	_ = b[OpSize-1]
+func (o *Entry) Put(b []byte) {
+	_ = b[EntrySize-1]
 	le := binary.LittleEndian
 	le.PutUint64(b, o.Seq)
 	le.PutUint64(b[8:], uint64(o.At))
@@ -86,16 +86,16 @@
 }
 
 // Get reads an op and tells whether there is a whole one.
-func (o *Op) Get(b []byte) bool {
-	if len(b) < OpSize {
+func (o *Entry) Get(b []byte) bool {
+	if len(b) < EntrySize {
 		return false
 	}
 	le := binary.LittleEndian
 	if le.Uint32(b[60:]) != Checksum(b[:60]) {
 		return false
 	}
-	*o = Op{Seq: le.Uint64(b), At: time.Duration(le.Uint64(b[8:])), ID: le.Uint64(b[16:]), Slot: le.Uint32(b[24:]),
-		Kind: OpKind(b[28]), Reason: Reason(b[29]), Front: Front(b[30]), Handler: le.Uint16(b[32:])}
+	*o = Entry{Seq: le.Uint64(b), At: time.Duration(le.Uint64(b[8:])), ID: le.Uint64(b[16:]), Slot: le.Uint32(b[24:]),
+		Kind: EntryKind(b[28]), Reason: Reason(b[29]), Front: Frontend(b[30]), Handler: le.Uint16(b[32:])}
 	o.Customer.length = min(b[31], nameMost)
 	copy(o.Customer.bytes[:], b[34:58])
 	return o.Seq > 0
--- a/accounting/period.go
+++ b/accounting/period.go
@@ -16,7 +16,7 @@
 }
 
 func (p *periods) init(cfg Config, cells int) {
-	p.most, p.every = int64(cfg.Periods), int64(cfg.Every)
+	p.most, p.every = int64(cfg.MaxPeriods), int64(cfg.PeriodLength)
 	if p.most > 0 {
 		p.present, p.kept, p.before = make([]int64, cells), make([]int64, cells), make([]int64, cells)
 		p.ring = make([][]byte, p.most)
@@ -70,12 +70,12 @@
 }
 
 // Periods is the range of the numbers of the closed periods that are kept, from first to before next.
-func (b *Book) Periods() (first, next uint64) { return b.periods.first, b.periods.next }
+func (b *Ledger) Periods() (first, next uint64) { return b.periods.first, b.periods.next }
 
 // PeriodData is a closed period as it is recorded, valid until the next op.
-func (b *Book) PeriodData(number uint64) []byte {
+func (b *Ledger) PeriodData(number uint64) []byte {
 	return b.periods.ring[number%uint64(b.periods.most)]
 }
 
 // PeriodSize is how long a recorded period can be, in bytes.
-func (b *Book) PeriodSize() int { return 32 + 14*len(b.cells) }
+func (b *Ledger) PeriodSize() int { return 32 + 14*len(b.cells) }
--- a/accounting/renew.go
+++ b/accounting/renew.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Renew gives the book of a box that starts again, with the accounts of its earlier lives. Handlers are the same by
+// Restart gives the book of a box that starts again, with the accounts of its earlier lives. Handlers are the same by
 // name; those that are no more keep a row while there is room. What customers and periods no longer have room for goes
 // to all others and to what was before. The old book is at rest: its last life is settled first.
-func (b *Book) Renew(cfg Config, at, boot time.Duration) (*Book, error) {
+func (b *Ledger) Restart(cfg Config, at, boot time.Duration) (*Ledger, error) {
 	n, err := New(cfg)
 	if err != nil {
 		return nil, err
@@ -17,17 +17,17 @@
 	n.seq, n.differs, n.lives = b.seq, b.differs, b.lives
 	n.lives.list = slices.Clone(b.lives.list)
 	n.keepOps = false
-	if len(n.lives.list) > 0 && n.lives.list[len(n.lives.list)-1].Ending == Runs { // settled in the old rows
-		b.Begin(at, boot)
+	if len(n.lives.list) > 0 && n.lives.list[len(n.lives.list)-1].Ending == Running { // settled in the old rows
+		b.StartIncarnation(at, boot)
 		n.seq, n.lives = b.seq, b.lives
 		n.lives.list = slices.Clone(b.lives.list)
 	} else {
-		n.Begin(at, boot)
+		n.StartIncarnation(at, boot)
 	}
 	to := make([]int, len(b.handlers))
 	for i, name := range b.handlers {
 		k := slices.Index(n.handlers, name)
-		used := slices.ContainsFunc(b.rows[i*fronts:(i+1)*fronts], func(f Figures) bool { return f.Taken != 0 })
+		used := slices.ContainsFunc(b.rows[i*fronts:(i+1)*fronts], func(f Counts) bool { return f.Received != 0 })
 		switch {
 		case k >= 0:
 		case !used:
@@ -59,9 +59,9 @@
 	return n, nil
 }
 
-func (b *Book) takeCustomers(old *Book) {
+func (b *Ledger) takeCustomers(old *Ledger) {
 	c := &b.customers
-	c.list[0].Figures = old.customers.list[0].Figures
+	c.list[0].Counts = old.customers.list[0].Counts
 	heaviest := make([]int, len(old.customers.list)-1)
 	for i := range heaviest {
 		heaviest[i] = i + 1
@@ -72,12 +72,12 @@
 		if i < c.most {
 			c.add(old.customers.list[k], weights[k])
 		} else {
-			c.list[0].Figures = c.list[0].Plus(old.customers.list[k].Figures)
+			c.list[0].Counts = c.list[0].Plus(old.customers.list[k].Counts)
 		}
 	}
 }
 
-func (b *Book) takePeriods(old *Book, move func(cells, from []int64)) {
+func (b *Ledger) takePeriods(old *Ledger, move func(cells, from []int64)) {
 	p := &b.periods
 	if p.most == 0 {
 		return
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -9,14 +9,14 @@
 
 // Report is what a book says, free of it.
 type Report struct {
-	Total       Figures    `json:"total"`
-	Differences int64      `json:"differences"`
-	Rows        []Row      `json:"rows"` // those in which anything was taken
-	Customers   []Customer `json:"customers,omitempty"`
-	Periods     []Period   `json:"periods,omitempty"` // closed ones in order, and the present one
-	Lives       []Life     `json:"lives"`
-	Earlier     Figures    `json:"earlier"` // of lives that are no longer told one by one
-	Before      uint64     `json:"before"`  // how many those are
+	Total               Counts        `json:"total"`
+	Mismatches          int64         `json:"differences"`
+	Rows                []Row         `json:"rows"` // those in which anything was taken
+	Customers           []Customer    `json:"customers,omitempty"`
+	Periods             []Period      `json:"periods,omitempty"` // closed ones in order, and the present one
+	Incarnations        []Incarnation `json:"lives"`
+	Earlier             Counts        `json:"earlier"` // of lives that are no longer told one by one
+	EarlierIncarnations uint64        `json:"before"`  // how many those are
 }
 
 // Row is the figures of a handler over a front, and the reasons behind them. In the row of a period Open is what was
@@ -24,14 +24,14 @@
 type Row struct {
 	Handler string           `json:"handler"`
 	Front   string           `json:"front"`
-	Figures Figures          `json:"figures"`
+	Figures Counts           `json:"figures"`
 	Reasons map[string]int64 `json:"reasons"`
 }
 
 // Customer is the figures of a customer since there is a place for it.
 type Customer struct {
-	Name    string  `json:"name"`
-	Figures Figures `json:"figures"`
+	Name    string `json:"name"`
+	Figures Counts `json:"figures"`
 }
 
 // Period is the figures of a span of the day.
@@ -42,16 +42,16 @@
 }
 
 // Report gives what the book says, with its periods or without.
-func (b *Book) Report(periods bool) Report {
-	list, earlier, before := b.Lives()
-	out := Report{Total: b.total, Differences: b.differs, Rows: b.rowsOf(b.cells), Lives: slices.Clone(list), Earlier: earlier,
-		Before: before}
+func (b *Ledger) Report(periods bool) Report {
+	list, earlier, before := b.Incarnations()
+	out := Report{Total: b.total, Mismatches: b.differs, Rows: b.rowsOf(b.cells), Incarnations: slices.Clone(list), Earlier: earlier,
+		EarlierIncarnations: before}
 	for _, c := range b.customers.list {
-		if c.Taken != 0 {
-			out.Customers = append(out.Customers, Customer{c.name.String(), c.Figures})
+		if c.Received != 0 {
+			out.Customers = append(out.Customers, Customer{c.name.String(), c.Counts})
 		}
 	}
-	slices.SortStableFunc(out.Customers, func(x, y Customer) int { return cmp.Compare(y.Figures.Taken, x.Figures.Taken) })
+	slices.SortStableFunc(out.Customers, func(x, y Customer) int { return cmp.Compare(y.Figures.Received, x.Figures.Received) })
 	if p := &b.periods; periods && p.most > 0 {
 		cells := make([]int64, len(b.cells))
 		for n := p.first; n < p.next; n++ {
@@ -69,10 +69,10 @@
 	return out
 }
 
-func (b *Book) rowsOf(cells []int64) []Row {
+func (b *Ledger) rowsOf(cells []int64) []Row {
 	var out []Row
 	for i := range b.rows {
-		row := Row{Handler: b.handlers[i/fronts], Front: Front(i % fronts).String(), Reasons: map[string]int64{}}
+		row := Row{Handler: b.handlers[i/fronts], Front: Frontend(i % fronts).String(), Reasons: map[string]int64{}}
 		any := false
 		for why, n := range cells[i*reasons : (i+1)*reasons] {
 			if n == 0 {
@@ -85,7 +85,7 @@
 			row.Figures.Add(Reason(why), n)
 		}
 		if any {
-			row.Figures.Open = row.Figures.Taken - row.Figures.Sum()
+			row.Figures.Open = row.Figures.Received - row.Figures.Sum()
 			out = append(out, row)
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 // OpenIDs lists the ids of the open reqs: those whose answer was being handed to the system, and all others.
-func (b *Book) OpenIDs() (doubted, others []uint64) {
+func (b *Ledger) OpenIDs() (doubted, others []uint64) {
 	for i := range b.entries {
 		switch e := &b.entries[i]; {
 		case e.state == answering && b.flushing:
@@ -107,55 +107,55 @@
 
 // Check names the first figures of the report that do not add up, and says nothing if all do.
 func (r *Report) Check() string {
-	var byRow, byCustomer Figures
+	var byRow, byCustomer Counts
 	for _, x := range r.Rows {
 		byRow = byRow.Plus(x.Figures)
 		var n int64
 		for _, k := range x.Reasons {
 			n += k
 		}
-		if x.Figures.Taken != x.Figures.Sum() || n+x.Figures.Open != x.Figures.Taken {
-			return fmt.Sprintf("%s over %s: taken %d, reasons and open %d", x.Handler, x.Front, x.Figures.Taken, n+x.Figures.Open)
+		if x.Figures.Received != x.Figures.Sum() || n+x.Figures.Open != x.Figures.Received {
+			return fmt.Sprintf("%s over %s: taken %d, reasons and open %d", x.Handler, x.Front, x.Figures.Received, n+x.Figures.Open)
 		}
 	}
 	for _, c := range r.Customers {
 		byCustomer = byCustomer.Plus(c.Figures)
 	}
 	byLife := r.Earlier
-	for _, l := range r.Lives {
-		byLife = byLife.Plus(l.Figures)
+	for _, l := range r.Incarnations {
+		byLife = byLife.Plus(l.Counts)
 	}
 	for _, x := range []struct {
 		what        string
 		left, right int64
 	}{
-		{"taken and its parts", r.Total.Taken, r.Total.Sum()},
-		{"taken and its handlers", r.Total.Taken, byRow.Taken},
+		{"taken and its parts", r.Total.Received, r.Total.Sum()},
+		{"taken and its handlers", r.Total.Received, byRow.Received},
 		{"open and its handlers", r.Total.Open, byRow.Open},
-		{"taken and its customers", r.Total.Taken, byCustomer.Taken},
-		{"taken and its lives", r.Total.Taken, byLife.Taken},
+		{"taken and its customers", r.Total.Received, byCustomer.Received},
+		{"taken and its lives", r.Total.Received, byLife.Received},
 		{"served and its lives", r.Total.Served, byLife.Served},
-		{"refused and its lives", r.Total.Refused, byLife.Refused},
+		{"refused and its lives", r.Total.Rejected, byLife.Rejected},
 		{"failed and its lives", r.Total.Failed, byLife.Failed},
 	} {
 		if x.left != x.right {
 			return fmt.Sprintf("%s: %d and %d", x.what, x.left, x.right)
 		}
 	}
-	if r.Differences > 0 {
-		return fmt.Sprintf("the box itself found %d differences, see its log", r.Differences)
+	if r.Mismatches > 0 {
+		return fmt.Sprintf("the box itself found %d differences, see its log", r.Mismatches)
 	}
 	return ""
 }
 
-// Moved has one that was counted as failed, being in doubt, counted where it belongs.
-func (f Figures) Moved(to Figure) Figures {
+// Reclassified has one that was counted as failed, being in doubt, counted where it belongs.
+func (f Counts) Reclassified(to Category) Counts {
 	f.Failed--
 	switch to {
 	case Served:
 		f.Served++
-	case Refused:
-		f.Refused++
+	case Rejected:
+		f.Rejected++
 	default:
 		f.Failed++
 	}
--- a/backend/ajp.go
+++ b/backend/ajp.go
@@ -42,8 +42,8 @@
 	return &jp{f: f, e: e, p: ajp.NewServer(f.b.cfg.AJP.packet())}
 }
 
-func (x *jp) front() accounting.Front { return accounting.AJP }
-func (x *jp) held() int               { return x.p.Held() }
+func (x *jp) front() accounting.Frontend { return accounting.AJP }
+func (x *jp) held() int                  { return x.p.Held() }
 
 func (x *jp) mid() bool { return x.p.Part() }
 
--- a/backend/answer.go
+++ b/backend/answer.go
@@ -69,7 +69,7 @@
 
 // declined answers a req without a result, as the reason has it: refused, where the module has not, or no longer, to decide, or errored.
 func (f *door) declined(r *req, why accounting.Reason) {
-	if why.Figure() == accounting.Refused {
+	if why.Category() == accounting.Rejected {
 		f.final(r, why, &reply{status: 503, after: f.b.awayFor})
 	} else {
 		f.errored(r, why)
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -81,9 +81,9 @@
 	cluster   cluster
 	count     Counters
 	turned    atomic.Int64 // connections that found no room
-	notes     map[string]*logthrottle.Line
+	notes     map[string]*logthrottle.Limiter
 	scratch   []byte
-	book      *accounting.Book    // nil until Serve
+	book      *accounting.Ledger  // nil until Serve
 	rows      []uint16            // of the handlers in it
 	record    *statsfile.Recorder // nil without a figures file
 	compareAt time.Duration
@@ -110,7 +110,7 @@
 		cfg.Limits.Sockets = int(files.Cur) // the process may hold fewer than it was told
 	}
 	b := &Backend{cfg: cfg, log: log, start: time.Now().Add(-startSpan), box: conn.NewInbox(),
-		reqs: map[uint64]*req{}, notes: map[string]*logthrottle.Line{}, good: true,
+		reqs: map[uint64]*req{}, notes: map[string]*logthrottle.Limiter{}, good: true,
 		requested: make(chan func()), stopped: make(chan struct{})}
 	part, _ := cfg.Settings["backend"].(map[string]any)
 	b.canStop = part["halt"] != nil && part["halt"] != "off"
@@ -216,7 +216,7 @@
 func (b *Backend) counters() Counters {
 	c := b.count
 	if b.book != nil { // Serve has begun
-		c.Reqs, c.Differs, c.Reasons = b.book.Total(), b.book.Differences(), reasonsOf(b.book)
+		c.Reqs, c.Differs, c.Reasons = b.book.Total(), b.book.Mismatches(), reasonsOf(b.book)
 	}
 	c.ConnsRefused, c.Open, c.Owed, c.Broken = b.turned.Load(), b.box.Open.Load(), int64(b.owed), invariant.Broken()
 	c.Dropped = b.box.Dropped.Load()
@@ -309,7 +309,7 @@
 // clock takes the time of this turn, from both clocks at one moment.
 func (b *Backend) clock() time.Time {
 	t := time.Now()
-	b.now, b.wall = t.Sub(b.start), time.Duration(t.UnixNano())+faultinject.Clock()
+	b.now, b.wall = t.Sub(b.start), time.Duration(t.UnixNano())+faultinject.ClockOffset()
 	b.heartbeat.Beat(b.now)
 	step, stall := b.stamps.Turn(b.now, b.wall)
 	if step != 0 {
--- a/backend/clientconn.go
+++ b/backend/clientconn.go
@@ -202,7 +202,7 @@
 		case !e.sent && b.now-e.since >= wholeMost:
 			f.cut(e, errPart)
 		case late: // its other reqs may be good
-			f.bad(e, slot, keep, f.nameless(e), 0, accounting.NotWhole, errPart.Error())
+			f.bad(e, slot, keep, f.nameless(e), 0, accounting.Incomplete, errPart.Error())
 			f.weigh(e)
 		case !e.idle():
 		case e.c.Ending() && b.now-e.used >= keepFor+wholeMost: // half a message keeps it from its end
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -54,14 +54,14 @@
 // cluster is the core's side of members and takeover: it carries their messages, and does what they say.
 type cluster struct {
 	b      *Backend
-	list   *membership.List
-	box    *failover.Box // nil until the store is read
+	list   *membership.Detector
+	box    *failover.Node // nil until the store is read
 	links  map[string]*boxLink
 	life   uint64
 	next   time.Duration
 	store  *idempotency.Store
-	way    *recovery.Box // back after a loss; nil until the store is read
-	mark   uint64        // of this process
+	way    *recovery.Node // back after a loss; nil until the store is read
+	mark   uint64         // of this process
 	known  memory
 	refill refilling
 	parts  [][]Part            // by handler: replayable ones that are taken over
@@ -120,26 +120,26 @@
 // begin has the box take part, with the life that its store counts.
 func (c *cluster) begin() {
 	b := c.b
-	c.life = c.store.Stats().Life
+	c.life = c.store.Stats().Incarnation
 	r := c.lists.roster()
 	if c.box != nil { // its life was numbered anew
-		c.store.Forsake(b.keeper.now())
+		c.store.AbandonInFlight(b.keeper.now())
 	}
 	c.pending = true // until it goes by those of its file
-	c.list = membership.New(membership.Config{Name: b.cfg.Name, Life: c.life, Every: probeEvery, Within: probeAnd}, b.cfg.Seed, b.now)
+	c.list = membership.New(membership.Config{Name: b.cfg.Name, Incarnation: c.life, ProbeInterval: probeEvery, ProbeTimeout: probeAnd}, b.cfg.Seed, b.now)
 	c.connect()
-	c.box = failover.New(failover.Config{Name: b.cfg.Name, Life: c.life, Members: r.Members, Before: r.Before, Promise: b.cfg.Cluster.Promise,
-		Bytes: int(min(b.share(noteShare), noteShare*memoryNone))}, c.store, c, b.cfg.Seed^1,
+	c.box = failover.New(failover.Config{Name: b.cfg.Name, Incarnation: c.life, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.Promise,
+		MaxResultBytes: int(min(b.share(noteShare), noteShare*memoryNone))}, c.store, c, b.cfg.Seed^1,
 		b.keeper.now())
-	c.box.Fenced(fences(c.known.Fences))
+	c.box.AddFences(fences(c.known.Fences))
 	c.lacks()
-	b.log.Info("cluster", "name", b.cfg.Cluster.Name, "life", c.life, "members", len(r.Members), "before", len(r.Before))
+	b.log.Info("cluster", "name", b.cfg.Cluster.Name, "life", c.life, "members", len(r.Members), "before", len(r.Previous))
 }
 
 // Alive, Gone and Life are what takeover is told of others. One that is only suspected is tried to be replaced: that harms nothing.
-func (c *cluster) Alive(name string) bool  { return c.list.Of(name).State == membership.Alive }
-func (c *cluster) Gone(name string) bool   { return c.list.Of(name).State >= membership.Dead }
-func (c *cluster) Life(name string) uint64 { return c.list.Of(name).Life }
+func (c *cluster) Alive(name string) bool         { return c.list.Lookup(name).State == membership.Alive }
+func (c *cluster) Dead(name string) bool          { return c.list.Lookup(name).State >= membership.Dead }
+func (c *cluster) Incarnation(name string) uint64 { return c.list.Lookup(name).Incarnation }
 
 // take accepts the connection of another box.
 func (c *cluster) take(n *conn.Conn) {
@@ -153,12 +153,12 @@
 			if h.Cluster != b.cfg.Cluster.Name || c.links[h.From] == nil && c.way != nil {
 				return fmt.Errorf("%w: %s of %s", errStranger, h.From, h.Cluster)
 			}
-			from, life = h.From, h.Life
+			from, life = h.From, h.Incarnation
 			c.told[from] = h.Lists
 			c.heard(h)
 		}
-		if from != "" && batch.Known != nil && c.way != nil {
-			c.way.Heard(b.now, from, *batch.Known)
+		if from != "" && batch.PeerState != nil && c.way != nil {
+			c.way.Receive(b.now, from, *batch.PeerState)
 		}
 		switch {
 		case from == "":
@@ -168,19 +168,19 @@
 		case c.links[from] == nil:
 			return fmt.Errorf("%w: %s", errStranger, from)
 		}
-		if batch.Telling != nil {
-			c.tells(from, life, batch.Telling)
+		if batch.PageRequest != nil {
+			c.tells(from, life, batch.PageRequest)
 		}
 		if batch.Page != nil {
 			c.toldAgain(from, life, batch.Page)
 		}
 		if len(batch.Members) == 0 {
-			c.list.Heard(b.now, from, life)
+			c.list.Observe(b.now, from, life)
 		}
 		for i := range batch.Members {
 			c.list.Receive(b.now, from, life, &batch.Members[i])
 		}
-		if len(batch.Claims) > 0 && !failover.Meet(c.told[from], c.goes) {
+		if len(batch.Claims) > 0 && !failover.Compatible(c.told[from], c.goes) {
 			b.note("members differ", "box", from)
 			return nil
 		}
@@ -221,10 +221,10 @@
 	}
 	b.at(c.next)
 	c.tryChange()
-	at := c.list.Next()
+	at := c.list.NextDeadline()
 	if b.now >= at {
 		c.list.Tick(b.now)
-		at = c.list.Next()
+		at = c.list.NextDeadline()
 	}
 	b.at(at)
 }
@@ -236,7 +236,7 @@
 		return false
 	}
 	b := c.b
-	sends, changes := c.list.Take()
+	sends, changes := c.list.Ready()
 	for _, s := range sends {
 		l := c.links[s.To]
 		if l == nil {
@@ -246,10 +246,10 @@
 	}
 	for _, x := range changes {
 		c.forget(x.Update)
-		b.log.Info("member", "name", x.Name, "life", x.Life, "state", x.State.String(), "was", x.Before.State.String())
+		b.log.Info("member", "name", x.Name, "life", x.Incarnation, "state", x.State.String(), "was", x.Previous.State.String())
 	}
 	for {
-		sends, out := c.box.Take()
+		sends, out := c.box.Ready()
 		if len(sends)+len(out) == 0 {
 			break
 		}
@@ -263,36 +263,36 @@
 			c.outcome(o)
 		}
 	}
-	for _, p := range c.box.Asks() {
+	for _, p := range c.box.ProcessorQueries() {
 		c.askProcessor(p)
 	}
 	return any
 }
 
 // askProcessor asks the processor of a lost box how runs ended that were begun there: it hands out its notices after the given one.
-func (c *cluster) askProcessor(p failover.Processor) {
-	b, l := c.b, c.links[p.Of]
-	if l == nil || l.processor == "" || c.asked[p.Of] != nil {
+func (c *cluster) askProcessor(p failover.ProcessorQuery) {
+	b, l := c.b, c.links[p.Node]
+	if l == nil || l.processor == "" || c.asked[p.Node] != nil {
 		return
 	}
 	s := &session{}
-	c.asked[p.Of] = s
+	c.asked[p.Node] = s
 	b.box.Dial(l.processor, func(n *conn.Conn, err error) {
 		if err != nil {
-			delete(c.asked, p.Of)
+			delete(c.asked, p.Node)
 			return
 		}
 		s.c, s.by = n, b.now+askWait
 		n.Most = int(min(b.share(linkShare), math.MaxInt32))
 		n.Trust(n.Most)
-		n.Closed = func(error) { delete(c.asked, p.Of) }
+		n.Closed = func(error) { delete(c.asked, p.Node) }
 		n.Data = b.noting("bad link", processor.NewParser(func(x processor.Notice) {
-			kind := map[overload.Outcome]idempotency.Kind{overload.OK: idempotency.Result, overload.Errored: idempotency.Failed, overload.Stopped: idempotency.Failed}[x.Outcome]
+			kind := map[overload.Outcome]idempotency.EntryKind{overload.OK: idempotency.EntryResult, overload.Failed: idempotency.EntryFailed, overload.Stopped: idempotency.EntryFailed}[x.Outcome]
 			switch {
 			case x.Kind == processor.Hi:
 				n.Write(processor.AppendUsage(nil, 1)) // its answer follows all notices that are kept
 			case x.Kind == processor.Complete && kind != 0:
-				c.box.Found(b.keeper.now(), p.Of, x.ID, kind, x.Body)
+				c.box.FinishFromProcessor(b.keeper.now(), p.Node, x.ID, kind, x.Body)
 			case x.Kind == processor.Used:
 				n.Quit(conn.ErrDone)
 			}
@@ -353,16 +353,16 @@
 	g := r.guard
 	r.at = unverified
 	h := &c.b.handlers[r.h]
-	c.box.Ask(c.b.keeper.now(), g.key, g.made, r.id, failover.Work{Handler: h.name, Body: r.body, Left: int64(g.due - c.b.now),
-		Cost: int64(r.ev.Hint), Size: r.ev.Size, Rank: r.ev.Rank, Worth: h.value, Replay: g.replay})
+	c.box.Claim(c.b.keeper.now(), g.key, g.made, r.id, failover.Work{Handler: h.name, Body: r.body, Left: int64(g.due - c.b.now),
+		Cost: int64(r.ev.Hint), Size: r.ev.Size, Rank: r.ev.ValueRank, Weight: h.value, Replayable: g.replay})
 }
 
 // admitted hands a req to the module, after its group was asked.
 func (c *cluster) admitted(r *req, known bool) {
 	r.at = held
-	r.ev.Unread += c.b.now - r.guard.asked
+	r.ev.Delay += c.b.now - r.guard.asked
 	if known {
-		r.fore = cmp.Or(c.box.Forerunner(r.guard.key), 1)
+		r.fore = cmp.Or(c.box.Original(r.guard.key), 1)
 		if r.fore == r.id || c.b.reqs[r.fore] == nil {
 			r.fore = ^uint64(0) // another box's: the module knows nothing of it
 		}
@@ -386,7 +386,7 @@
 // handsOver has another box take over what this one leaves unrun, and tells whether one does. Its caller hears that one's result here,
 // within the stop.
 func (c *cluster) handsOver(r *req) bool {
-	if c.box == nil || r.guard == nil || r.at != held || !c.box.Hands(c.b.keeper.now(), r.guard.key, r.id) {
+	if c.box == nil || r.guard == nil || r.at != held || !c.box.HandOff(c.b.keeper.now(), r.guard.key, r.id) {
 		return false
 	}
 	c.b.count.Handed++
@@ -411,7 +411,7 @@
 	Unwell   int                 `json:"unwell"`   // how slow this box takes itself to be, 0 to 8
 	Members  []MemberStats       `json:"members"`
 	Work     failover.Stats      `json:"work"`
-	Reqs     []failover.Req      `json:"reqs"` // some of those that are held, waited for or noted
+	Reqs     []failover.Request  `json:"reqs"` // some of those that are held, waited for or noted
 }
 
 // MemberStats are what is believed of a box.
@@ -431,26 +431,26 @@
 			return
 		}
 		out = &ClusterStats{Name: b.cfg.Cluster.Name, Life: c.life, Former: len(c.lists.Before), Since: c.allSince(), Why: c.why,
-			Phase: c.way.Phase().String(), PhaseWhy: c.way.Why(), Missing: c.way.Missing()}
+			Phase: c.way.Phase().String(), PhaseWhy: c.way.Reason(), Missing: c.way.Unanswered()}
 		if c.box == nil {
 			return
 		}
-		out.InDoubt = c.store.DoubtsOf()
-		if out.Doubts = c.refill.doubts.Left(); c.refill.from != nil {
+		out.InDoubt = c.store.UnknownByHandler()
+		if out.Doubts = c.refill.doubts.Remaining(); c.refill.from != nil {
 			out.Told = c.refill.from.Progress()
 		}
-		out.Unwell, out.Work, out.Reqs = c.list.Unwell(), c.box.Stats(), c.box.Reqs(reqsMost)
-		for _, m := range c.list.All() {
+		out.Unwell, out.Work, out.Reqs = c.list.LocalHealth(), c.box.Stats(), c.box.Requests(reqsMost)
+		for _, m := range c.list.Snapshot() {
 			goes := "unknown"
 			switch told := c.told[m.Name]; {
 			case m.Name == b.cfg.Name, slices.Equal(told, c.goes):
 				goes = "as here"
-			case failover.Meet(told, c.goes):
+			case failover.Compatible(told, c.goes):
 				goes = "beside"
 			case told != nil:
 				goes = "apart"
 			}
-			out.Members = append(out.Members, MemberStats{m.Name, m.Life, m.State.String(), goes})
+			out.Members = append(out.Members, MemberStats{m.Name, m.Incarnation, m.State.String(), goes})
 		}
 	})
 	return out
@@ -459,7 +459,7 @@
 // leave has the others know, and takes nothing over any more.
 func (c *cluster) leave() {
 	if c.box != nil {
-		c.box.Leaving()
+		c.box.StartDraining()
 		c.list.Leave()
 	}
 }
@@ -470,14 +470,14 @@
 	h := b.handlerOf(o.Work.Handler)
 	left := time.Duration(o.Work.Left)
 	if h < 0 || left <= 0 || b.ctl == nil || b.reqs[o.ID] != nil {
-		c.box.Leave(b.keeper.now(), o.Key, o.ID)
+		c.box.Release(b.keeper.now(), o.Key, o.ID)
 		return
 	}
 	r := &req{id: o.ID, name: fmt.Sprintf("%016x", o.ID), h: h, body: o.Work.Body, at: held, taken: true, since: b.now,
-		guard: &guarded{key: o.Key, made: o.Made, due: b.now + left, replay: o.Work.Replay}}
-	r.ev = overload.Event{Kind: overload.Arrived, ID: r.id, Handler: h, Left: left, Hint: time.Duration(o.Work.Cost),
-		Size: cmp.Or(o.Work.Size, sizeTaken), Rank: o.Work.Rank, Unread: max(0, b.handlers[h].timeout-left)}
-	r.ticket = b.book.Open(b.wall, r.id, b.rowOf(h), accounting.TakenOver, accounting.Name{})
+		guard: &guarded{key: o.Key, made: o.Made, due: b.now + left, replay: o.Work.Replayable}}
+	r.ev = overload.Event{Kind: overload.Arrived, ID: r.id, Handler: h, Remaining: left, Hint: time.Duration(o.Work.Cost),
+		Size: cmp.Or(o.Work.Size, sizeTaken), ValueRank: o.Work.Rank, Delay: max(0, b.handlers[h].timeout-left)}
+	r.ticket = b.book.Open(b.wall, r.id, b.rowOf(h), accounting.FailedOver, accounting.CustomerName{})
 	b.reqs[r.id] = r
 	b.count.Taken++
 	b.events = append(b.events, r.ev)
@@ -486,39 +486,39 @@
 // outcome carries out what takeover says of a req.
 func (c *cluster) outcome(o failover.Outcome) {
 	b := c.b
-	if o.Verdict == failover.Taken {
+	if o.Decision == failover.TakenOver {
 		c.taken(o)
 		return
 	}
 	r := b.reqs[o.ID]
 	if r == nil || r.guard == nil || r.guard.key != o.Key {
-		if o.Verdict == idempotency.Begin { // it was let go in the same moment: it never ran
-			c.box.End(b.keeper.now(), o.Key, o.ID, idempotency.Never, nil)
+		if o.Decision == idempotency.Start { // it was let go in the same moment: it never ran
+			c.box.Finish(b.keeper.now(), o.Key, o.ID, idempotency.EntryNeverRan, nil)
 		}
 		return
 	}
 	asking := r.at == unverified
 	switch {
-	case o.Verdict == idempotency.Fresh && asking:
+	case o.Decision == idempotency.Fresh && asking:
 		c.admitted(r, false)
-	case o.Verdict == idempotency.Known && r.guard.replay: // it waits, or goes on where it is
-	case o.Verdict == idempotency.Known && asking:
+	case o.Decision == idempotency.Duplicate && r.guard.replay: // it waits, or goes on where it is
+	case o.Decision == idempotency.Duplicate && asking:
 		c.admitted(r, true)
-	case o.Verdict == idempotency.Known: // it was held here until another took it: it waits for that one
-	case asking && o.Verdict == idempotency.Repeat:
-		b.keeper.reason(o.Verdict)
-		b.door.done(r, accounting.Repeated, o.Result)
+	case o.Decision == idempotency.Duplicate: // it was held here until another took it: it waits for that one
+	case asking && o.Decision == idempotency.Replay:
+		b.keeper.reason(o.Decision)
+		b.door.done(r, accounting.Replayed, o.Result)
 		b.answered(r)
 	case asking && r.guard.replay:
 		c.admitted(r, false)
-	case r.guard.replay && o.Verdict != idempotency.Repeat && r.at != writing && !r.taken: // the module has it
+	case r.guard.replay && o.Decision != idempotency.Replay && r.at != writing && !r.taken: // the module has it
 	case asking:
-		b.door.declined(r, b.keeper.reason(o.Verdict))
+		b.door.declined(r, b.keeper.reason(o.Decision))
 		b.answered(r)
-	case o.Verdict == idempotency.Begin && !b.wanted(r):
+	case o.Decision == idempotency.Start && !b.wanted(r):
 		r.guard.kept = true
-		c.box.End(b.keeper.now(), o.Key, o.ID, idempotency.Never, nil)
-		b.ended(r, overload.Moot, accounting.NeverRan, 0, nil)
+		c.box.Finish(b.keeper.now(), o.Key, o.ID, idempotency.EntryNeverRan, nil)
+		b.ended(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	default:
 		b.keeper.outcome(o.Outcome)
 	}
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -50,15 +50,15 @@
 		go func() {
 			defer func() { _ = c.Close() }()
 			p := peerproto.NewParser(func(b *peerproto.Batch) error {
-				if b.Hello == nil || !b.Hello.Ask {
+				if b.Hello == nil || !b.Hello.QueryState {
 					return nil
 				}
 				d, err := net.Dial("tcp", to)
 				if err != nil {
 					return err
 				}
-				_, err = d.Write(peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: "north", From: "n1", Life: 1, Lists: b.Hello.Lists},
-					Known: &recovery.Answer{For: b.Hello.Mark}}))
+				_, err = d.Write(peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: "north", From: "n1", Incarnation: 1, Lists: b.Hello.Lists},
+					PeerState: &recovery.Answer{Mark: b.Hello.Mark}}))
 				return err
 			})
 			buf := make([]byte, 4<<10)
@@ -120,13 +120,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	hello := func(cluster, from string, life uint64) []byte {
-		return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: cluster, From: from, Life: life,
+		return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: cluster, From: from, Incarnation: life,
 			Lists: []uint64{failover.Digest(plain(cfg.Cluster.Members))}}})
 	}
 	claim := peerproto.Append(nil, &peerproto.Batch{Members: []membership.Message{{Kind: membership.Ping, Number: 1}}, Claims: []failover.Message{
-		{Kind: failover.Open, Key: idempotency.Key{1}, Ballot: failover.Ballot{N: 1, Box: "n1", Life: 1}, Work: &failover.Work{Left: int64(time.Minute)}},
-		{Kind: failover.End, Key: idempotency.Key{2}, Ballot: failover.Ballot{N: 2, Box: "who", Life: 9}, End: idempotency.Result, Result: []byte("x")},
-		{Kind: failover.Holds, Key: idempotency.Key{1}, Ballot: failover.Ballot{N: 2, Box: "who", Life: 9}}, {Kind: 99}}})
+		{Kind: failover.MsgAcquire, Key: idempotency.Key{1}, Ballot: failover.Ballot{Number: 1, Node: "n1", Incarnation: 1}, Work: &failover.Work{Left: int64(time.Minute)}},
+		{Kind: failover.MsgFinish, Key: idempotency.Key{2}, Ballot: failover.Ballot{Number: 2, Node: "who", Incarnation: 9}, Outcome: idempotency.EntryResult, Result: []byte("x")},
+		{Kind: failover.MsgHolderCheck, Key: idempotency.Key{1}, Ballot: failover.Ballot{Number: 2, Node: "who", Incarnation: 9}}, {Kind: 99}}})
 	for _, c := range []struct {
 		name   string
 		text   []byte
--- a/backend/config.go
+++ b/backend/config.go
@@ -56,7 +56,7 @@
 		return Config{}, errors.New("PROXY_CONFIG is not set: it names the configuration file")
 	}
 	text, err := os.ReadFile(path)
-	if fault := faultinject.Of(faultinject.ReadFile); fault != nil {
+	if fault := faultinject.Error(faultinject.ReadFile); fault != nil {
 		err = &os.PathError{Op: "read", Path: path, Err: fault}
 	}
 	if err != nil {
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -25,9 +25,9 @@
 	Stalls                                         int64 // turns of the owner that came later than they were due, by stallTold or more
 	ClockSteps                                     int64 // steps of the time of day
 
-	Reqs    accounting.Figures // over all lives that the figures file knows, of this process without one
-	Differs int64              // figures found that do not add up
-	Reasons map[string]int64   // of the reqs that are closed, over the same lives
+	Reqs    accounting.Counts // over all lives that the figures file knows, of this process without one
+	Differs int64             // figures found that do not add up
+	Reasons map[string]int64  // of the reqs that are closed, over the same lives
 }
 
 // LogValue prints the counters in groups.
@@ -35,7 +35,7 @@
 	return slog.GroupValue(
 		slog.Group("conns", "taken", c.Conns, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed",
 			c.ConnsTrimmed, "bad", c.BadConns, "open", c.Open, "dropped_bytes", c.Dropped),
-		slog.Group("reqs", "taken", c.Reqs.Taken, "served", c.Reqs.Served, "refused", c.Reqs.Refused, "failed",
+		slog.Group("reqs", "taken", c.Reqs.Received, "served", c.Reqs.Served, "refused", c.Reqs.Rejected, "failed",
 			c.Reqs.Failed, "open", c.Reqs.Open, "differs", c.Differs, "owed", c.Owed, "bad", c.BadReqs, "checks", c.Checks, "unanswered", c.Unanswered),
 		slog.Group("runs", "begun", c.Begun, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated, "taken", c.Taken, "handed", c.Handed),
 		slog.Group("calls", "asked", c.Asked, "made", c.Calls, "ok", c.CallsOK, "failed", c.CallsFailed),
@@ -57,7 +57,7 @@
 }
 
 // reasonsOf adds up the reasons of all rows of a book.
-func reasonsOf(book *accounting.Book) map[string]int64 {
+func reasonsOf(book *accounting.Ledger) map[string]int64 {
 	sums := map[string]int64{}
 	for _, row := range book.Report(false).Rows {
 		for why, n := range row.Reasons {
@@ -77,10 +77,10 @@
 func (b *Backend) note(kind string, args ...any) {
 	line := b.notes[kind]
 	if line == nil {
-		line = &logthrottle.Line{}
+		line = &logthrottle.Limiter{}
 		b.notes[kind] = line
 	}
-	leftOut, ok := line.Pass()
+	leftOut, ok := line.Allow()
 	if !ok {
 		return
 	}
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -614,7 +614,7 @@
 		if !s.within(func() bool { s.tier.mu.Lock(); defer s.tier.mu.Unlock(); return len(s.tier.all) == 1 }) {
 			t.Error("nobody dials")
 		}
-		s.b.ended(r, overload.Errored, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
+		s.b.ended(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
 	})
 	c.wants("1" + erroredLine)
 	s.until(func() bool { return s.b.tier.inHand() == 0 })
@@ -780,7 +780,7 @@
 	s.turn(func() {
 		r := s.b.reqs[1]
 		e := r.edge
-		s.b.ended(r, overload.OK, accounting.Ran, 0, []byte("done")) // written, and not sent before the turn is over
+		s.b.ended(r, overload.OK, accounting.Completed, 0, []byte("done")) // written, and not sent before the turn is over
 		e.c.Abort(syscall.ECONNRESET)
 	})
 	s.until(func() bool { return len(s.b.door.edges) == 0 && s.b.count.Unanswered == 1 && len(s.b.reqs) == 0 })
--- a/backend/door.go
+++ b/backend/door.go
@@ -47,7 +47,7 @@
 
 // protocol is what one way to ask has of its own: its parser, the slots of a connection, how an answer is cut.
 type protocol interface {
-	front() accounting.Front
+	front() accounting.Frontend
 	feed(p []byte) error // what was read; it calls back the door's request, bad and others
 	held() int           // bytes of reqs that are not whole
 	mid() bool           // part of a message was read
--- a/backend/fcgi.go
+++ b/backend/fcgi.go
@@ -17,11 +17,11 @@
 
 func (f *door) fastCGI(e *edge) protocol { return &fcgi{f: f, e: e} }
 
-func (x *fcgi) front() accounting.Front { return accounting.FastCGI }
-func (x *fcgi) held() int               { return x.p.Held() }
-func (x *fcgi) open() int               { return x.p.Open() }
-func (x *fcgi) mid() bool               { return x.p.Mid() }
-func (x *fcgi) drop()                   { x.p.Drop() }
+func (x *fcgi) front() accounting.Frontend { return accounting.FastCGI }
+func (x *fcgi) held() int                  { return x.p.Held() }
+func (x *fcgi) open() int                  { return x.p.Open() }
+func (x *fcgi) mid() bool                  { return x.p.Mid() }
+func (x *fcgi) drop()                      { x.p.Drop() }
 
 func (x *fcgi) late(by time.Duration) (slot uint16, keep, any bool) {
 	slot, keep = x.p.Late(by)
@@ -53,9 +53,9 @@
 	case fastcgi.Refuse:
 		b.count.BadReqs++
 		b.note("bad req", "why", "role or number of open reqs", "status", m.Status)
-		t, why := f.nameless(e), accounting.Role
+		t, why := f.nameless(e), accounting.UnsupportedRole
 		if m.Status == fastcgi.Overloaded {
-			why = accounting.Slots
+			why = accounting.TooManyOpen
 		}
 		x.end(m.Slot, m.Keep, m.Status)
 		f.owe(e, t, 0, why)
--- a/backend/figures.go
+++ b/backend/figures.go
@@ -26,7 +26,7 @@
 // openBook makes the book of the accounts, with those of earlier lives where a file has them. Trouble with the file
 // is told, and costs the file alone.
 func (b *Backend) openBook() error {
-	cfg := accounting.Config{Customers: b.cfg.Figures.Customers, Periods: b.cfg.Figures.Periods, Every: b.cfg.Figures.Every}
+	cfg := accounting.Config{MaxCustomers: b.cfg.Figures.Customers, MaxPeriods: b.cfg.Figures.Periods, PeriodLength: b.cfg.Figures.Every}
 	for _, h := range b.handlers {
 		cfg.Handlers = append(cfg.Handlers, h.name)
 	}
@@ -36,7 +36,7 @@
 	}
 	b.clock()
 	if b.cfg.Figures.File == "" {
-		book.Begin(b.wall, 0)
+		book.StartIncarnation(b.wall, 0)
 	} else {
 		b.record = statsfile.NewRecorder(b.cfg.Figures.File, b.cfg.Figures.Trail, b.log)
 		book = b.record.Open(book, cfg, b.wall, startPatient)
@@ -96,7 +96,7 @@
 }
 
 func (b *Backend) tellDifferences() {
-	for _, d := range b.book.Found() {
+	for _, d := range b.book.TakeMismatches() {
 		b.log.Error("figures differ", "what", d.What, "one", d.Left, "other", d.Right, "trail", d.Trail)
 		invariant.Check(false, "figures add up: "+d.What)
 	}
@@ -104,7 +104,7 @@
 
 // settle closes the accounts of a process that ends by itself.
 func (b *Backend) settle() {
-	b.book.Settle(accounting.CutByStop, accounting.Left)
+	b.book.CloseAll(accounting.OpenAtExit, accounting.Exited)
 	if b.record != nil {
 		b.record.Close(b.book, b.wall)
 	}
@@ -124,6 +124,6 @@
 // FiguresRecorded tells whether the figures are being recorded, or need not be.
 func (b *Backend) FiguresRecorded() bool {
 	up := true
-	b.ask(func() { up = b.record == nil || b.record.Up() })
+	b.ask(func() { up = b.record == nil || b.record.Recording() })
 	return up
 }
--- a/backend/keeper.go
+++ b/backend/keeper.go
@@ -74,17 +74,17 @@
 			*v = int(usual)
 		}
 	}
-	set(&c.Entries, entryShare*memory/entryBytes)
-	set(&c.Bytes, resultShare*memory)
-	set(&c.ResultMost, float64(min(resultMost, c.Bytes)))
-	set(&c.Segments, segmentsMost)
-	set(&c.Prints, max(16, float64(c.Entries)/segmentParts))
-	set(&c.SegmentBytes, max(4096, float64(c.Bytes+c.Entries*64)/segmentParts))
-	if c.Lifetime == 0 {
-		c.Lifetime = min(lifetime, cmp.Or(c.Horizon, horizon))
-	}
-	if c.Horizon == 0 {
-		c.Horizon = max(horizon, c.Lifetime)
+	set(&c.MaxEntries, entryShare*memory/entryBytes)
+	set(&c.MaxBytes, resultShare*memory)
+	set(&c.MaxResultBytes, float64(min(resultMost, c.MaxBytes)))
+	set(&c.MaxSegments, segmentsMost)
+	set(&c.KeysPerSegment, max(16, float64(c.MaxEntries)/segmentParts))
+	set(&c.SegmentBytes, max(4096, float64(c.MaxBytes+c.MaxEntries*64)/segmentParts))
+	if c.ResultTTL == 0 {
+		c.ResultTTL = min(lifetime, cmp.Or(c.RetryHorizon, horizon))
+	}
+	if c.RetryHorizon == 0 {
+		c.RetryHorizon = max(horizon, c.ResultTTL)
 	}
 	if k.Gather == 0 {
 		k.Gather = gatherUsual
@@ -200,7 +200,7 @@
 	store *idempotency.Store
 	log   *wal.Writer
 	lock  *os.File
-	found wal.Found
+	found wal.Contents
 	aside bool  // its records are as lost
 	lists lists // of a box of a cluster, as what follows
 	known memory
@@ -213,12 +213,12 @@
 func openStore(box string, cfg *Keep, first *lists, now time.Duration, closing chan struct{}, told func(records int)) (o openedStore) {
 	disk := cfg.Disk
 	if disk == nil {
-		disk = wal.Folder(cfg.Dir)
+		disk = wal.DirDisk(cfg.Dir)
 	}
 	if _, o.err = wal.Identify(disk); o.err != nil {
 		return o
 	}
-	if o.lock, o.err = filelock.Take(filepath.Join(cfg.Dir, wal.LockName)); o.err != nil {
+	if o.lock, o.err = filelock.Acquire(filepath.Join(cfg.Dir, wal.LockName)); o.err != nil {
 		return o
 	}
 	if first != nil {
@@ -229,17 +229,17 @@
 			return o
 		}
 	}
-	if o.aside, o.err = wal.Try(disk); o.err != nil {
+	if o.aside, o.err = wal.BeginRead(disk); o.err != nil {
 		return o
 	}
 	defer func() {
-		if err := wal.Tried(disk); o.err == nil {
+		if err := wal.EndRead(disk); o.err == nil {
 			o.err = err
 		}
 	}()
 	o.store = idempotency.New(cfg.Bounds)
 	n, last := 0, time.Now()
-	o.log, o.found, o.err = wal.Start(disk, box, o.store, now, func(idempotency.Write) error {
+	o.log, o.found, o.err = wal.Open(disk, box, o.store, now, func(idempotency.LogEntry) error {
 		if n++; n%lookEach != 0 {
 			return nil
 		}
@@ -267,7 +267,7 @@
 	}
 	if o.aside {
 		b.log.Error("keep", "dir", dir, "why", "starts died over it", "so", "its records are put aside; what ran is not known until the horizon has passed")
-		o.store.Older(k.now())
+		o.store.MarkOutdated(k.now())
 	}
 	for _, what := range o.found.Damage {
 		b.log.Error("keep", "dir", dir, "damage", what)
@@ -282,8 +282,8 @@
 	k.hand()
 	s := k.store.Stats()
 	k.stats.ReadingMS = (b.now - began).Milliseconds()
-	b.log.Info("keep", "dir", dir, "life", s.Life, "keys", s.Keys, "in_doubt", s.InDoubt, "prints", s.Prints, "segments", s.Segments,
-		"cut", o.found.Cut, "blind", s.Blind > 0, "took", b.now-began)
+	b.log.Info("keep", "dir", dir, "life", s.Incarnation, "keys", s.Keys, "in_doubt", s.OutcomeUnknown, "prints", s.Fingerprints, "segments", s.Segments,
+		"cut", o.found.TornBytes, "blind", s.LostBefore > 0, "took", b.now-began)
 }
 
 // durable follows the disk's word.
@@ -295,11 +295,11 @@
 	}
 	switch {
 	case err == nil && box != nil:
-		box.Durable(k.now(), seq)
+		box.MarkDurable(k.now(), seq)
 	case err == nil:
-		k.heed(k.store.Durable(seq))
+		k.heed(k.store.MarkDurable(seq))
 	case box != nil:
-		box.Failed(k.now())
+		box.DiskFailed(k.now())
 	default:
 		k.heed(k.store.DiskFailed())
 	}
@@ -349,8 +349,8 @@
 // admit lets a guarded req go to the module, or answers it at once where that has nothing to decide: nothing can be run of it.
 func (k *keeper) admit(r *req) bool {
 	b := k.b
-	r.guard.due = b.now - r.ev.Unread + b.handlers[r.h].timeout - answerBefore
-	var verdict idempotency.Verdict
+	r.guard.due = b.now - r.ev.Delay + b.handlers[r.h].timeout - answerBefore
+	var verdict idempotency.Decision
 	switch {
 	case r.guard.replay && (b.cluster.box == nil || k.broken):
 		r.guard = nil
@@ -361,21 +361,21 @@
 		return false
 	case k.store != nil && !k.broken && b.cluster.on(): // it is not yet sure of what it has
 	case k.store != nil:
-		verdict = k.store.Look(k.now(), r.guard.made, r.guard.key)
+		verdict = k.store.Peek(k.now(), r.guard.made, r.guard.key)
 	case k.broken:
-		verdict = idempotency.Unguarded
+		verdict = idempotency.StoreFailed
 	}
 	switch verdict {
 	case idempotency.Fresh:
 		return true
-	case idempotency.Known:
-		if r.fore = k.store.Forerunner(r.guard.key); r.fore == 0 || b.reqs[r.fore] == nil {
+	case idempotency.Duplicate:
+		if r.fore = k.store.Original(r.guard.key); r.fore == 0 || b.reqs[r.fore] == nil {
 			r.fore = binary.LittleEndian.Uint64(r.guard.key[:]) | 1 // of an earlier life, or ended: the module knows nothing of it
 		}
 		r.ev.RepeatOf = r.fore
 		return true
 	}
-	why := accounting.StillReading
+	why := accounting.StoreLoading
 	if verdict != 0 {
 		why = k.reason(verdict)
 	}
@@ -385,48 +385,48 @@
 }
 
 // reason says how a verdict that ends a req is accounted for, and counts it.
-func (k *keeper) reason(v idempotency.Verdict) accounting.Reason {
+func (k *keeper) reason(v idempotency.Decision) accounting.Reason {
 	switch v {
-	case idempotency.Repeat:
+	case idempotency.Replay:
 		k.stats.Repeated++
-		return accounting.Repeated
-	case idempotency.Broken:
-		return accounting.Forerunner
-	case idempotency.InDoubt:
+		return accounting.Replayed
+	case idempotency.OriginalFailed:
+		return accounting.OriginalFailed
+	case idempotency.OutcomeUnknown:
 		k.stats.InDoubt++
-		return accounting.KeptDoubt
-	case idempotency.TooLate:
+		return accounting.OutcomeUnknown
+	case idempotency.ResultExpired:
 		k.stats.Aged++
-		return accounting.KeptAged
-	case idempotency.Blind:
+		return accounting.ResultExpired
+	case idempotency.HistoryLost:
 		k.stats.Blind++
-		return accounting.KeptBlind
+		return accounting.HistoryLost
 	}
 	k.stats.Refused++
 	switch v {
-	case idempotency.NoRoom:
-		return accounting.KeepFull
+	case idempotency.StoreFull:
+		return accounting.StoreFull
 	case idempotency.Fresh:
-		return accounting.ComeAgain
-	case failover.Undecided:
-		return accounting.Undecided
+		return accounting.RetryAllowed
+	case failover.NoQuorum:
+		return accounting.NoQuorum
 	}
-	return accounting.Unprotected
+	return accounting.StoreFailed
 }
 
 // note has a req that the module wants run wait for its intent.
 func (k *keeper) note(r *req) {
 	if r.guard.replay {
-		k.b.cluster.box.Runs(k.now(), r.guard.key, r.id)
+		k.b.cluster.box.MarkRunning(k.now(), r.guard.key, r.id)
 		k.b.begin(r)
 		return
 	}
 	r.at = noting
 	if k.b.cluster.on() {
-		k.b.cluster.box.Begin(k.now(), r.guard.key, r.id, k.b.link.last)
+		k.b.cluster.box.Start(k.now(), r.guard.key, r.id, k.b.link.last)
 		return
 	}
-	if o := k.store.Arrive(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Verdict != idempotency.Wait {
+	if o := k.store.Reserve(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Decision != idempotency.Wait {
 		k.outcome(o)
 	}
 }
@@ -438,12 +438,12 @@
 		k.b.cluster.box.Join(k.now(), r.guard.key, r.id)
 		return
 	}
-	if k.store.Look(k.now(), r.guard.made, r.guard.key) != idempotency.Known { // proved never to have run since the module was told
-		k.outcome(idempotency.Outcome{ID: r.id, Verdict: idempotency.Fresh})
+	if k.store.Peek(k.now(), r.guard.made, r.guard.key) != idempotency.Duplicate { // proved never to have run since the module was told
+		k.outcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
 		return
 	}
 	r.at = joined
-	if o := k.store.Arrive(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Verdict != idempotency.Wait {
+	if o := k.store.Reserve(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Decision != idempotency.Wait {
 		k.outcome(o)
 	}
 }
@@ -453,7 +453,7 @@
 	switch {
 	case r.guard == nil || k.store == nil || k.b.cluster.on() && k.b.cluster.box == nil:
 	case k.b.cluster.on():
-		k.b.cluster.box.Leave(k.now(), r.guard.key, r.id)
+		k.b.cluster.box.Release(k.now(), r.guard.key, r.id)
 	case r.at >= joined:
 		k.store.Withdraw(k.now(), r.guard.key, r.id)
 	}
@@ -470,25 +470,25 @@
 	b := k.b
 	r := b.reqs[o.ID]
 	if r == nil || r.guard == nil || r.guard.kept && r.at != writing {
-		invariant.Check(o.Verdict != idempotency.Begin, "what is to be begun is there")
+		invariant.Check(o.Decision != idempotency.Start, "what is to be begun is there")
 		return
 	}
 	delete(k.writing, r)
-	switch o.Verdict {
-	case idempotency.Begin:
+	switch o.Decision {
+	case idempotency.Start:
 		if !b.wanted(r) || r.at != noting { // nobody waits and it never ran, or the module has it joined
 			why := accounting.NeverRan
 			if r.at == joined {
-				why = accounting.ComeAgain
+				why = accounting.RetryAllowed
 			}
 			r.guard.kept = true
-			others := k.store.Ended(k.now(), r.guard.key, idempotency.Never, nil)
-			b.ended(r, overload.Moot, why, 0, nil)
+			others := k.store.Finish(k.now(), r.guard.key, idempotency.EntryNeverRan, nil)
+			b.ended(r, overload.NeverRan, why, 0, nil)
 			k.heed(others)
 			return
 		}
 		b.begin(r)
-	case idempotency.Done:
+	case idempotency.Completed:
 		b.cluster.settled(r, r.guard.why)
 		delete(b.reqs, r.id)
 		if b.owes(r) {
@@ -496,15 +496,15 @@
 			b.owed--
 			r.edge = nil
 		}
-	case idempotency.Repeat:
+	case idempotency.Replay:
 		r.guard.kept = true
-		b.ended(r, overload.OK, k.reason(o.Verdict), 0, o.Result)
+		b.ended(r, overload.OK, k.reason(o.Decision), 0, o.Result)
 	default:
 		r.guard.kept = true
-		how := overload.Errored
-		why := k.reason(o.Verdict)
-		if why.Figure() == accounting.Refused {
-			how = overload.Moot
+		how := overload.Failed
+		why := k.reason(o.Decision)
+		if why.Category() == accounting.Rejected {
+			how = overload.NeverRan
 		}
 		b.ended(r, how, why, 0, nil)
 	}
@@ -520,11 +520,11 @@
 			k.leave(r)
 		default:
 			g.kept = true
-			kind := idempotency.Never
+			kind := idempotency.EntryNeverRan
 			if how == overload.OK {
-				kind = idempotency.Result
+				kind = idempotency.EntryResult
 			}
-			k.b.cluster.box.End(k.now(), g.key, r.id, kind, body)
+			k.b.cluster.box.Finish(k.now(), g.key, r.id, kind, body)
 		}
 		return false
 	}
@@ -539,20 +539,20 @@
 		k.leave(r)
 		return false
 	}
-	kind := map[overload.Outcome]idempotency.Kind{overload.OK: idempotency.Result, overload.Moot: idempotency.Never}[how]
+	kind := map[overload.Outcome]idempotency.EntryKind{overload.OK: idempotency.EntryResult, overload.NeverRan: idempotency.EntryNeverRan}[how]
 	if kind == 0 {
-		kind = idempotency.Failed
+		kind = idempotency.EntryFailed
 	}
-	if kind == idempotency.Result {
+	if kind == idempotency.EntryResult {
 		g.why, r.at = why, writing
 		k.writing[r] = struct{}{}
 	}
 	if k.b.cluster.on() {
-		k.b.cluster.box.End(k.now(), g.key, r.id, kind, body)
+		k.b.cluster.box.Finish(k.now(), g.key, r.id, kind, body)
 	} else {
-		k.heed(k.store.Ended(k.now(), g.key, kind, body))
+		k.heed(k.store.Finish(k.now(), g.key, kind, body))
 	}
-	return kind == idempotency.Result
+	return kind == idempotency.EntryResult
 }
 
 // lookAtTime answers what waits for the disk and can wait no longer. Its result is kept all the same once the disk has it.
@@ -568,11 +568,11 @@
 			continue
 		}
 		if b.owes(r) {
-			b.door.errored(r, accounting.NotWritten)
+			b.door.errored(r, accounting.ResultNotDurable)
 			b.answered(r)
 		}
 		if delete(k.writing, r); b.cluster.on() { // too few of its group may ever answer
-			b.cluster.settled(r, accounting.NotWritten)
+			b.cluster.settled(r, accounting.ResultNotDurable)
 			delete(b.reqs, r.id)
 		}
 	}
@@ -581,13 +581,13 @@
 // hand gives the log what the store wrote in this turn.
 func (k *keeper) hand() {
 	if k.log != nil {
-		k.log.Append(k.store.Writes())
+		k.log.Append(k.store.TakeEntries())
 	}
 }
 
 func (k *keeper) tidy() {
 	if k.store != nil {
-		k.store.Tidy(k.now())
+		k.store.Sweep(k.now())
 	}
 }
 
--- a/backend/keys.go
+++ b/backend/keys.go
@@ -86,7 +86,7 @@
 			return accounting.NotReady // nobody could be asked whether it is an edge node's
 		}
 		if r.id == e.id || slices.Contains(e.asked, r.id) {
-			return accounting.Stranger
+			return accounting.UnknownRequest
 		}
 		e.asked = append(e.asked[max(0, len(e.asked)-askedMost+1):], r.id)
 		r.fore = e.id
@@ -94,7 +94,7 @@
 		return accounting.None
 	}
 	if k.b.handlers[r.h].uniqued && !k.add(r) {
-		return accounting.KeepFull
+		return accounting.StoreFull
 	}
 	return accounting.None
 }
@@ -161,11 +161,11 @@
 func (k *keys) repeated(r *req, ran, ok bool, result []byte) {
 	switch {
 	case ok:
-		k.b.ended(r, overload.OK, accounting.Repeated, 0, result)
+		k.b.ended(r, overload.OK, accounting.Replayed, 0, result)
 	case ran:
-		k.b.ended(r, overload.Errored, accounting.Forerunner, 0, nil)
+		k.b.ended(r, overload.Failed, accounting.OriginalFailed, 0, nil)
 	default:
-		k.b.ended(r, overload.Errored, accounting.ComeAgain, 0, nil)
+		k.b.ended(r, overload.Failed, accounting.RetryAllowed, 0, nil)
 	}
 }
 
--- a/backend/keys_test.go
+++ b/backend/keys_test.go
@@ -72,12 +72,12 @@
 		t.Error(taken, "of 100 are taken,", b.keys.kept, "bytes are kept")
 	}
 	for i := range uint64(taken) {
-		b.keys.ended(b.reads(i+1, 1, fmt.Sprint(i), 0), overload.Errored, true, nil)
+		b.keys.ended(b.reads(i+1, 1, fmt.Sprint(i), 0), overload.Failed, true, nil)
 		if r := b.reads(i+1000, 1, fmt.Sprint(i), 0); b.keys.meet(r) != accounting.None || r.fore != i+1 {
 			t.Fatal(i, "is forgotten")
 		}
 	}
-	b.keys.ended(&req{id: 1}, overload.Errored, false, nil)
+	b.keys.ended(&req{id: 1}, overload.Failed, false, nil)
 	if r := b.reads(2000, 1, "0", 0); b.keys.meet(r) != accounting.None || r.fore != 0 {
 		t.Error("what never ran is still known")
 	}
@@ -98,10 +98,10 @@
 			s.settle(2)
 			s.b.ask(func() {
 				told, other := s.b.reqs[1], s.b.reqs[2]
-				if told == nil || told.ev.Customer != 1 || told.ev.Left <= 0 || told.ev.Left > 700*time.Millisecond {
+				if told == nil || told.ev.Customer != 1 || told.ev.Remaining <= 0 || told.ev.Remaining > 700*time.Millisecond {
 					t.Error("a told customer and time:", told)
 				}
-				if other == nil || other.ev.Customer != -1 || other.ev.Left != 0 {
+				if other == nil || other.ev.Customer != -1 || other.ev.Remaining != 0 {
 					t.Error("a customer that the settings don't know:", other)
 				}
 			})
--- a/backend/lease.go
+++ b/backend/lease.go
@@ -59,7 +59,7 @@
 	if ready := b.good && b.ctl != nil; b.now >= l.next || ready != l.said {
 		l.next, l.said = b.now+reportEvery, ready
 		l.buf = control.AppendLease(l.buf[:0], b.cfg.Name, ready)
-		err := faultinject.Of(faultinject.Send)
+		err := faultinject.Error(faultinject.Send)
 		if err == nil {
 			_, err = l.c.Write(l.buf)
 		}
--- a/backend/link.go
+++ b/backend/link.go
@@ -303,7 +303,7 @@
 			if b.owes(r) {
 				r.edge.known = false
 			}
-			b.ended(r, overload.Moot, accounting.NeverRan, 0, nil)
+			b.ended(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		}
 	case processor.Remark:
 		b.count.Remarks++
@@ -381,7 +381,7 @@
 	for _, r := range l.b.known() {
 		if r.at >= running && r.sent {
 			l.interrupt(r)
-			l.b.ended(r, overload.Errored, accounting.ProcessorLost, 0, nil)
+			l.b.ended(r, overload.Failed, accounting.ProcessorLost, 0, nil)
 		}
 	}
 }
@@ -402,7 +402,7 @@
 		switch {
 		case r.at < running:
 		case !r.sent && !b.wanted(r):
-			b.ended(r, overload.Moot, accounting.NeverRan, 0, nil)
+			b.ended(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		case !r.sent:
 			l.begin(r)
 		case doubt && !r.seen && !r.stop && lifecycle.Repeat(l.beginOf(r, false)) == lifecycle.Allowed:
@@ -430,7 +430,7 @@
 	l.probes--
 	r.probe, r.probeAt, r.stop = 0, 0, false
 	if lifecycle.Repeat(l.beginOf(r, true)) == lifecycle.NobodyWaits {
-		b.ended(r, overload.Moot, accounting.NeverRan, 0, nil)
+		b.ended(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		return
 	}
 	l.beginAgain(r, true, "it is proved never to have run")
--- a/backend/peers.go
+++ b/backend/peers.go
@@ -43,7 +43,7 @@
 // have run; one that may have run is the module's to make again.
 type peers struct {
 	b     *Backend
-	r     *loadbalance.Router
+	r     *loadbalance.Balancer
 	pools map[*loadbalance.Target]*pool
 	calls map[uint64]*call
 	wires int // connections, and those being dialled
@@ -93,7 +93,7 @@
 	b := p.b
 	k.at = p.r.Pick(b.now, k.r.route, k.tried...)
 	if k.at == nil {
-		p.end(k, cmp.Or(k.proved, overload.Full))
+		p.end(k, cmp.Or(k.proved, overload.Overloaded))
 		return
 	}
 	l := p.pool(k.at)
@@ -104,8 +104,8 @@
 		return
 	}
 	if p.wires >= p.room() && !p.closeOldest() {
-		p.done(k, loadbalance.Dropped)
-		p.end(k, overload.Full)
+		p.done(k, loadbalance.Abandoned)
+		p.end(k, overload.Overloaded)
 		return
 	}
 	p.wires++
@@ -165,7 +165,7 @@
 func (p *peers) give(w *peerWire, k *call) {
 	b := p.b
 	w.k, k.jw = k, w
-	if b.now-w.used < trustIdle && !w.at.Doubtful() {
+	if b.now-w.used < trustIdle && !w.at.NeedsHealthCheck() {
 		p.send(w)
 		return
 	}
@@ -205,7 +205,7 @@
 		{Name: "X-Timeout-Ms", Value: strconv.FormatInt(left, 10)},
 		{Name: "X-Caller", Value: strconv.Itoa(r.ev.Caller)},
 		{Name: "X-Memory-Kb", Value: strconv.FormatFloat(r.ev.Size, 'f', -1, 64)},
-		{Name: "X-Rank", Value: strconv.FormatFloat(r.ev.Rank, 'f', -1, 64)},
+		{Name: "X-Rank", Value: strconv.FormatFloat(r.ev.ValueRank, 'f', -1, 64)},
 	}}
 	most := b.cfg.AJP.packet()
 	b.scratch = ajp.AppendForward(b.scratch[:0], &f, most)
@@ -239,7 +239,7 @@
 	}
 	switch a.Status {
 	case 200:
-		p.done(k, loadbalance.Good)
+		p.done(k, loadbalance.Succeeded)
 		b.link.answer(k.r, a.Body)
 		p.end(k, overload.OK)
 	case 429, 503: // it never ran
@@ -248,24 +248,24 @@
 			here = here || bytes.EqualFold(name, dontRetryName) && string(value) == "1"
 		})
 		if here {
-			p.done(k, loadbalance.Declined)
-			p.end(k, overload.Full)
+			p.done(k, loadbalance.Overloaded)
+			p.end(k, overload.Overloaded)
 			return
 		}
-		p.elsewhere(k, loadbalance.Declined, overload.Full)
+		p.elsewhere(k, loadbalance.Overloaded, overload.Overloaded)
 	default:
-		how := overload.Errored
+		how := overload.Failed
 		if a.Status == 504 {
 			how = overload.TimedOut
 		}
-		p.done(k, loadbalance.Good)
+		p.done(k, loadbalance.Succeeded)
 		p.end(k, how)
 	}
 }
 
 // free has a connection wait for the next call.
 func (p *peers) free(w *peerWire) {
-	if w.at.Gone {
+	if w.at.Removed {
 		p.close(w)
 		return
 	}
@@ -280,7 +280,7 @@
 	}
 	l := p.pool(w.at)
 	l.idle = slices.DeleteFunc(l.idle, func(o *peerWire) bool { return o == w })
-	if w.at.Gone && len(l.idle) == 0 {
+	if w.at.Removed && len(l.idle) == 0 {
 		delete(p.pools, w.at)
 	}
 	c := w.c
@@ -332,7 +332,7 @@
 	if k == nil {
 		return
 	}
-	p.drop(k, loadbalance.Dropped)
+	p.drop(k, loadbalance.Abandoned)
 	delete(p.calls, r.id)
 	r.call, r.at = nil, asking
 }
@@ -343,7 +343,7 @@
 	r.Seed = p.b.cfg.Seed
 	p.r.Update(r)
 	for t, l := range p.pools { // each alike
-		if t.Gone {
+		if t.Removed {
 			for len(l.idle) > 0 {
 				p.close(l.idle[len(l.idle)-1])
 			}
@@ -361,7 +361,7 @@
 		}
 		switch w := k.jw; {
 		case b.now >= k.till+callGrace:
-			how := loadbalance.Silent
+			how := loadbalance.TimedOut
 			if w == nil || w.pong > 0 { // it never got that far
 				how = loadbalance.Fault
 			}
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -14,27 +14,27 @@
 // refilling is the core's side of being told again what this box's disk lacks, and of how runs ended whose end it does not know.
 type refilling struct {
 	from   *recovery.Refill[failover.Cursor] // nil while nothing is lacking
-	doubts *recovery.Settling
+	doubts *recovery.UnknownOutcomes
 }
 
 // lacks begins it where the store can't answer for all that it has ever had, and takes up the keys in doubt.
 func (c *cluster) lacks() {
 	var keys [][16]byte
-	for _, key := range c.store.InDoubt(settleKeys) {
+	for _, key := range c.store.UnknownKeys(settleKeys) {
 		keys = append(keys, key)
 	}
-	c.refill = refilling{doubts: recovery.NewSettling(keys)}
-	if c.store.Whole() {
+	c.refill = refilling{doubts: recovery.NewUnknownOutcomes(keys)}
+	if c.store.Complete() {
 		return
 	}
-	r := recovery.NewRefill[failover.Cursor](recovery.RefillConfig{Life: c.life, Others: c.others()}, c.mark)
+	r := recovery.NewRefill[failover.Cursor](recovery.RefillConfig{Incarnation: c.life, Others: c.others()}, c.mark)
 	for _, name := range c.others() {
 		if c.known.Forgotten(name) {
-			r.Without(name)
+			r.Exclude(name)
 		}
 	}
 	c.refill.from = r
-	c.store.Proves(func(key idempotency.Key) bool { return r.Covers(c.box.Others(key)) })
+	c.store.SetProver(func(key idempotency.Key) bool { return r.Covers(c.box.GroupPeers(key)) })
 	c.toldAll() // where an operator has said of all others that they never come back
 }
 
@@ -52,36 +52,36 @@
 func (c *cluster) refillTick() {
 	b, now := c.b, c.b.keeper.now()
 	var ask []idempotency.Key
-	for _, k := range c.refill.doubts.Tick(now, func(k [16]byte) bool { return c.store.Meet(now, 0, k).Verdict == idempotency.InDoubt }) {
+	for _, k := range c.refill.doubts.Tick(now, func(k [16]byte) bool { return c.store.PeekOutcome(now, 0, k).Decision == idempotency.OutcomeUnknown }) {
 		ask = append(ask, k)
 	}
-	c.box.Settle(now, ask)
+	c.box.ResolveUnknown(now, ask)
 	if r := c.refill.from; r != nil && !r.Done() {
 		for _, q := range r.Tick(b.now, c.Alive) {
 			if l := c.links[q.To]; l != nil {
-				l.batch.Telling = &failover.Telling{Life: c.life, From: q.From}
+				l.batch.PageRequest = &failover.PageRequest{Incarnation: c.life, From: q.From}
 			}
 		}
 	}
 }
 
 // tells answers a box that has lost something.
-func (c *cluster) tells(from string, life uint64, t *failover.Telling) {
-	if t.Life != life || life < c.Life(from) {
+func (c *cluster) tells(from string, life uint64, t *failover.PageRequest) {
+	if t.Incarnation != life || life < c.Incarnation(from) {
 		return
 	}
-	p := c.box.Page(c.b.keeper.now(), from, *t)
-	p.Heeded = c.known.Heed(slices.DeleteFunc(c.others(), func(name string) bool { return name == from }), recovery.Fences)
+	p := c.box.BuildPage(c.b.keeper.now(), from, *t)
+	p.FencesSupported = c.known.AllSupport(slices.DeleteFunc(c.others(), func(name string) bool { return name == from }), recovery.FeatureFences)
 	c.links[from].batch.Page = &p
 	for _, f := range c.box.Fences() {
-		c.known.Fence(f.Box, f.Life)
+		c.known.AddFence(f.Node, f.Incarnation)
 	}
 }
 
 // fences are those on the disk, once what is remembered is.
 func fences(known map[string]uint64) (out []failover.Fence) {
 	for name, life := range known {
-		out = append(out, failover.Fence{Box: name, Life: life})
+		out = append(out, failover.Fence{Node: name, Incarnation: life})
 	}
 	return out
 }
@@ -89,14 +89,14 @@
 // toldAgain takes a page.
 func (c *cluster) toldAgain(from string, life uint64, p *failover.Page) {
 	b, r := c.b, c.refill.from
-	info := recovery.PageInfo[failover.Cursor]{Life: p.Life, From: p.From, Next: p.Next, Keys: len(p.Told) + len(p.InHand),
-		Last: p.Next.Step == failover.StepDone, Full: p.Whole && p.Heeded}
-	if r == nil || r.Done() || !c.box.Goes(p) || !r.Wants(from, life, &info) {
+	info := recovery.PageInfo[failover.Cursor]{Incarnation: p.Incarnation, From: p.From, Next: p.Next, Keys: len(p.Records) + len(p.InFlight),
+		Last: p.Next.Step == failover.StepDone, Complete: p.Complete && p.FencesSupported}
+	if r == nil || r.Done() || !c.box.SameConfiguration(p) || !r.Wants(from, life, &info) {
 		return
 	}
-	r.Took(b.now, from, &info, c.box.Fill(b.keeper.now(), p))
+	r.PageReceived(b.now, from, &info, c.box.ReceivePage(b.keeper.now(), p))
 	if info.Last {
-		b.log.Info("told again", "by", from, "whole", p.Whole, "fences_heeded", p.Heeded)
+		b.log.Info("told again", "by", from, "whole", p.Complete, "fences_heeded", p.FencesSupported)
 	}
 	c.toldAll()
 }
@@ -107,9 +107,9 @@
 	if c.refill.from == nil || !c.refill.from.Done() {
 		return
 	}
-	kept := c.store.Refilled(b.keeper.now())
+	kept := c.store.MarkComplete(b.keeper.now())
 	b.log.Info("told again", "by", "all others", "also_for_later_lives", kept)
-	c.way.Refilled()
+	c.way.MarkComplete()
 	c.follow()
 }
 
@@ -129,13 +129,13 @@
 		switch {
 		case c.way == nil:
 			err = ErrNoCluster
-		case c.store.Whole() && c.way.Phase() != recovery.Asking:
+		case c.store.Complete() && c.way.Phase() != recovery.Querying:
 			err = ErrNoDoubt
 		default:
 			b.log.Warn("recovery", "said", "an operator answers for the disk")
-			c.store.Accept(b.keeper.now())
+			c.store.AcceptHistory(b.keeper.now())
 			c.refill.from = nil
-			c.way.Trusts()
+			c.way.TrustDisk()
 			c.follow()
 			b.keeper.hand()
 		}
@@ -158,10 +158,10 @@
 		default:
 			b.log.Warn("recovery", "said", "a box never comes back", "box", name)
 			c.known.Forget(name, b.keeper.now())
-			c.way.Members(c.witnesses())
+			c.way.SetOthers(c.witnesses())
 			c.way.Tick(b.now)
 			if c.refill.from != nil {
-				c.refill.from.Without(name)
+				c.refill.from.Exclude(name)
 				c.toldAll()
 			}
 			c.follow()
@@ -173,5 +173,5 @@
 // wants tells whether a link has something to send.
 func (l *boxLink) wants() bool {
 	x := &l.batch
-	return len(x.Members)+len(x.Claims) > 0 || x.Known != nil || x.Telling != nil || x.Page != nil || l.ask
+	return len(x.Members)+len(x.Claims) > 0 || x.PeerState != nil || x.PageRequest != nil || x.Page != nil || l.ask
 }
--- a/backend/req.go
+++ b/backend/req.go
@@ -75,7 +75,7 @@
 func (b *Backend) act(a *overload.Action) {
 	switch a.Kind {
 	case overload.Health:
-		b.good, b.cheap = a.Good, a.Cheap
+		b.good, b.cheap = a.Healthy, a.Shallow
 		return
 	case overload.Signal:
 		b.signal = strconv.AppendFloat(b.signal[:0], a.Value, 'f', 4, 64)
@@ -84,8 +84,8 @@
 		b.wake = a.At
 		b.at(a.At)
 		return
-	case overload.Trim:
-		b.keep = a.For
+	case overload.CloseIdle:
+		b.keep = a.Duration
 		return
 	case overload.Forget: // also of a req that has ended
 		if e := b.keys.byID[a.ID]; e != nil && !e.once { // what must run once goes as it never ran: by its end
@@ -98,13 +98,13 @@
 		return // it ended in the same batch
 	}
 	switch a.Kind {
-	case overload.Run:
+	case overload.Start:
 		if !invariant.Check(r.at == held && b.wanted(r), "what is run is held") {
 			return
 		}
 		if v := b.process.Start(r.since); v != lifecycle.Allowed && !r.taken {
 			b.violated("start", r, v)
-			b.ended(r, overload.Moot, accounting.NotReady, 0, nil)
+			b.ended(r, overload.NeverRan, accounting.NotReady, 0, nil)
 			return
 		}
 		if r.guard != nil {
@@ -112,15 +112,15 @@
 			return
 		}
 		b.begin(r)
-	case overload.Stop:
+	case overload.Cancel:
 		switch {
 		case r.at >= running:
 			b.count.Stopped++
 			b.link.interrupt(r)
 		case r.at == noting:
-			b.ended(r, overload.Moot, accounting.NeverRan, 0, nil)
+			b.ended(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		}
-	case overload.Shed:
+	case overload.Reject:
 		if r.taken {
 			b.cluster.settled(r, accounting.Shed)
 			b.unowed(r)
@@ -130,28 +130,28 @@
 			return
 		}
 		if invariant.Check(r.at == held, "what is shed never ran") {
-			b.door.shed(r, a.RetryAfter, a.DontRetry)
+			b.door.shed(r, a.RetryAfter, a.NoRetry)
 		} else {
-			b.door.errored(r, accounting.GivenUp)
+			b.door.errored(r, accounting.Cancelled)
 		}
 		b.answered(r)
-	case overload.Error:
+	case overload.Fail:
 		if b.owes(r) {
-			why := accounting.GivenUp
+			why := accounting.Cancelled
 			if r.at == asking && r.unserved {
 				why = accounting.CallFailed
 			}
 			b.door.errored(r, why)
 			b.answered(r)
 		} else if r.taken && r.at < noting {
-			b.cluster.settled(r, accounting.GivenUp)
+			b.cluster.settled(r, accounting.Cancelled)
 			b.unowed(r)
 		} else if r.at >= asking {
 			b.endRun(r) // nobody waits, but the run does
 		}
 	case overload.Remember:
-		b.keys.remember(r, a.For)
-	case overload.Join:
+		b.keys.remember(r, a.Duration)
+	case overload.Coalesce:
 		switch {
 		case !invariant.Check(r.at == held && b.wanted(r) && r.fore != 0, "what joins is a held repeat"):
 		case r.guard != nil && !r.guard.replay:
@@ -161,7 +161,7 @@
 		}
 	case overload.Call:
 		if r.at == asking {
-			b.call(r, a.For)
+			b.call(r, a.Duration)
 		}
 	default:
 		invariant.Check(false, "an action that this protocol has no message for")
@@ -171,7 +171,7 @@
 // arrived hands a req to the module.
 func (b *Backend) arrived(r *req) {
 	r.at = held
-	r.ev.Unread += b.now - r.since
+	r.ev.Delay += b.now - r.since
 	if r.guard != nil {
 		r.guard.asked = b.now
 		if !b.keeper.admit(r) {
@@ -180,7 +180,7 @@
 	} else {
 		switch why := b.keys.meet(r); why {
 		case accounting.None:
-		case accounting.Stranger:
+		case accounting.UnknownRequest:
 			b.door.unknown(r)
 			return
 		default:
@@ -195,7 +195,7 @@
 // submit has the module hear of a req.
 func (b *Backend) submit(r *req) {
 	if r.waits > 0 {
-		r.ev.Left = max(time.Millisecond, r.waits-r.ev.Unread)
+		r.ev.Remaining = max(time.Millisecond, r.waits-r.ev.Delay)
 	}
 	b.events = append(b.events, r.ev)
 }
@@ -224,7 +224,7 @@
 	b.book.Close(b.wall, r.ticket, why)
 	r.edge = nil
 	if r.at != unverified && r.at != writing {
-		b.events = append(b.events, overload.Event{Kind: overload.Gone, ID: r.id, Outcome: how})
+		b.events = append(b.events, overload.Event{Kind: overload.ClientGone, ID: r.id, Outcome: how})
 	}
 	b.unowed(r)
 }
@@ -235,7 +235,7 @@
 	case unverified, held, joined:
 		delete(b.reqs, r.id)
 		b.keeper.leave(r)
-		b.keys.ended(r, overload.Errored, false, nil)
+		b.keys.ended(r, overload.Failed, false, nil)
 	case asking, calling:
 		b.endRun(r)
 	}
@@ -279,10 +279,10 @@
 func reasonOf(how overload.Outcome) accounting.Reason {
 	switch how {
 	case overload.OK:
-		return accounting.Ran
+		return accounting.Completed
 	case overload.Stopped:
 		return accounting.RunStopped
-	case overload.Moot:
+	case overload.NeverRan:
 		return accounting.NeverRan
 	}
 	return accounting.RunFailed
--- a/backend/request.go
+++ b/backend/request.go
@@ -45,7 +45,7 @@
 	e.bad++
 	status := 400
 	switch reason {
-	case accounting.NoHandler:
+	case accounting.UnknownHandler:
 		status = 404
 	case accounting.BadSecret:
 		status = 403
@@ -67,7 +67,7 @@
 
 // nameless takes a req of which neither id nor handler is known.
 func (f *door) nameless(e *edge) accounting.Ticket {
-	return f.b.book.Open(f.b.wall, 0, 0, e.p.front(), accounting.Name{})
+	return f.b.book.Open(f.b.wall, 0, 0, e.p.front(), accounting.CustomerName{})
 }
 
 // takenBack follows the word that nobody waits any more.
@@ -108,7 +108,7 @@
 	path, query string
 	started     float64
 	hasStart    bool
-	customer    accounting.Name
+	customer    accounting.CustomerName
 	owner       []byte  // the customer's name whole, and
 	key         []byte  // the field that names what must not run twice: both only where something is guarded
 	made        float64 // Unix milliseconds; 0 not told
@@ -162,7 +162,7 @@
 	case memoryField:
 		a.ev.Size = a.number(v, sizeMost)
 	case rankField:
-		a.ev.Rank = a.number(v, 1)
+		a.ev.ValueRank = a.number(v, 1)
 	case objectField:
 		a.ev.Subject = string(v)
 	case customerField:
@@ -182,7 +182,7 @@
 
 // owned takes its customer.
 func (a *asked) owned(v []byte) {
-	a.customer = accounting.NameOf(v)
+	a.customer = accounting.NewCustomerName(v)
 	if a.b.keeper.on() {
 		a.owner = append(a.owner[:0], v...)
 	}
@@ -204,7 +204,7 @@
 	case !whole:
 		why = "parameters cut short"
 	case !isInvoke || r.h < 0:
-		why, reason = "unknown handler", accounting.NoHandler
+		why, reason = "unknown handler", accounting.UnknownHandler
 	case why != "":
 	case r.id == 0:
 		why = "no id of 16 hex digits"
@@ -212,7 +212,7 @@
 		why = "start or memory is missing"
 	case !b.keeper.named(a):
 		why = "no key, and it must not run twice"
-	case ev.Rank == 1 || ev.Size == sizeMost || ev.Hint > costMost*b.handlers[r.h].timeout || a.started > startMost:
+	case ev.ValueRank == 1 || ev.Size == sizeMost || ev.Hint > costMost*b.handlers[r.h].timeout || a.started > startMost:
 		why = "a field is out of its range"
 	case b.reqs[r.id] != nil:
 		why = "an id that is in use"
@@ -225,7 +225,7 @@
 	unread := b.stamps.Unread(time.Duration(a.started*float64(time.Millisecond)), e.known || !b.canStop)
 	refuses := b.ctl == nil || b.process.Take() != lifecycle.Allowed
 	if refuses || unread > b.handlers[r.h].timeout || r.waits > 0 && unread > r.waits { // nobody waits; so old a start would tell of a standstill
-		reason = accounting.Aged
+		reason = accounting.Expired
 		if refuses {
 			reason = accounting.NotReady
 		}
@@ -233,7 +233,7 @@
 		f.owe(e, r.ticket, r.id, reason)
 		return
 	}
-	ev.ID, ev.Handler, ev.Unread, ev.Customer = r.id, r.h, unread, slices.Index(b.customers, a.tenant)
+	ev.ID, ev.Handler, ev.Delay, ev.Customer = r.id, r.h, unread, slices.Index(b.customers, a.tenant)
 	r.of = b.keys.subjectOf(r, ev.Subject, a.tenant, a.once)
 	r.ev, r.since, r.came = *ev, b.now, b.now-unread
 	r.guard = b.keeper.guards(a)
@@ -249,6 +249,6 @@
 // nobody knows is no edge node.
 func (f *door) unknown(r *req) {
 	delete(r.edge.open, r.slot)
-	f.bad(r.edge, r.slot, false, r.ticket, r.id, accounting.Stranger, "no req of this machine")
+	f.bad(r.edge, r.slot, false, r.ticket, r.id, accounting.UnknownRequest, "no req of this machine")
 	f.b.answered(r)
 }
--- a/backend/return.go
+++ b/backend/return.go
@@ -26,7 +26,7 @@
 
 // memory is what this box remembers of the others, and the state of its record.
 type memory struct {
-	*recovery.Memories
+	*recovery.PeerStates
 	writing bool
 	nextAt  time.Duration
 	said    uint64 // the last record that others were told of
@@ -36,28 +36,28 @@
 func readMemory(dir string) (memory, error) {
 	text, err := os.ReadFile(filepath.Join(dir, memoryName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return memory{Memories: recovery.Remember(true)}, nil
+		return memory{PeerStates: recovery.NewPeerStates(true)}, nil
 	}
-	m := recovery.Remember(false)
+	m := recovery.NewPeerStates(false)
 	if err == nil {
 		err = json.Unmarshal(text, m)
 	}
 	if err != nil {
 		return memory{}, fmt.Errorf("%s: %w", memoryName, err)
 	}
-	return memory{Memories: m}, nil
+	return memory{PeerStates: m}, nil
 }
 
 // returns begins a box's way back, once its store is read.
 func (c *cluster) returns(store *idempotency.Store, o openedStore) {
 	b := c.b
 	c.store, c.lists, c.known = store, o.lists, o.known
-	c.life, c.goes, c.mark = store.Stats().Life, c.lists.roster().Digests(), rand.Uint64()
+	c.life, c.goes, c.mark = store.Stats().Incarnation, c.lists.roster().Digests(), rand.Uint64()
 	c.connect()
-	c.way = recovery.New(recovery.Config{Mark: c.mark, Others: c.witnesses(), Horizon: c.wait(),
-		Patient: b.cfg.Cluster.Wait, Alone: b.cfg.Cluster.Alone}, c.mark)
-	c.way.Starts()
-	c.way.Read(b.now, recovery.Disk{Life: c.life, Seq: store.Last(), Fresh: c.life == 1 && !o.aside})
+	c.way = recovery.New(recovery.Config{Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.wait(),
+		MajorityAfter: b.cfg.Cluster.Wait, DegradeAfter: b.cfg.Cluster.Alone}, c.mark)
+	c.way.StartLoading()
+	c.way.DiskLoaded(b.now, recovery.DiskState{Incarnation: c.life, Seq: store.LastSeq(), New: c.life == 1 && !o.aside})
 	c.follow()
 }
 
@@ -87,31 +87,31 @@
 	}
 	b := c.b
 	again, lost := false, false
-	for _, a := range c.way.Take() {
-		for _, name := range a.Ask {
+	for _, a := range c.way.Ready() {
+		for _, name := range a.Query {
 			if l := c.links[name]; l != nil {
 				l.ask = true
 			}
 		}
-		if a.Lost {
+		if a.HistoryLost {
 			lost = true
-			c.store.Older(b.keeper.now())
-			b.log.Error("store older than known", "life", c.life, "why", c.way.Why(), "so", "what it does not have is not taken for fresh until the horizon has passed")
+			c.store.MarkOutdated(b.keeper.now())
+			b.log.Error("store older than known", "life", c.life, "why", c.way.Reason(), "so", "what it does not have is not taken for fresh until the horizon has passed")
 		}
-		if a.Life > 0 {
-			if !c.store.Raise(a.Life) {
+		if a.Incarnation > 0 {
+			if !c.store.RaiseIncarnation(a.Incarnation) {
 				b.keeper.broken = true
-				b.log.Error("store older than known", "why", "a life that can't be counted", "known", a.Life, "so", "guarded reqs are refused in this life")
+				b.log.Error("store older than known", "why", "a life that can't be counted", "known", a.Incarnation, "so", "guarded reqs are refused in this life")
 			}
-			c.life = c.store.Stats().Life
+			c.life = c.store.Stats().Incarnation
 			again = c.box != nil
 		}
-		if a.Now != a.Was {
-			b.log.Info("recovery", "phase", a.Now.String(), "was", a.Was.String(), "why", a.Why)
+		if a.To != a.From {
+			b.log.Info("recovery", "phase", a.To.String(), "was", a.From.String(), "why", a.Reason)
 		}
 	}
 	switch {
-	case c.way.Sure() && (c.box == nil || again):
+	case c.way.Established() && (c.box == nil || again):
 		c.begin()
 	case c.box != nil && lost:
 		c.lacks()
@@ -123,16 +123,16 @@
 	if c.way == nil {
 		return // it asks again
 	}
-	if h.Ask {
+	if h.QueryState {
 		a := c.known.Answer(h.From, h.Mark)
-		c.links[h.From].batch.Known = &a
+		c.links[h.From].batch.PeerState = &a
 	}
-	if c.known.Back(h.From) {
+	if c.known.Returned(h.From) {
 		c.b.log.Warn("recovery", "back", h.From, "so", "it is waited for again")
-		c.way.Members(c.witnesses())
+		c.way.SetOthers(c.witnesses())
 	}
-	c.known.Hear(h.From, h.Mark, recovery.Memory{Life: h.Life, Seq: h.Seq})
-	c.known.Knows(h.From, h.Knows)
+	c.known.Update(h.From, h.Mark, recovery.PeerState{Incarnation: h.Incarnation, Seq: h.Seq})
+	c.known.SetFeatures(h.From, h.Features)
 }
 
 // lookBack does what is due on the way back, tells others how far this box's disk is, and has what it remembers of them recorded.
@@ -141,17 +141,17 @@
 		return
 	}
 	b := c.b
-	if at := c.way.Next(); b.now >= at {
+	if at := c.way.NextDeadline(); b.now >= at {
 		c.way.Tick(b.now)
 	}
-	b.at(c.way.Next())
+	b.at(c.way.NextDeadline())
 	if b.now < c.known.nextAt {
 		b.at(c.known.nextAt)
 		return
 	}
 	c.known.nextAt = b.now + memoryEvery
 	b.at(c.known.nextAt)
-	if last := c.store.Last(); last != c.known.said {
+	if last := c.store.LastSeq(); last != c.known.said {
 		c.known.said = last
 		for _, name := range c.witnesses() {
 			if l := c.links[name]; l != nil && l.c != nil {
@@ -163,11 +163,11 @@
 		return
 	}
 	c.known.writing = true
-	text, err := json.Marshal(c.known.Memories)
+	text, err := json.Marshal(c.known.PeerStates)
 	dir, noted := b.cfg.Keep.Dir, fences(c.known.Fences)
 	go func() { // the disk may be slow
 		if err == nil {
-			err = wal.Put(wal.Folder(dir), memoryName, text)
+			err = wal.WriteFile(wal.DirDisk(dir), memoryName, text)
 		}
 		b.box.Post(func() {
 			c.known.writing = false
@@ -175,7 +175,7 @@
 			case err != nil:
 				b.note("not remembered", "why", err)
 			case c.box != nil:
-				c.box.Fenced(noted)
+				c.box.AddFences(noted)
 			}
 		})
 	}()
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -44,7 +44,7 @@
 }
 
 func (l *lists) roster() failover.Roster {
-	return failover.Roster{Members: plain(l.Members), Before: plain(l.Before), Since: l.Since}
+	return failover.Roster{Members: plain(l.Members), Previous: plain(l.Before), Since: l.Since}
 }
 
 func has(list []ClusterMember, name string) bool {
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	return wal.Put(wal.Folder(dir), rosterName, append(text, '\n'))
+	return wal.WriteFile(wal.DirDisk(dir), rosterName, append(text, '\n'))
 }
 
 // change has the box go by the lists of another configuration as soon as it may.
@@ -111,15 +111,15 @@
 	c.tryAt = b.now + rosterAgain
 	b.at(c.tryAt)
 	r := c.lists.roster()
-	if len(r.Before) > 0 && r.Since == 0 {
-		behind := r.Behind(b.cfg.Name, func(name string) []uint64 { return c.told[name] })
+	if len(r.Previous) > 0 && r.Since == 0 {
+		behind := r.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.told[name] })
 		if c.why = ""; len(behind) == 0 {
 			l := c.lists
 			l.Since = b.keeper.now()
 			c.record(l)
 			return
 		}
-		c.why = fmt.Sprintf("%v: %s", failover.ErrBehind, strings.Join(behind, ", "))
+		c.why = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(behind, ", "))
 	}
 	if !c.pending {
 		return
@@ -127,7 +127,7 @@
 	want := b.cfg.Cluster.wanted()
 	next, err := r.Next(b.keeper.now(), c.wait(), want.roster())
 	if err != nil {
-		if c.why == "" || !errors.Is(err, failover.ErrBehind) {
+		if c.why == "" || !errors.Is(err, failover.ErrNotAdopted) {
 			c.why = err.Error()
 		}
 		b.note("members not changed", "why", c.why)
@@ -141,7 +141,7 @@
 
 // wait is how long after a req was read it may run or be asked for again.
 func (c *cluster) wait() time.Duration {
-	longest := c.b.cfg.Keep.Bounds.Horizon
+	longest := c.b.cfg.Keep.Bounds.RetryHorizon
 	for _, h := range c.b.handlers {
 		longest = max(longest, h.timeout)
 	}
@@ -172,7 +172,7 @@
 	b := c.b
 	if len(l.Before) == 0 { // who was in the list before may still hold reqs, and have them noted
 		for _, m := range c.lists.Before {
-			if !m.Gone && m.Name != b.cfg.Name && !has(l.Members, m.Name) {
+			if !m.Removed && m.Name != b.cfg.Name && !has(l.Members, m.Name) {
 				c.leavers = append(c.leavers, m)
 			}
 		}
@@ -181,11 +181,11 @@
 	c.lists = l
 	r := l.roster()
 	c.goes = r.Digests()
-	c.box.Move(b.keeper.now(), r.Members, r.Before)
+	c.box.Reconfigure(b.keeper.now(), r.Members, r.Previous)
 	c.connect()
-	c.way.Members(c.witnesses())
+	c.way.SetOthers(c.witnesses())
 	if r := c.refill.from; r != nil && !r.Done() {
-		r.Members(c.others())
+		r.SetOthers(c.others())
 	}
 	for _, link := range c.links {
 		if link.c != nil {
@@ -232,7 +232,7 @@
 		delete(c.told, name)
 	}
 	if c.list != nil {
-		c.list.Move(names)
+		c.list.SetOthers(names)
 	}
 }
 
@@ -249,6 +249,6 @@
 // hello is what a connection to another box begins with, and what it is told when the lists change.
 func (c *cluster) hello(ask bool) []byte {
 	b := c.b
-	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Life: c.life,
-		Lists: c.goes, Seq: c.store.Last(), Mark: c.mark, Ask: ask, Knows: recovery.Fences}})
+	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Incarnation: c.life,
+		Lists: c.goes, Seq: c.store.LastSeq(), Mark: c.mark, QueryState: ask, Features: recovery.FeatureFences}})
 }
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -26,7 +26,7 @@
 
 // leaveEvent is what the overload controller hears of the notice: before all else of the batch, and dated by the time that it is given with it.
 func (b *Backend) leaveEvent() overload.Event {
-	return overload.Event{Kind: overload.Leave, Unread: b.now - b.process.Notified(), Left: b.process.AnswerBy() - b.now}
+	return overload.Event{Kind: overload.Drain, Delay: b.now - b.process.Notified(), Remaining: b.process.AnswerBy() - b.now}
 }
 
 // tellPhase logs how far the end of the process has come.
@@ -83,7 +83,7 @@
 			if r.at < running {
 				b.door.refused(r)
 			} else {
-				b.door.errored(r, accounting.GivenUp)
+				b.door.errored(r, accounting.Cancelled)
 			}
 			b.answered(r)
 		}
--- a/backend/tier.go
+++ b/backend/tier.go
@@ -274,7 +274,7 @@
 func (b *Backend) callEnded(k *call, how overload.Outcome) {
 	r := k.r
 	r.unserved = how != overload.OK
-	r.callDoubt = how != overload.OK && how != overload.Full && how != overload.Moot && how != overload.NoConnection
+	r.callDoubt = how != overload.OK && how != overload.Overloaded && how != overload.NeverRan && how != overload.NoConnection
 	if how == overload.OK {
 		b.count.CallsOK++
 		r.at = running
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -143,7 +143,7 @@
 	case "counters":
 		c := s.b.Counters()
 		s.print("counters", "taken %d = served %d + refused %d + failed %d + open %d, differs %d, owed %d, bad connections %d, "+
-			"begun %d, ended %d, repeated %d, rejects %d, remarks %d, broken %d", c.Reqs.Taken, c.Reqs.Served, c.Reqs.Refused,
+			"begun %d, ended %d, repeated %d, rejects %d, remarks %d, broken %d", c.Reqs.Received, c.Reqs.Served, c.Reqs.Rejected,
 			c.Reqs.Failed, c.Reqs.Open, c.Differs, c.Owed, c.BadConns, c.Begun, c.Ended, c.Repeated, c.Rejects, c.Remarks, c.Broken)
 		s.print("counters", "%s", s.figures())
 	case "processor", "tier", "old":
--- a/cmd/frosthub/figures_test.go
+++ b/cmd/frosthub/figures_test.go
@@ -102,12 +102,12 @@
 }
 
 // fates reads the changes of one life.
-func fates(t *testing.T, path string) (map[uint64]fate, *accounting.Book) {
+func fates(t *testing.T, path string) (map[uint64]fate, *accounting.Ledger) {
 	book, data, err := statsfile.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ops, err := statsfile.Trail(data)
+	ops, err := statsfile.RecentEntries(data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,18 +116,18 @@
 		id := at[op.Slot]
 		f := out[id]
 		switch op.Kind {
-		case accounting.OpOpen:
+		case accounting.EntryOpen:
 			if _, again := out[op.ID]; again && op.ID != 0 {
 				t.Errorf("%016x is taken twice", op.ID)
 			}
 			at[op.Slot] = op.ID
 			out[op.ID] = fate{}
 			continue
-		case accounting.OpAnswer:
+		case accounting.EntryAnswer:
 			f.why = op.Reason
-		case accounting.OpSent:
+		case accounting.EntrySent:
 			f.sent = true
-		case accounting.OpClose:
+		case accounting.EntryClose:
 			f.closed, f.why = true, op.Reason
 		default:
 			continue
@@ -139,12 +139,12 @@
 
 // agrees tells whether box and edge node say the same of a req.
 func agrees(o stand.Outcome, f fate, taken bool) bool {
-	var want accounting.Figure
+	var want accounting.Category
 	switch o {
 	case stand.Served:
 		want = accounting.Served
 	case stand.Refused:
-		want = accounting.Refused
+		want = accounting.Rejected
 	case stand.Failed:
 		want = accounting.Failed
 	case stand.TakenOff:
@@ -154,7 +154,7 @@
 	default:
 		return false
 	}
-	return taken && (f.sent || f.doubt) && f.why.Figure() == want
+	return taken && (f.sent || f.doubt) && f.why.Category() == want
 }
 
 // TestKillsAndDrains has boxes killed and drained under load, and holds their accounts against the edge nodes' tallies,
@@ -177,7 +177,7 @@
 		Handlers: []string{"status", "field-update", "file-claim"}, Abort: 0.05, Close: 0.02, Bad: 0.02, Body: "a field"}
 	stream := stand.Stream{Rate: 250, Handlers: load.Handlers, CostMS: 2, Target: time.Second, Patient: 3 * time.Second, Body: "a field"}
 	r := rand.New(rand.NewPCG(seed, 7))
-	var sums accounting.Figures // as the edge nodes have them
+	var sums accounting.Counts // as the edge nodes have them
 	var doubts, most, lives int
 	settled := strings.Builder{}
 	for left := kills + drains; left > 0; left-- {
@@ -215,18 +215,18 @@
 		<-loaded
 		of, book := fates(t, path)
 		if kill {
-			book.Settle(accounting.CutByKill, accounting.Killed)
+			book.CloseAll(accounting.OpenAtKill, accounting.Killed)
 		}
-		list, _, _ := book.Lives()
+		list, _, _ := book.Incarnations()
 		life := list[len(list)-1]
-		for _, id := range life.Doubt {
+		for _, id := range life.UncertainIDs {
 			f := of[id]
 			f.doubt = true
 			of[id] = f
 		}
-		doubts, most = doubts+len(life.Doubt), max(most, len(life.Doubt))
+		doubts, most = doubts+len(life.UncertainIDs), max(most, len(life.UncertainIDs))
 		all := tally.All()
-		var mine accounting.Figures // of this life, settled by the tally
+		var mine accounting.Counts // of this life, settled by the tally
 		for id, o := range all {
 			f, taken := of[id]
 			if !agrees(o, f, taken) {
@@ -235,12 +235,12 @@
 			if !taken {
 				continue
 			}
-			mine.Taken++
+			mine.Received++
 			switch o {
 			case stand.Served:
 				mine.Served++
 			case stand.Refused:
-				mine.Refused++
+				mine.Rejected++
 			default:
 				mine.Failed++
 			}
@@ -263,13 +263,13 @@
 			}
 		}
 		p.Reset()
-		got := life.Figures
-		for _, id := range life.Doubt {
+		got := life.Counts
+		for _, id := range life.UncertainIDs {
 			switch all[id] {
 			case stand.Served:
-				got = got.Moved(accounting.Served)
+				got = got.Reclassified(accounting.Served)
 			case stand.Refused:
-				got = got.Moved(accounting.Refused)
+				got = got.Reclassified(accounting.Rejected)
 			}
 		}
 		if got != mine {
--- a/cmd/frosthub/keep_test.go
+++ b/cmd/frosthub/keep_test.go
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	var size int64
-	d := wal.Folder(dir)
+	d := wal.DirDisk(dir)
 	names, err := d.Names()
 	if err != nil {
 		t.Fatal(err)
@@ -356,24 +356,24 @@
 // fillStore has a store hold what ran with so many keys, the newest of them as results and the rest as prints.
 func fillStore(t *testing.T, dir string, entries, keys, segment int) {
 	t.Helper()
-	bounds := idempotency.Config{Entries: entries, Bytes: entries*100 + 1<<20, ResultMost: 1 << 16, Lifetime: time.Hour,
-		Horizon: 24 * time.Hour, Segments: 1000, Prints: segment, SegmentBytes: 64 << 20}
-	s, disk := idempotency.New(bounds), wal.Folder(dir)
+	bounds := idempotency.Config{MaxEntries: entries, MaxBytes: entries*100 + 1<<20, MaxResultBytes: 1 << 16, ResultTTL: time.Hour,
+		RetryHorizon: 24 * time.Hour, MaxSegments: 1000, KeysPerSegment: segment, SegmentBytes: 64 << 20}
+	s, disk := idempotency.New(bounds), wal.DirDisk(dir)
 	now := time.Duration(time.Now().UnixNano())
-	w, _, err := wal.Start(disk, "n1", s, now, nil)
+	w, _, err := wal.Open(disk, "n1", s, now, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range keys {
 		key := idempotency.Key{0: 1, 8: byte(i >> 16), 9: byte(i >> 8), 10: byte(i)}
-		s.Arrive(now, 0, key, "file-claim", uint64(i+1))
-		s.Ended(now, key, idempotency.Result, []byte("a result of some bytes"))
+		s.Reserve(now, 0, key, "file-claim", uint64(i+1))
+		s.Finish(now, key, idempotency.EntryResult, []byte("a result of some bytes"))
 		if i%1000 == 0 || i == keys-1 {
-			seq, err := w.Commit(s.Writes())
+			seq, err := w.Commit(s.TakeEntries())
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Durable(seq)
+			s.MarkDurable(seq)
 		}
 	}
 	if err := w.Close(); err != nil {
--- a/failover/group.go
+++ b/failover/group.go
@@ -12,10 +12,10 @@
 
 // Member is one box of a cluster, as the operators' files name it.
 type Member struct {
-	Name   string  `json:"name"`
-	Zone   string  `json:"zone,omitempty"`
-	Weight float64 `json:"weight,omitempty"` // 1 if 0
-	Gone   bool    `json:"gone,omitempty"`   // of a list before: it never comes back
+	Name    string  `json:"name"`
+	Zone    string  `json:"zone,omitempty"`
+	Weight  float64 `json:"weight,omitempty"` // 1 if 0
+	Removed bool    `json:"gone,omitempty"`   // of a list before: it never comes back
 }
 
 // Group gives the names of the boxes that note what becomes of a key, by weighted rendezvous hashing: who comes or goes moves only the
@@ -49,13 +49,13 @@
 
 // Ballot orders attempts at one key. The highest goes on; two are never the same.
 type Ballot struct {
-	N    uint64
-	Box  string
-	Life uint64
+	Number      uint64
+	Node        string
+	Incarnation uint64
 }
 
 func (b Ballot) compare(o Ballot) int {
-	return cmp.Or(cmp.Compare(b.N, o.N), cmp.Compare(b.Box, o.Box), cmp.Compare(b.Life, o.Life))
+	return cmp.Or(cmp.Compare(b.Number, o.Number), cmp.Compare(b.Node, o.Node), cmp.Compare(b.Incarnation, o.Incarnation))
 }
 
 // Work is what another box needs to go on with a req.
@@ -65,6 +65,6 @@
 	Left       int64 // nanoseconds that its caller still waits, when it was sent
 	Cost       int64 // expected, in nanoseconds
 	Size, Rank float64
-	Worth      float64 // of the handler: what is worth most is taken over first
-	Replay     bool    // it may run again
+	Weight     float64 // of the handler: what is worth most is taken over first
+	Replayable bool    // it may run again
 }
--- a/failover/refill.go
+++ b/failover/refill.go
@@ -18,10 +18,10 @@
 
 // Cursor is how far a box has been told: first keys in hand, then those that have ended, then prints.
 type Cursor struct {
-	Step  Step
-	At    uint64
-	End   uint64 // of the second step: past it came what the live messages tell
-	Print uint64
+	Step     Step
+	Position uint64
+	End      uint64 // of the second step: past it came what the live messages tell
+	Segment  uint64
 }
 
 // Step is one of telling.
@@ -29,33 +29,33 @@
 
 // The steps. The numbers go over the wire.
 const (
-	StepHand   Step = 0
-	StepEnded  Step = 1
-	StepPrints Step = 2
-	StepDone   Step = 3
+	StepInFlight Step = 0
+	StepRecords  Step = 1
+	StepExpired  Step = 2
+	StepDone     Step = 3
 )
 
-// Telling asks for a page.
-type Telling struct {
-	Life uint64 // of who asks
-	From Cursor
+// PageRequest asks for a page.
+type PageRequest struct {
+	Incarnation uint64 // of who asks
+	From        Cursor
 }
 
 // Page is a part of what a box tells another again.
 type Page struct {
-	Life   uint64 // of who asked
-	Goes   uint64 // print of the lists that it goes by: who goes by others is told nothing
-	From   Cursor
-	Next   Cursor
-	Whole  bool // it can answer for all that it has ever had
-	Heeded bool // all other boxes are known to heed fences: an older program does not
-	Told   []idempotency.Told
-	InHand []InHand
-	Prints []idempotency.Aged
+	Incarnation     uint64 // of who asked
+	Configuration   uint64 // print of the lists that it goes by: who goes by others is told nothing
+	From            Cursor
+	Next            Cursor
+	Complete        bool // it can answer for all that it has ever had
+	FencesSupported bool // all other boxes are known to heed fences: an older program does not
+	Records         []idempotency.Record
+	InFlight        []InFlight
+	Expired         []idempotency.ExpiredKeys
 }
 
-// InHand is a key whose run may be going on.
-type InHand struct {
+// InFlight is a key whose run may be going on.
+type InFlight struct {
 	Key    idempotency.Key
 	Ballot Ballot
 	Made   time.Duration
@@ -66,8 +66,8 @@
 
 // Fence says of a box that words of its lives before that one are void.
 type Fence struct {
-	Box  string
-	Life uint64
+	Node        string
+	Incarnation uint64
 }
 
 const (
@@ -77,41 +77,41 @@
 
 // goes is a print of the lists that a box goes by.
 func goes(cfg Config) (sum uint64) {
-	for _, d := range (Roster{Members: cfg.Members, Before: cfg.Before}).Digests() {
+	for _, d := range (Roster{Members: cfg.Members, Previous: cfg.Previous}).Digests() {
 		sum = sum*31 + d
 	}
 	return sum
 }
 
-// Page gives a part of what this box has noted of keys that it shares with another, which has lost what it had before that life. A new fence
+// BuildPage gives a part of what this box has noted of keys that it shares with another, which has lost what it had before that life. A new fence
 // is to be recorded: until Fenced says that it is, no page is the last.
-func (b *Box) Page(now time.Duration, to string, t Telling) Page {
+func (b *Node) BuildPage(now time.Duration, to string, t PageRequest) Page {
 	b.now = max(b.now, now)
-	p := Page{Life: t.Life, Goes: b.goes, From: t.From, Next: t.From, Whole: b.whole()}
+	p := Page{Incarnation: t.Incarnation, Configuration: b.goes, From: t.From, Next: t.From, Complete: b.whole()}
 	shares := func(key idempotency.Key) bool { return slices.Contains(b.all(key), to) }
 	switch t.From.Step {
-	case StepHand:
-		if f := b.fences[to]; f.life < t.Life {
-			b.fences[to] = fence{life: t.Life}
+	case StepInFlight:
+		if f := b.fences[to]; f.life < t.Incarnation {
+			b.fences[to] = fence{life: t.Incarnation}
 		}
 		for _, n := range b.noted {
 			if b.notes[n.key] == n && n.begun && off != ruleInHand && shares(n.key) {
-				p.InHand = append(p.InHand, InHand{n.key, n.ballot, n.made, n.due - b.now, n.run, n.notice})
+				p.InFlight = append(p.InFlight, InFlight{n.key, n.ballot, n.made, n.due - b.now, n.run, n.notice})
 			}
 		}
-		_, at, end := b.store.Walk(0, 0, 0, shares)
-		p.Next = Cursor{Step: StepEnded, At: at, End: end}
-	case StepEnded:
-		p.Told, p.Next.At, _ = b.store.Walk(t.From.At, min(t.From.At+pagePlaces, t.From.End), pageBytes, shares)
-		if p.Next.At >= t.From.End {
-			p.Next = Cursor{Step: StepPrints}
+		_, at, end := b.store.Export(0, 0, 0, shares)
+		p.Next = Cursor{Step: StepRecords, Position: at, End: end}
+	case StepRecords:
+		p.Records, p.Next.Position, _ = b.store.Export(t.From.Position, min(t.From.Position+pagePlaces, t.From.End), pageBytes, shares)
+		if p.Next.Position >= t.From.End {
+			p.Next = Cursor{Step: StepExpired}
 		}
-	case StepPrints:
-		a, at, ok := b.store.Prints(t.From.Print)
+	case StepExpired:
+		a, at, ok := b.store.NextExpired(t.From.Segment)
 		switch {
 		case ok && off != rulePrints:
-			p.Prints, p.Next.Print = []idempotency.Aged{a}, at
-		case b.fences[to].durable && b.fences[to].life >= t.Life || off == ruleFence:
+			p.Expired, p.Next.Segment = []idempotency.ExpiredKeys{a}, at
+		case b.fences[to].durable && b.fences[to].life >= t.Incarnation || off == ruleFence:
 			p.Next.Step = StepDone
 		}
 	}
@@ -125,26 +125,26 @@
 }
 
 // Fences are those that this box has, for its record.
-func (b *Box) Fences() []Fence {
+func (b *Node) Fences() []Fence {
 	var out []Fence
 	for name, f := range b.fences {
 		out = append(out, Fence{name, f.life})
 	}
-	slices.SortFunc(out, func(x, y Fence) int { return cmp.Compare(x.Box, y.Box) })
+	slices.SortFunc(out, func(x, y Fence) int { return cmp.Compare(x.Node, y.Node) })
 	return out
 }
 
-// Fenced says that these are on the disk.
-func (b *Box) Fenced(all []Fence) {
+// AddFences says that these are on the disk.
+func (b *Node) AddFences(all []Fence) {
 	for _, f := range all {
-		if b.fences[f.Box].life <= f.Life {
-			b.fences[f.Box] = fence{f.Life, true}
+		if b.fences[f.Node].life <= f.Incarnation {
+			b.fences[f.Node] = fence{f.Incarnation, true}
 		}
 	}
 }
 
 // fencesOf are those of a key's group, for a word on it.
-func (b *Box) fencesOf(key idempotency.Key) (out []Fence) {
+func (b *Node) fencesOf(key idempotency.Key) (out []Fence) {
 	if len(b.fences) == 0 || off == ruleFence {
 		return nil
 	}
@@ -159,7 +159,7 @@
 // count takes a word of a box on a claim, and leaves out words of lives that another's fence says are over.
 func (c *claim) count(from string, life uint64, m *Message) {
 	void := func(fences []Fence, box string, life uint64) bool {
-		return slices.ContainsFunc(fences, func(f Fence) bool { return f.Box == box && life < f.Life })
+		return slices.ContainsFunc(fences, func(f Fence) bool { return f.Node == box && life < f.Incarnation })
 	}
 	for _, o := range c.votes {
 		if void(o.Fences, from, life) {
@@ -178,41 +178,41 @@
 }
 
 // whole tells whether this box can answer for all that it has ever had.
-func (b *Box) whole() bool { return off == ruleWhole || b.store.Whole() }
+func (b *Node) whole() bool { return off == ruleWhole || b.store.Complete() }
 
-// Goes tells whether a page comes from a box that goes by the same lists.
-func (b *Box) Goes(p *Page) bool { return p.Goes == b.goes }
+// Configuration tells whether a page comes from a box that goes by the same lists.
+func (b *Node) SameConfiguration(p *Page) bool { return p.Configuration == b.goes }
 
-// Fill takes what another box tells again, and tells whether all of it was taken: else the page is asked for once more.
-func (b *Box) Fill(now time.Duration, p *Page) bool {
+// ReceivePage takes what another box tells again, and tells whether all of it was taken: else the page is asked for once more.
+func (b *Node) ReceivePage(now time.Duration, p *Page) bool {
 	b.now = max(b.now, now)
-	for i := range p.InHand {
-		if !b.fillHand(&p.InHand[i]) {
+	for i := range p.InFlight {
+		if !b.fillHand(&p.InFlight[i]) {
 			return false
 		}
 	}
-	for _, t := range p.Told {
+	for _, t := range p.Records {
 		if n := b.notes[t.Key]; n != nil && !n.replay && t.Kind != 0 {
 			if n.begun { // told as in hand, or noted since; it has ended where that was known
-				b.noteEnd(b.cfg.Name, &Message{Kind: End, Key: t.Key, Ballot: n.ballot, End: t.Kind, Result: t.Result, Made: n.made})
+				b.noteEnd(b.cfg.Name, &Message{Kind: MsgFinish, Key: t.Key, Ballot: n.ballot, Outcome: t.Kind, Result: t.Result, Made: n.made})
 			}
 			continue
 		}
-		switch v := b.store.Meet(b.now, 0, t.Key).Verdict; v {
-		case idempotency.Fresh, idempotency.Blind, idempotency.InDoubt:
-			if !b.store.Learn(b.now, t) && (v != idempotency.InDoubt || t.Kind != 0) {
+		switch v := b.store.PeekOutcome(b.now, 0, t.Key).Decision; v {
+		case idempotency.Fresh, idempotency.HistoryLost, idempotency.OutcomeUnknown:
+			if !b.store.Merge(b.now, t) && (v != idempotency.OutcomeUnknown || t.Kind != 0) {
 				return false
 			}
 		}
 	}
-	for _, a := range p.Prints {
-		b.store.LearnPrints(a)
+	for _, a := range p.Expired {
+		b.store.MergeExpired(a)
 	}
 	return true
 }
 
 // fillHand notes a key that another noted as begun before this box had lost it.
-func (b *Box) fillHand(h *InHand) bool {
+func (b *Node) fillHand(h *InFlight) bool {
 	if n := b.notes[h.Key]; n != nil {
 		if n.filled && n.ballot != h.Ballot && !slices.Contains(n.rest, h.Ballot) {
 			n.rest = append(n.rest, h.Ballot)
@@ -222,12 +222,12 @@
 		}
 		return true // or it was asked for since, and what is noted of it is newer
 	}
-	switch b.store.Meet(b.now, h.Made, h.Key).Verdict {
-	case idempotency.Fresh, idempotency.Blind:
-		if !b.store.Learn(b.now, idempotency.Told{Key: h.Key}) {
+	switch b.store.PeekOutcome(b.now, h.Made, h.Key).Decision {
+	case idempotency.Fresh, idempotency.HistoryLost:
+		if !b.store.Merge(b.now, idempotency.Record{Key: h.Key}) {
 			return false
 		}
-	case idempotency.InDoubt:
+	case idempotency.OutcomeUnknown:
 	default:
 		return true // its end is known here
 	}
@@ -237,19 +237,19 @@
 	b.store.Resume(h.Key, n.id)
 	b.byNote[n.id] = h.Key
 	if h.Run != 0 {
-		b.byRun[run{h.Ballot.Box, h.Run}] = n
+		b.byRun[run{h.Ballot.Node, h.Run}] = n
 	}
 	return true
 }
 
-// Others are the boxes that share a key's group with this one: who may know of it what this one has lost.
-func (b *Box) Others(key idempotency.Key) []string {
+// GroupPeers are the boxes that share a key's group with this one: who may know of it what this one has lost.
+func (b *Node) GroupPeers(key idempotency.Key) []string {
 	return slices.DeleteFunc(b.all(key), func(name string) bool { return name == b.cfg.Name })
 }
 
-// Settle has the group asked how the runs of keys in doubt ended, for nobody in particular; those that are asked about already are left to that.
+// ResolveUnknown has the group asked how the runs of keys in doubt ended, for nobody in particular; those that are asked about already are left to that.
 // What is found is noted by a majority, this box among them.
-func (b *Box) Settle(now time.Duration, keys []idempotency.Key) {
+func (b *Node) ResolveUnknown(now time.Duration, keys []idempotency.Key) {
 	b.now = max(b.now, now)
 	for _, key := range keys {
 		if b.claims[key] == nil && b.notes[key] == nil {
--- a/failover/sim_test.go
+++ b/failover/sim_test.go
@@ -21,7 +21,7 @@
 
 const noon = 500_000 * time.Hour
 
-var bounds = idempotency.Config{Entries: 1000, Bytes: 100_000, ResultMost: 1000, Lifetime: time.Hour, Horizon: 24 * time.Hour, Segments: 20, Prints: 100,
+var bounds = idempotency.Config{MaxEntries: 1000, MaxBytes: 100_000, MaxResultBytes: 1000, ResultTTL: time.Hour, RetryHorizon: 24 * time.Hour, MaxSegments: 20, KeysPerSegment: 100,
 	SegmentBytes: 10_000}
 
 // world is a cluster in one process: links that delay, cut one way, lose and repeat; boxes that die and come back with what their disk had
@@ -53,7 +53,7 @@
 	refills  int  // that came to their end
 	lost     int  // disks
 	history  []stand.Event
-	verdicts map[idempotency.Verdict]int
+	verdicts map[idempotency.Decision]int
 	askedAt  map[uint64]time.Duration
 }
 
@@ -73,10 +73,10 @@
 	life    uint64
 	up      bool
 	still   time.Duration // stands still until then
-	b       *Box
+	b       *Node
 	store   *idempotency.Store
-	disk    []idempotency.Write
-	waiting []idempotency.Write // handed over, not confirmed
+	disk    []idempotency.LogEntry
+	waiting []idempotency.LogEntry // handed over, not confirmed
 	ids     map[uint64]idempotency.Key
 	known   []uint64 // lives of others, as heard
 	roster  Roster   // on its disk
@@ -91,7 +91,7 @@
 // ended is a run that is over.
 type ended struct {
 	run    uint64
-	kind   idempotency.Kind
+	kind   idempotency.EntryKind
 	result []byte
 }
 
@@ -104,8 +104,8 @@
 	}
 	return right
 }
-func (x *box) Gone(name string) bool   { return !x.Alive(name) }
-func (x *box) Life(name string) uint64 { return x.known[name[0]-'a'] }
+func (x *box) Dead(name string) bool          { return !x.Alive(name) }
+func (x *box) Incarnation(name string) uint64 { return x.known[name[0]-'a'] }
 
 func (w *world) span(most time.Duration) time.Duration {
 	return time.Duration(w.r.Int64N(int64(most) + 1))
@@ -145,7 +145,7 @@
 	x.known = make([]uint64, len(x.w.boxes))
 	limits := bounds
 	if x.w.loses && x.w.seed%2 == 0 {
-		limits.Entries = 4 // so that keys age
+		limits.MaxEntries = 4 // so that keys age
 	}
 	x.store, x.waiting, x.refill = idempotency.New(limits), nil, nil
 	if !x.w.lives {
@@ -154,18 +154,18 @@
 	for _, r := range x.disk {
 		x.store.Load(r)
 	}
-	x.store.Restarted(x.w.Now, false, 0)
+	x.store.FinishLoading(x.w.Now, false, 0)
 	x.told = map[string][]uint64{}
 	if len(x.roster.Members) == 0 {
 		x.roster.Members = x.w.list(0)
 	}
 	x.goes = x.roster.Digests()
-	x.b = New(Config{Name: x.name, Life: x.life, Members: x.roster.Members, Before: x.roster.Before, Promise: true}, x.store, x, x.w.r.Uint64(), x.w.Now)
-	x.b.Fenced(x.fences)
+	x.b = New(Config{Name: x.name, Incarnation: x.life, Members: x.roster.Members, Previous: x.roster.Previous, ResumeUnclaimed: true}, x.store, x, x.w.r.Uint64(), x.w.Now)
+	x.b.AddFences(x.fences)
 	if x.lost {
-		x.store.Older(x.w.Now)
+		x.store.MarkOutdated(x.w.Now)
 	}
-	if !x.store.Whole() {
+	if !x.store.Complete() {
 		x.refills()
 	}
 	x.tick()
@@ -174,18 +174,18 @@
 
 // refills has the others tell a box what its disk lacks.
 func (x *box) refills() {
-	c := recovery.RefillConfig{Life: x.life}
+	c := recovery.RefillConfig{Incarnation: x.life}
 	for _, y := range x.w.boxes {
 		if y != x {
 			c.Others = append(c.Others, y.name)
 		}
 	}
 	x.refill = recovery.NewRefill[Cursor](c, x.w.r.Uint64())
-	x.store.Proves(func(key idempotency.Key) bool {
+	x.store.SetProver(func(key idempotency.Key) bool {
 		if off == ruleEvery {
-			return slices.ContainsFunc(x.b.Others(key), func(name string) bool { return x.refill.Covers([]string{name}) })
+			return slices.ContainsFunc(x.b.GroupPeers(key), func(name string) bool { return x.refill.Covers([]string{name}) })
 		}
-		return x.refill.Covers(x.b.Others(key))
+		return x.refill.Covers(x.b.GroupPeers(key))
 	})
 }
 
@@ -197,23 +197,23 @@
 	}
 	for _, q := range x.refill.Tick(w.Now, x.Alive) {
 		x.carry(q.To, func(y *box) {
-			page := y.b.Page(w.Now, x.name, Telling{x.life, q.From})
+			page := y.b.BuildPage(w.Now, x.name, PageRequest{x.life, q.From})
 			fences := y.b.Fences()
 			y.on(w.span(w.disk), func() {
 				y.fences = fences
-				y.b.Fenced(fences)
+				y.b.AddFences(fences)
 			})
 			life := y.life
 			y.carry(x.name, func(x *box) {
-				info := recovery.PageInfo[Cursor]{Life: page.Life, From: page.From, Next: page.Next, Last: page.Next.Step == StepDone, Full: page.Whole}
-				if x.refill == nil || !x.b.Goes(&page) || !x.refill.Wants(y.name, life, &info) {
+				info := recovery.PageInfo[Cursor]{Incarnation: page.Incarnation, From: page.From, Next: page.Next, Last: page.Next.Step == StepDone, Complete: page.Complete}
+				if x.refill == nil || !x.b.SameConfiguration(&page) || !x.refill.Wants(y.name, life, &info) {
 					return
 				}
-				x.refill.Took(w.Now, y.name, &info, x.b.Fill(w.Now, &page))
+				x.refill.PageReceived(w.Now, y.name, &info, x.b.ReceivePage(w.Now, &page))
 				if x.refill.Done() {
 					w.log("%s/%d has been told all again", x.name, x.life)
 					w.refills++
-					x.store.Refilled(w.Now)
+					x.store.MarkComplete(w.Now)
 				}
 			})
 		})
@@ -256,7 +256,7 @@
 
 // done tells whether a box has come to the end of the change.
 func (w *world) done(x *box) bool {
-	return len(x.roster.Before) == 0 && x.roster.Members[0].Name != "a"
+	return len(x.roster.Previous) == 0 && x.roster.Members[0].Name != "a"
 }
 
 const moveWait = 400 * time.Millisecond // past the time that a req is asked for, and that its callers wait
@@ -268,21 +268,21 @@
 		return
 	}
 	told := func(name string) []uint64 { return x.told[name] }
-	if len(x.roster.Before) > 0 && x.roster.Since == 0 && len(x.roster.Behind(x.name, told)) == 0 {
+	if len(x.roster.Previous) > 0 && x.roster.Since == 0 && len(x.roster.NotAdopted(x.name, told)) == 0 {
 		x.roster.Since = w.Now
 	}
 	to := Roster{Members: w.list(0)}
 	if w.Now > noon+200*time.Millisecond+time.Duration(x.n)*20*time.Millisecond {
-		to = Roster{Members: w.list(1), Before: w.list(0)}
+		to = Roster{Members: w.list(1), Previous: w.list(0)}
 	}
-	if x.roster.Since > 0 || off == ruleWait && len(x.roster.Before) > 0 {
-		to.Before = nil
+	if x.roster.Since > 0 || off == ruleWait && len(x.roster.Previous) > 0 {
+		to.Previous = nil
 	}
 	if next, err := x.roster.Next(w.Now, moveWait, to); err == nil && !slices.Equal(next.Digests(), x.goes) {
 		x.roster, x.goes = next, next.Digests()
-		x.b.Move(w.Now, next.Members, next.Before)
-		w.log("%s/%d goes by %d and %d", x.name, x.life, len(next.Members), len(next.Before))
-		if len(next.Before) == 0 {
+		x.b.Reconfigure(w.Now, next.Members, next.Previous)
+		w.log("%s/%d goes by %d and %d", x.name, x.life, len(next.Members), len(next.Previous))
+		if len(next.Previous) == 0 {
 			w.moved++
 		}
 	}
@@ -291,7 +291,7 @@
 // flush carries out what the box wants.
 func (x *box) flush() {
 	w := x.w
-	if writes := x.store.Writes(); len(writes) > 0 {
+	if writes := x.store.TakeEntries(); len(writes) > 0 {
 		x.waiting = append(x.waiting, writes...)
 		n := len(x.waiting)
 		x.on(w.span(w.disk), func() {
@@ -301,18 +301,18 @@
 			}
 			seq := x.waiting[n-1].Seq
 			x.write(n)
-			x.b.Durable(w.Now, seq)
+			x.b.MarkDurable(w.Now, seq)
 		})
 	}
-	for _, p := range x.b.Asks() {
+	for _, p := range x.b.ProcessorQueries() {
 		x.on(w.span(4*time.Millisecond), func() {
-			for _, e := range w.boxes[p.Of[0]-'a'].ends {
-				x.b.Found(w.Now, p.Of, e.run, e.kind, e.result)
+			for _, e := range w.boxes[p.Node[0]-'a'].ends {
+				x.b.FinishFromProcessor(w.Now, p.Node, e.run, e.kind, e.result)
 			}
 		})
 	}
 	for {
-		sends, out := x.b.Take()
+		sends, out := x.b.Ready()
 		if len(sends)+len(out) == 0 {
 			return
 		}
@@ -325,7 +325,7 @@
 	}
 }
 
-func (x *box) send(s Send) {
+func (x *box) send(s Envelope) {
 	w, to := x.w, int(s.To[0]-'a')
 	if w.cut[[2]int{x.n, to}] || w.r.Float64() < w.loss {
 		return
@@ -350,7 +350,7 @@
 				if life == y.known[x.n] {
 					y.told[x.name] = goes
 				}
-				if !Meet(goes, y.goes) {
+				if !Compatible(goes, y.goes) {
 					return
 				}
 				y.b.Receive(w.Now, x.name, life, &m)
@@ -362,42 +362,42 @@
 func (x *box) outcome(o Outcome) {
 	w := x.w
 	k := w.keys[o.Key]
-	w.verdicts[o.Verdict]++
-	if o.Verdict != idempotency.Known && o.Verdict != idempotency.Begin && (o.Verdict != idempotency.Fresh || x.ids[o.ID] == (idempotency.Key{})) {
+	w.verdicts[o.Decision]++
+	if o.Decision != idempotency.Duplicate && o.Decision != idempotency.Start && (o.Decision != idempotency.Fresh || x.ids[o.ID] == (idempotency.Key{})) {
 		w.answered[o.ID] = true
 	}
-	w.log("%s/%d %x %d: verdict %d %q", x.name, x.life, o.Key[15], o.ID, o.Verdict, o.Result)
-	switch o.Verdict {
-	case idempotency.Fresh, Taken:
-		if o.Verdict == idempotency.Fresh && x.ids[o.ID] == (idempotency.Key{}) {
+	w.log("%s/%d %x %d: verdict %d %q", x.name, x.life, o.Key[15], o.ID, o.Decision, o.Result)
+	switch o.Decision {
+	case idempotency.Fresh, TakenOver:
+		if o.Decision == idempotency.Fresh && x.ids[o.ID] == (idempotency.Key{}) {
 			return // refused: it had been let in before
 		}
 		delete(x.ids, o.ID)
 		x.on(w.span(5*time.Millisecond), func() { // the module has it
 			if k.replay {
-				x.b.Runs(w.Now, o.Key, o.ID)
+				x.b.MarkRunning(w.Now, o.Key, o.ID)
 				k.effects++
 				result := fmt.Appendf(nil, "run %d of %x", k.effects, o.Key[15])
-				x.on(w.span(20*time.Millisecond), func() { x.b.End(w.Now, o.Key, o.ID, idempotency.Result, result) })
+				x.on(w.span(20*time.Millisecond), func() { x.b.Finish(w.Now, o.Key, o.ID, idempotency.EntryResult, result) })
 				w.answered[o.ID] = true
 				return
 			}
 			if w.r.IntN(8) == 0 {
-				x.b.Leave(w.Now, o.Key, o.ID)
+				x.b.Release(w.Now, o.Key, o.ID)
 				w.answered[o.ID] = true
 			} else {
-				x.b.Begin(w.Now, o.Key, o.ID, 0)
+				x.b.Start(w.Now, o.Key, o.ID, 0)
 			}
 		})
-	case idempotency.Known:
+	case idempotency.Duplicate:
 		if k.replay {
 			return // it waits
 		}
 		delete(x.ids, o.ID)
 		x.b.Join(w.Now, o.Key, o.ID)
-	case idempotency.Begin:
+	case idempotency.Start:
 		if w.r.IntN(10) == 0 {
-			x.b.End(w.Now, o.Key, o.ID, idempotency.Never, nil) // nobody waits any more
+			x.b.Finish(w.Now, o.Key, o.ID, idempotency.EntryNeverRan, nil) // nobody waits any more
 			w.answered[o.ID] = true
 			return
 		}
@@ -406,9 +406,9 @@
 		if k.effects > 1 {
 			w.broken("key %x ran twice, on %s/%d now", o.Key[15], x.name, x.life)
 		}
-		e := ended{o.ID, idempotency.Result, fmt.Appendf(nil, "run %d of %x", w.runs, o.Key[15])}
+		e := ended{o.ID, idempotency.EntryResult, fmt.Appendf(nil, "run %d of %x", w.runs, o.Key[15])}
 		if w.r.IntN(12) == 0 {
-			e.kind, e.result = idempotency.Failed, nil
+			e.kind, e.result = idempotency.EntryFailed, nil
 		}
 		w.history = append(w.history, stand.Event{Key: string(o.Key[:]), Ran: true, Result: string(e.result), Asked: int64(w.Now), Heard: int64(w.Now)})
 		life := x.life
@@ -417,11 +417,11 @@
 				x.ends = append(x.ends, e)
 			}
 			if x.up && x.life == life {
-				x.on(w.span(4*time.Millisecond), func() { x.b.End(w.Now, o.Key, o.ID, e.kind, e.result) })
-				w.answered[o.ID] = w.answered[o.ID] || e.kind == idempotency.Failed
+				x.on(w.span(4*time.Millisecond), func() { x.b.Finish(w.Now, o.Key, o.ID, e.kind, e.result) })
+				w.answered[o.ID] = w.answered[o.ID] || e.kind == idempotency.EntryFailed
 			}
 		})
-	case idempotency.Done, idempotency.Repeat:
+	case idempotency.Completed, idempotency.Replay:
 		if k.replay {
 			w.replayed++
 			return
@@ -433,10 +433,10 @@
 		if !bytes.Equal(k.answer, o.Result) {
 			w.broken("key %x: %q, and %q before", o.Key[15], o.Result, k.answer)
 		}
-	case idempotency.InDoubt, idempotency.Broken:
+	case idempotency.OutcomeUnknown, idempotency.OriginalFailed:
 		w.heard(o, false)
 		if at, ok := w.askedAt[o.ID]; ok && k.answer != nil && at > k.since { // who asked before may have been told what was so then
-			w.broken("key %x was answered, and is %d now", o.Key[15], o.Verdict)
+			w.broken("key %x was answered, and is %d now", o.Key[15], o.Decision)
 		}
 	}
 }
@@ -470,7 +470,7 @@
 		x.on(0, func() {
 			x.ids[id], w.askedAt[id] = key, w.Now
 			w.log("%s/%d %x %d: asked", x.name, x.life, key[15], id)
-			x.b.Ask(w.Now, key, 0, id, Work{Handler: "file-claim", Left: int64(left), Replay: w.keys[key].replay})
+			x.b.Claim(w.Now, key, 0, id, Work{Handler: "file-claim", Left: int64(left), Replayable: w.keys[key].replay})
 		})
 	}
 }
@@ -513,7 +513,7 @@
 // write has the first of what waits be on the disk.
 func (x *box) write(n int) {
 	for _, r := range x.waiting[:n] {
-		x.lost = x.lost && r.Kind != idempotency.Gap
+		x.lost = x.lost && r.Kind != idempotency.EntryHistoryLost
 	}
 	x.disk = append(x.disk, x.waiting[:n]...)
 	x.waiting = x.waiting[n:]
@@ -526,8 +526,8 @@
 		return
 	}
 	w.log("%s/%d dies", x.name, x.life)
-	w.found += x.b.Stats().Found
-	x.b.stats.Found = 0
+	w.found += x.b.Stats().FoundAtProcessor
+	x.b.stats.FoundAtProcessor = 0
 	x.up = false
 	n := 0
 	if len(x.waiting) > 0 && w.r.IntN(2) == 0 {
@@ -604,7 +604,7 @@
 // newWorld has boxes up in one process, and nothing happening yet.
 func newWorld(t testing.TB, seed uint64, n int, kind kind) *world {
 	r := rand.New(rand.NewPCG(seed, 5))
-	w := &world{t: t, r: r, seed: seed, Schedule: stand.Schedule{Now: noon}, cut: map[[2]int]bool{}, keys: map[idempotency.Key]*truth{}, verdicts: map[idempotency.Verdict]int{},
+	w := &world{t: t, r: r, seed: seed, Schedule: stand.Schedule{Now: noon}, cut: map[[2]int]bool{}, keys: map[idempotency.Key]*truth{}, verdicts: map[idempotency.Decision]int{},
 		askedAt: map[uint64]time.Duration{}, answered: map[uint64]bool{}}
 	w.loss, w.wrong = []float64{0, 0, 0.02, 0.1}[r.IntN(4)], []float64{0, 0.02, 0.3}[r.IntN(3)]
 	w.disk = []time.Duration{4 * time.Millisecond, 60 * time.Millisecond}[r.IntN(2)]
@@ -642,7 +642,7 @@
 	for w.Now < noon+span && w.bad == "" && w.Next(math.MaxInt64) {
 	}
 	for _, x := range w.boxes {
-		w.found += x.b.Stats().Found
+		w.found += x.b.Stats().FoundAtProcessor
 	}
 	if bad, ok := stand.Linear(w.history); !ok {
 		w.broken("no order explains %x", bad)
@@ -664,7 +664,7 @@
 
 // TestClusters: whatever fails, no key runs twice, and who is answered is answered alike.
 func TestClusters(t *testing.T) {
-	verdicts, runs, asked, replayed, found := map[idempotency.Verdict]int{}, 0, 0, 0, int64(0)
+	verdicts, runs, asked, replayed, found := map[idempotency.Decision]int{}, 0, 0, 0, int64(0)
 	for seed := range uint64(*schedules) {
 		w := simulate(t, seed, 1200*time.Millisecond, usual)
 		w.sound(t)
@@ -683,7 +683,7 @@
 	if found == 0 || replayed == 0 {
 		t.Error("no end was told by a processor, or no replayable req joined")
 	}
-	for _, v := range []idempotency.Verdict{idempotency.Done, idempotency.Repeat, idempotency.InDoubt, Taken, Undecided} {
+	for _, v := range []idempotency.Decision{idempotency.Completed, idempotency.Replay, idempotency.OutcomeUnknown, TakenOver, NoQuorum} {
 		if verdicts[v] == 0 {
 			t.Errorf("verdict %d was never met", v)
 		}
@@ -776,9 +776,9 @@
 			cut := func(x, y *box, on bool) {
 				w.cut[[2]int{x.n, y.n}], w.cut[[2]int{y.n, x.n}] = on, on
 			}
-			holder.on(0, func() { holder.b.Ask(w.Now, key, 0, 1, Work{Handler: "file-claim", Left: int64(2 * time.Second)}) })
+			holder.on(0, func() { holder.b.Claim(w.Now, key, 0, 1, Work{Handler: "file-claim", Left: int64(2 * time.Second)}) })
 			holder.ids[1] = key
-			right.b.cfg.Promise = false // it leaves the taking over to the left one
+			right.b.cfg.ResumeUnclaimed = false // it leaves the taking over to the left one
 			var apart func()
 			apart = func() { // all have granted it, and it has not begun
 				if c := holder.b.claims[key]; c == nil || c.stage != holding {
--- a/idempotency/keep.go
+++ b/idempotency/keep.go
@@ -22,14 +22,14 @@
 
 // Config bounds what is remembered.
 type Config struct {
-	Entries      int           // keys with their results; the oldest that have ended age first
-	Bytes        int           // of all results
-	ResultMost   int           // bytes of one result; a longer one is not kept
-	Lifetime     time.Duration // of a result after its end
-	Horizon      time.Duration // callers repeat a req for so long after they first made it, at most
-	Segments     int           // at a time; with all in use and none past the horizon nothing is begun
-	Prints       int           // keys of a segment
-	SegmentBytes int           // of a segment's records
+	MaxEntries     int           // keys with their results; the oldest that have ended age first
+	MaxBytes       int           // of all results
+	MaxResultBytes int           // bytes of one result; a longer one is not kept
+	ResultTTL      time.Duration // of a result after its end
+	RetryHorizon   time.Duration // callers repeat a req for so long after they first made it, at most
+	MaxSegments    int           // at a time; with all in use and none past the horizon nothing is begun
+	KeysPerSegment int           // keys of a segment
+	SegmentBytes   int           // of a segment's records
 }
 
 const (
@@ -39,71 +39,71 @@
 	recordBytes = 40   // of a record beside its result: what counts against SegmentBytes
 )
 
-// Kind is what a Write says.
-type Kind uint8
+// EntryKind is what a Write says.
+type EntryKind uint8
 
 // The kinds. The numbers stand in files.
 const (
-	Intent   Kind = 1  // it may be begun from now on
-	Result   Kind = 2  // it ran, and this is its answer
-	Failed   Kind = 3  // it ran or may have, and failed
-	Never    Kind = 4  // it is proved never to have run: a repeat is fresh
-	Long     Kind = 5  // it ran, and its answer is too long to be kept
-	Open     Kind = 6  // a segment begins
-	Life     Kind = 7  // a process begins
-	Accepted Kind = 8  // an operator answers for it that all from before is known
-	Drop     Kind = 9  // the prints of a segment may go
-	Gap      Kind = 11 // more was there than the disk had: what was made before that can't be proved fresh
-	Retire   Kind = 10 // all keys of a segment have aged: its prints take its place; no record
+	EntryIntent          EntryKind = 1  // it may be begun from now on
+	EntryResult          EntryKind = 2  // it ran, and this is its answer
+	EntryFailed          EntryKind = 3  // it ran or may have, and failed
+	EntryNeverRan        EntryKind = 4  // it is proved never to have run: a repeat is fresh
+	EntryResultTooLong   EntryKind = 5  // it ran, and its answer is too long to be kept
+	EntrySegmentOpened   EntryKind = 6  // a segment begins
+	EntryIncarnation     EntryKind = 7  // a process begins
+	EntryHistoryAccepted EntryKind = 8  // an operator answers for it that all from before is known
+	EntrySegmentDropped  EntryKind = 9  // the prints of a segment may go
+	EntryHistoryLost     EntryKind = 11 // more was there than the disk had: what was made before that can't be proved fresh
+	EntrySegmentRetired  EntryKind = 10 // all keys of a segment have aged: its prints take its place; no record
 )
 
-// Write is one thing to be put on the disk, in the order given. All but Retire are records, numbered without a gap.
-type Write struct {
-	Seq     uint64
-	Kind    Kind
-	Segment uint64 // that it stands in; Retire: that it is about
-	About   uint64 // Open: the oldest segment there is; Drop: the segment
-	Key     Key
-	At      time.Duration // since the start of 1970; never less than the one before
-	Data    []byte        // Result
-	Prints  *Prints       // Retire
+// LogEntry is one thing to be put on the disk, in the order given. All but Retire are records, numbered without a gap.
+type LogEntry struct {
+	Seq          uint64
+	Kind         EntryKind
+	Segment      uint64 // that it stands in; Retire: that it is about
+	Subject      uint64 // Open: the oldest segment there is; Drop: the segment
+	Key          Key
+	At           time.Duration // since the start of 1970; never less than the one before
+	Data         []byte        // Result
+	Fingerprints *Fingerprints // Retire
 }
 
-// Prints are what is left of a segment.
-type Prints struct {
-	Number     uint64
-	Last       uint64        // its last record's number
-	From, Till time.Duration // of its records
-	Keys       int
-	Hole       time.Duration      // what was made before can't be proved fresh, as records in it or after it are lost; 0 none
-	Accepted   bool               // an operator answered for all holes before that
-	Filter     *bloom.BloomFilter // nil if none has aged; no longer written to
+// Fingerprints are what is left of a segment.
+type Fingerprints struct {
+	Segment     uint64
+	LastSeq     uint64        // its last record's number
+	From, Until time.Duration // of its records
+	Keys        int
+	LostBefore  time.Duration      // what was made before can't be proved fresh, as records in it or after it are lost; 0 none
+	Accepted    bool               // an operator answered for all holes before that
+	Filter      *bloom.BloomFilter // nil if none has aged; no longer written to
 }
 
-// Verdict is what becomes of a req that arrives, or of those that waited.
-type Verdict uint8
+// Decision is what becomes of a req that arrives, or of those that waited.
+type Decision uint8
 
 // The verdicts.
 const (
-	Fresh     Verdict = iota + 1 // nothing of it has run: it may be taken, or (who waited) come again
-	Known                        // a req with its key is remembered: Arrive says more
-	Wait                         // its intent, or the end of its forerunner, is waited for
-	Begin                        // it may be begun: its intent is durable
-	Done                         // its own result is durable: it is answered
-	Repeat                       // answered with the first result
-	Broken                       // answered as errored: its forerunner failed
-	InDoubt                      // answered as errored: its forerunner may have run
-	TooLate                      // answered as errored: its forerunner's result has aged out or was too long
-	Blind                        // answered as errored: nobody can tell whether it has run
-	NoRoom                       // refused, with a time to return: what must be kept can't be
-	Unguarded                    // refused: the disk has failed, nothing can be kept
+	Fresh          Decision = iota + 1 // nothing of it has run: it may be taken, or (who waited) come again
+	Duplicate                          // a req with its key is remembered: Arrive says more
+	Wait                               // its intent, or the end of its forerunner, is waited for
+	Start                              // it may be begun: its intent is durable
+	Completed                          // its own result is durable: it is answered
+	Replay                             // answered with the first result
+	OriginalFailed                     // answered as errored: its forerunner failed
+	OutcomeUnknown                     // answered as errored: its forerunner may have run
+	ResultExpired                      // answered as errored: its forerunner's result has aged out or was too long
+	HistoryLost                        // answered as errored: nobody can tell whether it has run
+	StoreFull                          // refused, with a time to return: what must be kept can't be
+	StoreFailed                        // refused: the disk has failed, nothing can be kept
 )
 
 // Outcome is a verdict on a req.
 type Outcome struct {
-	ID      uint64
-	Verdict Verdict
-	Result  []byte // Done, Repeat
+	ID       uint64
+	Decision Decision
+	Result   []byte // Done, Repeat
 }
 
 type state uint8
@@ -119,7 +119,7 @@
 // entry is a remembered key. Millions of them are kept, so what only those in hand need stands apart.
 type entry struct {
 	state  state
-	kind   Kind          // of its end
+	kind   EntryKind     // of its end
 	at     time.Duration // of its end, or its intent in doubt
 	result []byte
 	began  *segment // where its intent stands
@@ -137,7 +137,7 @@
 }
 
 type segment struct {
-	Prints
+	Fingerprints
 	bytes   int
 	live    int  // entries that have a record in it; one with both counts twice
 	retired bool // only the prints are left on the disk
@@ -162,24 +162,24 @@
 	blind    time.Duration // what was made before can't be proved fresh; 0 all can
 	failed   bool
 	pending  []Key // those with a record that is waited for, in its order
-	out      []Write
+	out      []LogEntry
 	aged     uint64         // keys that stood in order before its first
-	told     []Aged         // prints of other stores, for what this one has lost
+	told     []ExpiredKeys  // prints of other stores, for what this one has lost
 	proves   func(Key) bool // of a key about which something may be lost here: all of it has been told again
 	refilled bool           // so of all keys
 }
 
 // New returns an empty store. Load, Hole and Restarted bring it to what the disk has; then it takes reqs.
 func New(cfg Config) *Store {
-	cfg.Prints, cfg.Segments = max(1, cfg.Prints), max(2, cfg.Segments)
+	cfg.KeysPerSegment, cfg.MaxSegments = max(1, cfg.KeysPerSegment), max(2, cfg.MaxSegments)
 	return &Store{cfg: cfg, entries: map[Key]*entry{}, loose: map[Key]struct{}{}, of: map[Key]string{}}
 }
 
 // clock goes forward only: a clock that was set back must not make anything younger.
 func (s *Store) clock(now time.Duration) { s.now = max(s.now, now) }
 
-// Writes hands over what is to be put on the disk since the last call.
-func (s *Store) Writes() []Write {
+// TakeEntries hands over what is to be put on the disk since the last call.
+func (s *Store) TakeEntries() []LogEntry {
 	out := s.out
 	s.out = nil
 	return out
@@ -187,84 +187,84 @@
 
 // Stats tell what is kept.
 type Stats struct {
-	Life     uint64        `json:"life"`
-	Keys     int           `json:"keys"`     // with more than a print
-	InDoubt  int           `json:"in_doubt"` // of them those whose end is not known
-	InHand   int           `json:"in_hand"`  // and those that wait for the disk or run
-	Bytes    int           `json:"bytes"`    // of results
-	Prints   int           `json:"prints"`   // keys of which only a print is left, in retired segments
-	Segments int           `json:"segments"`
-	Since    time.Duration `json:"since"` // of the oldest segment, since 1970
-	Blind    time.Duration `json:"blind"` // what was made before that can't be proved fresh; 0 all can
-	Failed   bool          `json:"failed"`
+	Incarnation    uint64        `json:"life"`
+	Keys           int           `json:"keys"`     // with more than a print
+	OutcomeUnknown int           `json:"in_doubt"` // of them those whose end is not known
+	InFlight       int           `json:"in_hand"`  // and those that wait for the disk or run
+	Bytes          int           `json:"bytes"`    // of results
+	Fingerprints   int           `json:"prints"`   // keys of which only a print is left, in retired segments
+	Segments       int           `json:"segments"`
+	Since          time.Duration `json:"since"` // of the oldest segment, since 1970
+	LostBefore     time.Duration `json:"blind"` // what was made before that can't be proved fresh; 0 all can
+	Failed         bool          `json:"failed"`
 }
 
 // Stats gives them.
 func (s *Store) Stats() Stats {
-	t := Stats{Life: s.life, Keys: len(s.entries), InDoubt: s.doubts, InHand: s.hands, Bytes: s.bytes, Segments: len(s.segments),
-		Blind: s.blind, Failed: s.failed}
+	t := Stats{Incarnation: s.life, Keys: len(s.entries), OutcomeUnknown: s.doubts, InFlight: s.hands, Bytes: s.bytes, Segments: len(s.segments),
+		LostBefore: s.blind, Failed: s.failed}
 	for i, g := range s.segments {
 		if i == 0 {
 			t.Since = g.From
 		}
 		if g.retired {
-			t.Prints += g.Keys
+			t.Fingerprints += g.Keys
 		}
 	}
 	return t
 }
 
 // write puts a record into the open segment.
-func (s *Store) write(w Write) (*segment, uint64) {
+func (s *Store) write(w LogEntry) (*segment, uint64) {
 	g := s.segments[len(s.segments)-1]
 	s.seq++
-	w.Seq, w.At, w.Segment, g.Last = s.seq, s.now, g.Number, s.seq
+	w.Seq, w.At, w.Segment, g.LastSeq = s.seq, s.now, g.Segment, s.seq
 	s.out = append(s.out, w)
 	return g, s.seq
 }
 
 // record puts one about a key into the open segment, and counts it there.
-func (s *Store) record(kind Kind, key Key, data []byte) (*segment, uint64) {
+func (s *Store) record(kind EntryKind, key Key, data []byte) (*segment, uint64) {
 	s.segments[len(s.segments)-1].add(kind, s.now, len(data))
-	return s.write(Write{Kind: kind, Key: key, Data: data})
+	return s.write(LogEntry{Kind: kind, Key: key, Data: data})
 }
 
-func (g *segment) add(kind Kind, at time.Duration, data int) {
+func (g *segment) add(kind EntryKind, at time.Duration, data int) {
 	g.bytes += recordBytes + data
-	g.Till = max(g.Till, at)
-	if kind == Intent {
+	g.Until = max(g.Until, at)
+	if kind == EntryIntent {
 		g.Keys++
 	}
 }
 
 // room makes sure that an intent can be kept: a place among the entries, and a segment that takes it.
 func (s *Store) room() bool {
-	if len(s.entries) >= s.cfg.Entries && !s.ageOldest() {
+	if len(s.entries) >= s.cfg.MaxEntries && !s.ageOldest() {
 		return false
 	}
 	if n := len(s.segments); n > 0 {
-		if g := s.segments[n-1]; !g.retired && g.Keys < s.cfg.Prints && g.bytes < s.cfg.SegmentBytes && s.now-g.From < s.cfg.Horizon/spans {
+		if g := s.segments[n-1]; !g.retired && g.Keys < s.cfg.KeysPerSegment && g.bytes < s.cfg.SegmentBytes && s.now-g.From < s.cfg.RetryHorizon/spans {
 			return true
 		}
 	}
 	s.retire()
-	return len(s.segments) < s.cfg.Segments && s.open(0)
+	return len(s.segments) < s.cfg.MaxSegments && s.open(0)
 }
 
 func (s *Store) open(after uint64) bool {
 	if n := len(s.segments); n > 0 {
-		after = max(after, s.segments[n-1].Number)
+		after = max(after, s.segments[n-1].Segment)
 	}
 	number := after + 1
-	s.segments = append(s.segments, &segment{Prints: Prints{Number: number, From: s.now, Till: s.now}})
-	s.write(Write{Kind: Open, About: s.segments[0].Number})
+	s.segments = append(s.segments, &segment{Fingerprints: Fingerprints{Segment: number, From: s.now, Until: s.now}})
+	s.write(LogEntry{Kind: EntrySegmentOpened, Subject: s.segments[0].Segment})
 	return true
 }
 
 // retire ages what has ended long ago, replaces segments by their prints, and drops those that are past the horizon; both from
 // the front. The open one stays.
 func (s *Store) retire() {
-	for s.oldest() != nil && s.now-s.oldest().at >= s.cfg.Lifetime && s.ageOldest() {
+	for s.oldest() != nil && s.now-s.oldest().at >= s.cfg.ResultTTL && s.ageOldest() {
 	}
 	if s.failed {
 		return
@@ -277,10 +277,10 @@
 			break
 		}
 		g.retired = true
-		s.out = append(s.out, Write{Kind: Retire, Segment: g.Number, At: s.now, Prints: &g.Prints})
+		s.out = append(s.out, LogEntry{Kind: EntrySegmentRetired, Segment: g.Segment, At: s.now, Fingerprints: &g.Fingerprints})
 	}
-	for len(s.segments) > 1 && s.segments[0].retired && s.now-s.segments[0].Till > s.cfg.Horizon {
-		s.write(Write{Kind: Drop, About: s.segments[0].Number})
+	for len(s.segments) > 1 && s.segments[0].retired && s.now-s.segments[0].Until > s.cfg.RetryHorizon {
+		s.write(LogEntry{Kind: EntrySegmentDropped, Subject: s.segments[0].Segment})
 		s.segments = s.segments[1:]
 	}
 }
@@ -292,64 +292,64 @@
 	return g.Filter
 }
 
-// Look says what will become of a req with that key when it is taken: Fresh, Known, or why it is not. made is when its caller
+// Peek says what will become of a req with that key when it is taken: Fresh, Known, or why it is not. made is when its caller
 // first made it; 0 if that is not told: then it may be as old as the horizon.
-func (s *Store) Look(now, made time.Duration, key Key) Verdict {
+func (s *Store) Peek(now, made time.Duration, key Key) Decision {
 	s.clock(now)
 	if s.entries[key] != nil {
-		return Known
+		return Duplicate
 	}
-	oldest := s.now - s.cfg.Horizon
+	oldest := s.now - s.cfg.RetryHorizon
 	switch {
-	case s.Printed(key), made > 0 && made < oldest:
-		return TooLate
+	case s.MayBeExpired(key), made > 0 && made < oldest:
+		return ResultExpired
 	case s.blind > 0 && max(made, oldest) <= s.blind && (s.proves == nil || !s.proves(key)):
-		return Blind
+		return HistoryLost
 	case s.failed:
-		return Unguarded
+		return StoreFailed
 	}
 	return Fresh
 }
 
-// Arrive takes a req of a handler that is to be begun. It waits for its intent to be durable, or for the end of another with its key, or
+// Reserve takes a req of a handler that is to be begun. It waits for its intent to be durable, or for the end of another with its key, or
 // meets what that one left. The handler stands with the intent, for those who look at what is in doubt.
-func (s *Store) Arrive(now, made time.Duration, key Key, of string, id uint64) Outcome {
-	o := Outcome{ID: id, Verdict: s.Look(now, made, key)}
-	switch o.Verdict {
+func (s *Store) Reserve(now, made time.Duration, key Key, of string, id uint64) Outcome {
+	o := Outcome{ID: id, Decision: s.Peek(now, made, key)}
+	switch o.Decision {
 	case Fresh:
 		if !s.room() {
-			o.Verdict = NoRoom
+			o.Decision = StoreFull
 			break
 		}
-		g, seq := s.record(Intent, key, []byte(of))
+		g, seq := s.record(EntryIntent, key, []byte(of))
 		g.live++
 		s.entries[key] = &entry{at: s.now, began: g, hand: &hand{seq: seq, first: id, of: of}}
 		s.hands++
 		s.pending = append(s.pending, key)
-		o.Verdict = Wait
-	case Known:
+		o.Decision = Wait
+	case Duplicate:
 		e := s.entries[key]
 		if e.hand != nil {
 			e.hand.waiting = append(e.hand.waiting, id)
-			o.Verdict = Wait
+			o.Decision = Wait
 			break
 		}
-		o.Verdict, o.Result = e.verdict(), e.result
+		o.Decision, o.Result = e.verdict(), e.result
 	}
 	return o
 }
 
-// Meet says what a req with that key would meet, and takes nothing: Fresh, Known where its forerunner is in hand, or what that one left.
-func (s *Store) Meet(now, made time.Duration, key Key) Outcome {
-	v := s.Look(now, made, key)
+// PeekOutcome says what a req with that key would meet, and takes nothing: Fresh, Known where its forerunner is in hand, or what that one left.
+func (s *Store) PeekOutcome(now, made time.Duration, key Key) Outcome {
+	v := s.Peek(now, made, key)
 	if e := s.entries[key]; e != nil && e.hand == nil {
-		return Outcome{Verdict: e.verdict(), Result: e.result}
+		return Outcome{Decision: e.verdict(), Result: e.result}
 	}
-	return Outcome{Verdict: v}
+	return Outcome{Decision: v}
 }
 
-// Doubt says that nobody will tell how the run of a key ended: it is as after a restart. Its end may still be told.
-func (s *Store) Doubt(now time.Duration, key Key) []Outcome {
+// MarkUnknown says that nobody will tell how the run of a key ended: it is as after a restart. Its end may still be told.
+func (s *Store) MarkUnknown(now time.Duration, key Key) []Outcome {
 	s.clock(now)
 	if e := s.entries[key]; e != nil && e.hand != nil && e.state == begun {
 		return s.doubt(key, e)
@@ -358,7 +358,7 @@
 }
 
 func (s *Store) doubt(key Key, e *entry) []Outcome {
-	out := e.hand.tell(nil, InDoubt, nil)
+	out := e.hand.tell(nil, OutcomeUnknown, nil)
 	if e.hand.of != "" {
 		s.of[key] = e.hand.of
 	}
@@ -369,8 +369,8 @@
 	return out
 }
 
-// Forsake says that whoever had keys in hand is no more: they are as after a restart, but for ends that are on their way to the disk.
-func (s *Store) Forsake(now time.Duration) {
+// AbandonInFlight says that whoever had keys in hand is no more: they are as after a restart, but for ends that are on their way to the disk.
+func (s *Store) AbandonInFlight(now time.Duration) {
 	s.clock(now)
 	var keys []Key
 	for key, e := range s.entries {
@@ -384,26 +384,26 @@
 	}
 }
 
-func (e *entry) verdict() Verdict {
+func (e *entry) verdict() Decision {
 	switch {
 	case e.state == doubted:
-		return InDoubt
-	case e.kind == Result:
-		return Repeat
-	case e.kind == Long:
-		return TooLate
+		return OutcomeUnknown
+	case e.kind == EntryResult:
+		return Replay
+	case e.kind == EntryResultTooLong:
+		return ResultExpired
 	}
-	return Broken
+	return OriginalFailed
 }
 
-// Printed tells whether a key is among the prints of those that have aged, here or where it was told from; now and then one is that is not.
-func (s *Store) Printed(key Key) bool {
+// MayBeExpired tells whether a key is among the prints of those that have aged, here or where it was told from; now and then one is that is not.
+func (s *Store) MayBeExpired(key Key) bool {
 	for _, g := range s.segments {
 		if g.Filter != nil && g.Filter.Test(key[:]) {
 			return true
 		}
 	}
-	return slices.ContainsFunc(s.told, func(a Aged) bool { return a.Filter.Test(key[:]) })
+	return slices.ContainsFunc(s.told, func(a ExpiredKeys) bool { return a.Filter.Test(key[:]) })
 }
 
 // Withdraw says that a req no longer waits: its caller is gone, or was answered otherwise. One that was not yet begun makes
@@ -430,7 +430,7 @@
 // never forgets a key that is proved not to have run.
 func (s *Store) never(key Key, e *entry) {
 	if !s.failed {
-		s.record(Never, key, nil)
+		s.record(EntryNeverRan, key, nil)
 	}
 	s.forget(key, e)
 }
@@ -442,38 +442,38 @@
 	delete(s.entries, key)
 }
 
-// Ended says how the run of a key ended, and what those hear that wait for it. A good one's answer leaves when its record is
+// Finish says how the run of a key ended, and what those hear that wait for it. A good one's answer leaves when its record is
 // durable (Done, from Durable); the others' at once: in doubt is what a repeat would meet without their record.
-func (s *Store) Ended(now time.Duration, key Key, kind Kind, result []byte) []Outcome {
+func (s *Store) Finish(now time.Duration, key Key, kind EntryKind, result []byte) []Outcome {
 	s.clock(now)
 	e := s.entries[key]
 	s.Resume(key, late) // if it is in doubt, it turns up after all
 	if e == nil || e.hand == nil || e.state == ending {
 		return nil
 	}
-	if kind == Never {
+	if kind == EntryNeverRan {
 		out := e.hand.tell(nil, Fresh, nil)
 		s.never(key, e)
 		return out
 	}
-	if kind == Result && len(result) > s.cfg.ResultMost {
-		kind = Long
+	if kind == EntryResult && len(result) > s.cfg.MaxResultBytes {
+		kind = EntryResultTooLong
 	}
 	e.kind, e.result = kind, nil
-	if kind == Result || kind == Long { // its first caller gets it however long it is
+	if kind == EntryResult || kind == EntryResultTooLong { // its first caller gets it however long it is
 		e.result = append([]byte(nil), result...)
 	}
 	if s.failed { // nothing more can be kept: who waits hears so, and it stays as it is for those that come
-		return s.end(key, e, kind != Failed)
+		return s.end(key, e, kind != EntryFailed)
 	}
 	data := e.result
-	if kind == Long {
+	if kind == EntryResultTooLong {
 		data = nil
 	}
 	var seq uint64
 	e.over, seq = s.record(kind, key, data)
 	e.over.live++
-	if kind == Failed {
+	if kind == EntryFailed {
 		return s.end(key, e, false)
 	}
 	e.state, e.hand.seq = ending, seq
@@ -482,7 +482,7 @@
 }
 
 // tell gives all that wait a verdict.
-func (h *hand) tell(out []Outcome, v Verdict, result []byte) []Outcome {
+func (h *hand) tell(out []Outcome, v Decision, result []byte) []Outcome {
 	for _, id := range h.waiting {
 		out = append(out, Outcome{id, v, result})
 	}
@@ -493,13 +493,13 @@
 func (s *Store) end(key Key, e *entry, done bool) (out []Outcome) {
 	h := e.hand
 	if done && h.first != 0 {
-		out = append(out, Outcome{h.first, Done, e.result})
+		out = append(out, Outcome{h.first, Completed, e.result})
 	}
 	out = h.tell(out, e.verdict(), e.result)
-	if e.kind == Long {
+	if e.kind == EntryResultTooLong {
 		e.result = nil
 		for i := range out {
-			if out[i].Verdict != Done {
+			if out[i].Decision != Completed {
 				out[i].Result = nil
 			}
 		}
@@ -519,12 +519,12 @@
 // hold counts the result of one that stands among the others, and ages the oldest while they are too many.
 func (s *Store) hold(e *entry) {
 	s.bytes += len(e.result)
-	for s.bytes > s.cfg.Bytes && s.ageOldest() {
+	for s.bytes > s.cfg.MaxBytes && s.ageOldest() {
 	}
 }
 
-// Durable says that all up to that write is on the disk, and gives what may happen now.
-func (s *Store) Durable(seq uint64) (out []Outcome) {
+// MarkDurable says that all up to that write is on the disk, and gives what may happen now.
+func (s *Store) MarkDurable(seq uint64) (out []Outcome) {
 	s.durable = max(s.durable, seq)
 	for len(s.pending) > 0 {
 		key := s.pending[0]
@@ -539,7 +539,7 @@
 		s.pending = s.pending[1:]
 		if e.state == wanted {
 			e.state = begun
-			out = append(out, Outcome{ID: e.hand.first, Verdict: Begin})
+			out = append(out, Outcome{ID: e.hand.first, Decision: Start})
 			continue
 		}
 		out = append(out, s.end(key, e, true)...)
@@ -547,12 +547,12 @@
 	return out
 }
 
-// Tidy ages what has ended long ago, and lets go of segments.
-func (s *Store) Tidy(now time.Duration) {
+// Sweep ages what has ended long ago, and lets go of segments.
+func (s *Store) Sweep(now time.Duration) {
 	s.clock(now)
 	s.retire()
-	s.told = slices.DeleteFunc(s.told, func(a Aged) bool { return s.now-a.Till > s.cfg.Horizon })
-	if s.blind > 0 && s.now-s.cfg.Horizon > s.blind {
+	s.told = slices.DeleteFunc(s.told, func(a ExpiredKeys) bool { return s.now-a.Until > s.cfg.RetryHorizon })
+	if s.blind > 0 && s.now-s.cfg.RetryHorizon > s.blind {
 		s.blind = 0
 	}
 }
@@ -592,7 +592,7 @@
 		delete(s.of, key)
 	}
 	delete(s.entries, key)
-	e.began.filter(s.cfg.Prints).Add(key[:])
+	e.began.filter(s.cfg.KeysPerSegment).Add(key[:])
 	e.began.live--
 	if e.over != nil {
 		e.over.live--
@@ -608,8 +608,8 @@
 		switch {
 		case e == nil || e.hand == nil:
 		case e.state == wanted:
-			out = append(out, Outcome{ID: e.hand.first, Verdict: Unguarded})
-			out = e.hand.tell(out, Unguarded, nil)
+			out = append(out, Outcome{ID: e.hand.first, Decision: StoreFailed})
+			out = e.hand.tell(out, StoreFailed, nil)
 			s.forget(key, e)
 		case e.state == ending:
 			out = append(out, s.end(key, e, true)...)
@@ -619,66 +619,66 @@
 	return out
 }
 
-// LoadPrints takes what an earlier life left of a segment, in its order among the others.
-func (s *Store) LoadPrints(p Prints) {
-	s.clock(p.Till)
-	s.segments = append(s.segments, &segment{Prints: p, retired: true})
+// LoadFingerprints takes what an earlier life left of a segment, in its order among the others.
+func (s *Store) LoadFingerprints(p Fingerprints) {
+	s.clock(p.Until)
+	s.segments = append(s.segments, &segment{Fingerprints: p, retired: true})
 	if p.Accepted {
 		s.blind = 0
 	}
-	s.blind = max(s.blind, p.Hole)
+	s.blind = max(s.blind, p.LostBefore)
 }
 
-// LoadLost takes a segment of which nothing can be read; Hole says how late that was.
-func (s *Store) LoadLost(number uint64) {
-	s.segments = append(s.segments, &segment{Prints: Prints{Number: number, From: s.now, Till: s.now}, retired: true, lost: true})
+// LoadLostSegment takes a segment of which nothing can be read; Hole says how late that was.
+func (s *Store) LoadLostSegment(number uint64) {
+	s.segments = append(s.segments, &segment{Fingerprints: Fingerprints{Segment: number, From: s.now, Until: s.now}, retired: true, lost: true})
 }
 
-// LostBefore takes segments that should stand before all that were loaded, and are not there; what they had ended by then.
-func (s *Store) LostBefore(from uint64, till time.Duration) {
-	first := s.segments[0].Number
+// LoadLostPrefix takes segments that should stand before all that were loaded, and are not there; what they had ended by then.
+func (s *Store) LoadLostPrefix(from uint64, till time.Duration) {
+	first := s.segments[0].Segment
 	for n := first - 1; n >= max(1, from); n-- {
-		g := &segment{Prints: Prints{Number: n, From: till, Till: till, Hole: till}, retired: true, lost: true}
+		g := &segment{Fingerprints: Fingerprints{Segment: n, From: till, Until: till, LostBefore: till}, retired: true, lost: true}
 		s.segments = append([]*segment{g}, s.segments...)
 	}
 	s.blind = max(s.blind, till)
 }
 
 // Load takes a record that was written by an earlier life, in its order; Restarted ends them.
-func (s *Store) Load(w Write) {
+func (s *Store) Load(w LogEntry) {
 	s.seq = max(s.seq, w.Seq)
 	s.clock(w.At)
-	if w.Kind == Open {
-		s.segments = append(s.segments, &segment{Prints: Prints{Number: w.Segment, Last: w.Seq, From: w.At, Till: w.At}})
+	if w.Kind == EntrySegmentOpened {
+		s.segments = append(s.segments, &segment{Fingerprints: Fingerprints{Segment: w.Segment, LastSeq: w.Seq, From: w.At, Until: w.At}})
 		return
 	}
 	if len(s.segments) == 0 {
 		return
 	}
 	g := s.segments[len(s.segments)-1]
-	g.Last = w.Seq
+	g.LastSeq = w.Seq
 	switch w.Kind {
-	case Life:
+	case EntryIncarnation:
 		s.life++
 		s.settle()
 		return
-	case Drop:
+	case EntrySegmentDropped:
 		return
-	case Accepted:
+	case EntryHistoryAccepted:
 		s.accept()
 		return
-	case Gap:
-		s.Hole(w.At)
+	case EntryHistoryLost:
+		s.AddHistoryLoss(w.At)
 		return
 	}
 	g.add(w.Kind, w.At, len(w.Data))
 	e := s.entries[w.Key]
 	switch w.Kind {
-	case Intent:
+	case EntryIntent:
 		if e != nil {
 			return // the record between was lost: what is known already is the safe side
 		}
-		if len(s.entries) >= s.cfg.Entries { // more than the bounds of now
+		if len(s.entries) >= s.cfg.MaxEntries { // more than the bounds of now
 			s.ageOldest()
 		}
 		g.live++
@@ -688,7 +688,7 @@
 			s.of[w.Key] = string(w.Data)
 		}
 		s.entries[w.Key] = &entry{state: doubted, at: w.At, began: g}
-	case Result, Long, Failed:
+	case EntryResult, EntryResultTooLong, EntryFailed:
 		if e == nil || e.state != doubted {
 			return // it had aged, or the end of one that is lost
 		}
@@ -697,11 +697,11 @@
 		delete(s.of, w.Key)
 		e.state, e.kind, e.at, e.over = ended, w.Kind, w.At, g
 		g.live++
-		if w.Kind == Result {
+		if w.Kind == EntryResult {
 			e.result = slices.Clone(w.Data)
 		}
 		s.keep(w.Key, e)
-	case Never:
+	case EntryNeverRan:
 		if e != nil && e.state == doubted {
 			s.doubts--
 			e.began.live--
@@ -712,17 +712,17 @@
 	}
 }
 
-// Hole says that records are missing or can't be read, the last of them no later than that: what was made before can't be
+// AddHistoryLoss says that records are missing or can't be read, the last of them no later than that: what was made before can't be
 // proved fresh.
-func (s *Store) Hole(till time.Duration) {
+func (s *Store) AddHistoryLoss(till time.Duration) {
 	s.blind = max(s.blind, till)
 	for i := len(s.segments) - 1; i >= 0; i-- { // it lies in the last one, or in those before it that are lost
 		g := s.segments[i]
-		g.Hole = max(g.Hole, till)
+		g.LostBefore = max(g.LostBefore, till)
 		if !g.lost {
 			break
 		}
-		g.Till = max(g.Till, till)
+		g.Until = max(g.Until, till)
 	}
 }
 
@@ -738,13 +738,13 @@
 	s.order = append(s.order, doubts...)
 }
 
-// Restarted ends loading: intents without an end are in doubt, and age like the others. A new life begins. Where records
+// FinishLoading ends loading: intents without an end are in doubt, and age like the others. A new life begins. Where records
 // that have been lost may follow the last ones, fresh has a new segment opened; it comes after that one.
-func (s *Store) Restarted(now time.Duration, fresh bool, after uint64) {
+func (s *Store) FinishLoading(now time.Duration, fresh bool, after uint64) {
 	s.clock(now)
 	s.blind = min(s.blind, s.now)
 	for _, g := range s.segments {
-		g.Hole, g.Till = min(g.Hole, s.now), min(g.Till, s.now)
+		g.LostBefore, g.Until = min(g.LostBefore, s.now), min(g.Until, s.now)
 	}
 	s.settle()
 	s.durable = s.seq
@@ -752,44 +752,44 @@
 		s.open(after)
 	}
 	s.life++
-	s.write(Write{Kind: Life})
+	s.write(LogEntry{Kind: EntryIncarnation})
 }
 
-// Older says that others know of more than this store had when this life began: what was made before now and is not remembered can't be
+// MarkOutdated says that others know of more than this store had when this life began: what was made before now and is not remembered can't be
 // proved fresh, in later lives neither.
-func (s *Store) Older(now time.Duration) {
+func (s *Store) MarkOutdated(now time.Duration) {
 	s.clock(now)
-	s.Hole(s.now)
+	s.AddHistoryLoss(s.now)
 	s.refilled = false
-	s.write(Write{Kind: Gap})
+	s.write(LogEntry{Kind: EntryHistoryLost})
 }
 
-// Raise has this life be numbered at least so. Numbers are counted by records, so it takes no more than it may write.
-func (s *Store) Raise(life uint64) bool {
+// RaiseIncarnation has this life be numbered at least so. Numbers are counted by records, so it takes no more than it may write.
+func (s *Store) RaiseIncarnation(life uint64) bool {
 	if life > s.life+raiseMost {
 		return false
 	}
 	for s.life < life {
 		s.life++
-		s.write(Write{Kind: Life})
+		s.write(LogEntry{Kind: EntryIncarnation})
 	}
 	return true
 }
 
-// Last is the number of the last record that is on the disk.
-func (s *Store) Last() uint64 { return s.durable }
+// LastSeq is the number of the last record that is on the disk.
+func (s *Store) LastSeq() uint64 { return s.durable }
 
-// Accept says that an operator answers for what can't be known: all that is not remembered is fresh again.
-func (s *Store) Accept(now time.Duration) {
+// AcceptHistory says that an operator answers for what can't be known: all that is not remembered is fresh again.
+func (s *Store) AcceptHistory(now time.Duration) {
 	s.clock(now)
 	s.accept()
-	s.write(Write{Kind: Accepted})
+	s.write(LogEntry{Kind: EntryHistoryAccepted})
 }
 
 func (s *Store) accept() {
 	s.blind = 0
 	g := s.segments[len(s.segments)-1]
-	g.Hole, g.Accepted = 0, true
+	g.LostBefore, g.Accepted = 0, true
 }
 
 // Each calls f for each key that is remembered with more than a print, in no order.
@@ -810,17 +810,17 @@
 }
 
 // String is the kind's word.
-func (k Kind) String() string {
-	words := [...]string{Intent: "intent", Result: "result", Failed: "failed", Never: "never", Long: "too long", Open: "open", Life: "life",
-		Accepted: "accepted", Drop: "drop", Retire: "retire", Gap: "gap"}
+func (k EntryKind) String() string {
+	words := [...]string{EntryIntent: "intent", EntryResult: "result", EntryFailed: "failed", EntryNeverRan: "never", EntryResultTooLong: "too long", EntrySegmentOpened: "open", EntryIncarnation: "life",
+		EntryHistoryAccepted: "accepted", EntrySegmentDropped: "drop", EntrySegmentRetired: "retire", EntryHistoryLost: "gap"}
 	if int(k) >= len(words) || words[k] == "" {
 		return "unknown"
 	}
 	return words[k]
 }
 
-// Forerunner is the req in hand that a repeat of a key would wait for, 0 if there is none.
-func (s *Store) Forerunner(key Key) uint64 {
+// Original is the req in hand that a repeat of a key would wait for, 0 if there is none.
+func (s *Store) Original(key Key) uint64 {
 	if e := s.entries[key]; e != nil && e.hand != nil {
 		return e.hand.first
 	}
--- a/idempotency/told.go
+++ b/idempotency/told.go
@@ -7,24 +7,24 @@
 	"github.com/bits-and-blooms/bloom/v3"
 )
 
-// Told is what one store tells another of a key that has ended, or may have run.
-type Told struct {
+// Record is what one store tells another of a key that has ended, or may have run.
+type Record struct {
 	Key    Key
-	Kind   Kind // of its end: Result, Failed, Long; 0 its end is not known
+	Kind   EntryKind // of its end: Result, Failed, Long; 0 its end is not known
 	Result []byte
 }
 
-// Aged are prints of keys of which nothing more is known.
-type Aged struct {
-	Number uint64 // of the segment that they stand for, in the store that tells
-	Till   time.Duration
-	Filter *bloom.BloomFilter
+// ExpiredKeys are prints of keys of which nothing more is known.
+type ExpiredKeys struct {
+	Segment uint64 // of the segment that they stand for, in the store that tells
+	Until   time.Duration
+	Filter  *bloom.BloomFilter
 }
 
-// Walk gives what is told of keys that have ended or are in doubt, in the order in which they did, from a place to another: results end the
+// Export gives what is told of keys that have ended or are in doubt, in the order in which they did, from a place to another: results end the
 // walk once they are so many bytes. next is the place to go on from; end is the one past the last there is. What ages meanwhile stands in
 // Prints, if they are asked for after the walk.
-func (s *Store) Walk(from, to uint64, bytes int, of func(Key) bool) (told []Told, next, end uint64) {
+func (s *Store) Export(from, to uint64, bytes int, of func(Key) bool) (told []Record, next, end uint64) {
 	end = s.aged + uint64(len(s.order))
 	for next = max(from, s.aged); next < min(to, end) && bytes > 0; next++ {
 		key := s.order[next-s.aged]
@@ -32,7 +32,7 @@
 		if e == nil || e.hand != nil || !of(key) {
 			continue
 		}
-		t := Told{Key: key, Kind: e.kind, Result: e.result}
+		t := Record{Key: key, Kind: e.kind, Result: e.result}
 		if e.state == doubted {
 			t.Kind = 0
 		}
@@ -42,12 +42,12 @@
 	return told, next, end
 }
 
-// Prints gives the first print of a segment after that number, of this store's own and then of those it was told; false when there is no more.
+// NextExpired gives the first print of a segment after that number, of this store's own and then of those it was told; false when there is no more.
 // Who asks for more says the place of the last: own ones are numbered from 1 on, those told from toldFrom on.
-func (s *Store) Prints(after uint64) (a Aged, place uint64, ok bool) {
+func (s *Store) NextExpired(after uint64) (a ExpiredKeys, place uint64, ok bool) {
 	for _, g := range s.segments {
-		if g.Filter != nil && g.Number > after {
-			return Aged{g.Number, g.Till, g.Filter}, g.Number, true
+		if g.Filter != nil && g.Segment > after {
+			return ExpiredKeys{g.Segment, g.Until, g.Filter}, g.Segment, true
 		}
 	}
 	at := uint64(0)
@@ -57,21 +57,21 @@
 	if at < uint64(len(s.told)) {
 		return s.told[at], toldFrom + at, true
 	}
-	return Aged{}, 0, false
+	return ExpiredKeys{}, 0, false
 }
 
 const toldFrom = 1 << 48
 
-// Learn takes what another store tells of a key of which this one knows nothing, or not how it ended. It is put on the disk like what ran
+// Merge takes what another store tells of a key of which this one knows nothing, or not how it ended. It is put on the disk like what ran
 // here, and ages from now on: later than where it ran, never earlier. It tells whether it was taken.
-func (s *Store) Learn(now time.Duration, t Told) bool {
+func (s *Store) Merge(now time.Duration, t Record) bool {
 	s.clock(now)
 	e := s.entries[t.Key]
 	switch {
 	case s.failed, e != nil && (t.Kind == 0 || e.hand != nil || e.state != doubted), e == nil && !s.room():
 		return false
 	case e == nil:
-		g, _ := s.record(Intent, t.Key, nil)
+		g, _ := s.record(EntryIntent, t.Key, nil)
 		g.live++
 		e = &entry{state: doubted, at: s.now, began: g}
 		s.entries[t.Key] = e
@@ -81,10 +81,10 @@
 	if t.Kind == 0 {
 		return true
 	}
-	if t.Kind == Result && len(t.Result) > s.cfg.ResultMost {
-		t.Kind = Long
+	if t.Kind == EntryResult && len(t.Result) > s.cfg.MaxResultBytes {
+		t.Kind = EntryResultTooLong
 	}
-	if t.Kind != Result {
+	if t.Kind != EntryResult {
 		t.Result = nil
 	}
 	e.kind, e.result = t.Kind, slices.Clone(t.Result)
@@ -110,37 +110,37 @@
 	return true
 }
 
-// LearnPrints takes another store's prints. They are not on this one's disk.
-func (s *Store) LearnPrints(a Aged) {
-	if a.Filter != nil && s.now-a.Till <= s.cfg.Horizon {
+// MergeExpired takes another store's prints. They are not on this one's disk.
+func (s *Store) MergeExpired(a ExpiredKeys) {
+	if a.Filter != nil && s.now-a.Until <= s.cfg.RetryHorizon {
 		s.told = append(s.told, a)
 	}
 }
 
-// Proves gives the store somebody who knows of which keys all that may be lost here has been told again.
-func (s *Store) Proves(f func(Key) bool) { s.proves = f }
+// SetProver gives the store somebody who knows of which keys all that may be lost here has been told again.
+func (s *Store) SetProver(f func(Key) bool) { s.proves = f }
 
-// Whole tells whether the store can answer for all that it has ever had.
-func (s *Store) Whole() bool { return (s.blind == 0 || s.refilled) && !s.failed }
+// Complete tells whether the store can answer for all that it has ever had.
+func (s *Store) Complete() bool { return (s.blind == 0 || s.refilled) && !s.failed }
 
-// Tells tells whether what the store has of a key is all that it ever had.
-func (s *Store) Tells(key Key) bool { return s.Whole() || s.proves != nil && s.proves(key) }
+// KnowsHistoryOf tells whether what the store has of a key is all that it ever had.
+func (s *Store) KnowsHistoryOf(key Key) bool { return s.Complete() || s.proves != nil && s.proves(key) }
 
-// Refilled says that all that was lost here has been told again, for all keys. It is as good as an operator's word, and stays so in later
+// MarkComplete says that all that was lost here has been told again, for all keys. It is as good as an operator's word, and stays so in later
 // lives if all that was told is on the disk; prints are not, so with any of them the next life asks anew. It tells whether it stays so.
-func (s *Store) Refilled(now time.Duration) bool {
+func (s *Store) MarkComplete(now time.Duration) bool {
 	s.refilled = true
-	if s.Tidy(now); len(s.told) > 0 || s.failed {
+	if s.Sweep(now); len(s.told) > 0 || s.failed {
 		return false
 	}
 	if s.blind > 0 {
-		s.Accept(now)
+		s.AcceptHistory(now)
 	}
 	return true
 }
 
-// InDoubt gives the keys whose end is not known, at most so many, the oldest first.
-func (s *Store) InDoubt(most int) (keys []Key) {
+// UnknownKeys gives the keys whose end is not known, at most so many, the oldest first.
+func (s *Store) UnknownKeys(most int) (keys []Key) {
 	for _, key := range s.order {
 		if e := s.entries[key]; e != nil && e.state == doubted && len(keys) < most && s.doubts > len(keys) {
 			keys = append(keys, key)
@@ -149,8 +149,8 @@
 	return keys
 }
 
-// DoubtsOf are how many keys are in doubt, by handler; "" where that is not known.
-func (s *Store) DoubtsOf() map[string]int {
+// UnknownByHandler are how many keys are in doubt, by handler; "" where that is not known.
+func (s *Store) UnknownByHandler() map[string]int {
 	out := map[string]int{}
 	for _, of := range s.of {
 		out[of]++
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -82,26 +82,26 @@
 	}
 	r := c.of.Figures()
 	for _, row := range r.Rows {
-		count(taken, row.Figures.Taken, row.Handler, row.Front)
+		count(taken, row.Figures.Received, row.Handler, row.Front)
 		gauge(open, float64(row.Figures.Open), row.Handler, row.Front)
 		for why, n := range row.Reasons {
-			count(closed, n, accounting.ReasonOf(why).Figure().String(), why, row.Handler, row.Front)
+			count(closed, n, accounting.ReasonOf(why).Category().String(), why, row.Handler, row.Front)
 		}
 	}
 	for _, x := range r.Customers {
-		count(customer, x.Figures.Taken, x.Name, "taken")
+		count(customer, x.Figures.Received, x.Name, "taken")
 		count(customer, x.Figures.Served, x.Name, "served")
-		count(customer, x.Figures.Refused, x.Name, "refused")
+		count(customer, x.Figures.Rejected, x.Name, "refused")
 		count(customer, x.Figures.Failed, x.Name, "failed")
 	}
-	count(differs, r.Differences)
+	count(differs, r.Mismatches)
 	up := 0.0
 	if c.of.FiguresRecorded() {
 		up = 1
 	}
 	gauge(recorded, up)
-	if n := len(r.Lives); n > 0 {
-		gauge(life, float64(r.Lives[n-1].Number))
+	if n := len(r.Incarnations); n > 0 {
+		gauge(life, float64(r.Incarnations[n-1].Number))
 	}
 	if s := c.of.ClusterStats(); s != nil {
 		states := map[string]int{}
@@ -111,11 +111,11 @@
 		for state, n := range states {
 			gauge(boxes, float64(n), state)
 		}
-		for part, n := range map[string]int{"holds": s.Work.Held, "waits": s.Work.Waiting, "notes": s.Work.Notes, "begun": s.Work.Begun} {
+		for part, n := range map[string]int{"holds": s.Work.Held, "waits": s.Work.Waiting, "notes": s.Work.Notes, "begun": s.Work.Running} {
 			gauge(boxReqs, float64(n), part)
 		}
-		for what, n := range map[string]int64{"taken": s.Work.Taken, "lost": s.Work.Lost, "joined": s.Work.Joined, "in-doubt": s.Work.InDoubt,
-			"found": s.Work.Found} {
+		for what, n := range map[string]int64{"taken": s.Work.TakenOver, "lost": s.Work.Lost, "joined": s.Work.Joined, "in-doubt": s.Work.OutcomeUnknown,
+			"found": s.Work.FoundAtProcessor} {
 			count(boxMet, n, what)
 		}
 	}
@@ -123,10 +123,10 @@
 	if k == nil {
 		return
 	}
-	gauge(keptKeys, float64(k.Store.Keys-k.Store.InDoubt-k.Store.InHand), "ended")
-	gauge(keptKeys, float64(k.Store.InDoubt), "in-doubt")
-	gauge(keptKeys, float64(k.Store.InHand), "in-hand")
-	gauge(keptKeys, float64(k.Store.Prints), "print")
+	gauge(keptKeys, float64(k.Store.Keys-k.Store.OutcomeUnknown-k.Store.InFlight), "ended")
+	gauge(keptKeys, float64(k.Store.OutcomeUnknown), "in-doubt")
+	gauge(keptKeys, float64(k.Store.InFlight), "in-hand")
+	gauge(keptKeys, float64(k.Store.Fingerprints), "print")
 	gauge(keptSize, float64(k.Store.Bytes))
 	protects := 1.0
 	if k.Reading || k.Broken {
