--- a/arrival/arrival.go
+++ b/arrival/arrival.go
@@ -52,11 +52,11 @@
 	return step, stall
 }
 
-// Due notes when the next turn is due at the latest.
-func (c *Clock) Due(mono time.Duration) { c.due = mono }
+// ExpectTurn notes when the next turn is due at the latest.
+func (c *Clock) ExpectTurn(mono time.Duration) { c.due = mono }
 
-// Suspect tells whether the clocks have disagreed.
-func (c *Clock) Suspect() bool { return c.suspect }
+// Diverged tells whether the clocks have disagreed.
+func (c *Clock) Diverged() bool { return c.suspect }
 
 // longest is how long a request that is read now may have lain unread, by what the node knows of itself.
 func (c *Clock) longest() time.Duration {
@@ -66,9 +66,9 @@
 	return promptly
 }
 
-// Unread is how long a request that is read in the present turn lay unread, going by its stamp, a time of day. Where the clocks have
+// QueueDelay is how long a request that is read in the present turn lay unread, going by its stamp, a time of day. Where the clocks have
 // disagreed it is its age beyond that of the youngest of late, and within what can be. Only a trusted one tells anything of the clocks.
-func (c *Clock) Unread(stamp time.Duration, trusted bool) time.Duration {
+func (c *Clock) QueueDelay(stamp time.Duration, trusted bool) time.Duration {
 	age := c.wall - stamp
 	if trusted {
 		c.note(age)
--- a/backend/ajp.go
+++ b/backend/ajp.go
@@ -10,18 +10,18 @@
 	"frosthub/internal/ajp"
 )
 
-// AJP says how front ends that speak AJP/1.3 are served. The zero value serves none.
-type AJP struct {
-	Listen string // where they connect
-	Secret string // that each req must bring; empty: none
-	Packet int    // bytes of a packet at most, with its head; ajp.PacketUsual if 0
+// AJPConfig says how front ends that speak AJP/1.3 are served. The zero value serves none.
+type AJPConfig struct {
+	Listen    string // where they connect
+	Secret    string // that each req must bring; empty: none
+	MaxPacket int    // bytes of a packet at most, with its head; ajp.PacketUsual if 0
 }
 
-func (a AJP) packet() int {
-	if a.Packet == 0 {
+func (a AJPConfig) packet() int {
+	if a.MaxPacket == 0 {
 		return ajp.PacketUsual
 	}
-	return a.Packet
+	return a.MaxPacket
 }
 
 var errShutdown = errors.New("it wants this backend to end")
--- a/backend/answer.go
+++ b/backend/answer.go
@@ -85,7 +85,7 @@
 // refusal is that of a req that the overload controller does not hear of. A process that ends tells how long to stay away from its address.
 func (f *door) refusal() *reply {
 	a := &reply{status: 503}
-	if f.b.process.Take() != lifecycle.Allowed {
+	if f.b.process.Accept() != lifecycle.Allowed {
 		a.after = f.b.awayFor
 	}
 	return a
@@ -113,7 +113,7 @@
 	e.used = f.b.now
 	e.c.Write(f.b.scratch)
 	if !keep || e.broken {
-		e.c.End(errLast)
+		e.c.CloseGracefully(errLast)
 	}
 }
 
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -44,7 +44,7 @@
 	cfg   Config
 	log   *slog.Logger
 	start time.Time // of the spans that the module is given
-	box   *conn.Inbox
+	box   *conn.Loop
 	ln    []*conn.Listener
 
 	ctl       *overload.Controller // nil until the processor is up
@@ -109,7 +109,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(cfg.Limits.Sockets) {
 		cfg.Limits.Sockets = int(files.Cur) // the process may hold fewer than it was told
 	}
-	b := &Backend{cfg: cfg, log: log, start: time.Now().Add(-startSpan), box: conn.NewInbox(),
+	b := &Backend{cfg: cfg, log: log, start: time.Now().Add(-startSpan), box: conn.NewLoop(),
 		reqs: map[uint64]*req{}, notes: map[string]*logthrottle.Limiter{}, good: true,
 		requested: make(chan func()), stopped: make(chan struct{})}
 	part, _ := cfg.Settings["backend"].(map[string]any)
@@ -144,7 +144,7 @@
 	b.cluster.init(b)
 	b.door.init(b)
 	b.link.init(b)
-	if len(cfg.NextAJP.Route.Peers) > 0 {
+	if len(cfg.AJPUpstream.Balancer.Peers) > 0 {
 		b.tier = newPeers(b)
 	} else {
 		b.tier = newTier(b)
@@ -180,19 +180,19 @@
 
 func (b *Backend) reload(cfg Config) {
 	b.count.Reloads++
-	if cfg.Control != b.cfg.Control {
-		if err := b.lease.open(cfg.Control); err != nil {
+	if cfg.ControlPlane != b.cfg.ControlPlane {
+		if err := b.lease.open(cfg.ControlPlane); err != nil {
 			b.note("control plane not reached", "why", err) // a bad address
 		}
 	}
-	b.cfg.Processor, b.cfg.NextTier, b.cfg.Control, b.cfg.Stop = cfg.Processor, cfg.NextTier, cfg.Control, cfg.Stop
+	b.cfg.Processor, b.cfg.Upstream, b.cfg.ControlPlane, b.cfg.StopTimeout = cfg.Processor, cfg.Upstream, cfg.ControlPlane, cfg.StopTimeout
 	b.link.move(cfg.Processor)
-	if len(cfg.NextAJP.Route.Peers) > 0 == (len(b.cfg.NextAJP.Route.Peers) > 0) { // else it takes a new process
-		b.cfg.NextAJP = cfg.NextAJP
+	if len(cfg.AJPUpstream.Balancer.Peers) > 0 == (len(b.cfg.AJPUpstream.Balancer.Peers) > 0) { // else it takes a new process
+		b.cfg.AJPUpstream = cfg.AJPUpstream
 		b.tier.move(&cfg)
 	}
 	b.cluster.change(cfg.Cluster)
-	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.NextTier, "control", cfg.Control)
+	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
 // Counters returns the counters, while Serve runs and after it.
@@ -216,10 +216,10 @@
 func (b *Backend) counters() Counters {
 	c := b.count
 	if b.book != nil { // Serve has begun
-		c.Reqs, c.Differs, c.Reasons = b.book.Total(), b.book.Mismatches(), reasonsOf(b.book)
+		c.Requests, c.Mismatches, c.Reasons = b.book.Total(), b.book.Mismatches(), reasonsOf(b.book)
 	}
-	c.ConnsRefused, c.Open, c.Owed, c.Broken = b.turned.Load(), b.box.Open.Load(), int64(b.owed), invariant.Broken()
-	c.Dropped = b.box.Dropped.Load()
+	c.ConnsRefused, c.Open, c.Pending, c.Broken = b.turned.Load(), b.box.Open.Load(), int64(b.owed), invariant.Broken()
+	c.Dropped = b.box.Discarded.Load()
 	return c
 }
 
@@ -227,10 +227,10 @@
 func (b *Backend) Serve(ctx context.Context) error {
 	defer close(b.stopped)
 	if b.cfg.Limits.MemoryMB > 0 {
-		b.box.Most = int(b.share(outShare))
-		b.box.InMost = int64(b.share(inShare))
+		b.box.MaxUnsent = int(b.share(outShare))
+		b.box.MaxUnread = int64(b.share(inShare))
 	}
-	b.box.LingerMost = max(1, int(lingerShare*float64(b.door.room())))
+	b.box.MaxLingering = max(1, int(lingerShare*float64(b.door.room())))
 	if ctx.Err() != nil {
 		return nil // told to leave before anything could be read
 	}
@@ -254,7 +254,7 @@
 		}
 		b.log.Info("serving AJP", "listen", at)
 	}
-	if err := b.lease.open(b.cfg.Control); err != nil {
+	if err := b.lease.open(b.cfg.ControlPlane); err != nil {
 		return err
 	}
 	defer b.lease.close()
@@ -274,7 +274,7 @@
 		}
 		t := b.clock()
 		b.next = b.now + time.Second
-		b.box.Turn()
+		b.box.Dispatch()
 		b.link.askUnverified()
 		b.lookAtTime()
 		b.decide()
@@ -293,7 +293,7 @@
 		if again := b.flush(t); again > 0 {
 			b.at(b.now + again)
 		}
-		b.stamps.Due(b.next)
+		b.stamps.ExpectTurn(b.next)
 		timer.Reset(max(0, b.next-time.Since(b.start)))
 	}
 }
--- a/backend/clientconn.go
+++ b/backend/clientconn.go
@@ -43,14 +43,14 @@
 }
 
 // idle tells whether nothing is open and nothing waits to be sent.
-func (e *edge) idle() bool { return e.p.open() == 0 && e.c.Pending() == 0 }
+func (e *edge) idle() bool { return e.p.open() == 0 && e.c.Unsent() == 0 }
 
 // busy tells whether it waits for an answer.
 func (e *edge) busy() bool { return len(e.open)+len(e.checks) > 0 }
 
 // standing is what its end has to wait for; what is unread the connection itself looks at last.
 func (e *edge) standing() lifecycle.Connection {
-	return lifecycle.Connection{Open: len(e.open) + len(e.checks), HalfRead: e.p.open() > len(e.open)+len(e.checks) || e.p.mid(),
+	return lifecycle.Connection{OpenRequests: len(e.open) + len(e.checks), HalfRead: e.p.open() > len(e.open)+len(e.checks) || e.p.mid(),
 		Broken: e.broken}
 }
 
@@ -69,10 +69,10 @@
 	e.p = speaks(e)
 	f.edges[e] = struct{}{}
 	b.count.Conns++
-	c.Most = outMost
-	c.Left = func() { f.left(e) }
-	c.Owes = func() bool { return lifecycle.End(e.standing()) != lifecycle.Allowed }
-	c.Data = func(p []byte) error {
+	c.MaxUnsent = outMost
+	c.OnSent = func() { f.left(e) }
+	c.ResponsePending = func() bool { return lifecycle.End(e.standing()) != lifecycle.Allowed }
+	c.OnData = func(p []byte) error {
 		if e.broken {
 			return nil
 		}
@@ -86,7 +86,7 @@
 		}
 		return nil
 	}
-	c.Closed = func(err error) {
+	c.OnClosed = func(err error) {
 		delete(f.edges, e)
 		f.tellEnd(e, err)
 		e.p.drop()
@@ -97,7 +97,7 @@
 			if r.at != unverified {
 				f.unanswered(r.id, err)
 			}
-			if e.c.Finished() && !e.broken {
+			if e.c.SendClosed() && !e.broken {
 				b.violated("end a connection", r, lifecycle.RequestOpen)
 			}
 			b.gone(r, overload.BrokenOff)
@@ -115,7 +115,7 @@
 
 // tellEnd logs how a connection ended where that may be asked for later: while the process ends, and where something was left.
 func (f *door) tellEnd(e *edge, why error) {
-	dropped, half := e.c.Dropped(), e.p.open()-len(e.open)-len(e.checks)
+	dropped, half := e.c.Discarded(), e.p.open()-len(e.open)-len(e.checks)
 	if f.b.process.Phase() == lifecycle.Serving && dropped == 0 && !e.busy() && len(e.out) == 0 {
 		return
 	}
@@ -139,7 +139,7 @@
 // left closes the accounts of the answers whose last byte was handed to the system.
 func (f *door) left(e *edge) {
 	n := 0
-	for n < len(e.out) && e.out[n].mark <= e.c.Sent() {
+	for n < len(e.out) && e.out[n].mark <= e.c.SentTotal() {
 		f.b.book.Sent(f.b.wall, e.out[n].ticket)
 		n++
 	}
@@ -152,7 +152,7 @@
 // owe has the account of a req follow the answer that was just written.
 func (f *door) owe(e *edge, t accounting.Ticket, id uint64, why accounting.Reason) {
 	if f.b.book.Answer(f.b.wall, t, why) {
-		e.out = append(e.out, answer{e.c.Mark(), t, id})
+		e.out = append(e.out, answer{e.c.QueuedTotal(), t, id})
 	}
 }
 
@@ -172,17 +172,17 @@
 func (f *door) cut(e *edge, why error) {
 	f.b.count.BadConns++
 	f.b.note("bad connection", "from", "edge node", "why", why)
-	if f.stopReading(e); !e.busy() && e.c.Pending() == 0 {
+	if f.stopReading(e); !e.busy() && e.c.Unsent() == 0 {
 		e.c.Abort(why)
 		return
 	}
-	e.c.End(why) // once what is open is answered
+	e.c.CloseGracefully(why) // once what is open is answered
 }
 
 // stopReading has nothing more be read of a connection.
 func (f *door) stopReading(e *edge) {
 	e.broken = true
-	e.c.Deafen()
+	e.c.DiscardInput()
 	e.p.drop()
 	f.weigh(e)
 }
@@ -205,15 +205,15 @@
 			f.bad(e, slot, keep, f.nameless(e), 0, accounting.Incomplete, errPart.Error())
 			f.weigh(e)
 		case !e.idle():
-		case e.c.Ending() && b.now-e.used >= keepFor+wholeMost: // half a message keeps it from its end
+		case e.c.Closing() && b.now-e.used >= keepFor+wholeMost: // half a message keeps it from its end
 			f.cut(e, errPart)
-		case e.c.Ending():
+		case e.c.Closing():
 		case b.now-e.used >= keepFor:
 			b.count.ConnsTrimmed++
-			e.c.End(errIdle)
+			e.c.CloseGracefully(errIdle)
 		case !e.rested && b.now-e.used >= restIdle:
 			e.rested = true
-			e.c.Rest()
+			e.c.ReleaseBuffers()
 		}
 	}
 	f.evict()
@@ -225,7 +225,7 @@
 	var idle []*edge
 	over := -f.most()
 	for e := range f.edges {
-		if !e.c.Ending() {
+		if !e.c.Closing() {
 			if over++; !e.broken && e.idle() {
 				idle = append(idle, e)
 			}
@@ -240,7 +240,7 @@
 		if !e.sent && e.p.mid() { // half a message of who never sent a whole one would keep the place for seconds
 			f.stopReading(e)
 		}
-		e.c.End(errCrowded)
+		e.c.CloseGracefully(errCrowded)
 	}
 }
 
@@ -254,7 +254,7 @@
 				f.stopReading(e)
 			}
 		}
-		e.c.End(errLeaving)
+		e.c.CloseGracefully(errLeaving)
 	}
 }
 
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -19,16 +19,16 @@
 	"frosthub/recovery"
 )
 
-// Cluster is the boxes that take each other's guarded reqs over. The zero value is a box alone.
-type Cluster struct {
-	Name    string
-	Listen  string // where the others connect
-	Members []ClusterMember
-	Former  []ClusterMember   // while the members change: the list before
-	Promise bool              // what was held goes on although nobody asks for it again
-	Wait    time.Duration     // for all that may know more than this box's disk, after a start; then most of them do; 0 as usual
-	Alone   time.Duration     // and for most of them; 0 as usual
-	Replays map[string][]Part // handlers whose reqs may run again and are taken over too, and what their keys are made of
+// ClusterConfig is the boxes that take each other's guarded reqs over. The zero value is a box alone.
+type ClusterConfig struct {
+	Name               string
+	Listen             string // where the others connect
+	Members            []ClusterMember
+	Previous           []ClusterMember      // while the members change: the list before
+	ResumeUnclaimed    bool                 // what was held goes on although nobody asks for it again
+	MajorityAfter      time.Duration        // for all that may know more than this box's disk, after a start; then most of them do; 0 as usual
+	DegradeAfter       time.Duration        // and for most of them; 0 as usual
+	ReplayableHandlers map[string][]KeyPart // handlers whose reqs may run again and are taken over too, and what their keys are made of
 }
 
 // ClusterMember is one of them, this box among them.
@@ -64,7 +64,7 @@
 	mark   uint64         // of this process
 	known  memory
 	refill refilling
-	parts  [][]Part            // by handler: replayable ones that are taken over
+	parts  [][]KeyPart         // by handler: replayable ones that are taken over
 	asked  map[string]*session // processors of lost boxes that are being asked
 
 	lists     lists               // that this box goes by
@@ -108,7 +108,7 @@
 	}
 	c.b, c.links, c.asked = b, map[string]*boxLink{}, map[string]*session{}
 	for _, h := range b.handlers {
-		parts := b.cfg.Cluster.Replays[h.name]
+		parts := b.cfg.Cluster.ReplayableHandlers[h.name]
 		if !h.replayable {
 			parts = nil // what must not run twice is guarded, or not kept at all
 		}
@@ -128,7 +128,7 @@
 	c.pending = true // until it goes by those of its file
 	c.list = membership.New(membership.Config{Name: b.cfg.Name, Incarnation: c.life, ProbeInterval: probeEvery, ProbeTimeout: probeAnd}, b.cfg.Seed, b.now)
 	c.connect()
-	c.box = failover.New(failover.Config{Name: b.cfg.Name, Incarnation: c.life, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.Promise,
+	c.box = failover.New(failover.Config{Name: b.cfg.Name, Incarnation: c.life, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
 		MaxResultBytes: int(min(b.share(noteShare), noteShare*memoryNone))}, c.store, c, b.cfg.Seed^1,
 		b.keeper.now())
 	c.box.AddFences(fences(c.known.Fences))
@@ -189,13 +189,13 @@
 		}
 		return nil
 	})
-	n.Data = b.noting("bad box", func(text []byte) error {
+	n.OnData = b.noting("bad box", func(text []byte) error {
 		if err := p.Feed(text); err != nil || from != "" || p.Held() <= helloMost {
 			return err
 		}
 		return errHello
 	})
-	n.Closed = func(error) {}
+	n.OnClosed = func(error) {}
 }
 
 // lookAtTime does what is due.
@@ -209,7 +209,7 @@
 		switch {
 		case s.c == nil:
 		case b.now >= s.by:
-			s.c.Abort(conn.ErrDone)
+			s.c.Abort(conn.ErrClosedLocally)
 		default:
 			b.at(s.by)
 		}
@@ -283,10 +283,10 @@
 			return
 		}
 		s.c, s.by = n, b.now+askWait
-		n.Most = int(min(b.share(linkShare), math.MaxInt32))
-		n.Trust(n.Most)
-		n.Closed = func(error) { delete(c.asked, p.Node) }
-		n.Data = b.noting("bad link", processor.NewParser(func(x processor.Notice) {
+		n.MaxUnsent = int(min(b.share(linkShare), math.MaxInt32))
+		n.SetInputLimit(n.MaxUnsent)
+		n.OnClosed = func(error) { delete(c.asked, p.Node) }
+		n.OnData = b.noting("bad link", processor.NewParser(func(x processor.Notice) {
 			kind := map[overload.Outcome]idempotency.EntryKind{overload.OK: idempotency.EntryResult, overload.Failed: idempotency.EntryFailed, overload.Stopped: idempotency.EntryFailed}[x.Outcome]
 			switch {
 			case x.Kind == processor.Hi:
@@ -294,7 +294,7 @@
 			case x.Kind == processor.Complete && kind != 0:
 				c.box.FinishFromProcessor(b.keeper.now(), p.Node, x.ID, kind, x.Body)
 			case x.Kind == processor.Used:
-				n.Quit(conn.ErrDone)
+				n.CloseAfterSend(conn.ErrClosedLocally)
 			}
 		}).Feed)
 		n.Write(processor.AppendHello(nil, max(p.Notice, 1))) // 0 would say that its box has started anew
@@ -330,13 +330,13 @@
 				return
 			}
 			if l.address != address {
-				n.Quit(conn.ErrDone) // it has moved meanwhile
+				n.CloseAfterSend(conn.ErrClosedLocally) // it has moved meanwhile
 				return
 			}
 			l.c = n
-			n.Most = boxOutMost
-			n.Data = func([]byte) error { return nil }
-			n.Closed = func(error) {
+			n.MaxUnsent = boxOutMost
+			n.OnData = func([]byte) error { return nil }
+			n.OnClosed = func(error) {
 				if l.c == n {
 					l.c = nil
 				}
@@ -389,7 +389,7 @@
 	if c.box == nil || r.guard == nil || r.at != held || !c.box.HandOff(c.b.keeper.now(), r.guard.key, r.id) {
 		return false
 	}
-	c.b.count.Handed++
+	c.b.count.HandedOff++
 	r.at = writing
 	c.b.keeper.writing[r] = struct{}{}
 	return true
@@ -397,29 +397,29 @@
 
 // ClusterStats tell how a box sees its cluster, and what it has to do with the others.
 type ClusterStats struct {
-	Name     string              `json:"name"`
-	Life     uint64              `json:"life"`
-	Former   int                 `json:"former"` // boxes of the list before, while the members change; 0 they don't
-	Since    string              `json:"since"`  // that all are known to go by both
-	Why      string              `json:"why"`    // it does not go by the lists of its file
-	Phase    string              `json:"phase"`  // of its way back
-	PhaseWhy string              `json:"phase_why"`
-	Missing  []string            `json:"missing"`  // while it asks: who has not answered
-	Told     []recovery.Progress `json:"told"`     // where its disk lacked something: how far each of the others has told it again
-	Doubts   int                 `json:"doubts"`   // keys whose end the others are asked about
-	InDoubt  map[string]int      `json:"in_doubt"` // keys whose end is not known, by handler; "" where that is not known
-	Unwell   int                 `json:"unwell"`   // how slow this box takes itself to be, 0 to 8
-	Members  []MemberStats       `json:"members"`
-	Work     failover.Stats      `json:"work"`
-	Reqs     []failover.Request  `json:"reqs"` // some of those that are held, waited for or noted
+	Name            string              `json:"name"`
+	Incarnation     uint64              `json:"life"`
+	Previous        int                 `json:"former"` // boxes of the list before, while the members change; 0 they don't
+	Since           string              `json:"since"`  // that all are known to go by both
+	RosterReason    string              `json:"why"`    // it does not go by the lists of its file
+	Phase           string              `json:"phase"`  // of its way back
+	PhaseReason     string              `json:"phase_why"`
+	Unanswered      []string            `json:"missing"`  // while it asks: who has not answered
+	Refill          []recovery.Progress `json:"told"`     // where its disk lacked something: how far each of the others has told it again
+	UnknownOutcomes int                 `json:"doubts"`   // keys whose end the others are asked about
+	OutcomeUnknown  map[string]int      `json:"in_doubt"` // keys whose end is not known, by handler; "" where that is not known
+	LocalHealth     int                 `json:"unwell"`   // how slow this box takes itself to be, 0 to 8
+	Members         []MemberStats       `json:"members"`
+	Failover        failover.Stats      `json:"work"`
+	Requests        []failover.Request  `json:"reqs"` // some of those that are held, waited for or noted
 }
 
 // MemberStats are what is believed of a box.
 type MemberStats struct {
-	Name  string `json:"name"`
-	Life  uint64 `json:"life"`
-	State string `json:"state"`
-	Goes  string `json:"goes"` // by which lists: as this box, beside it, apart, unknown
+	Name        string `json:"name"`
+	Incarnation uint64 `json:"life"`
+	State       string `json:"state"`
+	Roster      string `json:"goes"` // by which lists: as this box, beside it, apart, unknown
 }
 
 // ClusterStats gives them, while Serve runs and after it; nil without a cluster, or before the store is read.
@@ -430,16 +430,16 @@
 		if c.way == nil {
 			return
 		}
-		out = &ClusterStats{Name: b.cfg.Cluster.Name, Life: c.life, Former: len(c.lists.Before), Since: c.allSince(), Why: c.why,
-			Phase: c.way.Phase().String(), PhaseWhy: c.way.Reason(), Missing: c.way.Unanswered()}
+		out = &ClusterStats{Name: b.cfg.Cluster.Name, Incarnation: c.life, Previous: len(c.lists.Before), Since: c.allSince(), RosterReason: c.why,
+			Phase: c.way.Phase().String(), PhaseReason: c.way.Reason(), Unanswered: c.way.Unanswered()}
 		if c.box == nil {
 			return
 		}
-		out.InDoubt = c.store.UnknownByHandler()
-		if out.Doubts = c.refill.doubts.Remaining(); c.refill.from != nil {
-			out.Told = c.refill.from.Progress()
+		out.OutcomeUnknown = c.store.UnknownByHandler()
+		if out.UnknownOutcomes = c.refill.doubts.Remaining(); c.refill.from != nil {
+			out.Refill = c.refill.from.Progress()
 		}
-		out.Unwell, out.Work, out.Reqs = c.list.LocalHealth(), c.box.Stats(), c.box.Requests(reqsMost)
+		out.LocalHealth, out.Failover, out.Requests = c.list.LocalHealth(), c.box.Stats(), c.box.Requests(reqsMost)
 		for _, m := range c.list.Snapshot() {
 			goes := "unknown"
 			switch told := c.told[m.Name]; {
@@ -479,7 +479,7 @@
 		Size: cmp.Or(o.Work.Size, sizeTaken), ValueRank: o.Work.Rank, Delay: max(0, b.handlers[h].timeout-left)}
 	r.ticket = b.book.Open(b.wall, r.id, b.rowOf(h), accounting.FailedOver, accounting.CustomerName{})
 	b.reqs[r.id] = r
-	b.count.Taken++
+	b.count.TakenOver++
 	b.events = append(b.events, r.ev)
 }
 
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -90,8 +90,8 @@
 	}
 	s.listen = address[0]
 	cfg := s.config()
-	cfg.Keep = Keep{Dir: t.TempDir(), Handlers: map[string][]Part{"file-claim": {PartBody}}, Disk: disk}
-	cfg.Cluster = Cluster{Name: "north", Listen: address[1]}
+	cfg.Idempotency = IdempotencyConfig{Dir: t.TempDir(), Handlers: map[string][]KeyPart{"file-claim": {KeyPartBody}}, Disk: disk}
+	cfg.Cluster = ClusterConfig{Name: "north", Listen: address[1]}
 	for _, name := range []string{"n1", "n2", "n3"} {
 		cfg.Cluster.Members = append(cfg.Cluster.Members, ClusterMember{Member: failover.Member{Name: name}, Address: "127.0.0.1:1"})
 	}
@@ -153,7 +153,7 @@
 		_ = n.Close()
 	}
 	got := b.ClusterStats()
-	if got == nil || got.Members[0].State != "alive" || got.Members[1].State != "unknown" || got.Work.Notes != 1 {
+	if got == nil || got.Members[0].State != "alive" || got.Members[1].State != "unknown" || got.Failover.Notes != 1 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/backend/config.go
+++ b/backend/config.go
@@ -20,20 +20,20 @@
 
 // Config is all that a backend is told.
 type Config struct {
-	Name      string
-	Listen    string // where edge nodes connect
-	Processor string
-	Control   string // empty: no reports
-	NextTier  string // empty: the last tier
-	Seed      uint64
-	Stop      time.Duration // from the notice to leave until the process is ended
-	Limits    Limits
-	Settings  map[string]any // in the module's names
-	Figures   Figures        // of the operator, as what follows
-	AJP       AJP
-	NextAJP   NextAJP // instead of NextTier
-	Keep      Keep
-	Cluster   Cluster // needs Keep
+	Name         string
+	Listen       string // where edge nodes connect
+	Processor    string
+	ControlPlane string // empty: no reports
+	Upstream     string // empty: the last tier
+	Seed         uint64
+	StopTimeout  time.Duration // from the notice to leave until the process is ended
+	Limits       Limits
+	Settings     map[string]any   // in the module's names
+	Accounting   AccountingConfig // of the operator, as what follows
+	AJP          AJPConfig
+	AJPUpstream  AJPUpstreamConfig // instead of NextTier
+	Idempotency  IdempotencyConfig
+	Cluster      ClusterConfig // needs Keep
 }
 
 // Limits are those of the process.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.Stop = lifecycle.KillAfter(c.Stop, c.longestTimeout())
+	c.StopTimeout = lifecycle.KillAfter(c.StopTimeout, c.longestTimeout())
 	return c, nil
 }
 
@@ -107,17 +107,17 @@
 	if err != nil || v.Type() != fastjson.TypeObject {
 		return Config{}, errors.New(`field "settings" is no object`)
 	}
-	c := Config{Name: in.Name, Listen: in.Listen, Processor: in.Processor, Control: in.Control, NextTier: in.Backend,
-		Stop:     time.Duration(in.StopMS * float64(time.Millisecond)),
-		Limits:   Limits{Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets},
-		Settings: settings.Map(v)}
+	c := Config{Name: in.Name, Listen: in.Listen, Processor: in.Processor, ControlPlane: in.Control, Upstream: in.Backend,
+		StopTimeout: time.Duration(in.StopMS * float64(time.Millisecond)),
+		Limits:      Limits{Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets},
+		Settings:    settings.Map(v)}
 	if in.Seed != "" {
 		if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
 			return Config{}, errors.New(`field "seed" is no hexadecimal number`)
 		}
 	}
-	if c.Stop <= 0 {
-		c.Stop = stopMissing
+	if c.StopTimeout <= 0 {
+		c.StopTimeout = stopMissing
 	}
 	if c.Limits.Sockets == 0 {
 		c.Limits.Sockets = 1024
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -14,7 +14,7 @@
 		`"limits":{"cores":1.5,"memory_mb":192,"sockets":64},"settings":{"tickUs":1000,"later":[null]},"later":1}`
 	c, err := Parse([]byte(whole))
 	want := Config{Name: "n3", Listen: "127.0.0.1:4100", Processor: "127.0.0.1:6100", Seed: 255,
-		Stop: 3200500 * time.Microsecond, Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 64},
+		StopTimeout: 3200500 * time.Microsecond, Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 64},
 		Settings: map[string]any{"batch_every": time.Millisecond, "later": []any{nil}}}
 	if diff := cmp.Diff(want, c); diff != "" || err != nil {
 		t.Error(diff, err)
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -12,22 +12,22 @@
 
 // Counters tell what a backend has taken in, sent and answered since its start.
 type Counters struct {
-	Conns, ConnsRefused, ConnsClosed, ConnsTrimmed int64
-	Checks, BadReqs, BadConns, Unanswered          int64
-	Begun, Stopped, Ended, Asked, Taken, Handed    int64
-	Calls, CallsOK, CallsFailed                    int64
-	Links, LinksLost, Rejects, Remarks, Repeated   int64
-	Reports, Batches, Events, GaugesLate, Reloads  int64
-	Open, Owed                                     int64 // now: connections, reqs without their answer
-	Broken                                         int64 // invariants found broken
-	Violations                                     int64 // acts that a rule forbade, found at the moment of the act
-	Dropped                                        int64 // bytes of connections that were thrown away unread
-	Stalls                                         int64 // turns of the owner that came later than they were due, by stallTold or more
-	ClockSteps                                     int64 // steps of the time of day
+	Conns, ConnsRefused, ConnsClosed, ConnsTrimmed     int64
+	Checks, BadRequests, BadConns, Unanswered          int64
+	Begun, Stopped, Ended, Asked, TakenOver, HandedOff int64
+	Calls, CallsOK, CallsFailed                        int64
+	Links, LinksLost, Rejects, Remarks, Repeated       int64
+	Reports, Batches, Events, GaugesLate, Reloads      int64
+	Open, Pending                                      int64 // now: connections, reqs without their answer
+	Broken                                             int64 // invariants found broken
+	Violations                                         int64 // acts that a rule forbade, found at the moment of the act
+	Dropped                                            int64 // bytes of connections that were thrown away unread
+	Stalls                                             int64 // turns of the owner that came later than they were due, by stallTold or more
+	ClockSteps                                         int64 // steps of the time of day
 
-	Reqs    accounting.Counts // over all lives that the figures file knows, of this process without one
-	Differs int64             // figures found that do not add up
-	Reasons map[string]int64  // of the reqs that are closed, over the same lives
+	Requests   accounting.Counts // over all lives that the figures file knows, of this process without one
+	Mismatches int64             // figures found that do not add up
+	Reasons    map[string]int64  // of the reqs that are closed, over the same lives
 }
 
 // LogValue prints the counters in groups.
@@ -35,9 +35,9 @@
 	return slog.GroupValue(
 		slog.Group("conns", "taken", c.Conns, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed",
 			c.ConnsTrimmed, "bad", c.BadConns, "open", c.Open, "dropped_bytes", c.Dropped),
-		slog.Group("reqs", "taken", c.Reqs.Received, "served", c.Reqs.Served, "refused", c.Reqs.Rejected, "failed",
-			c.Reqs.Failed, "open", c.Reqs.Open, "differs", c.Differs, "owed", c.Owed, "bad", c.BadReqs, "checks", c.Checks, "unanswered", c.Unanswered),
-		slog.Group("runs", "begun", c.Begun, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated, "taken", c.Taken, "handed", c.Handed),
+		slog.Group("reqs", "taken", c.Requests.Received, "served", c.Requests.Served, "refused", c.Requests.Rejected, "failed",
+			c.Requests.Failed, "open", c.Requests.Open, "differs", c.Mismatches, "owed", c.Pending, "bad", c.BadRequests, "checks", c.Checks, "unanswered", c.Unanswered),
+		slog.Group("runs", "begun", c.Begun, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated, "taken", c.TakenOver, "handed", c.HandedOff),
 		slog.Group("calls", "asked", c.Asked, "made", c.Calls, "ok", c.CallsOK, "failed", c.CallsFailed),
 		slog.Group("link", "made", c.Links, "lost", c.LinksLost, "rejects", c.Rejects, "remarks", c.Remarks,
 			"gauges_late", c.GaugesLate),
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -123,8 +123,8 @@
 
 func (s *stage) closing() {
 	s.b.leave()
-	s.b.process.KillAt(s.b.now + lifecycle.ClosingBefore)
-	s.b.box.Post(func() { s.b.process.KillAt(s.b.now + time.Minute) })
+	s.b.process.SetKillTime(s.b.now + lifecycle.ClosingBefore)
+	s.b.box.Post(func() { s.b.process.SetKillTime(s.b.now + time.Minute) })
 }
 
 // client is one connection of an edge node whose answers are read one by one.
@@ -288,7 +288,7 @@
 			c.sends(request(2, nil)[:30])
 			s.halfRead(1)
 			s.closes()
-			s.turn(func() { s.b.process.KillAt(s.b.now + lifecycle.EndingBefore) })
+			s.turn(func() { s.b.process.SetKillTime(s.b.now + lifecycle.EndingBefore) })
 			c.wants("2"+refusedLine, "end")
 			s.over()
 		}},
@@ -329,7 +329,7 @@
 			c := s.client()
 			s.begins(c, 1)
 			s.closes()
-			s.turn(func() { s.b.process.KillAt(s.b.now + lifecycle.ExitBefore) })
+			s.turn(func() { s.b.process.SetKillTime(s.b.now + lifecycle.ExitBefore) })
 			c.wants("1" + erroredLine)
 			s.over()
 		}},
@@ -359,10 +359,10 @@
 			s.closes()
 			var before, after time.Duration
 			s.turn(func() {
-				before = s.b.process.Kill()
+				before = s.b.process.KillTime()
 				s.b.now += time.Millisecond
 				s.b.leave()
-				after = s.b.process.Kill()
+				after = s.b.process.KillTime()
 			})
 			if before != after {
 				s.t.Error("the stop moved by", after-before)
@@ -409,7 +409,7 @@
 // arrives waits until something waits for the owner, which is held.
 func (s *stage) arrives() {
 	s.t.Helper()
-	if !s.within(func() bool { return !s.b.box.Quiet() }) {
+	if !s.within(func() bool { return !s.b.box.Idle() }) {
 		s.t.Fatal("nothing arrives")
 	}
 }
@@ -662,7 +662,7 @@
 	s := crossing(t, nil)
 	address, goes := fullListener(t)
 	cfg := s.config()
-	cfg.NextTier = address
+	cfg.Upstream = address
 	s.b.Reload(cfg)
 	c := s.client()
 	s.begins(c, 1)
--- a/backend/fcgi.go
+++ b/backend/fcgi.go
@@ -51,7 +51,7 @@
 		f.takenBack(e, m.Slot)
 		x.end(m.Slot, m.Keep, fastcgi.Complete)
 	case fastcgi.Refuse:
-		b.count.BadReqs++
+		b.count.BadRequests++
 		b.note("bad req", "why", "role or number of open reqs", "status", m.Status)
 		t, why := f.nameless(e), accounting.UnsupportedRole
 		if m.Status == fastcgi.Overloaded {
--- a/backend/figures.go
+++ b/backend/figures.go
@@ -13,20 +13,20 @@
 	startPatient = 2 * time.Second  // for a disk that keeps the figures file; then the box serves without it
 )
 
-// Figures says how the accounts are kept. The zero value keeps the figures of the process in memory.
-type Figures struct {
+// AccountingConfig says how the accounts are kept. The zero value keeps the figures of the process in memory.
+type AccountingConfig struct {
 	File          string        // that outlives the process; empty: none
-	Trail         int           // ops that it holds; figures.OpsUsual if 0
-	Periods       int           // kept of the past; 0 none
-	Every         time.Duration // of a period
-	Customers     int           // told apart
+	Entries       int           // ops that it holds; figures.OpsUsual if 0
+	MaxPeriods    int           // kept of the past; 0 none
+	PeriodLength  time.Duration // of a period
+	MaxCustomers  int           // told apart
 	CustomerField string        // the header that names a customer; empty: the edge node's number does
 }
 
 // openBook makes the book of the accounts, with those of earlier lives where a file has them. Trouble with the file
 // is told, and costs the file alone.
 func (b *Backend) openBook() error {
-	cfg := accounting.Config{MaxCustomers: b.cfg.Figures.Customers, MaxPeriods: b.cfg.Figures.Periods, PeriodLength: b.cfg.Figures.Every}
+	cfg := accounting.Config{MaxCustomers: b.cfg.Accounting.MaxCustomers, MaxPeriods: b.cfg.Accounting.MaxPeriods, PeriodLength: b.cfg.Accounting.PeriodLength}
 	for _, h := range b.handlers {
 		cfg.Handlers = append(cfg.Handlers, h.name)
 	}
@@ -35,10 +35,10 @@
 		return err
 	}
 	b.clock()
-	if b.cfg.Figures.File == "" {
+	if b.cfg.Accounting.File == "" {
 		book.StartIncarnation(b.wall, 0)
 	} else {
-		b.record = statsfile.NewRecorder(b.cfg.Figures.File, b.cfg.Figures.Trail, b.log)
+		b.record = statsfile.NewRecorder(b.cfg.Accounting.File, b.cfg.Accounting.Entries, b.log)
 		book = b.record.Open(book, cfg, b.wall, startPatient)
 	}
 	b.book = book
@@ -110,8 +110,8 @@
 	}
 }
 
-// Figures gives the accounts of all reqs, while Serve runs and after it.
-func (b *Backend) Figures() accounting.Report {
+// Accounting gives the accounts of all reqs, while Serve runs and after it.
+func (b *Backend) Accounting() accounting.Report {
 	var out accounting.Report
 	b.ask(func() {
 		if b.book != nil { // Serve got that far
@@ -121,8 +121,8 @@
 	return out
 }
 
-// FiguresRecorded tells whether the figures are being recorded, or need not be.
-func (b *Backend) FiguresRecorded() bool {
+// AccountingRecorded tells whether the figures are being recorded, or need not be.
+func (b *Backend) AccountingRecorded() bool {
 	up := true
 	b.ask(func() { up = b.record == nil || b.record.Recording() })
 	return up
--- a/backend/keeper.go
+++ b/backend/keeper.go
@@ -21,25 +21,25 @@
 	"frosthub/overload"
 )
 
-// Part is one thing that goes into the key of a guarded req. Its number goes there too.
-type Part uint8
+// KeyPart is one thing that goes into the key of a guarded req. Its number goes there too.
+type KeyPart uint8
 
 // The parts.
 const (
-	PartID       Part = 1 // as it came: a further try under another id is another req
-	PartCustomer Part = 2
-	PartField    Part = 3 // Keep.KeyField, which must be there
-	PartBody     Part = 4
+	KeyPartID       KeyPart = 1 // as it came: a further try under another id is another req
+	KeyPartCustomer KeyPart = 2
+	KeyPartField    KeyPart = 3 // Keep.KeyField, which must be there
+	KeyPartBody     KeyPart = 4
 )
 
-// Keep says what must not run twice, also over restarts. The zero value keeps nothing.
-type Keep struct {
-	Dir       string             // of the store; empty: none
-	Handlers  map[string][]Part  // the guarded ones, and what their keys are made of
-	KeyField  string             // the header for PartField
-	MadeField string             // the header with the time at which a req was first made, in Unix milliseconds
-	Bounds    idempotency.Config // 0 as Defaults has it
-	Gather    time.Duration      // from one commit to the next, unless many records wait; gatherUsual if 0
+// IdempotencyConfig says what must not run twice, also over restarts. The zero value keeps nothing.
+type IdempotencyConfig struct {
+	Dir            string               // of the store; empty: none
+	Handlers       map[string][]KeyPart // the guarded ones, and what their keys are made of
+	KeyField       string               // the header for PartField
+	CreatedField   string               // the header with the time at which a req was first made, in Unix milliseconds
+	Store          idempotency.Config   // 0 as Defaults has it
+	CommitInterval time.Duration        // from one commit to the next, unless many records wait; gatherUsual if 0
 
 	Disk wal.Disk // in place of the folder, but for its lock: tests have disks that fail
 }
@@ -62,13 +62,13 @@
 	lookEach     = 4096                  // records read between looks at the clock
 )
 
-// Defaults fills in what the bounds leave open, for a box with so much memory.
-func (k *Keep) Defaults(memoryMB float64) {
+// SetDefaults fills in what the bounds leave open, for a box with so much memory.
+func (k *IdempotencyConfig) SetDefaults(memoryMB float64) {
 	memory := memoryMB * (1 << 20)
 	if memory <= 0 {
 		memory = memoryNone
 	}
-	c := &k.Bounds
+	c := &k.Store
 	set := func(v *int, usual float64) {
 		if *v == 0 {
 			*v = int(usual)
@@ -86,8 +86,8 @@
 	if c.RetryHorizon == 0 {
 		c.RetryHorizon = max(horizon, c.ResultTTL)
 	}
-	if k.Gather == 0 {
-		k.Gather = gatherUsual
+	if k.CommitInterval == 0 {
+		k.CommitInterval = gatherUsual
 	}
 }
 
@@ -106,7 +106,7 @@
 // says. All decisions are the store's.
 type keeper struct {
 	b       *Backend
-	parts   [][]Part           // by handler; nil: not guarded
+	parts   [][]KeyPart        // by handler; nil: not guarded
 	store   *idempotency.Store // nil until it is read
 	log     *wal.Log
 	lock    *os.File
@@ -116,32 +116,32 @@
 	closing chan struct{}
 	gone    chan struct{}     // closed when the reading is over
 	writing map[*req]struct{} // their runs have ended, their answers wait for the disk
-	stats   KeepStats
+	stats   IdempotencyStats
 }
 
-// KeepStats tell what the store has done for reqs, and how it is.
-type KeepStats struct {
-	Reading   bool              `json:"reading"`
-	Broken    bool              `json:"broken"` // nothing can be protected in this life
-	Store     idempotency.Stats `json:"store"`
-	Log       wal.LogStats      `json:"log"`
-	Repeated  int64             `json:"repeated"`
-	InDoubt   int64             `json:"in_doubt"`
-	Aged      int64             `json:"aged"`
-	Blind     int64             `json:"blind"`
-	Refused   int64             `json:"refused"`
-	ReadingMS int64             `json:"reading_ms"`
+// IdempotencyStats tell what the store has done for reqs, and how it is.
+type IdempotencyStats struct {
+	Loading        bool              `json:"reading"`
+	StoreFailed    bool              `json:"broken"` // nothing can be protected in this life
+	Store          idempotency.Stats `json:"store"`
+	Log            wal.LogStats      `json:"log"`
+	Replayed       int64             `json:"repeated"`
+	OutcomeUnknown int64             `json:"in_doubt"`
+	Expired        int64             `json:"aged"`
+	HistoryLost    int64             `json:"blind"`
+	Rejected       int64             `json:"refused"`
+	LoadingMS      int64             `json:"reading_ms"`
 }
 
 // init finds out what is guarded, and gives the settings with those handlers as uniqued: the module then lets their repeats join,
 // and has a run go on when its caller is gone, as its answer is for whoever repeats it.
 func (k *keeper) init(b *Backend) map[string]any {
 	k.b = b
-	cfg := &b.cfg.Keep
+	cfg := &b.cfg.Idempotency
 	if cfg.Dir == "" {
 		return b.cfg.Settings
 	}
-	cfg.Defaults(b.cfg.Limits.MemoryMB)
+	cfg.SetDefaults(b.cfg.Limits.MemoryMB)
 	settings := maps.Clone(b.cfg.Settings)
 	list, _ := settings["handlers"].([]any)
 	list = slices.Clone(list)
@@ -171,9 +171,9 @@
 	if !k.on() {
 		return
 	}
-	for name := range b.cfg.Keep.Handlers {
+	for name := range b.cfg.Idempotency.Handlers {
 		if b.handlerOf(name) < 0 {
-			b.log.Warn("keep", "dir", b.cfg.Keep.Dir, "why", "no such handler", "handler", name)
+			b.log.Warn("keep", "dir", b.cfg.Idempotency.Dir, "why", "no such handler", "handler", name)
 		}
 	}
 	b.clock()
@@ -188,8 +188,8 @@
 	}
 	go func() {
 		defer close(k.gone)
-		o := openStore(b.cfg.Name, &b.cfg.Keep, first, k.base, k.closing, func(n int) {
-			b.log.Info("keep", "dir", b.cfg.Keep.Dir, "reading", n)
+		o := openStore(b.cfg.Name, &b.cfg.Idempotency, first, k.base, k.closing, func(n int) {
+			b.log.Info("keep", "dir", b.cfg.Idempotency.Dir, "reading", n)
 		})
 		b.box.Post(func() { k.opened(o, began) })
 	}()
@@ -210,7 +210,7 @@
 var errClosing = errors.New("the process ends")
 
 // openStore reads a store; it is given up when closing is closed. first are the lists that a box of a cluster begins with, nil for one alone.
-func openStore(box string, cfg *Keep, first *lists, now time.Duration, closing chan struct{}, told func(records int)) (o openedStore) {
+func openStore(box string, cfg *IdempotencyConfig, first *lists, now time.Duration, closing chan struct{}, told func(records int)) (o openedStore) {
 	disk := cfg.Disk
 	if disk == nil {
 		disk = wal.DirDisk(cfg.Dir)
@@ -237,7 +237,7 @@
 			o.err = err
 		}
 	}()
-	o.store = idempotency.New(cfg.Bounds)
+	o.store = idempotency.New(cfg.Store)
 	n, last := 0, time.Now()
 	o.log, o.found, o.err = wal.Open(disk, box, o.store, now, func(idempotency.LogEntry) error {
 		if n++; n%lookEach != 0 {
@@ -258,7 +258,7 @@
 }
 
 func (k *keeper) opened(o openedStore, began time.Duration) {
-	b, dir := k.b, k.b.cfg.Keep.Dir
+	b, dir := k.b, k.b.cfg.Idempotency.Dir
 	k.lock = o.lock
 	if o.err != nil {
 		k.broken = true
@@ -273,7 +273,7 @@
 		b.log.Error("keep", "dir", dir, "damage", what)
 	}
 	k.store = o.store
-	k.log = wal.NewLog(o.log, b.cfg.Keep.Gather, gatherEnough, func(seq uint64, err error) {
+	k.log = wal.NewLog(o.log, b.cfg.Idempotency.CommitInterval, gatherEnough, func(seq uint64, err error) {
 		b.box.Post(func() { k.durable(seq, err) })
 	})
 	if b.cluster.on() {
@@ -281,7 +281,7 @@
 	}
 	k.hand()
 	s := k.store.Stats()
-	k.stats.ReadingMS = (b.now - began).Milliseconds()
+	k.stats.LoadingMS = (b.now - began).Milliseconds()
 	b.log.Info("keep", "dir", dir, "life", s.Incarnation, "keys", s.Keys, "in_doubt", s.OutcomeUnknown, "prints", s.Fingerprints, "segments", s.Segments,
 		"cut", o.found.TornBytes, "blind", s.LostBefore > 0, "took", b.now-began)
 }
@@ -291,7 +291,7 @@
 	box := k.b.cluster.box // nil for a box alone
 	if err != nil {
 		k.broken = true
-		k.b.log.Error("keep", "dir", k.b.cfg.Keep.Dir, "why", err, "so", "guarded reqs are refused in this life, but for repeats")
+		k.b.log.Error("keep", "dir", k.b.cfg.Idempotency.Dir, "why", err, "so", "guarded reqs are refused in this life, but for repeats")
 	}
 	switch {
 	case err == nil && box != nil:
@@ -307,7 +307,7 @@
 
 // named tells whether a req has what its key needs.
 func (k *keeper) named(a *asked) bool {
-	return !k.on() || len(a.key) > 0 || !slices.Contains(k.parts[a.r.h], PartField)
+	return !k.on() || len(a.key) > 0 || !slices.Contains(k.parts[a.r.h], KeyPartField)
 }
 
 // guards gives what a req has that must not run twice, nil if it may.
@@ -319,11 +319,11 @@
 	if parts == nil && k.b.cluster.on() {
 		parts, replay = k.b.cluster.parts[a.r.h], true
 	}
-	if parts == nil || len(a.key) == 0 && slices.Contains(parts, PartField) {
+	if parts == nil || len(a.key) == 0 && slices.Contains(parts, KeyPartField) {
 		return nil
 	}
 	h := sha256.New()
-	put := func(part Part, v []byte) {
+	put := func(part KeyPart, v []byte) {
 		var head [9]byte
 		head[0] = byte(part)
 		binary.LittleEndian.PutUint64(head[1:], uint64(len(v)))
@@ -333,13 +333,13 @@
 	put(0, []byte(k.b.handlers[a.r.h].name))
 	for _, part := range parts {
 		switch part {
-		case PartID:
+		case KeyPartID:
 			put(part, []byte(a.r.name))
-		case PartCustomer:
+		case KeyPartCustomer:
 			put(part, a.owner)
-		case PartField:
+		case KeyPartField:
 			put(part, a.key)
-		case PartBody:
+		case KeyPartBody:
 			put(part, a.r.body)
 		}
 	}
@@ -388,21 +388,21 @@
 func (k *keeper) reason(v idempotency.Decision) accounting.Reason {
 	switch v {
 	case idempotency.Replay:
-		k.stats.Repeated++
+		k.stats.Replayed++
 		return accounting.Replayed
 	case idempotency.OriginalFailed:
 		return accounting.OriginalFailed
 	case idempotency.OutcomeUnknown:
-		k.stats.InDoubt++
+		k.stats.OutcomeUnknown++
 		return accounting.OutcomeUnknown
 	case idempotency.ResultExpired:
-		k.stats.Aged++
+		k.stats.Expired++
 		return accounting.ResultExpired
 	case idempotency.HistoryLost:
-		k.stats.Blind++
+		k.stats.HistoryLost++
 		return accounting.HistoryLost
 	}
-	k.stats.Refused++
+	k.stats.Rejected++
 	switch v {
 	case idempotency.StoreFull:
 		return accounting.StoreFull
@@ -600,7 +600,7 @@
 	if k.log != nil {
 		k.hand()
 		if err := k.log.Close(patientEnd); err != nil {
-			k.b.log.Error("keep", "dir", k.b.cfg.Keep.Dir, "why", err)
+			k.b.log.Error("keep", "dir", k.b.cfg.Idempotency.Dir, "why", err)
 			return // the lock goes with the process
 		}
 	} else {
@@ -615,16 +615,16 @@
 	}
 }
 
-// KeepStats gives those of the store, while Serve runs and after it; nil without one.
-func (b *Backend) KeepStats() *KeepStats {
+// IdempotencyStats gives those of the store, while Serve runs and after it; nil without one.
+func (b *Backend) IdempotencyStats() *IdempotencyStats {
 	if !b.keeper.on() {
 		return nil
 	}
-	var out KeepStats
+	var out IdempotencyStats
 	b.ask(func() {
 		k := &b.keeper
 		out = k.stats
-		out.Reading, out.Broken = k.store == nil && !k.broken, k.broken
+		out.Loading, out.StoreFailed = k.store == nil && !k.broken, k.broken
 		if k.store != nil {
 			out.Store = k.store.Stats()
 		}
@@ -636,6 +636,6 @@
 }
 
 // String is the part's word in the operator's file.
-func (p Part) String() string {
-	return [...]string{PartID: "id", PartCustomer: "customer", PartField: "field", PartBody: "body"}[p]
+func (p KeyPart) String() string {
+	return [...]string{KeyPartID: "id", KeyPartCustomer: "customer", KeyPartField: "field", KeyPartBody: "body"}[p]
 }
--- a/backend/link.go
+++ b/backend/link.go
@@ -55,7 +55,7 @@
 	b := l.b
 	if l.moved && l.c != nil {
 		if b.now >= l.finish {
-			l.c.Abort(conn.ErrDone) // what is in hand there is in doubt from now on
+			l.c.Abort(conn.ErrClosedLocally) // what is in hand there is in doubt from now on
 			return
 		}
 		b.at(l.finish)
@@ -92,14 +92,14 @@
 	switch {
 	case address != l.address: // it has moved meanwhile
 		if err == nil {
-			c.Quit(conn.ErrDone)
+			c.CloseAfterSend(conn.ErrClosedLocally)
 		}
 	case err != nil:
 		b.note("processor not reached", "why", err)
 		l.dialLater()
 	case l.up && l.resync == 0: // the old link works: nothing is left in doubt by the change
 		l.next = c
-		c.Closed = func(error) {
+		c.OnClosed = func(error) {
 			l.next, l.quiet = nil, 0
 			l.dialLater()
 		}
@@ -128,7 +128,7 @@
 		l.moved, l.finish = true, l.b.now+linkFinish
 	}
 	if c := l.next; c != nil {
-		c.Quit(conn.ErrDone) // its end lets the old link go on
+		c.CloseAfterSend(conn.ErrClosedLocally) // its end lets the old link go on
 	}
 }
 
@@ -139,7 +139,7 @@
 	l.admitAll()
 	l.open(c)
 	if old != nil {
-		old.Quit(conn.ErrDone)
+		old.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
@@ -150,10 +150,10 @@
 	b := l.b
 	l.c, l.up = c, false
 	b.count.Links++
-	c.Most = int(min(b.share(linkShare), math.MaxInt32))
-	c.Trust(c.Most)
-	c.Data = b.noting("bad link", processor.NewParser(l.notice).Feed)
-	c.Closed = func(err error) {
+	c.MaxUnsent = int(min(b.share(linkShare), math.MaxInt32))
+	c.SetInputLimit(c.MaxUnsent)
+	c.OnData = b.noting("bad link", processor.NewParser(l.notice).Feed)
+	c.OnClosed = func(err error) {
 		if l.c != c {
 			return
 		}
--- a/backend/peers.go
+++ b/backend/peers.go
@@ -22,10 +22,10 @@
 	peerIdle  = 30 * time.Second       // without a call a connection is closed
 )
 
-// NextAJP is a next tier of several servers that speak AJP. Without peers there is none.
-type NextAJP struct {
-	Route  loadbalance.Config
-	Secret string // that each call brings; empty: none
+// AJPUpstreamConfig is a next tier of several servers that speak AJP. Without peers there is none.
+type AJPUpstreamConfig struct {
+	Balancer loadbalance.Config
+	Secret   string // that each call brings; empty: none
 }
 
 // nextTier makes calls. Which are made is the module's.
@@ -72,7 +72,7 @@
 
 func newPeers(b *Backend) *peers {
 	p := &peers{b: b, pools: map[*loadbalance.Target]*pool{}, calls: map[uint64]*call{}}
-	cfg := b.cfg.NextAJP.Route
+	cfg := b.cfg.AJPUpstream.Balancer
 	cfg.Seed = b.cfg.Seed
 	p.r = loadbalance.New(cfg)
 	return p
@@ -149,11 +149,11 @@
 		return
 	}
 	w := &peerWire{c: c, p: ajp.NewClient(b.cfg.AJP.packet()), at: at, used: b.now}
-	c.Most = wireMost
-	c.Data = b.noting("bad reply", func(text []byte) error {
+	c.MaxUnsent = wireMost
+	c.OnData = b.noting("bad reply", func(text []byte) error {
 		return w.p.Feed(text, func(a ajp.Answer) { p.answer(w, a) })
 	})
-	c.Closed = func(error) { p.closed(w) }
+	c.OnClosed = func(error) { p.closed(w) }
 	if !waits {
 		p.free(w)
 		return
@@ -196,10 +196,10 @@
 func (p *peers) send(w *peerWire) {
 	b, k := p.b, w.k
 	r := k.r
-	w.pong, w.used, w.sent = 0, b.now, w.c.Mark()
+	w.pong, w.used, w.sent = 0, b.now, w.c.QueuedTotal()
 	w.p.Waiting = true
 	left := max(1, (k.till - b.now).Milliseconds())
-	f := ajp.Forward{Path: "/invoke/" + b.handlers[r.h].name, Secret: b.cfg.NextAJP.Secret, Body: r.ask, Fields: []ajp.Field{
+	f := ajp.Forward{Path: "/invoke/" + b.handlers[r.h].name, Secret: b.cfg.AJPUpstream.Secret, Body: r.ask, Fields: []ajp.Field{
 		{Name: "X-Request-Id", Value: r.name},
 		{Name: "X-Request-Start", Value: strconv.FormatInt(b.wall.Milliseconds(), 10)},
 		{Name: "X-Timeout-Ms", Value: strconv.FormatInt(left, 10)},
@@ -286,7 +286,7 @@
 	c := w.c
 	w.c = nil
 	p.wires--
-	c.Quit(conn.ErrDone)
+	c.CloseAfterSend(conn.ErrClosedLocally)
 }
 
 // closed follows the end of a connection. A call of which no byte had left, or that waited for a CPong, never ran; of
@@ -300,7 +300,7 @@
 	p.close(w)
 	switch {
 	case k == nil:
-	case w.pong > 0 || c.Sent() <= w.sent:
+	case w.pong > 0 || c.SentTotal() <= w.sent:
 		p.elsewhere(k, loadbalance.Fault, overload.NoConnection)
 	default:
 		p.done(k, loadbalance.Fault)
@@ -339,7 +339,7 @@
 
 // move has new calls go to other peers; what is in hand may finish.
 func (p *peers) move(cfg *Config) {
-	r := cfg.NextAJP.Route
+	r := cfg.AJPUpstream.Balancer
 	r.Seed = p.b.cfg.Seed
 	p.r.Update(r)
 	for t, l := range p.pools { // each alike
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -115,10 +115,10 @@
 
 // Errors of what an operator says to a running box.
 var (
-	ErrNoCluster = errors.New("no cluster here, or its store is still being read")
-	ErrNoBox     = errors.New("no box of the cluster but this one has that name")
-	ErrAlive     = errors.New("that box seems to be alive")
-	ErrNoDoubt   = errors.New("nothing of this box's disk is in doubt")
+	ErrNoCluster      = errors.New("no cluster here, or its store is still being read")
+	ErrUnknownNode    = errors.New("no box of the cluster but this one has that name")
+	ErrNodeAlive      = errors.New("that box seems to be alive")
+	ErrNothingUnknown = errors.New("nothing of this box's disk is in doubt")
 )
 
 // Trust takes an operator's word that this box's disk is all that there is, and that what it may lack is not asked for any more, or may run twice.
@@ -130,7 +130,7 @@
 		case c.way == nil:
 			err = ErrNoCluster
 		case c.store.Complete() && c.way.Phase() != recovery.Querying:
-			err = ErrNoDoubt
+			err = ErrNothingUnknown
 		default:
 			b.log.Warn("recovery", "said", "an operator answers for the disk")
 			c.store.AcceptHistory(b.keeper.now())
@@ -152,9 +152,9 @@
 		case c.way == nil:
 			err = ErrNoCluster
 		case c.links[name] == nil:
-			err = ErrNoBox
+			err = ErrUnknownNode
 		case c.box != nil && c.Alive(name):
-			err = ErrAlive
+			err = ErrNodeAlive
 		default:
 			b.log.Warn("recovery", "said", "a box never comes back", "box", name)
 			c.known.Forget(name, b.keeper.now())
--- a/backend/request.go
+++ b/backend/request.go
@@ -22,8 +22,8 @@
 	f.b, f.edges = b, map[*edge]struct{}{}
 	f.cgi = map[string][]field{"SCRIPT_NAME": {pathField}, "QUERY_STRING": {queryField}}
 	f.http = map[string][]field{}
-	for _, x := range append(slices.Clone(fieldNames), ownField{b.cfg.Figures.CustomerField, customerField},
-		ownField{b.cfg.Keep.KeyField, keyField}, ownField{b.cfg.Keep.MadeField, madeField}) {
+	for _, x := range append(slices.Clone(fieldNames), ownField{b.cfg.Accounting.CustomerField, customerField},
+		ownField{b.cfg.Idempotency.KeyField, keyField}, ownField{b.cfg.Idempotency.CreatedField, madeField}) {
 		if x.header != "" {
 			param, lower := "HTTP_"+strings.ToUpper(strings.ReplaceAll(x.header, "-", "_")), strings.ToLower(x.header)
 			f.cgi[param] = append(f.cgi[param], x.means)
@@ -40,7 +40,7 @@
 
 // bad answers a req that can't be taken. Who goes on with such is closed: it would begin again at once.
 func (f *door) bad(e *edge, slot uint16, keep bool, t accounting.Ticket, id uint64, reason accounting.Reason, why string) {
-	f.b.count.BadReqs++
+	f.b.count.BadRequests++
 	f.b.note("bad req", "why", why)
 	e.bad++
 	status := 400
@@ -154,7 +154,7 @@
 		if a.ev.Caller = int(n); float64(a.ev.Caller) != n {
 			a.why = "a field is no number in its range"
 		}
-		if a.b.cfg.Figures.CustomerField == "" {
+		if a.b.cfg.Accounting.CustomerField == "" {
 			a.owned(v)
 		}
 	case costField:
@@ -222,8 +222,8 @@
 		f.bad(e, r.slot, r.keep, r.ticket, r.id, reason, why)
 		return
 	}
-	unread := b.stamps.Unread(time.Duration(a.started*float64(time.Millisecond)), e.known || !b.canStop)
-	refuses := b.ctl == nil || b.process.Take() != lifecycle.Allowed
+	unread := b.stamps.QueueDelay(time.Duration(a.started*float64(time.Millisecond)), e.known || !b.canStop)
+	refuses := b.ctl == nil || b.process.Accept() != lifecycle.Allowed
 	if refuses || unread > b.handlers[r.h].timeout || r.waits > 0 && unread > r.waits { // nobody waits; so old a start would tell of a standstill
 		reason = accounting.Expired
 		if refuses {
--- a/backend/return.go
+++ b/backend/return.go
@@ -55,7 +55,7 @@
 	c.life, c.goes, c.mark = store.Stats().Incarnation, c.lists.roster().Digests(), rand.Uint64()
 	c.connect()
 	c.way = recovery.New(recovery.Config{Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.wait(),
-		MajorityAfter: b.cfg.Cluster.Wait, DegradeAfter: b.cfg.Cluster.Alone}, c.mark)
+		MajorityAfter: b.cfg.Cluster.MajorityAfter, DegradeAfter: b.cfg.Cluster.DegradeAfter}, c.mark)
 	c.way.StartLoading()
 	c.way.DiskLoaded(b.now, recovery.DiskState{Incarnation: c.life, Seq: store.LastSeq(), New: c.life == 1 && !o.aside})
 	c.follow()
@@ -164,7 +164,7 @@
 	}
 	c.known.writing = true
 	text, err := json.Marshal(c.known.PeerStates)
-	dir, noted := b.cfg.Keep.Dir, fences(c.known.Fences)
+	dir, noted := b.cfg.Idempotency.Dir, fences(c.known.Fences)
 	go func() { // the disk may be slow
 		if err == nil {
 			err = wal.WriteFile(wal.DirDisk(dir), memoryName, text)
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -34,7 +34,7 @@
 }
 
 // wanted are those of the operator's file.
-func (c *Cluster) wanted() lists { return lists{Members: c.Members, Before: c.Former} }
+func (c *ClusterConfig) wanted() lists { return lists{Members: c.Members, Before: c.Previous} }
 
 func plain(list []ClusterMember) (out []failover.Member) {
 	for _, m := range list {
@@ -89,11 +89,11 @@
 }
 
 // change has the box go by the lists of another configuration as soon as it may.
-func (c *cluster) change(cfg Cluster) {
+func (c *cluster) change(cfg ClusterConfig) {
 	if !c.on() || cfg.Name != c.b.cfg.Cluster.Name {
 		return
 	}
-	c.b.cfg.Cluster.Members, c.b.cfg.Cluster.Former = cfg.Members, cfg.Former
+	c.b.cfg.Cluster.Members, c.b.cfg.Cluster.Previous = cfg.Members, cfg.Previous
 	c.pending = true
 	c.tryAt = c.b.now
 }
@@ -141,7 +141,7 @@
 
 // wait is how long after a req was read it may run or be asked for again.
 func (c *cluster) wait() time.Duration {
-	longest := c.b.cfg.Keep.Bounds.RetryHorizon
+	longest := c.b.cfg.Idempotency.Store.RetryHorizon
 	for _, h := range c.b.handlers {
 		longest = max(longest, h.timeout)
 	}
@@ -152,7 +152,7 @@
 func (c *cluster) record(l lists) {
 	b := c.b
 	c.recording = true
-	dir := b.cfg.Keep.Dir
+	dir := b.cfg.Idempotency.Dir
 	go func() { // the disk may be slow
 		err := writeLists(dir, l)
 		b.box.Post(func() {
@@ -218,7 +218,7 @@
 			c.links[m.Name] = l
 		}
 		if l.c != nil && l.address != m.Address {
-			l.c.Abort(conn.ErrDone)
+			l.c.Abort(conn.ErrClosedLocally)
 		}
 		l.address, l.processor = m.Address, m.Processor
 	}
@@ -227,7 +227,7 @@
 			continue
 		}
 		if delete(c.links, name); l.c != nil {
-			l.c.Abort(conn.ErrDone)
+			l.c.Abort(conn.ErrClosedLocally)
 		}
 		delete(c.told, name)
 	}
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -15,10 +15,10 @@
 
 // leave follows the notice to leave. A second one changes nothing.
 func (b *Backend) leave() {
-	if !b.process.Notify(b.heartbeat.Earliest(), b.grace, b.cfg.Stop) {
+	if !b.process.Notify(b.heartbeat.Earliest(), b.grace, b.cfg.StopTimeout) {
 		return
 	}
-	b.log.Info("leaving", "within", b.process.Kill()-b.now, "owed", b.owed, "heard_late_by_at_most", b.now-b.process.Notified())
+	b.log.Info("leaving", "within", b.process.KillTime()-b.now, "owed", b.owed, "heard_late_by_at_most", b.now-b.process.Notified())
 	b.tellPhase()
 	b.cluster.leave()
 	b.leaving = true
@@ -31,13 +31,13 @@
 
 // tellPhase logs how far the end of the process has come.
 func (b *Backend) tellPhase() {
-	b.log.Info("phase", "to", b.process.Phase(), "until_kill", b.process.Kill()-b.now, "owed", b.owed, "connections", len(b.door.edges),
+	b.log.Info("phase", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.owed, "connections", len(b.door.edges),
 		"half_read_bytes", b.door.parts)
 }
 
 // workLeft is what the end of the process has to wait for.
-func (b *Backend) workLeft() lifecycle.Work {
-	return lifecycle.Work{Owed: b.owed, Connections: len(b.door.edges), Accepting: !b.listenersClosed(), Unhandled: !b.box.Quiet(),
+func (b *Backend) workLeft() lifecycle.PendingWork {
+	return lifecycle.PendingWork{Unanswered: b.owed, Connections: len(b.door.edges), Accepting: !b.listenersClosed(), Unhandled: !b.box.Idle(),
 		Unsaved: b.keeper.on() && b.process.Phase() < lifecycle.Ending}
 }
 
--- a/backend/stand_test.go
+++ b/backend/stand_test.go
@@ -493,7 +493,7 @@
 	}
 	cfg := s.config()
 	if s.disk != nil {
-		cfg.Keep = Keep{Dir: s.t.TempDir(), Handlers: map[string][]Part{"file-claim": {PartBody}}, Gather: time.Microsecond, Disk: s.disk}
+		cfg.Idempotency = IdempotencyConfig{Dir: s.t.TempDir(), Handlers: map[string][]KeyPart{"file-claim": {KeyPartBody}}, CommitInterval: time.Microsecond, Disk: s.disk}
 	}
 	if s.ajp = s.ajp || options["ajp"] != ""; s.ajp {
 		cfg.AJP.Secret = options["secret"]
--- a/backend/tier.go
+++ b/backend/tier.go
@@ -65,7 +65,7 @@
 }
 
 func newTier(b *Backend) *tier {
-	return &tier{b: b, address: b.cfg.NextTier, safe: wireIdle, wires: map[*wire]struct{}{}, calls: map[uint64]*call{}}
+	return &tier{b: b, address: b.cfg.Upstream, safe: wireIdle, wires: map[*wire]struct{}{}, calls: map[uint64]*call{}}
 }
 
 // room is how many connections it may hold.
@@ -128,14 +128,14 @@
 	t.dialing--
 	if address != t.address { // replaced meanwhile
 		if err == nil {
-			c.Quit(conn.ErrDone)
+			c.CloseAfterSend(conn.ErrClosedLocally)
 		}
 		t.dialMore()
 		return
 	}
 	if err != nil {
 		b.note("next tier not reached", "why", err)
-		if !errors.Is(err, conn.ErrSilent) { // else its calls may wait for another dial as long as they last
+		if !errors.Is(err, conn.ErrDialTimeout) { // else its calls may wait for another dial as long as they last
 			if k := t.first(); k != nil {
 				t.end(k, overload.NoConnection)
 			}
@@ -145,9 +145,9 @@
 	}
 	w := &wire{c: c, calls: map[uint64]*call{}, used: b.now}
 	t.wires[w] = struct{}{}
-	c.Most = wireMost
-	c.Data = b.noting("bad reply", upstreamproto.NewParser(func(p upstreamproto.Reply) { t.reply(w, p) }).Feed)
-	c.Closed = func(error) { t.closed(w) }
+	c.MaxUnsent = wireMost
+	c.OnData = b.noting("bad reply", upstreamproto.NewParser(func(p upstreamproto.Reply) { t.reply(w, p) }).Feed)
+	c.OnClosed = func(error) { t.closed(w) }
 	t.free(w)
 }
 
@@ -179,7 +179,7 @@
 func (t *tier) send(w *wire, k *call) {
 	b := t.b
 	t.notIdle(w)
-	k.sent, k.idle, k.mark = b.now, b.now-w.used, w.c.Mark()
+	k.sent, k.idle, k.mark = b.now, b.now-w.used, w.c.QueuedTotal()
 	k.w, w.last, w.used = w, k.r.id, b.now
 	w.calls[k.r.id] = k
 	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], k.r.name, k.till-b.now, k.r.ask)
@@ -208,7 +208,7 @@
 	t.forget(w)
 	for _, id := range slices.Sorted(maps.Keys(w.calls)) {
 		k := w.calls[id]
-		if w.c.Sent() <= k.mark {
+		if w.c.SentTotal() <= k.mark {
 			delete(w.calls, id)
 			k.w = nil
 			t.place(k)
@@ -236,9 +236,9 @@
 func (t *tier) close(w *wire) {
 	t.forget(w)
 	if len(w.calls) > 0 {
-		w.c.Abort(conn.ErrDone)
+		w.c.Abort(conn.ErrClosedLocally)
 	} else {
-		w.c.Quit(conn.ErrDone)
+		w.c.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
@@ -309,7 +309,7 @@
 	w.c.Write(t.b.scratch)
 	if len(w.calls) == 0 {
 		t.forget(w)
-		w.c.Quit(conn.ErrDone)
+		w.c.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
@@ -318,7 +318,7 @@
 
 // move has new calls go to another address; what is in hand may finish.
 func (t *tier) move(cfg *Config) {
-	address := cfg.NextTier
+	address := cfg.Upstream
 	if address == t.address {
 		return
 	}
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -143,8 +143,8 @@
 	case "counters":
 		c := s.b.Counters()
 		s.print("counters", "taken %d = served %d + refused %d + failed %d + open %d, differs %d, owed %d, bad connections %d, "+
-			"begun %d, ended %d, repeated %d, rejects %d, remarks %d, broken %d", c.Reqs.Received, c.Reqs.Served, c.Reqs.Rejected,
-			c.Reqs.Failed, c.Reqs.Open, c.Differs, c.Owed, c.BadConns, c.Begun, c.Ended, c.Repeated, c.Rejects, c.Remarks, c.Broken)
+			"begun %d, ended %d, repeated %d, rejects %d, remarks %d, broken %d", c.Requests.Received, c.Requests.Served, c.Requests.Rejected,
+			c.Requests.Failed, c.Requests.Open, c.Mismatches, c.Pending, c.BadConns, c.Begun, c.Ended, c.Repeated, c.Rejects, c.Remarks, c.Broken)
 		s.print("counters", "%s", s.figures())
 	case "processor", "tier", "old":
 		p := map[string]*peer{"processor": s.processor, "tier": s.tier}[w[0]]
@@ -245,7 +245,7 @@
 // figures prints the reasons of closed reqs.
 func (s *stage) figures() string {
 	reasons := map[string]int64{}
-	r := s.b.Figures()
+	r := s.b.Accounting()
 	for _, row := range r.Rows {
 		for why, n := range row.Reasons {
 			reasons[why] += n
--- a/cmd/frosthub/keep_test.go
+++ b/cmd/frosthub/keep_test.go
@@ -113,7 +113,7 @@
 }
 
 // inProcess has a backend in this process keep its store on a stand-in disk.
-func inProcess(t *testing.T, p *stand.Processor, disk *stand.Disk, by backend.Part, cores int) (b *backend.Backend, address string) {
+func inProcess(t *testing.T, p *stand.Processor, disk *stand.Disk, by backend.KeyPart, cores int) (b *backend.Backend, address string) {
 	t.Helper()
 	address, err := stand.FreeAddress()
 	if err != nil {
@@ -132,7 +132,7 @@
 		if err := wal.Init(disk, cfg.Name, time.Duration(time.Now().UnixNano()), 1); err != nil {
 			t.Fatal(err)
 		}
-		cfg.Keep = backend.Keep{Dir: t.TempDir(), Handlers: map[string][]backend.Part{"file-claim": {by}}, Disk: disk}
+		cfg.Idempotency = backend.IdempotencyConfig{Dir: t.TempDir(), Handlers: map[string][]backend.KeyPart{"file-claim": {by}}, Disk: disk}
 	}
 	b = backend.New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, stop := context.WithCancel(context.Background())
@@ -185,7 +185,7 @@
 			})
 		}
 	}
-	_, address := inProcess(t, p, disk, backend.PartID, 2)
+	_, address := inProcess(t, p, disk, backend.KeyPartID, 2)
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	a := stand.NewFastCGI(address)
@@ -309,7 +309,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				var k backend.KeepStats
+				var k backend.IdempotencyStats
 				if r, err := http.Get("http://" + admin + "/keep"); err == nil {
 					_ = json.NewDecoder(r.Body).Decode(&k)
 					_ = r.Body.Close()
@@ -331,9 +331,9 @@
 						time.Sleep(5 * time.Millisecond)
 					}
 				}
-				b, address := inProcess(t, p, disk, backend.PartBody, c.cores)
+				b, address := inProcess(t, p, disk, backend.KeyPartBody, c.cores)
 				n, h := load(address, p)
-				f = figure{rate: n / 3, commits: float64(b.KeepStats().Log.Commits) / n}
+				f = figure{rate: n / 3, commits: float64(b.IdempotencyStats().Log.Commits) / n}
 				quantiles(&f, h)
 				return f
 			}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -29,16 +29,16 @@
 	pathTrust = "/recovery/trust"
 	pathGone  = "/recovery/forget"
 
-	// SaidBy is a header that what changes something must have: a page in a browser can't send it here unasked.
-	SaidBy = "Frosthub-Said-By"
+	// OperatorHeader is a header that what changes something must have: a page in a browser can't send it here unasked.
+	OperatorHeader = "Frosthub-Said-By"
 )
 
 // Source has the figures.
 type Source interface {
-	Figures() accounting.Report
-	FiguresRecorded() bool
-	KeepStats() *backend.KeepStats       // nil where nothing is kept
-	ClusterStats() *backend.ClusterStats // nil without a cluster
+	Accounting() accounting.Report
+	AccountingRecorded() bool
+	IdempotencyStats() *backend.IdempotencyStats // nil where nothing is kept
+	ClusterStats() *backend.ClusterStats         // nil without a cluster
 	Trust() error
 	Forget(box string) error
 }
@@ -80,7 +80,7 @@
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	r := c.of.Figures()
+	r := c.of.Accounting()
 	for _, row := range r.Rows {
 		count(taken, row.Figures.Received, row.Handler, row.Front)
 		gauge(open, float64(row.Figures.Open), row.Handler, row.Front)
@@ -96,7 +96,7 @@
 	}
 	count(differs, r.Mismatches)
 	up := 0.0
-	if c.of.FiguresRecorded() {
+	if c.of.AccountingRecorded() {
 		up = 1
 	}
 	gauge(recorded, up)
@@ -111,15 +111,15 @@
 		for state, n := range states {
 			gauge(boxes, float64(n), state)
 		}
-		for part, n := range map[string]int{"holds": s.Work.Held, "waits": s.Work.Waiting, "notes": s.Work.Notes, "begun": s.Work.Running} {
+		for part, n := range map[string]int{"holds": s.Failover.Held, "waits": s.Failover.Waiting, "notes": s.Failover.Notes, "begun": s.Failover.Running} {
 			gauge(boxReqs, float64(n), part)
 		}
-		for what, n := range map[string]int64{"taken": s.Work.TakenOver, "lost": s.Work.Lost, "joined": s.Work.Joined, "in-doubt": s.Work.OutcomeUnknown,
-			"found": s.Work.FoundAtProcessor} {
+		for what, n := range map[string]int64{"taken": s.Failover.TakenOver, "lost": s.Failover.Lost, "joined": s.Failover.Joined, "in-doubt": s.Failover.OutcomeUnknown,
+			"found": s.Failover.FoundAtProcessor} {
 			count(boxMet, n, what)
 		}
 	}
-	k := c.of.KeepStats()
+	k := c.of.IdempotencyStats()
 	if k == nil {
 		return
 	}
@@ -129,11 +129,11 @@
 	gauge(keptKeys, float64(k.Store.Fingerprints), "print")
 	gauge(keptSize, float64(k.Store.Bytes))
 	protects := 1.0
-	if k.Reading || k.Broken {
+	if k.Loading || k.StoreFailed {
 		protects = 0
 	}
 	gauge(keptGood, protects)
-	for word, n := range map[string]int64{"repeated": k.Repeated, "in-doubt": k.InDoubt, "aged": k.Aged, "blind": k.Blind, "refused": k.Refused} {
+	for word, n := range map[string]int64{"repeated": k.Replayed, "in-doubt": k.OutcomeUnknown, "aged": k.Expired, "blind": k.HistoryLost, "refused": k.Rejected} {
 		count(keptMet, n, word)
 	}
 	count(keptDisk, k.Log.Commits)
@@ -164,12 +164,12 @@
 			_ = json.NewEncoder(w).Encode(what())
 		})
 	}
-	asJSON(pathJSON, func() any { return of.Figures() })
+	asJSON(pathJSON, func() any { return of.Accounting() })
 	asJSON(pathBoxes, func() any { return of.ClusterStats() })
-	asJSON(pathKeep, func() any { return of.KeepStats() })
+	asJSON(pathKeep, func() any { return of.IdempotencyStats() })
 	said := func(path string, do func(r *http.Request) error) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			if r.Header.Get(SaidBy) == "" {
+			if r.Header.Get(OperatorHeader) == "" {
 				http.Error(w, "said by nobody", http.StatusForbidden)
 				return
 			}
@@ -177,7 +177,7 @@
 				http.Error(w, err.Error(), http.StatusConflict)
 				return
 			}
-			log.Warn("admin", "said", path, "by", r.Header.Get(SaidBy))
+			log.Warn("admin", "said", path, "by", r.Header.Get(OperatorHeader))
 		})
 	}
 	said(pathTrust, func(*http.Request) error { return of.Trust() })
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -60,7 +60,7 @@
 				return err
 			}
 		}
-		c.Figures, c.AJP, c.NextAJP, c.Keep, c.Cluster = op.Figures, op.AJP, op.NextAJP, op.Keep, op.Cluster
+		c.Accounting, c.AJP, c.AJPUpstream, c.Idempotency, c.Cluster = op.Accounting, op.AJP, op.AJPUpstream, op.Idempotency, op.Cluster
 		return nil
 	}
 	return backend.Main(set, func(b *backend.Backend) (func(), error) {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -213,21 +213,21 @@
 // source is a box that stands still.
 type source struct{ report accounting.Report }
 
-func (s source) Figures() accounting.Report { return s.report }
-func (s source) FiguresRecorded() bool      { return true }
+func (s source) Accounting() accounting.Report { return s.report }
+func (s source) AccountingRecorded() bool      { return true }
 func (s source) ClusterStats() *backend.ClusterStats {
-	return &backend.ClusterStats{Name: "north", Life: 2, Phase: "asking", PhaseWhy: "others are asked", Missing: []string{"n2"}, InDoubt: map[string]int{"file-claim": 3, "": 1},
-		Members: []backend.MemberStats{{Name: "n1", Life: 2, State: "alive", Goes: "as here"}, {Name: "n2", Life: 7, State: "suspected", Goes: "unknown"}}, Reqs: []failover.Request{
+	return &backend.ClusterStats{Name: "north", Incarnation: 2, Phase: "asking", PhaseReason: "others are asked", Unanswered: []string{"n2"}, OutcomeUnknown: map[string]int{"file-claim": 3, "": 1},
+		Members: []backend.MemberStats{{Name: "n1", Incarnation: 2, State: "alive", Roster: "as here"}, {Name: "n2", Incarnation: 7, State: "suspected", Roster: "unknown"}}, Requests: []failover.Request{
 			{Key: "00112233445566778899aabbccddeeff", Handler: "file-claim", Part: "notes", Step: "begun", Holder: "n2", Left: 1500 * time.Millisecond}}}
 }
-func (s source) Trust() error { return backend.ErrNoDoubt }
+func (s source) Trust() error { return backend.ErrNothingUnknown }
 func (s source) Forget(box string) error {
 	if box != "n9" {
-		return backend.ErrNoBox
+		return backend.ErrUnknownNode
 	}
 	return nil
 }
-func (s source) KeepStats() *backend.KeepStats { return nil }
+func (s source) IdempotencyStats() *backend.IdempotencyStats { return nil }
 
 // TestAdmin: what is served adds up as Prometheus reads it.
 func TestAdmin(t *testing.T) {
@@ -297,8 +297,8 @@
 	}{
 		{[]string{"forget", "n9", "--yes"}, ""},
 		{[]string{"forget", "n9"}, "nothing was done"},
-		{[]string{"forget", "n2", "--yes"}, backend.ErrNoBox.Error()},
-		{[]string{"trust", "--yes"}, backend.ErrNoDoubt.Error()},
+		{[]string{"forget", "n2", "--yes"}, backend.ErrUnknownNode.Error()},
+		{[]string{"trust", "--yes"}, backend.ErrNothingUnknown.Error()},
 	} {
 		out, _, err := run("-", append(append([]string{"recovery"}, c.args...), "--admin", address)...)
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) || !strings.Contains(out, "second time") {
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -43,7 +43,7 @@
 			printWork(out, s)
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "key\thandler\tpart\tstep\tholder\ttime left\ttaken over")
-			for _, r := range s.Reqs {
+			for _, r := range s.Requests {
 				taken := ""
 				if r.Taken {
 					taken = "yes"
@@ -57,20 +57,20 @@
 
 func recoveryCommand() *cobra.Command {
 	c := boxCommand("recovery", "Show how far a running box's way back is, and what it trusts from before", func(out io.Writer, s *backend.ClusterStats) error {
-		fmt.Fprintf(out, "%s: %s\n", s.Phase, s.PhaseWhy)
-		if len(s.Missing) > 0 {
-			fmt.Fprintf(out, "not answered yet: %s\n", strings.Join(s.Missing, ", "))
+		fmt.Fprintf(out, "%s: %s\n", s.Phase, s.PhaseReason)
+		if len(s.Unanswered) > 0 {
+			fmt.Fprintf(out, "not answered yet: %s\n", strings.Join(s.Unanswered, ", "))
 		}
-		for _, of := range slices.Sorted(maps.Keys(s.InDoubt)) {
-			fmt.Fprintf(out, "in doubt: %d of %s\n", s.InDoubt[of], cmp.Or(of, "handlers that are not known"))
+		for _, of := range slices.Sorted(maps.Keys(s.OutcomeUnknown)) {
+			fmt.Fprintf(out, "in doubt: %d of %s\n", s.OutcomeUnknown[of], cmp.Or(of, "handlers that are not known"))
 		}
-		if s.Doubts > 0 {
-			fmt.Fprintf(out, "runs whose end the others are asked about: %d\n", s.Doubts)
+		if s.UnknownOutcomes > 0 {
+			fmt.Fprintf(out, "runs whose end the others are asked about: %d\n", s.UnknownOutcomes)
 		}
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		if len(s.Told) > 0 {
+		if len(s.Refill) > 0 {
 			fmt.Fprintln(w, "told again by\tso far\tkeys\tpages")
-			for _, t := range s.Told {
+			for _, t := range s.Refill {
 				fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", t.Name, t.State, t.Keys, t.Pages)
 			}
 			fmt.Fprintln(w)
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		r.Header.Set(admin.SaidBy, cmp.Or(os.Getenv("USER"), "an operator"))
+		r.Header.Set(admin.OperatorHeader, cmp.Or(os.Getenv("USER"), "an operator"))
 		client := http.Client{Timeout: askFor}
 		got, err := client.Do(r)
 		if err != nil {
@@ -176,26 +176,26 @@
 }
 
 func printMembers(out io.Writer, s *backend.ClusterStats) error {
-	fmt.Fprintf(out, "cluster %s, life %d\n", s.Name, s.Life)
+	fmt.Fprintf(out, "cluster %s, life %d\n", s.Name, s.Incarnation)
 	switch {
-	case s.Former > 0 && s.Since == "":
-		fmt.Fprintf(out, "members change: by both lists (%d boxes before), not all others yet\n", s.Former)
-	case s.Former > 0:
-		fmt.Fprintf(out, "members change: by both lists (%d boxes before), all others since %s\n", s.Former, s.Since)
+	case s.Previous > 0 && s.Since == "":
+		fmt.Fprintf(out, "members change: by both lists (%d boxes before), not all others yet\n", s.Previous)
+	case s.Previous > 0:
+		fmt.Fprintf(out, "members change: by both lists (%d boxes before), all others since %s\n", s.Previous, s.Since)
 	}
-	if s.Why != "" {
-		fmt.Fprintf(out, "its file says otherwise: %s\n", s.Why)
+	if s.RosterReason != "" {
+		fmt.Fprintf(out, "its file says otherwise: %s\n", s.RosterReason)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "member\tlife\tstate\tlists\t")
 	for _, m := range s.Members {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t\n", m.Name, m.Life, m.State, m.Goes)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t\n", m.Name, m.Incarnation, m.State, m.Roster)
 	}
 	return w.Flush()
 }
 
 func printWork(out io.Writer, s *backend.ClusterStats) {
-	k := s.Work
+	k := s.Failover
 	fmt.Fprintf(out, "holds %d, waits for %d of others, notes %d for others (%d begun); taken over %d, lost to others %d, joined %d, in doubt %d, "+
 		"ends from lost boxes' processors %d\n", k.Held, k.Waiting, k.Notes, k.Running, k.TakenOver, k.Lost, k.Joined, k.OutcomeUnknown, k.FoundAtProcessor)
 }
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -140,16 +140,16 @@
 
 // bounds are those of the operator's file, or the usual ones.
 func bounds(conf string) (idempotency.Config, error) {
-	var k backend.Keep
+	var k backend.IdempotencyConfig
 	if conf != "" {
 		op, err := conffile.Load(conf)
 		if err != nil {
 			return idempotency.Config{}, err
 		}
-		k = op.Keep
+		k = op.Idempotency
 	}
-	k.Defaults(0)
-	return k.Bounds, nil
+	k.SetDefaults(0)
+	return k.Store, nil
 }
 
 // storeReport is what is in a store.
--- a/internal/conffile/operator.go
+++ b/internal/conffile/operator.go
@@ -18,24 +18,24 @@
 
 // Config is what the operator's file says.
 type Config struct {
-	Admin   string // where figures are served to the machine itself; empty: nowhere
-	Figures backend.Figures
-	AJP     backend.AJP
-	NextAJP backend.NextAJP
-	Keep    backend.Keep
-	Cluster backend.Cluster
+	Admin       string // where figures are served to the machine itself; empty: nowhere
+	Accounting  backend.AccountingConfig
+	AJP         backend.AJPConfig
+	AJPUpstream backend.AJPUpstreamConfig
+	Idempotency backend.IdempotencyConfig
+	Cluster     backend.ClusterConfig
 }
 
 // Error is what is wrong at a place of a file.
 type Error struct {
 	File         string
 	Line, Column int
-	What         string
+	Problem      string
 	Expected     string
 }
 
 func (e *Error) Error() string {
-	out := fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.What)
+	out := fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Problem)
 	if e.Expected != "" {
 		out += ", expected " + e.Expected
 	}
--- a/internal/conffile/operator_test.go
+++ b/internal/conffile/operator_test.go
@@ -17,16 +17,16 @@
 func TestParse(t *testing.T) {
 	got, err := Parse("x.conf", "# all\n\nadmin listen 127.0.0.1:9180\r\n  figures file \"/var/lib/a b\" # here\n"+
 		"figures trail 1024\nfigures periods 60 every 30s\nfigures customers 9\nfigures customer-field X-Customer")
-	want := Config{Admin: "127.0.0.1:9180", Figures: backend.Figures{File: "/var/lib/a b", Trail: 1024, Periods: 60,
-		Every: 30 * time.Second, Customers: 9, CustomerField: "X-Customer"}}
+	want := Config{Admin: "127.0.0.1:9180", Accounting: backend.AccountingConfig{File: "/var/lib/a b", Entries: 1024, MaxPeriods: 60,
+		PeriodLength: 30 * time.Second, MaxCustomers: 9, CustomerField: "X-Customer"}}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
 	got, err = Parse("x.conf", "keep dir /k\nkeep handler file-claim by field+body\nkeep handler other by id\nkeep key-field X-Claim\n"+
 		"keep entries 1000\nkeep lifetime 2h\nkeep horizon 48h\n")
-	want = Config{Keep: backend.Keep{Dir: "/k", KeyField: "X-Claim", Handlers: map[string][]backend.Part{
-		"file-claim": {backend.PartField, backend.PartBody}, "other": {backend.PartID}},
-		Bounds: idempotency.Config{MaxEntries: 1000, ResultTTL: 2 * time.Hour, RetryHorizon: 48 * time.Hour}}}
+	want = Config{Idempotency: backend.IdempotencyConfig{Dir: "/k", KeyField: "X-Claim", Handlers: map[string][]backend.KeyPart{
+		"file-claim": {backend.KeyPartField, backend.KeyPartBody}, "other": {backend.KeyPartID}},
+		Store: idempotency.Config{MaxEntries: 1000, ResultTTL: 2 * time.Hour, RetryHorizon: 48 * time.Hour}}}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
--- a/internal/conffile/schema.go
+++ b/internal/conffile/schema.go
@@ -71,7 +71,7 @@
 		}}}},
 	{Name: "ajp packet", Requires: "ajp listen", Help: "bytes of a packet of AJP at most, as the front ends have it",
 		Args: []Argument{{Name: "number", Kind: "a number from 8192 to 65535", Set: func(c *Config, v string) (err error) {
-			c.AJP.Packet, err = whole(v, 8192, 65535)
+			c.AJP.MaxPacket, err = whole(v, 8192, 65535)
 			return err
 		}}}},
 	{Name: "next-tier ajp", Repeatable: true, Help: "make calls to this server over AJP; one line for each",
@@ -79,12 +79,12 @@
 			if _, _, err := net.SplitHostPort(v); err != nil {
 				return errors.New("no address with a port")
 			}
-			for _, p := range c.NextAJP.Route.Peers {
+			for _, p := range c.AJPUpstream.Balancer.Peers {
 				if p.Address == v {
 					return errors.New("it is there already")
 				}
 			}
-			c.NextAJP.Route.Peers = append(c.NextAJP.Route.Peers, loadbalance.Peer{Address: v})
+			c.AJPUpstream.Balancer.Peers = append(c.AJPUpstream.Balancer.Peers, loadbalance.Peer{Address: v})
 			return nil
 		}}},
 		Options: []Argument{
@@ -107,49 +107,49 @@
 		}},
 	{Name: "next-tier secret file", Requires: "next-tier ajp", Help: "what each call brings; the file's first line",
 		Args: []Argument{{Name: "path", Kind: "a file that can be read, with one line", Set: func(c *Config, v string) (err error) {
-			c.NextAJP.Secret, err = secret(v)
+			c.AJPUpstream.Secret, err = secret(v)
 			return err
 		}}}},
 	{Name: "route eject", Requires: "next-tier ajp", Help: "faults in a row that put a peer out of service, and for how long: doubled each time",
 		Args: []Argument{
 			{Name: "number", Kind: "a number from 1 to 100", Set: func(c *Config, v string) (err error) {
-				c.NextAJP.Route.MaxConsecutiveFaults, err = whole(v, 1, 100)
+				c.AJPUpstream.Balancer.MaxConsecutiveFaults, err = whole(v, 1, 100)
 				return err
 			}},
 			{Name: "word", Word: "for"},
 			{Name: "span", Kind: "a span from 10ms to 1h", Set: func(c *Config, v string) (err error) {
-				c.NextAJP.Route.EjectionTime, err = span(v, 10*time.Millisecond, time.Hour)
+				c.AJPUpstream.Balancer.EjectionTime, err = span(v, 10*time.Millisecond, time.Hour)
 				return err
 			}},
 			{Name: "word", Word: "to"},
 			{Name: "span", Kind: "a span, not under the first", Set: func(c *Config, v string) (err error) {
-				c.NextAJP.Route.MaxEjectionTime, err = span(v, c.NextAJP.Route.EjectionTime, time.Hour)
+				c.AJPUpstream.Balancer.MaxEjectionTime, err = span(v, c.AJPUpstream.Balancer.EjectionTime, time.Hour)
 				return err
 			}}}},
 	{Name: "route trial", Requires: "next-tier ajp", Help: "share of the calls that a returning peer gets, and how many must go well",
 		Args: []Argument{
 			{Name: "share", Kind: "a share from 1% to 100%", Set: func(c *Config, v string) (err error) {
-				c.NextAJP.Route.TrialShare, err = percent(v)
+				c.AJPUpstream.Balancer.TrialShare, err = percent(v)
 				return err
 			}},
 			{Name: "word", Word: "passes"},
 			{Name: "number", Kind: "a number from 1 to 1000", Set: func(c *Config, v string) (err error) {
-				c.NextAJP.Route.TrialSuccesses, err = whole(v, 1, 1000)
+				c.AJPUpstream.Balancer.TrialSuccesses, err = whole(v, 1, 1000)
 				return err
 			}}}},
 	{Name: "route floor", Requires: "next-tier ajp", Help: "share of the peers that stay in service whatever their faults",
 		Args: []Argument{{Name: "share", Kind: "a share from 1% to 100%", Set: func(c *Config, v string) (err error) {
-			c.NextAJP.Route.MinHealthyShare, err = percent(v)
+			c.AJPUpstream.Balancer.MinHealthyShare, err = percent(v)
 			return err
 		}}}},
 	{Name: "route budget", Requires: "next-tier ajp", Help: "further tries as a share of first ones",
 		Args: []Argument{{Name: "share", Kind: "a share from 1% to 100%", Set: func(c *Config, v string) (err error) {
-			c.NextAJP.Route.RetryBudget, err = percent(v)
+			c.AJPUpstream.Balancer.RetryBudget, err = percent(v)
 			return err
 		}}}},
 	{Name: "keep dir", Help: "keep there what must not run twice, and its results; made by frosthub keep init",
 		Check: func(c *Config) (string, string) {
-			if len(c.Keep.Handlers) == 0 {
+			if len(c.Idempotency.Handlers) == 0 {
 				return "says nothing alone", "also \"keep handler\""
 			}
 			return "", ""
@@ -158,62 +158,62 @@
 			if !filepath.IsAbs(v) {
 				return errors.New("no absolute path")
 			}
-			c.Keep.Dir = filepath.Clean(v)
+			c.Idempotency.Dir = filepath.Clean(v)
 			return nil
 		}}}},
 	{Name: "keep handler", Repeatable: true, Requires: "keep dir", Help: "this handler's reqs must not run twice, and what tells them apart",
 		Check: func(c *Config) (string, string) {
-			for name, parts := range c.Keep.Handlers {
+			for name, parts := range c.Idempotency.Handlers {
 				if what, instead := c.lacks(name, parts); what != "" {
 					return what, instead
 				}
 			}
 			return "", ""
 		},
-		Args: named(func(c *Config) *map[string][]backend.Part { return &c.Keep.Handlers })},
+		Args: named(func(c *Config) *map[string][]backend.KeyPart { return &c.Idempotency.Handlers })},
 	{Name: "keep key-field", Requires: "keep handler", Help: "the header that names what must not run twice",
 		Args: []Argument{{Name: "header", Kind: "the name of a header, as X-Claim", Set: func(c *Config, v string) error {
-			c.Keep.KeyField = v
+			c.Idempotency.KeyField = v
 			return headerName(v)
 		}}}},
 	{Name: "keep made-field", Requires: "keep handler", Help: "the header with the time at which a req was first made, in Unix milliseconds",
 		Args: []Argument{{Name: "header", Kind: "the name of a header, as X-First-Made", Set: func(c *Config, v string) error {
-			c.Keep.MadeField = v
+			c.Idempotency.CreatedField = v
 			return headerName(v)
 		}}}},
 	{Name: "keep entries", Requires: "keep dir", Help: "keys kept with their results at most",
 		Args: []Argument{{Name: "number", Kind: fmt.Sprintf("a number from 16 to %d", entriesTop), Set: func(c *Config, v string) (err error) {
-			c.Keep.Bounds.MaxEntries, err = whole(v, 16, entriesTop)
+			c.Idempotency.Store.MaxEntries, err = whole(v, 16, entriesTop)
 			return err
 		}}}},
 	{Name: "keep bytes", Requires: "keep dir", Help: "bytes of all results kept at most",
 		Args: []Argument{{Name: "number", Kind: fmt.Sprintf("a number from 1024 to %d", bytesTop), Set: func(c *Config, v string) (err error) {
-			c.Keep.Bounds.MaxBytes, err = whole(v, 1024, bytesTop)
+			c.Idempotency.Store.MaxBytes, err = whole(v, 1024, bytesTop)
 			return err
 		}}}},
 	{Name: "keep result", Requires: "keep dir", Help: "bytes of one result at most; longer ones are not kept",
 		Args: []Argument{{Name: "number", Kind: "a number from 16 to 16777216", Set: func(c *Config, v string) (err error) {
-			c.Keep.Bounds.MaxResultBytes, err = whole(v, 16, 16<<20)
+			c.Idempotency.Store.MaxResultBytes, err = whole(v, 16, 16<<20)
 			return err
 		}}}},
 	{Name: "keep lifetime", Requires: "keep dir", Help: "how long a result is kept", Check: func(c *Config) (string, string) {
-		if h := c.Keep.Bounds.RetryHorizon; h > 0 && h < c.Keep.Bounds.ResultTTL {
+		if h := c.Idempotency.Store.RetryHorizon; h > 0 && h < c.Idempotency.Store.ResultTTL {
 			return "is past the horizon", "a span not over that of \"keep horizon\""
 		}
 		return "", ""
 	},
 		Args: []Argument{{Name: "span", Kind: "a span from 1s to 720h", Set: func(c *Config, v string) (err error) {
-			c.Keep.Bounds.ResultTTL, err = span(v, time.Second, 720*time.Hour)
+			c.Idempotency.Store.ResultTTL, err = span(v, time.Second, 720*time.Hour)
 			return err
 		}}}},
 	{Name: "keep horizon", Requires: "keep dir", Help: "how long after a req was first made it may still be repeated",
 		Args: []Argument{{Name: "span", Kind: "a span from 1s to 8760h", Set: func(c *Config, v string) (err error) {
-			c.Keep.Bounds.RetryHorizon, err = span(v, time.Second, 8760*time.Hour)
+			c.Idempotency.Store.RetryHorizon, err = span(v, time.Second, 8760*time.Hour)
 			return err
 		}}}},
 	{Name: "keep gather", Requires: "keep dir", Help: "least time from one commit to the next, so that the disk confirms more at once",
 		Args: []Argument{{Name: "span", Kind: "a span from 1us to 100ms", Set: func(c *Config, v string) (err error) {
-			c.Keep.Gather, err = span(v, time.Microsecond, 100*time.Millisecond)
+			c.Idempotency.CommitInterval, err = span(v, time.Microsecond, 100*time.Millisecond)
 			return err
 		}}}},
 	{Name: "cluster name", Requires: "keep dir", Help: "guarded reqs are held by groups of boxes of this cluster, and taken over from lost ones",
@@ -241,24 +241,24 @@
 			if v != "yes" && v != "no" {
 				return errors.New("neither yes nor no")
 			}
-			c.Cluster.Promise = v == "yes"
+			c.Cluster.ResumeUnclaimed = v == "yes"
 			return nil
 		}}}},
 	{Name: "cluster wait", Requires: "cluster name", Help: "after a start, for all that may know more than its disk, then for most of them",
 		Args: []Argument{
 			{Name: "span", Kind: "a span from 1ms to 1h", Set: func(c *Config, v string) (err error) {
-				c.Cluster.Wait, err = span(v, time.Millisecond, time.Hour)
+				c.Cluster.MajorityAfter, err = span(v, time.Millisecond, time.Hour)
 				return err
 			}},
 			{Name: "word", Word: "alone"},
 			{Name: "span", Kind: "a span, not under the first", Set: func(c *Config, v string) (err error) {
-				c.Cluster.Alone, err = span(v, c.Cluster.Wait, time.Hour)
+				c.Cluster.DegradeAfter, err = span(v, c.Cluster.MajorityAfter, time.Hour)
 				return err
 			}}}},
 	{Name: "cluster replay", Repeatable: true, Requires: "cluster name", Help: "this handler's reqs may run again, and are taken over too; what tells them apart",
 		Check: func(c *Config) (string, string) {
-			for name, parts := range c.Cluster.Replays {
-				if c.Keep.Handlers[name] != nil {
+			for name, parts := range c.Cluster.ReplayableHandlers {
+				if c.Idempotency.Handlers[name] != nil {
 					return name + " is guarded by \"keep handler\"", "one of the two"
 				}
 				if what, instead := c.lacks(name, parts); what != "" {
@@ -267,13 +267,13 @@
 			}
 			return "", ""
 		},
-		Args: named(func(c *Config) *map[string][]backend.Part { return &c.Cluster.Replays })},
+		Args: named(func(c *Config) *map[string][]backend.KeyPart { return &c.Cluster.ReplayableHandlers })},
 	{Name: "figures file", Help: "record the figures there, so that they outlive the process",
 		Args: []Argument{{Name: "path", Kind: "an absolute path on a disk of this machine", Set: func(c *Config, v string) error {
 			if !filepath.IsAbs(v) {
 				return errors.New("no absolute path")
 			}
-			c.Figures.File = filepath.Clean(v)
+			c.Accounting.File = filepath.Clean(v)
 			return nil
 		}}}},
 	{Name: "figures trail", Requires: "figures file", Help: "how many of the last changes the file holds one by one",
@@ -283,46 +283,46 @@
 				if err == nil && n&(n-1) != 0 {
 					err = errors.New("no power of two")
 				}
-				c.Figures.Trail = n
+				c.Accounting.Entries = n
 				return err
 			}}}},
 	{Name: "figures periods", Help: "keep the figures of so many past periods as well",
 		Args: []Argument{
 			{Name: "number", Kind: fmt.Sprintf("a number from 1 to %d", periodsTop), Set: func(c *Config, v string) (err error) {
-				c.Figures.Periods, err = whole(v, 1, periodsTop)
+				c.Accounting.MaxPeriods, err = whole(v, 1, periodsTop)
 				return err
 			}},
 			{Name: "word", Word: "every"},
 			{Name: "span", Kind: "a span from 1s to 1h, as 1m", Set: func(c *Config, v string) error {
 				var err error
-				c.Figures.Every, err = span(v, time.Second, time.Hour)
+				c.Accounting.PeriodLength, err = span(v, time.Second, time.Hour)
 				return err
 			}}}},
 	{Name: "figures customers", Help: "tell so many customers apart, all others are one",
 		Args: []Argument{{Name: "number", Kind: fmt.Sprintf("a number from 1 to %d", customers), Set: func(c *Config, v string) (err error) {
-			c.Figures.Customers, err = whole(v, 1, customers)
+			c.Accounting.MaxCustomers, err = whole(v, 1, customers)
 			return err
 		}}}},
 	{Name: "figures customer-field", Requires: "figures customers", Help: "the header that names the customer, instead of the edge node",
 		Args: []Argument{{Name: "header", Kind: "the name of a header, as X-Customer", Set: func(c *Config, v string) error {
-			c.Figures.CustomerField = v
+			c.Accounting.CustomerField = v
 			return headerName(v)
 		}}}},
 }
 
 // lacks tells what a key's parts need that is not there.
-func (c *Config) lacks(name string, parts []backend.Part) (what, instead string) {
-	if slices.Contains(parts, backend.PartField) && c.Keep.KeyField == "" {
+func (c *Config) lacks(name string, parts []backend.KeyPart) (what, instead string) {
+	if slices.Contains(parts, backend.KeyPartField) && c.Idempotency.KeyField == "" {
 		return name + " by field: no field is named", "also \"keep key-field\""
 	}
-	if slices.Contains(parts, backend.PartCustomer) && c.Figures.CustomerField == "" {
+	if slices.Contains(parts, backend.KeyPartCustomer) && c.Accounting.CustomerField == "" {
 		return name + " by customer: only edge nodes are told apart", "also \"figures customer-field\""
 	}
 	return "", ""
 }
 
 // named are the arguments of a directive that names a handler and what its keys are made of.
-func named(of func(*Config) *map[string][]backend.Part) []Argument {
+func named(of func(*Config) *map[string][]backend.KeyPart) []Argument {
 	return []Argument{
 		{Name: "name", Kind: "a handler's name", Set: func(c *Config, v string) error {
 			all := of(c)
@@ -330,7 +330,7 @@
 				return errors.New("it is there already")
 			}
 			if *all == nil {
-				*all = map[string][]backend.Part{}
+				*all = map[string][]backend.KeyPart{}
 			}
 			(*all)[v] = nil // its parts follow
 			return nil
@@ -345,8 +345,8 @@
 				}
 			}
 			for word := range strings.SplitSeq(v, "+") {
-				part := map[string]backend.Part{"id": backend.PartID, "customer": backend.PartCustomer, "field": backend.PartField,
-					"body": backend.PartBody}[word]
+				part := map[string]backend.KeyPart{"id": backend.KeyPartID, "customer": backend.KeyPartCustomer, "field": backend.KeyPartField,
+					"body": backend.KeyPartBody}[word]
 				if part == 0 || slices.Contains(all[name], part) {
 					return errors.New("not understood")
 				}
@@ -360,7 +360,7 @@
 
 // Lists of members that directives fill.
 func presentMembers(c *Config) *[]backend.ClusterMember { return &c.Cluster.Members }
-func formerMembers(c *Config) *[]backend.ClusterMember  { return &c.Cluster.Former }
+func formerMembers(c *Config) *[]backend.ClusterMember  { return &c.Cluster.Previous }
 
 // memberArgs are the arguments of a directive that names a box.
 func memberArgs(of func(*Config) *[]backend.ClusterMember) []Argument {
@@ -405,7 +405,7 @@
 	if v != "yes" {
 		return errors.New("not yes")
 	}
-	last(&c.Cluster.Former).Removed = true
+	last(&c.Cluster.Previous).Removed = true
 	return nil
 }}
 
@@ -478,7 +478,7 @@
 
 // lastPeer is the one that options belong to.
 func (c *Config) lastPeer() *loadbalance.Peer {
-	return &c.NextAJP.Route.Peers[len(c.NextAJP.Route.Peers)-1]
+	return &c.AJPUpstream.Balancer.Peers[len(c.AJPUpstream.Balancer.Peers)-1]
 }
 
 func loopback(c *Config, v string) error {
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -45,23 +45,23 @@
 
 // Errors that end a connection.
 var (
-	ErrPeer   = errors.New("closed by the peer")
-	ErrStall  = errors.New("the peer takes nothing")
-	ErrTooBig = errors.New("too much waits to be sent")
-	ErrDone   = errors.New("closed here")
-	ErrFlood  = errors.New("it sends more than is handled")
-	ErrSilent = errors.New("a dial that nobody answered in time")
+	ErrPeerClosed    = errors.New("closed by the peer")
+	ErrPeerStalled   = errors.New("the peer takes nothing")
+	ErrUnsentLimit   = errors.New("too much waits to be sent")
+	ErrClosedLocally = errors.New("closed here")
+	ErrInputLimit    = errors.New("it sends more than is handled")
+	ErrDialTimeout   = errors.New("a dial that nobody answered in time")
 )
 
 // Conn is one connection. Its methods and callbacks belong to the owner.
 type Conn struct {
-	Data   func(p []byte) error // each stretch that was read; an error closes the connection
-	Closed func(err error)      // once, after the last Data
-	Left   func()               // during a Flush in which bytes were handed to the system
-	Owes   func() bool          // whether something that was read is not answered yet, or half read; nil: never
-	Most   int                  // bytes that may wait for a peer that takes none; more closes the connection
+	OnData          func(p []byte) error // each stretch that was read; an error closes the connection
+	OnClosed        func(err error)      // once, after the last Data
+	OnSent          func()               // during a Flush in which bytes were handed to the system
+	ResponsePending func() bool          // whether something that was read is not answered yet, or half read; nil: never
+	MaxUnsent       int                  // bytes that may wait for a peer that takes none; more closes the connection
 
-	box     *Inbox
+	box     *Loop
 	nc      netpoll.Connection
 	fd      int
 	out     Ring
@@ -84,17 +84,17 @@
 	dropped int // bytes that came and were thrown away unread: what was in them got no answer
 }
 
-// Inbox is what waits for the owner: connections with news, and calls from elsewhere.
-type Inbox struct {
-	Wake chan struct{} // holds a token while something waits
-	Open atomic.Int64  // connections that hold a descriptor
-	Most int           // bytes that may wait for all peers that take none; more closes the worst
+// Loop is what waits for the owner: connections with news, and calls from elsewhere.
+type Loop struct {
+	Wake      chan struct{} // holds a token while something waits
+	Open      atomic.Int64  // connections that hold a descriptor
+	MaxUnsent int           // bytes that may wait for all peers that take none; more closes the worst
 
-	InMost int64 // bytes of all that may wait for the owner; with more who sends much is closed
+	MaxUnread int64 // bytes of all that may wait for the owner; with more who sends much is closed
 
-	LingerMost int // connections that may linger; more closes the oldest
+	MaxLingering int // connections that may linger; more closes the oldest
 
-	Dropped atomic.Int64 // bytes that were thrown away unread, over all connections
+	Discarded atomic.Int64 // bytes that were thrown away unread, over all connections
 
 	in        atomic.Int64 // and how many do
 	unseen    atomic.Int64 // connections accepted that no turn of the owner has ended with
@@ -108,15 +108,15 @@
 	lingering []*Conn // in order
 }
 
-// NewInbox returns an empty inbox.
-func NewInbox() *Inbox {
-	return &Inbox{Wake: make(chan struct{}, 1), Most: math.MaxInt, InMost: math.MaxInt64, LingerMost: math.MaxInt}
+// NewLoop returns an empty inbox.
+func NewLoop() *Loop {
+	return &Loop{Wake: make(chan struct{}, 1), MaxUnsent: math.MaxInt, MaxUnread: math.MaxInt64, MaxLingering: math.MaxInt}
 }
 
 // Post has f called on the owner.
-func (b *Inbox) Post(f func()) { b.push(f) }
+func (b *Loop) Post(f func()) { b.push(f) }
 
-func (b *Inbox) push(item any) {
+func (b *Loop) push(item any) {
 	b.mu.Lock()
 	b.queue = append(b.queue, item)
 	b.mu.Unlock()
@@ -126,15 +126,15 @@
 	}
 }
 
-// Quiet tells whether nothing waits for the owner.
-func (b *Inbox) Quiet() bool {
+// Idle tells whether nothing waits for the owner.
+func (b *Loop) Idle() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queue) == 0
 }
 
-// Turn calls back for all that waits.
-func (b *Inbox) Turn() {
+// Dispatch calls back for all that waits.
+func (b *Loop) Dispatch() {
 	b.mu.Lock()
 	items := b.queue
 	b.queue = b.spare[:0]
@@ -156,28 +156,28 @@
 		c.mu.Lock()
 		p := c.in.Peek()
 		if c.flood && c.why == nil {
-			c.why = ErrFlood
+			c.why = ErrInputLimit
 		}
 		if len(p) == 0 {
 			c.queued = false
-			end := c.dead && !c.told && c.Closed != nil // not yet handed over: turned again then
+			end := c.dead && !c.told && c.OnClosed != nil // not yet handed over: turned again then
 			c.told = c.told || end
 			c.mu.Unlock()
 			if end {
 				switch {
 				case c.why != nil:
-				case c.Finished():
+				case c.SendClosed():
 					c.why = c.ending
 				default:
-					c.why = ErrPeer
+					c.why = ErrPeerClosed
 				}
-				c.Closed(c.why)
+				c.OnClosed(c.why)
 			}
 			return
 		}
 		c.mu.Unlock()
-		if c.why == nil && !c.Finished() && c.Data != nil && !c.isDeaf() {
-			if err := c.Data(p); err != nil {
+		if c.why == nil && !c.SendClosed() && c.OnData != nil && !c.isDeaf() {
+			if err := c.OnData(p); err != nil {
 				c.Abort(err)
 			}
 		} else {
@@ -195,11 +195,11 @@
 	c.mu.Lock()
 	c.dropped += bytes
 	c.mu.Unlock()
-	c.box.Dropped.Add(int64(bytes))
+	c.box.Discarded.Add(int64(bytes))
 }
 
-// Dropped is how many bytes of the connection were thrown away unread.
-func (c *Conn) Dropped() int {
+// Discarded is how many bytes of the connection were thrown away unread.
+func (c *Conn) Discarded() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dropped
@@ -207,7 +207,7 @@
 
 // Write queues p to be sent by the next Flush.
 func (c *Conn) Write(p []byte) {
-	if c.why != nil || c.Finished() {
+	if c.why != nil || c.SendClosed() {
 		return
 	}
 	c.out.Write(p)
@@ -222,27 +222,27 @@
 	}
 }
 
-// Trust lets so many bytes of a connection wait for the owner.
-func (c *Conn) Trust(bytes int) {
+// SetInputLimit lets so many bytes of a connection wait for the owner.
+func (c *Conn) SetInputLimit(bytes int) {
 	c.mu.Lock()
 	c.unread = bytes
 	c.mu.Unlock()
 }
 
-// Rest lets go of the memory of an idle connection.
-func (c *Conn) Rest() {
-	c.out.Rest()
+// ReleaseBuffers lets go of the memory of an idle connection.
+func (c *Conn) ReleaseBuffers() {
+	c.out.Release()
 	c.mu.Lock()
-	c.in.Rest()
+	c.in.Release()
 	c.mu.Unlock()
 }
 
-// Sent is how many bytes have left here, Mark how many will have before what is written next.
-func (c *Conn) Sent() int { return c.sent }
-func (c *Conn) Mark() int { return c.sent + c.out.Len() }
+// SentTotal is how many bytes have left here, Mark how many will have before what is written next.
+func (c *Conn) SentTotal() int   { return c.sent }
+func (c *Conn) QueuedTotal() int { return c.sent + c.out.Len() }
 
-// Pending tells how many bytes wait to be sent.
-func (c *Conn) Pending() int { return c.out.Len() }
+// Unsent tells how many bytes wait to be sent.
+func (c *Conn) Unsent() int { return c.out.Len() }
 
 // Abort closes the connection at once, with all that was not sent; Closed follows.
 func (c *Conn) Abort(why error) {
@@ -253,8 +253,8 @@
 	_ = c.nc.Close() // its callback marks the connection and queues it
 }
 
-// Deafen has all that comes from now on be dropped unread.
-func (c *Conn) Deafen() {
+// DiscardInput has all that comes from now on be dropped unread.
+func (c *Conn) DiscardInput() {
 	c.mu.Lock()
 	c.deaf = true
 	c.mu.Unlock()
@@ -266,8 +266,8 @@
 	return c.deaf
 }
 
-// End has the connection end in the orderly way, as soon as nothing is owed on it and nothing that has come is unread; Closed follows.
-func (c *Conn) End(why error) {
+// CloseGracefully has the connection end in the orderly way, as soon as nothing is owed on it and nothing that has come is unread; Closed follows.
+func (c *Conn) CloseGracefully(why error) {
 	if c.why != nil || c.ending != nil {
 		return
 	}
@@ -275,14 +275,14 @@
 	c.box.ending = append(c.box.ending, c)
 }
 
-// Quit ends a connection whose far side has nothing to expect: what comes is dropped, what was written is sent.
-func (c *Conn) Quit(why error) {
-	c.Deafen()
-	c.End(why)
+// CloseAfterSend ends a connection whose far side has nothing to expect: what comes is dropped, what was written is sent.
+func (c *Conn) CloseAfterSend(why error) {
+	c.DiscardInput()
+	c.CloseGracefully(why)
 }
 
-// Finished tells whether the sending side was closed here.
-func (c *Conn) Finished() bool { return !c.until.IsZero() }
+// SendClosed tells whether the sending side was closed here.
+func (c *Conn) SendClosed() bool { return !c.until.IsZero() }
 
 // Unread tells whether bytes have come that were not handed over: in the ring, with netpoll, or with the system.
 func (c *Conn) Unread() bool {
@@ -300,10 +300,10 @@
 
 // finish closes the sending side if nothing stands against it, and tells whether it did or need not.
 func (c *Conn) finish(now time.Time) bool {
-	if c.why != nil || c.Finished() {
+	if c.why != nil || c.SendClosed() {
 		return true
 	}
-	if c.out.Len() > 0 || c.Owes != nil && c.Owes() || !c.isDeaf() && c.Unread() {
+	if c.out.Len() > 0 || c.ResponsePending != nil && c.ResponsePending() || !c.isDeaf() && c.Unread() {
 		return false
 	}
 	c.mu.Lock()
@@ -317,12 +317,12 @@
 	return true
 }
 
-// Ending tells whether the connection was ended or aborted here.
-func (c *Conn) Ending() bool { return c.ending != nil || c.why != nil }
+// Closing tells whether the connection was ended or aborted here.
+func (c *Conn) Closing() bool { return c.ending != nil || c.why != nil }
 
 // Flush sends what was written since the last, as far as the peers take it. It returns how long until it
 // should be called again for those that did not, 0 if there are none.
-func (b *Inbox) Flush(now time.Time) time.Duration {
+func (b *Loop) Flush(now time.Time) time.Duration {
 	dirty := b.dirty
 	b.dirty = b.dirty[:0]
 	keep := b.stalled[:0]
@@ -345,8 +345,8 @@
 			worst = c
 		}
 	}
-	if all > b.Most {
-		worst.Abort(ErrTooBig)
+	if all > b.MaxUnsent {
+		worst.Abort(ErrUnsentLimit)
 	}
 	waits := b.finish(now)
 	again := b.linger(now)
@@ -362,19 +362,19 @@
 }
 
 // finish closes the sending side of the connections that are to end and may, and tells whether one waits for what only a look can tell.
-func (b *Inbox) finish(now time.Time) (waits bool) {
+func (b *Loop) finish(now time.Time) (waits bool) {
 	b.ending = slices.DeleteFunc(b.ending, func(c *Conn) bool {
 		if c.finish(now) {
 			return true
 		}
-		waits = waits || c.Owes == nil || !c.Owes()
+		waits = waits || c.ResponsePending == nil || !c.ResponsePending()
 		return false
 	})
 	return waits
 }
 
 // linger closes the connections that have lingered for long enough, and gives the time to the next.
-func (b *Inbox) linger(now time.Time) time.Duration {
+func (b *Loop) linger(now time.Time) time.Duration {
 	n := 0
 	for _, c := range b.lingering {
 		c.mu.Lock()
@@ -388,7 +388,7 @@
 	clear(b.lingering[n:])
 	b.lingering = b.lingering[:n]
 	over := 0
-	for over < n && (n-over > b.LingerMost || !now.Before(b.lingering[over].until)) {
+	for over < n && (n-over > b.MaxLingering || !now.Before(b.lingering[over].until)) {
 		b.lingering[over].Abort(b.lingering[over].ending)
 		over++
 	}
@@ -400,16 +400,16 @@
 }
 
 // Lingering is the number of connections whose sending side is closed and which wait for the peer's close.
-func (b *Inbox) Lingering() int { return len(b.lingering) }
+func (b *Loop) Lingering() int { return len(b.lingering) }
 
 // Stalled is the number of peers that left something of what was sent.
-func (b *Inbox) Stalled() int { return len(b.stalled) }
+func (b *Loop) Stalled() int { return len(b.stalled) }
 
 func (c *Conn) flush(now time.Time) (left bool) {
 	before := c.sent
 	left = c.send(now)
-	if c.sent > before && c.Left != nil {
-		c.Left()
+	if c.sent > before && c.OnSent != nil {
+		c.OnSent()
 	}
 	return left
 }
@@ -438,12 +438,12 @@
 			if c.stalled.IsZero() {
 				c.stalled = now
 			}
-			if c.out.Len() > c.Most {
-				c.Abort(ErrTooBig)
+			if c.out.Len() > c.MaxUnsent {
+				c.Abort(ErrUnsentLimit)
 				return false
 			}
 			if now.Sub(c.stalled) > stallMost {
-				c.Abort(ErrStall)
+				c.Abort(ErrPeerStalled)
 				return false
 			}
 			return true
@@ -511,8 +511,8 @@
 
 type ctxKey struct{}
 
-func (b *Inbox) adopt(nc netpoll.Connection) *Conn {
-	c := &Conn{box: b, nc: nc, Most: outMost, unread: unreadMost}
+func (b *Loop) adopt(nc netpoll.Connection) *Conn {
+	c := &Conn{box: b, nc: nc, MaxUnsent: outMost, unread: unreadMost}
 	if f, ok := nc.(netpoll.Conn); ok {
 		c.fd = f.Fd()
 	}
@@ -535,7 +535,7 @@
 			continue
 		}
 		waits := c.in.Len() + n
-		if waits > c.unread || waits > kernelMost && c.box.in.Load()+int64(n) > c.box.InMost {
+		if waits > c.unread || waits > kernelMost && c.box.in.Load()+int64(n) > c.box.MaxUnread {
 			c.flood = true
 			c.mu.Unlock()
 			return nc.Close()
@@ -575,7 +575,7 @@
 
 // Dial connects in the background and has done called on the owner with a connection or an error: ErrSilent where the far
 // side said neither yes nor no.
-func (b *Inbox) Dial(address string, done func(*Conn, error)) {
+func (b *Loop) Dial(address string, done func(*Conn, error)) {
 	go func() {
 		start := time.Now()
 		var nc netpoll.Connection
@@ -585,7 +585,7 @@
 		}
 		if err != nil {
 			if time.Since(start) >= dialFor {
-				err = ErrSilent
+				err = ErrDialTimeout
 			}
 			b.Post(func() { done(nil, err) })
 			return
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -51,7 +51,7 @@
 }
 
 // owner runs an inbox for a while, as a backend does.
-func owner(b *Inbox, until func() bool) bool {
+func owner(b *Loop, until func() bool) bool {
 	retry := time.NewTimer(time.Hour)
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); {
 		select {
@@ -59,7 +59,7 @@
 		case <-retry.C:
 		case <-time.After(20 * time.Millisecond):
 		}
-		b.Turn()
+		b.Dispatch()
 		if again := b.Flush(time.Now()); again > 0 {
 			retry.Reset(again)
 		}
@@ -71,18 +71,18 @@
 }
 
 // serve listens, and echoes what it reads; conns is filled by the owner.
-func serve(t *testing.T, b *Inbox, most int, conns *[]*Conn, ends *[]error) (address string, turned chan struct{}) {
+func serve(t *testing.T, b *Loop, most int, conns *[]*Conn, ends *[]error) (address string, turned chan struct{}) {
 	turned = make(chan struct{}, 100)
 	l, err := b.Listen("127.0.0.1:0", most, func(c *Conn) {
 		*conns = append(*conns, c)
-		c.Data = func(p []byte) error {
+		c.OnData = func(p []byte) error {
 			if bytes.Equal(p, []byte("bad")) {
 				return io.ErrUnexpectedEOF
 			}
 			c.Write(p)
 			return nil
 		}
-		c.Closed = func(err error) { *ends = append(*ends, err) }
+		c.OnClosed = func(err error) { *ends = append(*ends, err) }
 	}, func(error) { turned <- struct{}{} })
 	if err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 
 // TestDeafPeer: who stops reading holds up nobody, gets all if it reads again, and is closed beyond its bound.
 func TestDeafPeer(t *testing.T) {
-	b := NewInbox()
+	b := NewLoop()
 	var conns []*Conn
 	var ends []error
 	address, _ := serve(t, b, 100, &conns, &ends)
@@ -114,10 +114,10 @@
 		conns[0], conns[1] = conns[1], conns[0]
 	}
 	const size = 16 << 20
-	conns[0].Most = size
+	conns[0].MaxUnsent = size
 	conns[0].Write(make([]byte, size))
 	start := time.Now()
-	if b.Flush(start) == 0 || conns[0].Pending() == 0 {
+	if b.Flush(start) == 0 || conns[0].Unsent() == 0 {
 		t.Fatal("the peer took all: nothing is shown")
 	}
 	if spent := time.Since(start); spent > time.Second {
@@ -135,19 +135,19 @@
 	}
 	read := make(chan int64, 1)
 	go func() { n, _ := io.CopyN(io.Discard, deaf, size); read <- n }()
-	if !owner(b, func() bool { return conns[0].Pending() == 0 }) || <-read != size {
+	if !owner(b, func() bool { return conns[0].Unsent() == 0 }) || <-read != size {
 		t.Error("a peer that reads again does not get all")
 	}
-	conns[0].Most = 1 << 10
+	conns[0].MaxUnsent = 1 << 10
 	conns[0].Write(make([]byte, size))
-	if !owner(b, func() bool { return len(ends) == 1 }) || !errors.Is(ends[0], ErrTooBig) {
+	if !owner(b, func() bool { return len(ends) == 1 }) || !errors.Is(ends[0], ErrUnsentLimit) {
 		t.Error("a deaf peer is not closed beyond its bound", ends)
 	}
 }
 
 // TestAllDeaf: what waits for all together has a bound too.
 func TestAllDeaf(t *testing.T) {
-	b := NewInbox()
+	b := NewLoop()
 	var conns []*Conn
 	var ends []error
 	address, _ := serve(t, b, 100, &conns, &ends)
@@ -155,9 +155,9 @@
 		dial(t, address)
 	}
 	owner(b, func() bool { return len(conns) == 3 })
-	b.Most = 24 << 20
+	b.MaxUnsent = 24 << 20
 	for _, c := range conns {
-		c.Most = 32 << 20
+		c.MaxUnsent = 32 << 20
 		c.Write(make([]byte, 16<<20))
 	}
 	if !owner(b, func() bool { return len(ends) > 0 }) || len(ends) == 3 {
@@ -168,7 +168,7 @@
 // TestEnds: an error of Data closes, the far end's close is told, places are free again; without room a
 // connection is closed at once.
 func TestEnds(t *testing.T) {
-	b := NewInbox()
+	b := NewLoop()
 	var conns []*Conn
 	var ends []error
 	address, turned := serve(t, b, 2, &conns, &ends)
@@ -185,7 +185,7 @@
 		t.Error("ends:", ends)
 	}
 	_ = two.Close()
-	if !owner(b, func() bool { return len(ends) == 2 }) || !errors.Is(ends[1], ErrPeer) || b.Open.Load() != 0 {
+	if !owner(b, func() bool { return len(ends) == 2 }) || !errors.Is(ends[1], ErrPeerClosed) || b.Open.Load() != 0 {
 		t.Error("ends:", ends, "open", b.Open.Load())
 	}
 	var met error
@@ -211,7 +211,7 @@
 			_ = c.Close()
 		}
 	}()
-	b := NewInbox()
+	b := NewLoop()
 	closed := 0
 	for range 50 {
 		b.Dial(l.Addr().String(), func(c *Conn, err error) {
@@ -219,8 +219,8 @@
 				closed++
 				return
 			}
-			c.Data = func([]byte) error { return nil }
-			c.Closed = func(error) { closed++ }
+			c.OnData = func([]byte) error { return nil }
+			c.OnClosed = func(error) { closed++ }
 		})
 	}
 	if !owner(b, func() bool { return closed == 50 }) || b.Open.Load() != 0 {
@@ -231,8 +231,8 @@
 // TestFlood: who sends more than is handled is closed, alone and where all together send too much; the sum is let go.
 func TestFlood(t *testing.T) {
 	for _, most := range []int64{1 << 40, 256 << 10} {
-		b := NewInbox()
-		b.InMost = most
+		b := NewLoop()
+		b.MaxUnread = most
 		var conns []*Conn
 		var ends []error
 		address, _ := serve(t, b, 100, &conns, &ends)
@@ -247,7 +247,7 @@
 		if err == nil {
 			t.Error("all of it was taken in")
 		}
-		if !owner(b, func() bool { return len(ends) == 1 }) || !errors.Is(ends[0], ErrFlood) || b.in.Load() != 0 {
+		if !owner(b, func() bool { return len(ends) == 1 }) || !errors.Is(ends[0], ErrInputLimit) || b.in.Load() != 0 {
 			t.Error("ends:", ends, "counted", b.in.Load())
 		}
 	}
@@ -257,7 +257,7 @@
 // a peer sends after the sending side is closed does not take the last answer with it, and is not handed over; the descriptor is let go
 // when the peer closes, and after a bound where it does not.
 func TestEndInOrder(t *testing.T) {
-	b := NewInbox()
+	b := NewLoop()
 	var conns []*Conn
 	var ends []error
 	address, _ := serve(t, b, 100, &conns, &ends)
@@ -266,9 +266,9 @@
 		t.Fatal("not accepted")
 	}
 	handed, owes := "", true
-	conns[0].Owes = func() bool { return owes }
-	conns[0].Data = func(p []byte) error {
-		if conns[0].Finished() {
+	conns[0].ResponsePending = func() bool { return owes }
+	conns[0].OnData = func(p []byte) error {
+		if conns[0].SendClosed() {
 			t.Error("handed over after the end")
 		}
 		handed += string(p)
@@ -276,7 +276,7 @@
 		return nil
 	}
 	size := len("answer")
-	for conns[0].Pending() == 0 { // as much as the system holds: the peer has not read it when the end comes
+	for conns[0].Unsent() == 0 { // as much as the system holds: the peer has not read it when the end comes
 		conns[0].Write(make([]byte, 64<<10))
 		size += 64 << 10
 		b.Flush(time.Now())
@@ -286,7 +286,7 @@
 	for b.in.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	conns[0].End(errors.New("done"))
+	conns[0].CloseGracefully(errors.New("done"))
 	got, late := make(chan int, 1), make(chan struct{})
 	go func() {
 		n, _ := io.CopyN(io.Discard, peer, int64(size)-32<<10)
@@ -297,8 +297,8 @@
 		}
 		got <- int(n) + len(rest)
 	}()
-	if !owner(b, func() bool { return handed == came && conns[0].Pending() == 0 }) {
-		t.Fatalf("%q is handed over, %d bytes wait", handed, conns[0].Pending())
+	if !owner(b, func() bool { return handed == came && conns[0].Unsent() == 0 }) {
+		t.Fatalf("%q is handed over, %d bytes wait", handed, conns[0].Unsent())
 	}
 	if b.Flush(time.Now()); b.Lingering() != 0 {
 		t.Fatal("the sending side is closed, and something is owed")
@@ -319,7 +319,7 @@
 	}
 	deaf := dial(t, address)
 	_ = owner(b, func() bool { return len(conns) == 2 })
-	conns[1].End(ErrDone)
+	conns[1].CloseGracefully(ErrClosedLocally)
 	if !owner(b, func() bool { return len(ends) == 2 }) || b.Lingering() != 0 {
 		t.Error("a peer that never closes is waited for")
 	}
@@ -328,7 +328,7 @@
 
 // TestListenerEnds: what the system had accepted when the listening ends is taken, then nothing more.
 func TestListenerEnds(t *testing.T) {
-	b := NewInbox()
+	b := NewLoop()
 	l, err := b.Listen("127.0.0.1:0", 100, func(*Conn) {}, func(error) {})
 	if err != nil {
 		t.Fatal(err)
@@ -393,7 +393,7 @@
 	if err := <-again; err != nil {
 		t.Fatal(err)
 	}
-	b := NewInbox()
+	b := NewLoop()
 	var conns []*Conn
 	var ends []error
 	address, _ := serve(t, b, 10, &conns, &ends)
@@ -416,13 +416,13 @@
 // TestNothingHeldBack: the system sends small writes at once, on connections of either side: what it held back would go with
 // a reset.
 func TestNothingHeldBack(t *testing.T) {
-	b := NewInbox()
+	b := NewLoop()
 	var conns []*Conn
 	var ends []error
 	address, _ := serve(t, b, 100, &conns, &ends)
 	b.Dial(address, func(c *Conn, err error) {
 		if err == nil {
-			c.Closed = func(error) {}
+			c.OnClosed = func(error) {}
 			conns = append(conns, c)
 		}
 	})
--- a/internal/conn/fault_test.go
+++ b/internal/conn/fault_test.go
@@ -13,7 +13,7 @@
 func TestPassingErrors(t *testing.T) {
 	for _, fault := range []string{"write ENOBUFS", "write ENOMEM", "accept EMFILE", "accept ENOMEM"} {
 		t.Run(fault, func(t *testing.T) {
-			b := NewInbox()
+			b := NewLoop()
 			var conns []*Conn
 			var ends []error
 			address, refused := serve(t, b, 10, &conns, &ends)
@@ -46,7 +46,7 @@
 
 // TestPassingDial: a dial that fails for a moment is told of, and the next one stands.
 func TestPassingDial(t *testing.T) {
-	b := NewInbox()
+	b := NewLoop()
 	var conns []*Conn
 	var ends []error
 	address, _ := serve(t, b, 10, &conns, &ends)
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -24,7 +24,7 @@
 // Listener accepts for an inbox. It is its own and not netpoll's, whose Close closes the descriptor's number twice: in
 // between another connection may have got that number.
 type Listener struct {
-	box    *Inbox
+	box    *Loop
 	addr   net.Addr
 	most   int64
 	turned func(err error)
@@ -40,7 +40,7 @@
 // Listen accepts connections at the address, at most so many at a time with those dialled; accept is called on
 // the owner for each before its first Data, turned anywhere for each that found no room (nil), and for each time that the
 // system gave none (its error).
-func (b *Inbox) Listen(address string, most int, accept func(*Conn), turned func(err error)) (*Listener, error) {
+func (b *Loop) Listen(address string, most int, accept func(*Conn), turned func(err error)) (*Listener, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
--- a/internal/conn/ring.go
+++ b/internal/conn/ring.go
@@ -50,8 +50,8 @@
 	return r.buf[r.head:min(r.head+r.n, len(r.buf))]
 }
 
-// Rest lets go of the memory of an empty ring.
-func (r *Ring) Rest() {
+// Release lets go of the memory of an empty ring.
+func (r *Ring) Release() {
 	if r.n == 0 {
 		r.buf, r.head = nil, 0
 	}
--- a/internal/peerproto/bench_test.go
+++ b/internal/peerproto/bench_test.go
@@ -49,23 +49,23 @@
 
 // overConn has one owner at each end, as boxes have.
 func overConn(t *testing.T, n int) {
-	here, there := conn.NewInbox(), conn.NewInbox()
-	run := func(b *conn.Inbox, done chan struct{}) {
+	here, there := conn.NewLoop(), conn.NewLoop()
+	run := func(b *conn.Loop, done chan struct{}) {
 		for {
 			select {
 			case <-b.Wake:
 			case <-done:
 				return
 			}
-			b.Turn()
+			b.Dispatch()
 			b.Flush(time.Now())
 		}
 	}
 	done := make(chan struct{})
 	l, err := there.Listen("127.0.0.1:0", 10, func(c *conn.Conn) {
 		p := NewParser(func(b *Batch) error { c.Write(Append(nil, answer(b))); return nil })
-		c.Data = p.Feed
-		c.Closed = func(error) {}
+		c.OnData = p.Feed
+		c.OnClosed = func(error) {}
 	}, func(error) {})
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 			close(over)
 			return
 		}
-		c.Closed = func(error) {}
+		c.OnClosed = func(error) {}
 		p := NewParser(func(*Batch) error {
 			if left--; left == 0 {
 				close(over)
@@ -86,7 +86,7 @@
 			c.Write(Append(nil, question()))
 			return nil
 		})
-		c.Data = p.Feed
+		c.OnData = p.Feed
 		c.Write(Append(nil, question()))
 	})
 	go run(here, done)
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -10,23 +10,23 @@
 // TestProcess: the phases in their order, by the kill alone where work is left, and at once from the closing on where none is.
 func TestProcess(t *testing.T) {
 	var p Process
-	if p.Advance(time.Hour, Work{}) || p.Start(time.Hour) != Allowed || p.Take() != Allowed {
+	if p.Advance(time.Hour, PendingWork{}) || p.Start(time.Hour) != Allowed || p.Accept() != Allowed {
 		t.Error("a process that serves ends, or takes nothing")
 	}
-	if !p.Notify(1000*ms, 400*ms, 2000*ms) || p.Notify(1500*ms, 400*ms, 9000*ms) || p.Kill() != 3000*ms {
-		t.Error("the first notice counts, and it alone: kill at", p.Kill())
+	if !p.Notify(1000*ms, 400*ms, 2000*ms) || p.Notify(1500*ms, 400*ms, 9000*ms) || p.KillTime() != 3000*ms {
+		t.Error("the first notice counts, and it alone: kill at", p.KillTime())
 	}
-	left := Work{Owed: 1}
+	left := PendingWork{Unanswered: 1}
 	for _, x := range []struct {
 		now   time.Duration
-		left  Work
+		left  PendingWork
 		phase Phase
 		start Verdict // of what is read now
 		take  Verdict
 	}{
 		{1000 * ms, left, Draining, Allowed, Allowed},
 		{1400 * ms, left, Draining, Allowed, Allowed},
-		{1401 * ms, Work{}, Draining, AfterGrace, Allowed}, // nothing is left, and it still listens
+		{1401 * ms, PendingWork{}, Draining, AfterGrace, Allowed}, // nothing is left, and it still listens
 		{2699 * ms, left, Draining, AfterGrace, Allowed},
 		{2700 * ms, left, Closing, AfterGrace, ProcessEnds},
 		{2899 * ms, left, Closing, AfterGrace, ProcessEnds},
@@ -36,18 +36,18 @@
 	} {
 		for p.Advance(x.now, x.left) {
 		}
-		if p.Phase() != x.phase || p.Start(x.now) != x.start || p.Take() != x.take {
-			t.Errorf("at %v: %v, start %v, take %v", x.now, p.Phase(), p.Start(x.now), p.Take())
+		if p.Phase() != x.phase || p.Start(x.now) != x.start || p.Accept() != x.take {
+			t.Errorf("at %v: %v, start %v, take %v", x.now, p.Phase(), p.Start(x.now), p.Accept())
 		}
 	}
-	for i, w := range []Work{{Owed: 1}, {Connections: 1}, {Accepting: true}, {Unhandled: true}, {Unsaved: true}} {
+	for i, w := range []PendingWork{{Unanswered: 1}, {Connections: 1}, {Accepting: true}, {Unhandled: true}, {Unsaved: true}} {
 		var q Process
 		q.Notify(0, 0, 1000*ms)
 		q.Advance(700*ms, w)
 		if q.Advance(701*ms, w) || q.Exit(701*ms, w) != WorkLeft {
 			t.Error("it ends, and there is work left:", i)
 		}
-		if !q.Advance(702*ms, Work{}) || q.Phase() != Ended || q.Exit(702*ms, Work{}) != Allowed {
+		if !q.Advance(702*ms, PendingWork{}) || q.Phase() != Ended || q.Exit(702*ms, PendingWork{}) != Allowed {
 			t.Error("it does not end, and nothing is left:", i)
 		}
 	}
@@ -85,9 +85,9 @@
 		c    Connection
 		want Verdict
 	}{
-		{Connection{}, Allowed}, {Connection{Open: 1}, RequestOpen}, {Connection{HalfRead: true}, HalfRead},
+		{Connection{}, Allowed}, {Connection{OpenRequests: 1}, RequestOpen}, {Connection{HalfRead: true}, HalfRead},
 		{Connection{Unread: true}, InputUnread}, {Connection{Unsent: true}, OutputUnsent},
-		{Connection{Broken: true, HalfRead: true, Unread: true}, Allowed}, {Connection{Broken: true, Open: 1}, RequestOpen},
+		{Connection{Broken: true, HalfRead: true, Unread: true}, Allowed}, {Connection{Broken: true, OpenRequests: 1}, RequestOpen},
 	} {
 		if got := End(x.c); got != x.want {
 			t.Errorf("%+v: %v", x.c, got)
@@ -108,7 +108,7 @@
 			t.Errorf("%+v: %v", x.c, got)
 		}
 	}
-	if Answer(false, true) != Allowed || Answer(true, true) != Given || Answer(false, false) != NobodyWaits {
+	if Answer(false, true) != Allowed || Answer(true, true) != AlreadyAnswered || Answer(false, false) != NobodyWaits {
 		t.Error("an answer is not given once, to who waits")
 	}
 }
--- a/lifecycle/permit.go
+++ b/lifecycle/permit.go
@@ -7,17 +7,17 @@
 
 // The verdicts.
 const (
-	Allowed      Verdict = iota
-	AfterGrace           // it was read after the grace that follows the notice
-	ProcessEnds          // the process closes: what is read is refused
-	RequestOpen          // a request on the connection has no answer
-	HalfRead             // part of a request was read, its rest may be on the way
-	InputUnread          // bytes have come that were not looked at: there may be a request in them
-	OutputUnsent         // part of an answer was not handed to the system
-	MayHaveRun           // it may have run, and must not run twice
-	Given                // it was answered before
-	WorkLeft             // something is still to be done
-	NobodyWaits          // its client has gone
+	Allowed         Verdict = iota
+	AfterGrace              // it was read after the grace that follows the notice
+	ProcessEnds             // the process closes: what is read is refused
+	RequestOpen             // a request on the connection has no answer
+	HalfRead                // part of a request was read, its rest may be on the way
+	InputUnread             // bytes have come that were not looked at: there may be a request in them
+	OutputUnsent            // part of an answer was not handed to the system
+	MayHaveRun              // it may have run, and must not run twice
+	AlreadyAnswered         // it was answered before
+	WorkLeft                // something is still to be done
+	NobodyWaits             // its client has gone
 )
 
 // String says why in log lines.
@@ -36,8 +36,8 @@
 	return Allowed
 }
 
-// Take decides whether a request that is read now may be handed to the overload controller; else it is refused at once.
-func (p *Process) Take() Verdict {
+// Accept decides whether a request that is read now may be handed to the overload controller; else it is refused at once.
+func (p *Process) Accept() Verdict {
 	if p.phase >= Closing {
 		return ProcessEnds
 	}
@@ -45,7 +45,7 @@
 }
 
 // Exit decides whether the process may exit now.
-func (p *Process) Exit(now time.Duration, left Work) Verdict {
+func (p *Process) Exit(now time.Duration, left PendingWork) Verdict {
 	if left.none() || now >= p.kill-ExitBefore {
 		return Allowed
 	}
@@ -54,18 +54,18 @@
 
 // Connection is what stands on a connection that is wished to end.
 type Connection struct {
-	Open     int  // requests without their answer
-	HalfRead bool // part of a message was read
-	Unread   bool // bytes have come that were not looked at
-	Unsent   bool // part of what was written is not yet with the system
-	Broken   bool // its stream can't be followed any more: what comes means nothing
+	OpenRequests int  // requests without their answer
+	HalfRead     bool // part of a message was read
+	Unread       bool // bytes have come that were not looked at
+	Unsent       bool // part of what was written is not yet with the system
+	Broken       bool // its stream can't be followed any more: what comes means nothing
 }
 
 // End decides whether the sending side of a connection may be closed: what was read whole is answered, and nothing that has come is left
 // unread. A peer goes on sending until it sees the end, so the wish to end a connection permits nothing to be thrown away.
 func End(c Connection) Verdict {
 	switch {
-	case c.Open > 0:
+	case c.OpenRequests > 0:
 		return RequestOpen
 	case c.Unsent:
 		return OutputUnsent
@@ -101,7 +101,7 @@
 func Answer(given, waits bool) Verdict {
 	switch {
 	case given:
-		return Given
+		return AlreadyAnswered
 	case !waits:
 		return NobodyWaits
 	}
--- a/lifecycle/process.go
+++ b/lifecycle/process.go
@@ -53,9 +53,9 @@
 	grace    time.Duration // after the notice, in which what is read may start
 }
 
-// Work is what is left to do when a process is to end.
-type Work struct {
-	Owed        int  // requests without their answer
+// PendingWork is what is left to do when a process is to end.
+type PendingWork struct {
+	Unanswered  int  // requests without their answer
 	Connections int  // of clients, not closed yet
 	Accepting   bool // a connection may still come out of the system's queue
 	Unhandled   bool // something that was read or has happened waits to be handled
@@ -63,8 +63,8 @@
 }
 
 // none tells whether nothing is left.
-func (w Work) none() bool {
-	return w.Owed == 0 && w.Connections == 0 && !w.Accepting && !w.Unhandled && !w.Unsaved
+func (w PendingWork) none() bool {
+	return w.Unanswered == 0 && w.Connections == 0 && !w.Accepting && !w.Unhandled && !w.Unsaved
 }
 
 // Notify follows the notice to leave, which came at the given moment or later; it tells whether it is the first. Later ones change nothing.
@@ -77,7 +77,7 @@
 }
 
 // Advance takes the end as far as the time and the work that is left allow, by one phase at most, and tells whether it went on.
-func (p *Process) Advance(now time.Duration, left Work) bool {
+func (p *Process) Advance(now time.Duration, left PendingWork) bool {
 	switch {
 	case p.phase == Serving, p.phase == Ended:
 		return false
@@ -93,8 +93,8 @@
 	return true
 }
 
-// KillAt has the process end by another moment, as where more time is granted.
-func (p *Process) KillAt(at time.Duration) { p.kill = at }
+// SetKillTime has the process end by another moment, as where more time is granted.
+func (p *Process) SetKillTime(at time.Duration) { p.kill = at }
 
 // Phase is the present phase.
 func (p *Process) Phase() Phase { return p.phase }
@@ -102,8 +102,8 @@
 // Notified is the earliest moment at which the notice can have come.
 func (p *Process) Notified() time.Duration { return p.notified }
 
-// Kill is the earliest moment at which the process can be killed.
-func (p *Process) Kill() time.Duration { return p.kill }
+// KillTime is the earliest moment at which the process can be killed.
+func (p *Process) KillTime() time.Duration { return p.kill }
 
 // AnswerBy is when the last answers are to be decided.
 func (p *Process) AnswerBy() time.Duration { return p.kill - answerBefore }
