--- a/backend/figures.go
+++ b/backend/accounting.go
@@ -23,9 +23,9 @@
 	CustomerField string        // the header that names a customer; empty: the edge node's number does
 }
 
-// openBook makes the book of the accounts, with those of earlier lives where a file has them. Trouble with the file
+// openLedger makes the book of the accounts, with those of earlier lives where a file has them. Trouble with the file
 // is told, and costs the file alone.
-func (b *Backend) openBook() error {
+func (b *Backend) openLedger() error {
 	cfg := accounting.Config{MaxCustomers: b.cfg.Accounting.MaxCustomers, MaxPeriods: b.cfg.Accounting.MaxPeriods, PeriodLength: b.cfg.Accounting.PeriodLength}
 	for _, h := range b.handlers {
 		cfg.Handlers = append(cfg.Handlers, h.name)
@@ -38,12 +38,12 @@
 	if b.cfg.Accounting.File == "" {
 		book.StartIncarnation(b.wall, 0)
 	} else {
-		b.record = statsfile.NewRecorder(b.cfg.Accounting.File, b.cfg.Accounting.Entries, b.log)
-		book = b.record.Open(book, cfg, b.wall, startPatient)
+		b.recorder = statsfile.NewRecorder(b.cfg.Accounting.File, b.cfg.Accounting.Entries, b.log)
+		book = b.recorder.Open(book, cfg, b.wall, startPatient)
 	}
-	b.book = book
+	b.ledger = book
 	for _, h := range b.handlers {
-		b.rows = append(b.rows, book.Handler(h.name))
+		b.ledgerRows = append(b.ledgerRows, book.Handler(h.name))
 	}
 	return nil
 }
@@ -53,69 +53,69 @@
 	if h < 0 {
 		return 0
 	}
-	return b.rows[h]
+	return b.ledgerRows[h]
 }
 
 // flush sends what was written, and has the record say before and after which answers may have left.
 func (b *Backend) flush(t time.Time) time.Duration {
-	if b.record == nil {
-		return b.box.Flush(t)
+	if b.recorder == nil {
+		return b.loop.Flush(t)
 	}
-	b.book.Flush(b.wall, true)
-	b.record.Append(b.book, b.wall)
-	again := b.box.Flush(t)
-	b.book.Flush(b.wall, false)
-	b.record.Append(b.book, b.wall)
+	b.ledger.Flush(b.wall, true)
+	b.recorder.Append(b.ledger, b.wall)
+	again := b.loop.Flush(t)
+	b.ledger.Flush(b.wall, false)
+	b.recorder.Append(b.ledger, b.wall)
 	return again
 }
 
 // audit has the book look whether its figures add up, and tells what does not.
 func (b *Backend) audit() {
-	b.book.Audit(b.wall)
+	b.ledger.Audit(b.wall)
 	if b.now >= b.compareAt {
 		b.compareAt = b.now + compareEvery
-		b.compare()
+		b.compareLedger()
 	}
-	b.tellDifferences()
+	b.logMismatches()
 }
 
-// compare holds the book against the core's own tables.
-func (b *Backend) compare() {
-	b.book.Compare(b.wall, func(have func(accounting.Ticket, uint64)) {
-		for _, r := range b.reqs { // a sum: the order does not matter
-			if b.owes(r) || r.taken && !r.settled {
+// compareLedger holds the book against the core's own tables.
+func (b *Backend) compareLedger() {
+	b.ledger.Compare(b.wall, func(have func(accounting.Ticket, uint64)) {
+		for _, r := range b.requests { // a sum: the order does not matter
+			if b.hasClient(r) || r.takenOver && !r.accounted {
 				have(r.ticket, r.id)
 			}
 		}
-		for e := range b.door.edges {
-			for _, a := range e.out {
+		for e := range b.frontend.clients {
+			for _, a := range e.undelivered {
 				have(a.ticket, a.id)
 			}
 		}
 	})
 }
 
-func (b *Backend) tellDifferences() {
-	for _, d := range b.book.TakeMismatches() {
+func (b *Backend) logMismatches() {
+	for _, d := range b.ledger.TakeMismatches() {
 		b.log.Error("figures differ", "what", d.What, "one", d.Left, "other", d.Right, "trail", d.Trail)
 		invariant.Check(false, "figures add up: "+d.What)
 	}
 }
 
-// settle closes the accounts of a process that ends by itself.
-func (b *Backend) settle() {
-	b.book.CloseAll(accounting.OpenAtExit, accounting.Exited)
-	if b.record != nil {
-		b.record.Close(b.book, b.wall)
+// closeAccounts closes the accounts of a process that ends by itself.
+func (b *Backend) closeAccounts() {
+	b.ledger.CloseAll(accounting.OpenAtExit, accounting.Exited)
+	if b.recorder != nil {
+		b.recorder.Close(b.ledger, b.wall)
 	}
 }
 
 // Accounting gives the accounts of all reqs, while Serve runs and after it.
 func (b *Backend) Accounting() accounting.Report {
 	var out accounting.Report
-	b.ask(func() {
-		if b.book != nil { // Serve got that far
-			out = b.book.Report(false)
+	b.onOwner(func() {
+		if b.ledger != nil { // Serve got that far
+			out = b.ledger.Report(false)
 		}
 	})
 	return out
@@ -124,6 +124,6 @@
 // AccountingRecorded tells whether the figures are being recorded, or need not be.
 func (b *Backend) AccountingRecorded() bool {
 	up := true
-	b.ask(func() { up = b.record == nil || b.record.Recording() })
+	b.onOwner(func() { up = b.recorder == nil || b.recorder.Recording() })
 	return up
 }
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -41,54 +41,54 @@
 
 // Backend is one backend. Make it with New.
 type Backend struct {
-	cfg   Config
-	log   *slog.Logger
-	start time.Time // of the spans that the module is given
-	box   *conn.Loop
-	ln    []*conn.Listener
+	cfg       Config
+	log       *slog.Logger
+	start     time.Time // of the spans that the module is given
+	loop      *conn.Loop
+	listeners []*conn.Listener
 
-	ctl       *overload.Controller // nil until the processor is up
-	handlers  []handler
-	customers []string        // their names, in the order of the settings
-	canStop   bool            // runs may be interrupted here
-	reqs      map[uint64]*req // held, running, or running on without being owed
-	owed      int             // reqs without their answer
-	events    []overload.Event
-	now       time.Duration
-	wall      time.Duration // the same moment as a span since the start of 1970
-	next      time.Duration
+	controller *overload.Controller // nil until the processor is up
+	handlers   []handler
+	customers  []string            // their names, in the order of the settings
+	canCancel  bool                // runs may be interrupted here
+	requests   map[uint64]*request // held, running, or running on without being owed
+	unanswered int                 // reqs without their answer
+	events     []overload.Event
+	now        time.Duration
+	wall       time.Duration // the same moment as a span since the start of 1970
+	wakeAt     time.Duration
 
-	wake      time.Duration // when the module wants a Timer event; 0 not
-	gaugesBy  time.Duration // the event waits for the gauges until then; 0 does not
-	gauges    []float64
-	signal    []byte // the free value as it is written; empty before the first
-	good      bool
-	cheap     bool
-	keep      time.Duration // idle connections are closed after this; 0 as usual
-	tidyAt    time.Duration
-	process   lifecycle.Process
-	heartbeat lifecycle.Heartbeat
-	leaving   bool          // the notice came, and the overload controller has not heard of it
-	grace     time.Duration // after the notice, in which what is read may start
-	awayFor   time.Duration // what who is refused at the end is told to stay away; 0 nothing
-	stamps    arrival.Clock
-	door      door
-	link      link
-	tier      nextTier
-	lease     lease
-	keys      keys
-	keeper    keeper
-	cluster   cluster
-	count     Counters
-	turned    atomic.Int64 // connections that found no room
-	notes     map[string]*logthrottle.Limiter
-	scratch   []byte
-	book      *accounting.Ledger  // nil until Serve
-	rows      []uint16            // of the handlers in it
-	record    *statsfile.Recorder // nil without a figures file
-	compareAt time.Duration
-	requested chan func()
-	stopped   chan struct{}
+	controllerWake  time.Duration // when the module wants a Timer event; 0 not
+	gaugesBy        time.Duration // the event waits for the gauges until then; 0 does not
+	gauges          []float64
+	signal          []byte // the free value as it is written; empty before the first
+	healthy         bool
+	shallowChecks   bool
+	idleTimeout     time.Duration // idle connections are closed after this; 0 as usual
+	sweepAt         time.Duration
+	process         lifecycle.Process
+	heartbeat       lifecycle.Heartbeat
+	drainPending    bool          // the notice came, and the overload controller has not heard of it
+	grace           time.Duration // after the notice, in which what is read may start
+	drainRetryAfter time.Duration // what who is refused at the end is told to stay away; 0 nothing
+	arrivals        arrival.Clock
+	frontend        frontend
+	processor       processorLink
+	upstream        upstream
+	reporter        controlReporter
+	results         resultCache
+	guard           idempotencyGuard
+	cluster         cluster
+	stats           Counters
+	connsRejected   atomic.Int64 // connections that found no room
+	logLimits       map[string]*logthrottle.Limiter
+	scratch         []byte
+	ledger          *accounting.Ledger  // nil until Serve
+	ledgerRows      []uint16            // of the handlers in it
+	recorder        *statsfile.Recorder // nil without a figures file
+	compareAt       time.Duration
+	ownerCalls      chan func()
+	done            chan struct{}
 }
 
 type handler struct {
@@ -109,18 +109,18 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(cfg.Limits.Sockets) {
 		cfg.Limits.Sockets = int(files.Cur) // the process may hold fewer than it was told
 	}
-	b := &Backend{cfg: cfg, log: log, start: time.Now().Add(-startSpan), box: conn.NewLoop(),
-		reqs: map[uint64]*req{}, notes: map[string]*logthrottle.Limiter{}, good: true,
-		requested: make(chan func()), stopped: make(chan struct{})}
+	b := &Backend{cfg: cfg, log: log, start: time.Now().Add(-startSpan), loop: conn.NewLoop(),
+		requests: map[uint64]*request{}, logLimits: map[string]*logthrottle.Limiter{}, healthy: true,
+		ownerCalls: make(chan func()), done: make(chan struct{})}
 	part, _ := cfg.Settings["backend"].(map[string]any)
-	b.canStop = part["halt"] != nil && part["halt"] != "off"
+	b.canCancel = part["halt"] != nil && part["halt"] != "off"
 	rules, _ := b.cfg.Settings["rules"].(map[string]any)
 	b.grace, _ = rules["drain_grace"].(time.Duration)
 	limits, _ := b.cfg.Settings["limits"].(map[string]any)
 	if advice, _ := limits["retry_after"].(bool); advice {
-		b.awayFor, _ = limits["max_retry_after"].(time.Duration)
+		b.drainRetryAfter, _ = limits["max_retry_after"].(time.Duration)
 	}
-	b.cfg.Settings = b.keeper.init(b)
+	b.cfg.Settings = b.guard.init(b)
 	b.fit()
 	list, _ := b.cfg.Settings["handlers"].([]any)
 	for _, v := range list {
@@ -142,14 +142,14 @@
 		b.customers = append(b.customers, name)
 	}
 	b.cluster.init(b)
-	b.door.init(b)
-	b.link.init(b)
+	b.frontend.init(b)
+	b.processor.init(b)
 	if len(cfg.AJPUpstream.Balancer.Peers) > 0 {
-		b.tier = newPeers(b)
+		b.upstream = newAJPUpstream(b)
 	} else {
-		b.tier = newTier(b)
+		b.upstream = newProxyUpstream(b)
 	}
-	b.keys.init(b)
+	b.results.init(b)
 	return b
 }
 
@@ -176,20 +176,20 @@
 // Reload has new work go to the addresses of another configuration: those of the processor, the next tier and the
 // control plane, and the time to stop. What is in hand at the old ones may finish; a drain goes on as it was. All
 // else takes a new process. It may be called from any goroutine.
-func (b *Backend) Reload(cfg Config) { b.box.Post(func() { b.reload(cfg) }) }
+func (b *Backend) Reload(cfg Config) { b.loop.Post(func() { b.reload(cfg) }) }
 
 func (b *Backend) reload(cfg Config) {
-	b.count.Reloads++
+	b.stats.Reloads++
 	if cfg.ControlPlane != b.cfg.ControlPlane {
-		if err := b.lease.open(cfg.ControlPlane); err != nil {
-			b.note("control plane not reached", "why", err) // a bad address
+		if err := b.reporter.open(cfg.ControlPlane); err != nil {
+			b.logLimited("control plane not reached", "why", err) // a bad address
 		}
 	}
 	b.cfg.Processor, b.cfg.Upstream, b.cfg.ControlPlane, b.cfg.StopTimeout = cfg.Processor, cfg.Upstream, cfg.ControlPlane, cfg.StopTimeout
-	b.link.move(cfg.Processor)
+	b.processor.changeAddress(cfg.Processor)
 	if len(cfg.AJPUpstream.Balancer.Peers) > 0 == (len(b.cfg.AJPUpstream.Balancer.Peers) > 0) { // else it takes a new process
 		b.cfg.AJPUpstream = cfg.AJPUpstream
-		b.tier.move(&cfg)
+		b.upstream.reconfigure(&cfg)
 	}
 	b.cluster.change(cfg.Cluster)
 	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
@@ -198,108 +198,108 @@
 // Counters returns the counters, while Serve runs and after it.
 func (b *Backend) Counters() Counters {
 	var c Counters
-	b.ask(func() { c = b.counters() })
+	b.onOwner(func() { c = b.counters() })
 	return c
 }
 
-// ask has the owner call f, and waits for it; what Serve left is at rest.
-func (b *Backend) ask(f func()) {
+// onOwner has the owner call f, and waits for it; what Serve left is at rest.
+func (b *Backend) onOwner(f func()) {
 	done := make(chan struct{})
 	select {
-	case b.requested <- func() { f(); close(done) }:
+	case b.ownerCalls <- func() { f(); close(done) }:
 		<-done
-	case <-b.stopped:
+	case <-b.done:
 		f()
 	}
 }
 
 func (b *Backend) counters() Counters {
-	c := b.count
-	if b.book != nil { // Serve has begun
-		c.Requests, c.Mismatches, c.Reasons = b.book.Total(), b.book.Mismatches(), reasonsOf(b.book)
+	c := b.stats
+	if b.ledger != nil { // Serve has begun
+		c.Requests, c.Mismatches, c.Reasons = b.ledger.Total(), b.ledger.Mismatches(), reasonsOf(b.ledger)
 	}
-	c.ConnsRefused, c.Open, c.Pending, c.Broken = b.turned.Load(), b.box.Open.Load(), int64(b.owed), invariant.Broken()
-	c.Dropped = b.box.Discarded.Load()
+	c.ConnsRefused, c.Open, c.Pending, c.Broken = b.connsRejected.Load(), b.loop.Open.Load(), int64(b.unanswered), invariant.Broken()
+	c.Dropped = b.loop.Discarded.Load()
 	return c
 }
 
 // Serve runs the backend until ctx is done and all that was read is answered. It may be called once.
 func (b *Backend) Serve(ctx context.Context) error {
-	defer close(b.stopped)
+	defer close(b.done)
 	if b.cfg.Limits.MemoryMB > 0 {
-		b.box.MaxUnsent = int(b.share(outShare))
-		b.box.MaxUnread = int64(b.share(inShare))
+		b.loop.MaxUnsent = int(b.memoryShare(outShare))
+		b.loop.MaxUnread = int64(b.memoryShare(inShare))
 	}
-	b.box.MaxLingering = max(1, int(lingerShare*float64(b.door.room())))
+	b.loop.MaxLingering = max(1, int(lingerShare*float64(b.frontend.connectionLimit())))
 	if ctx.Err() != nil {
 		return nil // told to leave before anything could be read
 	}
-	if err := b.openBook(); err != nil {
+	if err := b.openLedger(); err != nil {
 		return err
 	}
 	defer b.closeListeners()
-	b.keeper.open()
-	defer b.keeper.close()
-	if b.cluster.on() {
+	b.guard.open()
+	defer b.guard.close()
+	if b.cluster.enabled() {
 		if err := b.listen(ctx, b.cfg.Cluster.Listen, b.cluster.take); err != nil {
 			return err
 		}
 	}
-	if err := b.listen(ctx, b.cfg.Listen, b.door.accept(b.door.fastCGI)); err != nil {
+	if err := b.listen(ctx, b.cfg.Listen, b.frontend.accept(b.frontend.fastCGI)); err != nil {
 		return err
 	}
 	if at := b.cfg.AJP.Listen; at != "" {
-		if err := b.listen(ctx, at, b.door.accept(b.door.ajp)); err != nil {
+		if err := b.listen(ctx, at, b.frontend.accept(b.frontend.ajp)); err != nil {
 			return err
 		}
 		b.log.Info("serving AJP", "listen", at)
 	}
-	if err := b.lease.open(b.cfg.ControlPlane); err != nil {
+	if err := b.reporter.open(b.cfg.ControlPlane); err != nil {
 		return err
 	}
-	defer b.lease.close()
+	defer b.reporter.close()
 	b.log.Info("serving", "name", b.cfg.Name, "listen", b.cfg.Listen)
 	leave := ctx.Done()
 	timer := time.NewTimer(0)
 	for {
 		select {
-		case <-b.box.Wake:
+		case <-b.loop.Wake:
 		case <-timer.C:
 		case <-leave:
 			leave = nil
 			b.clock()
-			b.leave()
-		case f := <-b.requested:
+			b.startDrain()
+		case f := <-b.ownerCalls:
 			f()
 		}
 		t := b.clock()
-		b.next = b.now + time.Second
-		b.box.Dispatch()
-		b.link.askUnverified()
-		b.lookAtTime()
-		b.decide()
-		for b.cluster.hand() {
-			b.decide()
+		b.wakeAt = b.now + time.Second
+		b.loop.Dispatch()
+		b.processor.askUnverified()
+		b.onTimer()
+		b.runController()
+		for b.cluster.runPending() {
+			b.runController()
 		}
 		b.cluster.send()
-		b.keeper.hand()
-		b.lease.report(b)
+		b.guard.flushEntries()
+		b.reporter.report(b)
 		if b.shutdown() {
 			b.flush(t)
-			b.settle()
+			b.closeAccounts()
 			b.log.Info("left", "counters", b.counters())
 			return nil
 		}
 		if again := b.flush(t); again > 0 {
-			b.at(b.now + again)
+			b.wakeBy(b.now + again)
 		}
-		b.stamps.ExpectTurn(b.next)
-		timer.Reset(max(0, b.next-time.Since(b.start)))
+		b.arrivals.ExpectTurn(b.wakeAt)
+		timer.Reset(max(0, b.wakeAt-time.Since(b.start)))
 	}
 }
 
-// share is so much of the memory limit, in bytes.
-func (b *Backend) share(part float64) float64 {
+// memoryShare is so much of the memory limit, in bytes.
+func (b *Backend) memoryShare(part float64) float64 {
 	if b.cfg.Limits.MemoryMB <= 0 {
 		return math.Inf(1)
 	}
@@ -311,53 +311,53 @@
 	t := time.Now()
 	b.now, b.wall = t.Sub(b.start), time.Duration(t.UnixNano())+faultinject.ClockOffset()
 	b.heartbeat.Beat(b.now)
-	step, stall := b.stamps.Turn(b.now, b.wall)
+	step, stall := b.arrivals.Turn(b.now, b.wall)
 	if step != 0 {
-		b.count.ClockSteps++
-		b.note("time of day stepped", "by", step)
+		b.stats.ClockSteps++
+		b.logLimited("time of day stepped", "by", step)
 	}
 	if stall >= stallTold {
-		b.count.Stalls++
-		b.note("stood still", "for", stall)
+		b.stats.Stalls++
+		b.logLimited("stood still", "for", stall)
 	}
 	return t
 }
 
-// at has the owner wake by then.
-func (b *Backend) at(t time.Duration) { b.next = min(b.next, t) }
+// wakeBy has the owner wake by then.
+func (b *Backend) wakeBy(t time.Duration) { b.wakeAt = min(b.wakeAt, t) }
 
-// lookAtTime does what is due, and has the owner wake for the rest.
-func (b *Backend) lookAtTime() {
+// onTimer does what is due, and has the owner wake for the rest.
+func (b *Backend) onTimer() {
 	switch {
-	case b.ctl == nil || b.wake == 0 && b.gaugesBy == 0:
+	case b.controller == nil || b.controllerWake == 0 && b.gaugesBy == 0:
 	case b.gaugesBy > 0 && b.now >= b.gaugesBy:
-		b.count.GaugesLate++
+		b.stats.GaugesLate++
 		b.timerEvent()
 	case b.gaugesBy > 0:
-		b.at(b.gaugesBy)
-	case b.now >= b.wake:
-		b.wake = 0
-		if b.link.usage() {
+		b.wakeBy(b.gaugesBy)
+	case b.now >= b.controllerWake:
+		b.controllerWake = 0
+		if b.processor.requestGauges() {
 			b.gaugesBy = b.now + gaugeWait
-			b.at(b.gaugesBy)
+			b.wakeBy(b.gaugesBy)
 		} else {
 			b.timerEvent()
 		}
 	default:
-		b.at(b.wake)
-	}
-	b.link.lookAtTime()
-	b.tier.lookAtTime()
-	b.keeper.lookAtTime()
-	b.cluster.lookAtTime()
-	if b.now >= b.tidyAt {
-		b.tidyAt = b.now + tidyEvery
-		b.door.tidy()
-		b.keys.tidy()
-		b.keeper.tidy()
+		b.wakeBy(b.controllerWake)
+	}
+	b.processor.onTimer()
+	b.upstream.onTimer()
+	b.guard.onTimer()
+	b.cluster.onTimer()
+	if b.now >= b.sweepAt {
+		b.sweepAt = b.now + tidyEvery
+		b.frontend.sweep()
+		b.results.sweep()
+		b.guard.sweep()
 		b.audit()
 	}
-	b.at(b.tidyAt)
+	b.wakeBy(b.sweepAt)
 }
 
 func (b *Backend) timerEvent() {
@@ -365,64 +365,64 @@
 	b.events = append(b.events, overload.Event{Kind: overload.Timer, Gauges: b.gauges})
 }
 
-// decide hands the module what has happened and carries out what it wants, until nothing follows at once.
-func (b *Backend) decide() {
-	for b.ctl != nil && (b.leaving || len(b.events) > 0) {
-		if b.leaving {
-			b.leaving = false
-			b.events = slices.Insert(b.events, 0, b.leaveEvent())
+// runController hands the module what has happened and carries out what it wants, until nothing follows at once.
+func (b *Backend) runController() {
+	for b.controller != nil && (b.drainPending || len(b.events) > 0) {
+		if b.drainPending {
+			b.drainPending = false
+			b.events = slices.Insert(b.events, 0, b.drainEvent())
 		}
-		b.count.Batches++
-		b.count.Events += int64(len(b.events))
-		actions := b.ctl.Handle(b.now, b.events)
+		b.stats.Batches++
+		b.stats.Events += int64(len(b.events))
+		actions := b.controller.Handle(b.now, b.events)
 		b.events = b.events[:0]
 		for i := range actions {
-			b.act(&actions[i])
+			b.apply(&actions[i])
 		}
 	}
-	invariant.Check(b.owed >= 0 && b.owed <= len(b.reqs), "owed reqs are among those known")
-	invariant.Check(b.box.Open.Load() <= int64(b.cfg.Limits.Sockets), "descriptors stay within their limit")
+	invariant.Check(b.unanswered >= 0 && b.unanswered <= len(b.requests), "owed reqs are among those known")
+	invariant.Check(b.loop.Open.Load() <= int64(b.cfg.Limits.Sockets), "descriptors stay within their limit")
 	if invariant.Debug {
-		b.verify()
+		b.checkInvariants()
 	}
 }
 
-// verify goes through all that is kept: each owed req has one place to answer to, and who is not owed runs.
-func (b *Backend) verify() {
+// checkInvariants goes through all that is kept: each owed req has one place to answer to, and who is not owed runs.
+func (b *Backend) checkInvariants() {
 	owed, calls := 0, 0
-	for _, r := range b.reqs {
-		if b.owes(r) {
+	for _, r := range b.requests {
+		if b.hasClient(r) {
 			owed++
-			invariant.Check(r.edge.open[r.slot] == r, "an owed req holds its slot")
-			invariant.Check(r.at != unverified || r.guard != nil || slices.Contains(b.link.unverified, r), "an unverified req is asked for")
+			invariant.Check(r.client.requests[r.slot] == r, "an owed req holds its slot")
+			invariant.Check(r.state != stateUnverified || r.guard != nil || slices.Contains(b.processor.unverified, r), "an unverified req is asked for")
 		} else {
-			invariant.Check(r.taken || r.at >= noting, "what is kept without being owed runs")
+			invariant.Check(r.takenOver || r.state >= stateAwaitingIntent, "what is kept without being owed runs")
 		}
 		if r.call != nil {
 			calls++
-			invariant.Check(r.at == calling, "who has a call in hand is calling")
+			invariant.Check(r.state == stateCalling, "who has a call in hand is calling")
 		}
 	}
 	slots := 0
-	for e := range b.door.edges {
-		slots += len(e.open)
-		invariant.Check(e.broken || e.p.open() >= len(e.open)+len(e.checks), "open slots are known to the parser")
-	}
-	invariant.Check(owed == b.owed && owed == slots, "held and running reqs are those owed, each on one slot")
-	b.compare()
-	b.book.Audit(b.wall)
-	b.tellDifferences()
-	invariant.Check(calls == b.tier.inHand(), "calls in hand are those of reqs")
-	invariant.Check(float64(b.keys.kept) <= b.share(keptShare), "kept results stay within their bound")
+	for e := range b.frontend.clients {
+		slots += len(e.requests)
+		invariant.Check(e.broken || e.protocol.openSlots() >= len(e.requests)+len(e.checks), "open slots are known to the parser")
+	}
+	invariant.Check(owed == b.unanswered && owed == slots, "held and running reqs are those owed, each on one slot")
+	b.compareLedger()
+	b.ledger.Audit(b.wall)
+	b.logMismatches()
+	invariant.Check(calls == b.upstream.inFlight(), "calls in hand are those of reqs")
+	invariant.Check(float64(b.results.resultBytes) <= b.memoryShare(keptShare), "kept results stay within their bound")
 }
 
-// come makes the controller once the processor is up.
-func (b *Backend) come(cold bool, started time.Duration) {
+// processorUp makes the controller once the processor is up.
+func (b *Backend) processorUp(cold bool, started time.Duration) {
 	s := b.cfg.Settings
 	if part, ok := s["backend"].(map[string]any); ok {
 		part["cold"] = cold
 	}
-	b.ctl = overload.New(b.cfg.Seed, s, started)
+	b.controller = overload.New(b.cfg.Seed, s, started)
 	b.log.Info("processor is up", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
 	b.timerEvent() // the first reply has the health, the signal and the first wake
 }
@@ -430,24 +430,24 @@
 // listen accepts connections at an address. The system may have none to give for a while, or an earlier process still holds it.
 func (b *Backend) listen(ctx context.Context, address string, accept func(c *conn.Conn)) error {
 	for end := time.Now().Add(listenFor); ; {
-		ln, err := b.box.Listen(address, b.door.room(), accept, b.notAccepted)
+		ln, err := b.loop.Listen(address, b.frontend.connectionLimit(), accept, b.notAccepted)
 		if err == nil {
-			b.ln = append(b.ln, ln)
+			b.listeners = append(b.listeners, ln)
 			return nil
 		}
 		if !passing(err) || ctx.Err() != nil || time.Now().After(end) {
 			return err
 		}
-		b.note("not listening yet", "listen", address, "why", err)
+		b.logLimited("not listening yet", "listen", address, "why", err)
 		time.Sleep(listenAgain)
 	}
 }
 
 // notAccepted follows a connection for which there was no room (nil), or that the system could not give.
 func (b *Backend) notAccepted(err error) {
-	b.turned.Add(1)
+	b.connsRejected.Add(1)
 	if err != nil {
-		b.box.Post(func() { b.note("not accepted", "why", err) })
+		b.loop.Post(func() { b.logLimited("not accepted", "why", err) })
 	}
 }
 
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -53,24 +53,24 @@
 
 // cluster is the core's side of members and takeover: it carries their messages, and does what they say.
 type cluster struct {
-	b      *Backend
-	list   *membership.Detector
-	box    *failover.Node // nil until the store is read
-	links  map[string]*boxLink
-	life   uint64
-	next   time.Duration
-	store  *idempotency.Store
-	way    *recovery.Node // back after a loss; nil until the store is read
-	mark   uint64         // of this process
-	known  memory
-	refill refilling
-	parts  [][]KeyPart         // by handler: replayable ones that are taken over
-	asked  map[string]*session // processors of lost boxes that are being asked
+	backend     *Backend
+	list        *membership.Detector
+	node        *failover.Node // nil until the store is read
+	links       map[string]*nodeLink
+	incarnation uint64
+	next        time.Duration
+	store       *idempotency.Store
+	recovery    *recovery.Node // back after a loss; nil until the store is read
+	mark        uint64         // of this process
+	peerStates  peerStateFile
+	refill      refillState
+	parts       [][]KeyPart         // by handler: replayable ones that are taken over
+	asked       map[string]*session // processors of lost boxes that are being asked
 
 	lists     lists               // that this box goes by
 	goes      []uint64            // their digests
 	leavers   []ClusterMember     // of the list before: no members, and not known to be gone
-	told      map[string][]uint64 // by which lists others go: digests
+	adopted   map[string][]uint64 // by which lists others go: digests
 	pending   bool                // it is to go by those of the configuration
 	tryAt     time.Duration
 	why       string // it can't yet
@@ -83,8 +83,8 @@
 	by time.Duration
 }
 
-// boxLink is the connection on which this box sends to another.
-type boxLink struct {
+// nodeLink is the connection on which this box sends to another.
+type nodeLink struct {
 	address   string
 	processor string
 	c         *conn.Conn
@@ -99,14 +99,14 @@
 	errHello    = errors.New("it does not say who it is")
 )
 
-func (c *cluster) on() bool { return c.b != nil }
+func (c *cluster) enabled() bool { return c.backend != nil }
 
 // init prepares a box of a cluster.
 func (c *cluster) init(b *Backend) {
-	if b.cfg.Cluster.Name == "" || !b.keeper.on() {
+	if b.cfg.Cluster.Name == "" || !b.guard.enabled() {
 		return
 	}
-	c.b, c.links, c.asked = b, map[string]*boxLink{}, map[string]*session{}
+	c.backend, c.links, c.asked = b, map[string]*nodeLink{}, map[string]*session{}
 	for _, h := range b.handlers {
 		parts := b.cfg.Cluster.ReplayableHandlers[h.name]
 		if !h.replayable {
@@ -114,26 +114,26 @@
 		}
 		c.parts = append(c.parts, parts)
 	}
-	c.told = map[string][]uint64{}
+	c.adopted = map[string][]uint64{}
 }
 
 // begin has the box take part, with the life that its store counts.
 func (c *cluster) begin() {
-	b := c.b
-	c.life = c.store.Stats().Incarnation
+	b := c.backend
+	c.incarnation = c.store.Stats().Incarnation
 	r := c.lists.roster()
-	if c.box != nil { // its life was numbered anew
-		c.store.AbandonInFlight(b.keeper.now())
+	if c.node != nil { // its life was numbered anew
+		c.store.AbandonInFlight(b.guard.now())
 	}
 	c.pending = true // until it goes by those of its file
-	c.list = membership.New(membership.Config{Name: b.cfg.Name, Incarnation: c.life, ProbeInterval: probeEvery, ProbeTimeout: probeAnd}, b.cfg.Seed, b.now)
+	c.list = membership.New(membership.Config{Name: b.cfg.Name, Incarnation: c.incarnation, ProbeInterval: probeEvery, ProbeTimeout: probeAnd}, b.cfg.Seed, b.now)
 	c.connect()
-	c.box = failover.New(failover.Config{Name: b.cfg.Name, Incarnation: c.life, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
-		MaxResultBytes: int(min(b.share(noteShare), noteShare*memoryNone))}, c.store, c, b.cfg.Seed^1,
-		b.keeper.now())
-	c.box.AddFences(fences(c.known.Fences))
+	c.node = failover.New(failover.Config{Name: b.cfg.Name, Incarnation: c.incarnation, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
+		MaxResultBytes: int(min(b.memoryShare(noteShare), noteShare*memoryNone))}, c.store, c, b.cfg.Seed^1,
+		b.guard.now())
+	c.node.AddFences(fences(c.peerStates.Fences))
 	c.lacks()
-	b.log.Info("cluster", "name", b.cfg.Cluster.Name, "life", c.life, "members", len(r.Members), "before", len(r.Previous))
+	b.log.Info("cluster", "name", b.cfg.Cluster.Name, "life", c.incarnation, "members", len(r.Members), "before", len(r.Previous))
 }
 
 // Alive, Gone and Life are what takeover is told of others. One that is only suspected is tried to be replaced: that harms nothing.
@@ -143,27 +143,27 @@
 
 // take accepts the connection of another box.
 func (c *cluster) take(n *conn.Conn) {
-	b := c.b
+	b := c.backend
 	from, life := "", uint64(0)
 	p := peerproto.NewParser(func(batch *peerproto.Batch) error {
-		if c.way == nil && batch.Hello == nil {
+		if c.recovery == nil && batch.Hello == nil {
 			return nil // not yet read: they ask again
 		}
 		if h := batch.Hello; h != nil && (from == "" || from == h.From) {
-			if h.Cluster != b.cfg.Cluster.Name || c.links[h.From] == nil && c.way != nil {
+			if h.Cluster != b.cfg.Cluster.Name || c.links[h.From] == nil && c.recovery != nil {
 				return fmt.Errorf("%w: %s of %s", errStranger, h.From, h.Cluster)
 			}
 			from, life = h.From, h.Incarnation
-			c.told[from] = h.Lists
+			c.adopted[from] = h.Lists
 			c.heard(h)
 		}
-		if from != "" && batch.PeerState != nil && c.way != nil {
-			c.way.Receive(b.now, from, *batch.PeerState)
+		if from != "" && batch.PeerState != nil && c.recovery != nil {
+			c.recovery.Receive(b.now, from, *batch.PeerState)
 		}
 		switch {
 		case from == "":
 			return errHello
-		case c.box == nil:
+		case c.node == nil:
 			return nil
 		case c.links[from] == nil:
 			return fmt.Errorf("%w: %s", errStranger, from)
@@ -180,16 +180,16 @@
 		for i := range batch.Members {
 			c.list.Receive(b.now, from, life, &batch.Members[i])
 		}
-		if len(batch.Claims) > 0 && !failover.Compatible(c.told[from], c.goes) {
-			b.note("members differ", "box", from)
+		if len(batch.Claims) > 0 && !failover.Compatible(c.adopted[from], c.goes) {
+			b.logLimited("members differ", "box", from)
 			return nil
 		}
 		for i := range batch.Claims {
-			c.box.Receive(b.keeper.now(), from, life, &batch.Claims[i])
+			c.node.Receive(b.guard.now(), from, life, &batch.Claims[i])
 		}
 		return nil
 	})
-	n.OnData = b.noting("bad box", func(text []byte) error {
+	n.OnData = b.parseLogged("bad box", func(text []byte) error {
 		if err := p.Feed(text); err != nil || from != "" || p.Held() <= helloMost {
 			return err
 		}
@@ -198,44 +198,44 @@
 	n.OnClosed = func(error) {}
 }
 
-// lookAtTime does what is due.
-func (c *cluster) lookAtTime() {
+// onTimer does what is due.
+func (c *cluster) onTimer() {
 	c.lookBack()
-	if c.box == nil {
+	if c.node == nil {
 		return
 	}
-	b := c.b
+	b := c.backend
 	for _, s := range c.asked { // each has its own connection: the order does not matter
 		switch {
 		case s.c == nil:
 		case b.now >= s.by:
 			s.c.Abort(conn.ErrClosedLocally)
 		default:
-			b.at(s.by)
+			b.wakeBy(s.by)
 		}
 	}
 	if b.now >= c.next {
 		c.next = b.now + boxTick
-		c.box.Tick(b.keeper.now())
+		c.node.Tick(b.guard.now())
 		c.refillTick()
 	}
-	b.at(c.next)
+	b.wakeBy(c.next)
 	c.tryChange()
 	at := c.list.NextDeadline()
 	if b.now >= at {
 		c.list.Tick(b.now)
 		at = c.list.NextDeadline()
 	}
-	b.at(at)
+	b.wakeBy(at)
 }
 
-// hand carries out what members and takeover want, and tells whether anything was done.
-func (c *cluster) hand() (any bool) {
+// runPending carries out what members and takeover want, and tells whether anything was done.
+func (c *cluster) runPending() (any bool) {
 	c.follow()
-	if c.box == nil {
+	if c.node == nil {
 		return false
 	}
-	b := c.b
+	b := c.backend
 	sends, changes := c.list.Ready()
 	for _, s := range sends {
 		l := c.links[s.To]
@@ -249,7 +249,7 @@
 		b.log.Info("member", "name", x.Name, "life", x.Incarnation, "state", x.State.String(), "was", x.Previous.State.String())
 	}
 	for {
-		sends, out := c.box.Ready()
+		sends, out := c.node.Ready()
 		if len(sends)+len(out) == 0 {
 			break
 		}
@@ -263,7 +263,7 @@
 			c.outcome(o)
 		}
 	}
-	for _, p := range c.box.ProcessorQueries() {
+	for _, p := range c.node.ProcessorQueries() {
 		c.askProcessor(p)
 	}
 	return any
@@ -271,28 +271,28 @@
 
 // askProcessor asks the processor of a lost box how runs ended that were begun there: it hands out its notices after the given one.
 func (c *cluster) askProcessor(p failover.ProcessorQuery) {
-	b, l := c.b, c.links[p.Node]
+	b, l := c.backend, c.links[p.Node]
 	if l == nil || l.processor == "" || c.asked[p.Node] != nil {
 		return
 	}
 	s := &session{}
 	c.asked[p.Node] = s
-	b.box.Dial(l.processor, func(n *conn.Conn, err error) {
+	b.loop.Dial(l.processor, func(n *conn.Conn, err error) {
 		if err != nil {
 			delete(c.asked, p.Node)
 			return
 		}
 		s.c, s.by = n, b.now+askWait
-		n.MaxUnsent = int(min(b.share(linkShare), math.MaxInt32))
+		n.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
 		n.SetInputLimit(n.MaxUnsent)
 		n.OnClosed = func(error) { delete(c.asked, p.Node) }
-		n.OnData = b.noting("bad link", processor.NewParser(func(x processor.Notice) {
+		n.OnData = b.parseLogged("bad link", processor.NewParser(func(x processor.Notice) {
 			kind := map[overload.Outcome]idempotency.EntryKind{overload.OK: idempotency.EntryResult, overload.Failed: idempotency.EntryFailed, overload.Stopped: idempotency.EntryFailed}[x.Outcome]
 			switch {
 			case x.Kind == processor.Hi:
 				n.Write(processor.AppendUsage(nil, 1)) // its answer follows all notices that are kept
 			case x.Kind == processor.Complete && kind != 0:
-				c.box.FinishFromProcessor(b.keeper.now(), p.Node, x.ID, kind, x.Body)
+				c.node.FinishFromProcessor(b.guard.now(), p.Node, x.ID, kind, x.Body)
 			case x.Kind == processor.Used:
 				n.CloseAfterSend(conn.ErrClosedLocally)
 			}
@@ -309,11 +309,11 @@
 }
 
 // flush writes a turn's batch to a box. What can't be sent is asked for again.
-func (c *cluster) flush(l *boxLink) {
+func (c *cluster) flush(l *nodeLink) {
 	if !l.wants() {
 		return
 	}
-	b := c.b
+	b := c.backend
 	if l.c != nil {
 		if l.ask {
 			l.ask = false
@@ -324,7 +324,7 @@
 	} else if !l.dialing && b.now >= l.dialAt {
 		l.dialing = true
 		address := l.address
-		b.box.Dial(address, func(n *conn.Conn, err error) {
+		b.loop.Dial(address, func(n *conn.Conn, err error) {
 			l.dialing, l.dialAt = false, b.now+boxRedial
 			if err != nil {
 				return
@@ -349,49 +349,49 @@
 }
 
 // ask has a guarded req's group asked, before the module hears of it.
-func (c *cluster) ask(r *req) {
+func (c *cluster) ask(r *request) {
 	g := r.guard
-	r.at = unverified
-	h := &c.b.handlers[r.h]
-	c.box.Claim(c.b.keeper.now(), g.key, g.made, r.id, failover.Work{Handler: h.name, Body: r.body, Left: int64(g.due - c.b.now),
-		Cost: int64(r.ev.Hint), Size: r.ev.Size, Rank: r.ev.ValueRank, Weight: h.value, Replayable: g.replay})
+	r.state = stateUnverified
+	h := &c.backend.handlers[r.handler]
+	c.node.Claim(c.backend.guard.now(), g.key, g.createdAt, r.id, failover.Work{Handler: h.name, Body: r.body, Left: int64(g.due - c.backend.now),
+		Cost: int64(r.arrival.Hint), Size: r.arrival.Size, Rank: r.arrival.ValueRank, Weight: h.value, Replayable: g.replayable})
 }
 
 // admitted hands a req to the module, after its group was asked.
-func (c *cluster) admitted(r *req, known bool) {
-	r.at = held
-	r.ev.Delay += c.b.now - r.guard.asked
+func (c *cluster) admitted(r *request, known bool) {
+	r.state = stateHeld
+	r.arrival.Delay += c.backend.now - r.guard.askedAt
 	if known {
-		r.fore = cmp.Or(c.box.Original(r.guard.key), 1)
-		if r.fore == r.id || c.b.reqs[r.fore] == nil {
-			r.fore = ^uint64(0) // another box's: the module knows nothing of it
+		r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
+		if r.originalID == r.id || c.backend.requests[r.originalID] == nil {
+			r.originalID = ^uint64(0) // another box's: the module knows nothing of it
 		}
-		r.ev.RepeatOf = r.fore
-	} else if r.guard.replay {
-		c.b.keys.meet(r) // where there is no room it is not remembered: it may run again
+		r.arrival.RepeatOf = r.originalID
+	} else if r.guard.replayable {
+		c.backend.results.lookup(r) // where there is no room it is not remembered: it may run again
 	}
-	c.b.submit(r)
+	c.backend.submitArrival(r)
 }
 
 // settled closes the account of a req that was taken over: its answer is the group's.
-func (c *cluster) settled(r *req, why accounting.Reason) {
-	if !r.taken || r.settled {
+func (c *cluster) settled(r *request, why accounting.Reason) {
+	if !r.takenOver || r.accounted {
 		return
 	}
-	r.settled = true
-	c.b.book.Answer(c.b.wall, r.ticket, why)
-	c.b.book.Sent(c.b.wall, r.ticket)
+	r.accounted = true
+	c.backend.ledger.Answer(c.backend.wall, r.ticket, why)
+	c.backend.ledger.Sent(c.backend.wall, r.ticket)
 }
 
-// handsOver has another box take over what this one leaves unrun, and tells whether one does. Its caller hears that one's result here,
+// handOff has another box take over what this one leaves unrun, and tells whether one does. Its caller hears that one's result here,
 // within the stop.
-func (c *cluster) handsOver(r *req) bool {
-	if c.box == nil || r.guard == nil || r.at != held || !c.box.HandOff(c.b.keeper.now(), r.guard.key, r.id) {
+func (c *cluster) handOff(r *request) bool {
+	if c.node == nil || r.guard == nil || r.state != stateHeld || !c.node.HandOff(c.backend.guard.now(), r.guard.key, r.id) {
 		return false
 	}
-	c.b.count.HandedOff++
-	r.at = writing
-	c.b.keeper.writing[r] = struct{}{}
+	c.backend.stats.HandedOff++
+	r.state = stateAwaitingResult
+	c.backend.guard.writing[r] = struct{}{}
 	return true
 }
 
@@ -425,24 +425,24 @@
 // ClusterStats gives them, while Serve runs and after it; nil without a cluster, or before the store is read.
 func (b *Backend) ClusterStats() *ClusterStats {
 	var out *ClusterStats
-	b.ask(func() {
+	b.onOwner(func() {
 		c := &b.cluster
-		if c.way == nil {
+		if c.recovery == nil {
 			return
 		}
-		out = &ClusterStats{Name: b.cfg.Cluster.Name, Incarnation: c.life, Previous: len(c.lists.Before), Since: c.allSince(), RosterReason: c.why,
-			Phase: c.way.Phase().String(), PhaseReason: c.way.Reason(), Unanswered: c.way.Unanswered()}
-		if c.box == nil {
+		out = &ClusterStats{Name: b.cfg.Cluster.Name, Incarnation: c.incarnation, Previous: len(c.lists.Before), Since: c.allSince(), RosterReason: c.why,
+			Phase: c.recovery.Phase().String(), PhaseReason: c.recovery.Reason(), Unanswered: c.recovery.Unanswered()}
+		if c.node == nil {
 			return
 		}
 		out.OutcomeUnknown = c.store.UnknownByHandler()
 		if out.UnknownOutcomes = c.refill.doubts.Remaining(); c.refill.from != nil {
 			out.Refill = c.refill.from.Progress()
 		}
-		out.LocalHealth, out.Failover, out.Requests = c.list.LocalHealth(), c.box.Stats(), c.box.Requests(reqsMost)
+		out.LocalHealth, out.Failover, out.Requests = c.list.LocalHealth(), c.node.Stats(), c.node.Requests(reqsMost)
 		for _, m := range c.list.Snapshot() {
 			goes := "unknown"
-			switch told := c.told[m.Name]; {
+			switch told := c.adopted[m.Name]; {
 			case m.Name == b.cfg.Name, slices.Equal(told, c.goes):
 				goes = "as here"
 			case failover.Compatible(told, c.goes):
@@ -458,68 +458,68 @@
 
 // leave has the others know, and takes nothing over any more.
 func (c *cluster) leave() {
-	if c.box != nil {
-		c.box.StartDraining()
+	if c.node != nil {
+		c.node.StartDraining()
 		c.list.Leave()
 	}
 }
 
-// taken has a req that another box held go to the module here; nobody waits for it on a connection.
-func (c *cluster) taken(o failover.Outcome) {
-	b := c.b
+// takenOver has a req that another box held go to the module here; nobody waits for it on a connection.
+func (c *cluster) takenOver(o failover.Outcome) {
+	b := c.backend
 	h := b.handlerOf(o.Work.Handler)
 	left := time.Duration(o.Work.Left)
-	if h < 0 || left <= 0 || b.ctl == nil || b.reqs[o.ID] != nil {
-		c.box.Release(b.keeper.now(), o.Key, o.ID)
+	if h < 0 || left <= 0 || b.controller == nil || b.requests[o.ID] != nil {
+		c.node.Release(b.guard.now(), o.Key, o.ID)
 		return
 	}
-	r := &req{id: o.ID, name: fmt.Sprintf("%016x", o.ID), h: h, body: o.Work.Body, at: held, taken: true, since: b.now,
-		guard: &guarded{key: o.Key, made: o.Made, due: b.now + left, replay: o.Work.Replayable}}
-	r.ev = overload.Event{Kind: overload.Arrived, ID: r.id, Handler: h, Remaining: left, Hint: time.Duration(o.Work.Cost),
+	r := &request{id: o.ID, wireID: fmt.Sprintf("%016x", o.ID), handler: h, body: o.Work.Body, state: stateHeld, takenOver: true, readAt: b.now,
+		guard: &guardState{key: o.Key, createdAt: o.Made, due: b.now + left, replayable: o.Work.Replayable}}
+	r.arrival = overload.Event{Kind: overload.Arrived, ID: r.id, Handler: h, Remaining: left, Hint: time.Duration(o.Work.Cost),
 		Size: cmp.Or(o.Work.Size, sizeTaken), ValueRank: o.Work.Rank, Delay: max(0, b.handlers[h].timeout-left)}
-	r.ticket = b.book.Open(b.wall, r.id, b.rowOf(h), accounting.FailedOver, accounting.CustomerName{})
-	b.reqs[r.id] = r
-	b.count.TakenOver++
-	b.events = append(b.events, r.ev)
+	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(h), accounting.FailedOver, accounting.CustomerName{})
+	b.requests[r.id] = r
+	b.stats.TakenOver++
+	b.events = append(b.events, r.arrival)
 }
 
 // outcome carries out what takeover says of a req.
 func (c *cluster) outcome(o failover.Outcome) {
-	b := c.b
+	b := c.backend
 	if o.Decision == failover.TakenOver {
-		c.taken(o)
+		c.takenOver(o)
 		return
 	}
-	r := b.reqs[o.ID]
+	r := b.requests[o.ID]
 	if r == nil || r.guard == nil || r.guard.key != o.Key {
 		if o.Decision == idempotency.Start { // it was let go in the same moment: it never ran
-			c.box.Finish(b.keeper.now(), o.Key, o.ID, idempotency.EntryNeverRan, nil)
+			c.node.Finish(b.guard.now(), o.Key, o.ID, idempotency.EntryNeverRan, nil)
 		}
 		return
 	}
-	asking := r.at == unverified
+	asking := r.state == stateUnverified
 	switch {
 	case o.Decision == idempotency.Fresh && asking:
 		c.admitted(r, false)
-	case o.Decision == idempotency.Duplicate && r.guard.replay: // it waits, or goes on where it is
+	case o.Decision == idempotency.Duplicate && r.guard.replayable: // it waits, or goes on where it is
 	case o.Decision == idempotency.Duplicate && asking:
 		c.admitted(r, true)
 	case o.Decision == idempotency.Duplicate: // it was held here until another took it: it waits for that one
 	case asking && o.Decision == idempotency.Replay:
-		b.keeper.reason(o.Decision)
-		b.door.done(r, accounting.Replayed, o.Result)
-		b.answered(r)
-	case asking && r.guard.replay:
+		b.guard.reason(o.Decision)
+		b.frontend.succeeded(r, accounting.Replayed, o.Result)
+		b.finishAnswered(r)
+	case asking && r.guard.replayable:
 		c.admitted(r, false)
-	case r.guard.replay && o.Decision != idempotency.Replay && r.at != writing && !r.taken: // the module has it
+	case r.guard.replayable && o.Decision != idempotency.Replay && r.state != stateAwaitingResult && !r.takenOver: // the module has it
 	case asking:
-		b.door.declined(r, b.keeper.reason(o.Decision))
-		b.answered(r)
-	case o.Decision == idempotency.Start && !b.wanted(r):
-		r.guard.kept = true
-		c.box.Finish(b.keeper.now(), o.Key, o.ID, idempotency.EntryNeverRan, nil)
-		b.ended(r, overload.NeverRan, accounting.NeverRan, 0, nil)
+		b.frontend.declined(r, b.guard.reason(o.Decision))
+		b.finishAnswered(r)
+	case o.Decision == idempotency.Start && !b.isWanted(r):
+		r.guard.resultDurable = true
+		c.node.Finish(b.guard.now(), o.Key, o.ID, idempotency.EntryNeverRan, nil)
+		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	default:
-		b.keeper.outcome(o.Outcome)
+		b.guard.outcome(o.Outcome)
 	}
 }
--- a/backend/lease.go
+++ b/backend/control_reporter.go
@@ -11,8 +11,8 @@
 // Fifteen in the 3 s after which a silent backend leaves the list: datagrams are lost, and cost little.
 const reportEvery = 200 * time.Millisecond
 
-// lease reports to the control plane. It hears nothing back, so its silence changes nothing.
-type lease struct {
+// controlReporter reports to the control plane. It hears nothing back, so its silence changes nothing.
+type controlReporter struct {
 	address string
 	c       net.Conn // nil while the system gives none, or without a control plane
 	next    time.Duration
@@ -21,7 +21,7 @@
 }
 
 // open reports to that address from now on; one that can't be an address changes nothing.
-func (l *lease) open(address string) error {
+func (l *controlReporter) open(address string) error {
 	if address != "" {
 		if _, err := net.ResolveUDPAddr("udp", address); err != nil {
 			return err
@@ -32,31 +32,31 @@
 	return nil
 }
 
-func (l *lease) close() {
+func (l *controlReporter) close() {
 	if l.c != nil {
 		_ = l.c.Close()
 	}
 }
 
 // report tells the control plane, in time and at once what has changed.
-func (l *lease) report(b *Backend) {
+func (l *controlReporter) report(b *Backend) {
 	if l.address == "" {
 		return
 	}
 	if l.c == nil && b.now >= l.next {
 		c, err := net.Dial("udp", l.address)
 		if err != nil { // the system has none to give for a while
-			b.note("control plane not reached", "why", err)
+			b.logLimited("control plane not reached", "why", err)
 			l.next = b.now + reportEvery
 		} else {
 			l.c = c
 		}
 	}
 	if l.c == nil {
-		b.at(l.next)
+		b.wakeBy(l.next)
 		return
 	}
-	if ready := b.good && b.ctl != nil; b.now >= l.next || ready != l.said {
+	if ready := b.healthy && b.controller != nil; b.now >= l.next || ready != l.said {
 		l.next, l.said = b.now+reportEvery, ready
 		l.buf = control.AppendLease(l.buf[:0], b.cfg.Name, ready)
 		err := faultinject.Error(faultinject.Send)
@@ -67,8 +67,8 @@
 			_, err = l.c.Write(l.buf)
 		}
 		if err == nil {
-			b.count.Reports++
+			b.stats.Reports++
 		}
 	}
-	b.at(l.next)
+	b.wakeBy(l.next)
 }
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -67,18 +67,18 @@
 	return sums
 }
 
-// violated counts and tells of an act that a rule forbids at this moment, and that was not done.
-func (b *Backend) violated(act string, r *req, why lifecycle.Verdict) {
-	b.count.Violations++
-	b.log.Error("rule kept at the last moment", "act", act, "id", r.name, "why", why)
+// recordViolation counts and tells of an act that a rule forbids at this moment, and that was not done.
+func (b *Backend) recordViolation(act string, r *request, why lifecycle.Verdict) {
+	b.stats.Violations++
+	b.log.Error("rule kept at the last moment", "act", act, "id", r.wireID, "why", why)
 }
 
-// note logs a trouble, at most once a second for each kind, with the number left out since.
-func (b *Backend) note(kind string, args ...any) {
-	line := b.notes[kind]
+// logLimited logs a trouble, at most once a second for each kind, with the number left out since.
+func (b *Backend) logLimited(kind string, args ...any) {
+	line := b.logLimits[kind]
 	if line == nil {
 		line = &logthrottle.Limiter{}
-		b.notes[kind] = line
+		b.logLimits[kind] = line
 	}
 	leftOut, ok := line.Allow()
 	if !ok {
@@ -90,12 +90,12 @@
 	b.log.Warn(kind, args...)
 }
 
-// noting is a connection's Data that feeds a parser and logs what it can't follow as that kind of trouble.
-func (b *Backend) noting(kind string, feed func([]byte) error) func([]byte) error {
+// parseLogged is a connection's Data that feeds a parser and logs what it can't follow as that kind of trouble.
+func (b *Backend) parseLogged(kind string, feed func([]byte) error) func([]byte) error {
 	return func(p []byte) error {
 		err := feed(p)
 		if err != nil {
-			b.note(kind, "why", err)
+			b.logLimited(kind, "why", err)
 		}
 		return err
 	}
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -34,7 +34,7 @@
 	s.want("processor: hello 0")
 	s.step([]string{"processor", "says", "hi warm 500000"})
 	s.want("control: lease n3 Ready")
-	s.until(func() bool { return s.b.link.ready() })
+	s.until(func() bool { return s.b.processor.ready() })
 	return s
 }
 
@@ -96,7 +96,7 @@
 // holdOwner keeps the owner at a gate until the returned function is called.
 func (s *stage) holdOwner(then ...func()) (release func()) {
 	gate, held := make(chan struct{}), make(chan struct{})
-	s.b.box.Post(func() {
+	s.b.loop.Post(func() {
 		close(held)
 		<-gate
 		for _, f := range then {
@@ -110,10 +110,10 @@
 // turn has the owner call f, and waits until the turn of that is over.
 func (s *stage) turn(f func()) {
 	done := make(chan struct{})
-	s.b.box.Post(func() { f(); s.b.box.Post(func() { close(done) }) })
+	s.b.loop.Post(func() { f(); s.b.loop.Post(func() { close(done) }) })
 	select {
 	case <-done:
-	case <-s.b.stopped:
+	case <-s.b.done:
 	}
 }
 
@@ -122,9 +122,9 @@
 func (s *stage) closes() { s.turn(s.closing) }
 
 func (s *stage) closing() {
-	s.b.leave()
+	s.b.startDrain()
 	s.b.process.SetKillTime(s.b.now + lifecycle.ClosingBefore)
-	s.b.box.Post(func() { s.b.process.SetKillTime(s.b.now + time.Minute) })
+	s.b.loop.Post(func() { s.b.process.SetKillTime(s.b.now + time.Minute) })
 }
 
 // client is one connection of an edge node whose answers are read one by one.
@@ -190,7 +190,7 @@
 // begins sends a req, and waits until it runs.
 func (s *stage) begins(c *client, slot uint16) {
 	s.t.Helper()
-	c.sends(request(slot, nil))
+	c.sends(fastcgiRequest(slot, nil))
 	s.want(fmt.Sprintf("processor: begin %016x status \"\"", slot))
 }
 
@@ -229,7 +229,7 @@
 			c := s.client()
 			s.served(c, 1)
 			s.closes()
-			c.sends(request(2, nil))
+			c.sends(fastcgiRequest(2, nil))
 			c.wants("end")
 			s.over()
 			s.never("processor: begin 0000000000000002")
@@ -238,7 +238,7 @@
 			c := s.client()
 			s.served(c, 1)
 			release := s.holdOwner(s.closing)
-			c.sends(request(2, nil))
+			c.sends(fastcgiRequest(2, nil))
 			s.arrives()
 			release()
 			c.wants("2"+refusedLine, "end")
@@ -250,7 +250,7 @@
 			s.begins(c, 1)
 			s.closes()
 			for slot := uint16(2); slot < 6; slot++ {
-				c.sends(request(slot, nil))
+				c.sends(fastcgiRequest(slot, nil))
 				c.wants(fmt.Sprintf("%d%s", slot, refusedLine))
 			}
 			s.ends(1)
@@ -261,7 +261,7 @@
 		{"one that asks for the end of its connection, beside a run: what follows is answered", func(s *stage) {
 			c := s.client()
 			s.begins(c, 1)
-			c.sends(strings.Replace(request(2, map[string]string{"HTTP_X_RANK": "soon"}), "\x00\x01\x01", "\x00\x01\x00", 1))
+			c.sends(strings.Replace(fastcgiRequest(2, map[string]string{"HTTP_X_RANK": "soon"}), "\x00\x01\x01", "\x00\x01\x00", 1))
 			c.wants("2 Status: 400 Bad Request")
 			s.begins(c, 3)
 			s.ends(3)
@@ -274,7 +274,7 @@
 		{"half read: its rest comes in the closing and is refused", func(s *stage) {
 			c := s.client()
 			s.served(c, 1)
-			whole := request(2, nil)
+			whole := fastcgiRequest(2, nil)
 			c.sends(whole[:len(whole)-20])
 			s.halfRead(1)
 			s.closes()
@@ -285,7 +285,7 @@
 		}},
 		{"half read for good: refused, and the connection ends", func(s *stage) {
 			c := s.client()
-			c.sends(request(2, nil)[:30])
+			c.sends(fastcgiRequest(2, nil)[:30])
 			s.halfRead(1)
 			s.closes()
 			s.turn(func() { s.b.process.SetKillTime(s.b.now + lifecycle.EndingBefore) })
@@ -297,7 +297,7 @@
 			s.served(c, 1)
 			release := s.holdOwner()
 			s.leave()
-			c.sends(request(2, nil))
+			c.sends(fastcgiRequest(2, nil))
 			release()
 			s.want(`processor: begin 0000000000000002 status ""`)
 			s.ends(2)
@@ -309,7 +309,7 @@
 		{"in the accept queue: taken, and refused", func(s *stage) {
 			release := s.holdOwner(s.closing)
 			c := s.client()
-			c.sends(request(2, nil))
+			c.sends(fastcgiRequest(2, nil))
 			release()
 			if got := c.answer(); got != "2"+refusedLine && got != "end" { // the latter if its bytes came after it was ended
 				s.t.Error(got)
@@ -336,7 +336,7 @@
 		{"strange, and the processor says nothing: not waited for in the closing", func(s *stage) {
 			s.step([]string{"processor", "mute"})
 			c := s.client()
-			c.sends(request(1, nil))
+			c.sends(fastcgiRequest(1, nil))
 			s.strangers(1)
 			s.closes()
 			s.want(`processor: begin 0000000000000001 status ""`)
@@ -345,10 +345,10 @@
 			s.over()
 		}},
 		{"a deep check at the processor: answered in the closing", func(s *stage) {
-			s.turn(func() { s.b.cheap = false })
+			s.turn(func() { s.b.shallowChecks = false })
 			c := s.client()
-			c.sends(request(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
-			s.until(func() bool { return len(s.b.link.trials) == 1 })
+			c.sends(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
+			s.until(func() bool { return len(s.b.processor.trials) == 1 })
 			s.closes()
 			c.wants("1"+refusedLine, "end")
 			s.over()
@@ -361,7 +361,7 @@
 			s.turn(func() {
 				before = s.b.process.KillTime()
 				s.b.now += time.Millisecond
-				s.b.leave()
+				s.b.startDrain()
 				after = s.b.process.KillTime()
 			})
 			if before != after {
@@ -374,7 +374,7 @@
 		{"SIGHUP in the drain and in the closing: what runs goes on", func(s *stage) {
 			c := s.client()
 			s.begins(c, 1)
-			s.turn(s.b.leave)
+			s.turn(s.b.startDrain)
 			s.step([]string{"moves"})
 			s.want("new processor: hello 0")
 			s.step([]string{"processor", "says", "hi warm 500100"})
@@ -398,7 +398,7 @@
 		s.start(patiently(long))
 		s.want("processor: hello 0")
 		c := s.client()
-		c.sends(request(1, nil))
+		c.sends(fastcgiRequest(1, nil))
 		c.wants("1" + refusedLine)
 		s.closes()
 		c.wants("end")
@@ -409,7 +409,7 @@
 // arrives waits until something waits for the owner, which is held.
 func (s *stage) arrives() {
 	s.t.Helper()
-	if !s.within(func() bool { return !s.b.box.Idle() }) {
+	if !s.within(func() bool { return !s.b.loop.Idle() }) {
 		s.t.Fatal("nothing arrives")
 	}
 }
@@ -427,26 +427,26 @@
 	}{
 		{"stamped before the notice", func(s *stage, c *client) {
 			s.turn(func() { s.noticed(past + time.Millisecond) })
-			c.sends(request(2, longAgo))
+			c.sends(fastcgiRequest(2, longAgo))
 			c.wants("2" + refusedLine)
 		}},
 		{"the notice is heard of late", func(s *stage, c *client) {
 			s.turn(func() {
 				s.b.heartbeat = lifecycle.Heartbeat{}
 				s.b.heartbeat.Beat(s.b.now - past - time.Millisecond) // it last ran then
-				s.b.leave()
+				s.b.startDrain()
 			})
-			c.sends(request(2, nil))
+			c.sends(fastcgiRequest(2, nil))
 			c.wants("2" + refusedLine)
 		}},
 		{"it waits for the processor's word when the grace ends", func(s *stage, _ *client) {
 			s.step([]string{"processor", "mute"})
 			other := s.client() // the processor does not know it yet
-			other.sends(request(2, nil))
+			other.sends(fastcgiRequest(2, nil))
 			s.strangers(1)
 			s.turn(func() {
 				s.noticed(past + time.Millisecond)
-				s.b.link.admitAll()
+				s.b.processor.admitAll()
 			})
 			other.wants("2" + refusedLine)
 		}},
@@ -467,9 +467,9 @@
 		s.want("processor: hello 0")
 		s.turn(func() { s.noticed(past + time.Millisecond) })
 		s.step([]string{"processor", "says", "hi warm 500000"})
-		s.until(func() bool { return s.b.link.ready() })
+		s.until(func() bool { return s.b.processor.ready() })
 		c := s.client()
-		c.sends(request(2, nil))
+		c.sends(fastcgiRequest(2, nil))
 		c.wants("2" + refusedLine)
 		s.refusedInTime()
 	})
@@ -488,7 +488,7 @@
 func (s *stage) noticed(ago time.Duration) {
 	s.b.heartbeat = lifecycle.Heartbeat{}
 	s.b.heartbeat.Beat(s.b.now - ago)
-	s.b.leave()
+	s.b.startDrain()
 }
 
 // TestClockSteps: after a step of the time of day reqs are served as before, whether it is the node's clock alone that stepped or that of
@@ -497,11 +497,11 @@
 	t.Parallel()
 	for _, step := range []time.Duration{-time.Hour, -time.Second, time.Second, time.Hour} {
 		s := crossing(t, nil)
-		s.turn(func() { s.b.stamps.Turn(s.b.now, s.b.wall-step) }) // the next turn sees it step
+		s.turn(func() { s.b.arrivals.Turn(s.b.now, s.b.wall-step) }) // the next turn sees it step
 		c := s.client()
 		s.served(c, 1)
 		stamped := time.Now().Add(-step)
-		c.sends(request(2, map[string]string{"HTTP_X_REQUEST_START": fmt.Sprint(stamped.UnixMilli())}))
+		c.sends(fastcgiRequest(2, map[string]string{"HTTP_X_REQUEST_START": fmt.Sprint(stamped.UnixMilli())}))
 		s.want(`processor: begin 0000000000000002 status ""`)
 		s.ends(2)
 		c.wants("2" + doneLine)
@@ -516,8 +516,8 @@
 	s.t.Helper()
 	s.until(func() bool {
 		have := 0
-		for e := range s.b.door.edges {
-			if len(e.open) == 0 && e.p.open() > 0 {
+		for e := range s.b.frontend.clients {
+			if len(e.requests) == 0 && e.protocol.openSlots() > 0 {
 				have++
 			}
 		}
@@ -528,7 +528,7 @@
 // strangers waits until the processor is asked for so many reqs.
 func (s *stage) strangers(n int) {
 	s.t.Helper()
-	s.until(func() bool { return len(s.b.link.unverified) == n })
+	s.until(func() bool { return len(s.b.processor.unverified) == n })
 }
 
 // until waits until the owner finds it so.
@@ -549,13 +549,13 @@
 	s := crossing(t, nil)
 	c := s.client()
 	s.begins(c, 1)
-	c.sends(request(2, nil)[:30] + strings.Repeat("?", 40)) // half a req, and what is no record
-	c.sends(request(3, nil))
-	s.until(func() bool { return s.b.count.BadConns == 1 })
+	c.sends(fastcgiRequest(2, nil)[:30] + strings.Repeat("?", 40)) // half a req, and what is no record
+	c.sends(fastcgiRequest(3, nil))
+	s.until(func() bool { return s.b.stats.BadConns == 1 })
 	s.ends(1)
 	c.wants("1"+doneLine, "end")
 	s.never("processor: begin 0000000000000003")
-	s.until(func() bool { return len(s.b.door.edges) == 0 && s.b.door.parts == 0 })
+	s.until(func() bool { return len(s.b.frontend.clients) == 0 && s.b.frontend.partialBytes == 0 })
 }
 
 // TestPartsLetGo: what is held of reqs that never come whole is let go with their answers, however they end.
@@ -568,17 +568,17 @@
 	for slot := range uint16(parts) {
 		c.sends(stand.Record(1, slot+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + stand.Record(4, slot+1, strings.Repeat("x", 1000)))
 	}
-	s.until(func() bool { return s.b.door.parts == parts*1000 })
+	s.until(func() bool { return s.b.frontend.partialBytes == parts*1000 })
 	for range parts {
 		s.turn(func() {
 			s.b.now += wholeMost
-			s.b.door.tidy()
+			s.b.frontend.sweep()
 		})
 		if got := c.answer(); !strings.HasSuffix(got, " Status: 400 Bad Request") {
 			t.Error(got)
 		}
 	}
-	s.until(func() bool { return s.b.door.parts == 0 })
+	s.until(func() bool { return s.b.frontend.partialBytes == 0 })
 }
 
 // TestSilentFlood: clients that take all places and say nothing, or half a word, leave one for an edge node, at once, and those for calls.
@@ -594,10 +594,12 @@
 			t.Cleanup(func() { _ = c.Close() })
 			_, _ = io.WriteString(c, says)
 		}
-		s.until(func() bool { return s.b.count.Conns > 100 }) // those that came between two turns found no room
+		s.until(func() bool { return s.b.stats.Conns > 100 }) // those that came between two turns found no room
 		c := s.client()
 		s.served(c, 1)
-		s.until(func() bool { return s.b.count.ConnsTrimmed > 0 && int(s.b.box.Open.Load()) <= s.b.door.room() })
+		s.until(func() bool {
+			return s.b.stats.ConnsTrimmed > 0 && int(s.b.loop.Open.Load()) <= s.b.frontend.connectionLimit()
+		})
 	}
 }
 
@@ -608,16 +610,16 @@
 	c := s.client()
 	s.begins(c, 1)
 	s.turn(func() {
-		r := s.b.reqs[1]
-		s.b.link.ask(r, []byte("what"))
-		s.b.decide() // its call is being dialled for
+		r := s.b.requests[1]
+		s.b.processor.ask(r, []byte("what"))
+		s.b.runController() // its call is being dialled for
 		if !s.within(func() bool { s.tier.mu.Lock(); defer s.tier.mu.Unlock(); return len(s.tier.all) == 1 }) {
 			t.Error("nobody dials")
 		}
-		s.b.ended(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
+		s.b.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
 	})
 	c.wants("1" + erroredLine)
-	s.until(func() bool { return s.b.tier.inHand() == 0 })
+	s.until(func() bool { return s.b.upstream.inFlight() == 0 })
 	s.begins(c, 2)
 	s.step([]string{"processor", "notes", "ask", "0000000000000002", "what"})
 	s.want(`tier: invoke 0000000000000002 "what"`)
@@ -667,7 +669,7 @@
 	c := s.client()
 	s.begins(c, 1)
 	s.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
-	s.until(func() bool { return s.b.notes["next tier not reached"] != nil })
+	s.until(func() bool { return s.b.logLimits["next tier not reached"] != nil })
 	go func() {
 		ln := goes()
 		for {
@@ -712,15 +714,15 @@
 		done     []uint16
 		records  int // others than answers
 	}{
-		{"in one piece", request(2, nil), []uint16{2}, 0},
+		{"in one piece", fastcgiRequest(2, nil), []uint16{2}, 0},
 		{"parameters of one byte a record", begin(3) + params(3, a, 1) + body(3, "x"), []uint16{3}, 0},
 		{"two reqs whose records alternate", begin(3) + begin(4) + stand.Record(4, 3, a) + stand.Record(4, 4, b) + stand.Record(4, 3, "") +
 			stand.Record(4, 4, "") + stand.Record(5, 4, "y") + stand.Record(5, 3, "x") + stand.Record(5, 4, "") + stand.Record(5, 3, ""), []uint16{3, 4}, 0},
 		{"a question for values and an unknown type between", begin(3) + stand.Record(9, 0, "\x0f\x00FCGI_MPXS_CONNS") + params(3, a, 100) +
 			stand.Record(77, 0, "what") + body(3, "x"), []uint16{3}, 2},
 		{"records of slots that never began, and an end of its own", stand.Record(2, 9, "") + stand.Record(5, 9, "z") + stand.Record(4, 9, "z") +
-			stand.Record(3, 9, "\x00\x00\x00\x00\x00\x00\x00\x00") + stand.Record(8, 9, "z") + request(5, nil), []uint16{5}, 1},
-		{"reqs one after the other in one piece", request(6, nil) + request(7, nil) + request(8, nil), []uint16{6, 7, 8}, 0},
+			stand.Record(3, 9, "\x00\x00\x00\x00\x00\x00\x00\x00") + stand.Record(8, 9, "z") + fastcgiRequest(5, nil), []uint16{5}, 1},
+		{"reqs one after the other in one piece", fastcgiRequest(6, nil) + fastcgiRequest(7, nil) + fastcgiRequest(8, nil), []uint16{6, 7, 8}, 0},
 	}
 	s := crossing(t, nil)
 	for i, form := range forms {
@@ -761,13 +763,13 @@
 	s.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	s.want(`tier: invoke 0000000000000001 "what"`)
 	release := s.holdOwner()
-	s.b.box.Post(func() { s.b.door.takenBack(s.b.reqs[1].edge, 1) }) // as an abort that is read first
+	s.b.loop.Post(func() { s.b.frontend.takenBack(s.b.requests[1].client, 1) }) // as an abort that is read first
 	s.step([]string{"tier", "replies", "0000000000000001", "late"})
 	release()
-	s.until(func() bool { return s.b.tier.inHand() == 0 && s.b.tier.connections() == 0 })
+	s.until(func() bool { return s.b.upstream.inFlight() == 0 && s.b.upstream.connections() == 0 })
 	s.want("tier: cancel 0000000000000001")
 	s.step([]string{"processor", "notes", "complete", "0000000000000001", "halted", "5", "-"})
-	s.until(func() bool { return len(s.b.reqs) == 0 })
+	s.until(func() bool { return len(s.b.requests) == 0 })
 	s.never("processor: answer")
 }
 
@@ -778,12 +780,14 @@
 	c := s.client()
 	s.begins(c, 1)
 	s.turn(func() {
-		r := s.b.reqs[1]
-		e := r.edge
-		s.b.ended(r, overload.OK, accounting.Completed, 0, []byte("done")) // written, and not sent before the turn is over
-		e.c.Abort(syscall.ECONNRESET)
+		r := s.b.requests[1]
+		e := r.client
+		s.b.runEnded(r, overload.OK, accounting.Completed, 0, []byte("done")) // written, and not sent before the turn is over
+		e.conn.Abort(syscall.ECONNRESET)
+	})
+	s.until(func() bool {
+		return len(s.b.frontend.clients) == 0 && s.b.stats.Unanswered == 1 && len(s.b.requests) == 0
 	})
-	s.until(func() bool { return len(s.b.door.edges) == 0 && s.b.count.Unanswered == 1 && len(s.b.reqs) == 0 })
 }
 
 // TestControlSilent: nobody at the control plane's address, from the start and later, changes nothing; once somebody is
@@ -794,7 +798,7 @@
 	address := s.control.LocalAddr().String()
 	_ = s.control.Close()
 	sent := s.b.Counters().Reports
-	s.until(func() bool { return s.b.count.Reports >= sent+2 }) // at least one of them met the refusal of another
+	s.until(func() bool { return s.b.stats.Reports >= sent+2 }) // at least one of them met the refusal of another
 	c := s.client()
 	s.served(c, 1)
 	back, err := net.ListenPacket("udp", address)
@@ -819,7 +823,9 @@
 	_ = c.c.CloseWrite()
 	s.want("processor: interrupt 0000000000000001")
 	s.step([]string{"processor", "notes", "complete", "0000000000000001", "halted", "5", "-"})
-	s.until(func() bool { return len(s.b.reqs) == 0 && len(s.b.door.edges) == 0 && s.b.count.Unanswered == 1 })
+	s.until(func() bool {
+		return len(s.b.requests) == 0 && len(s.b.frontend.clients) == 0 && s.b.stats.Unanswered == 1
+	})
 	c.wants("end")
 }
 
@@ -830,16 +836,16 @@
 	s := crossing(t, map[string]string{"claim": "dedup"})
 	keyed := map[string]string{"SCRIPT_NAME": "/invoke/file-claim", "HTTP_IDEMPOTENCY_KEY": "k"}
 	c := s.client()
-	c.sends(request(1, keyed))
+	c.sends(fastcgiRequest(1, keyed))
 	s.want(`processor: begin 0000000000000001 file-claim ""`)
 	s.ends(1)
 	c.wants("1" + doneLine)
-	c.sends(request(2, keyed))
+	c.sends(fastcgiRequest(2, keyed))
 	c.wants("2" + doneLine)
 	s.step([]string{"processor", "mute"})
-	c.sends(request(3, keyed))
+	c.sends(fastcgiRequest(3, keyed))
 	c.wants("3" + refusedLine)
 	s.step([]string{"processor", "mute", "off"})
-	c.sends(request(4, keyed))
+	c.sends(fastcgiRequest(4, keyed))
 	c.wants("4" + doneLine)
 }
--- a/backend/door.go
+++ b/backend/frontend.go
@@ -34,26 +34,26 @@
 	errParts   = errors.New("too much of reqs that are not whole")
 )
 
-// door is the side of those that ask, whatever protocol they speak: what becomes of a req that was read, what is owed
+// frontend is the side of those that ask, whatever protocol they speak: what becomes of a req that was read, what is owed
 // to whom, and who is closed. It answers each req once, by the protocol of its connection.
-type door struct {
-	b     *Backend
-	edges map[*edge]struct{}
-	parts int // bytes of reqs that are not yet whole, of all
-	conns int // taken so far: they are numbered
+type frontend struct {
+	backend      *Backend
+	clients      map[*clientConn]struct{}
+	partialBytes int // bytes of reqs that are not yet whole, of all
+	accepted     int // taken so far: they are numbered
 
 	cgi, http map[string][]field // what a name means: as CGI has it, as HTTP has it in lower case
 }
 
 // protocol is what one way to ask has of its own: its parser, the slots of a connection, how an answer is cut.
 type protocol interface {
-	front() accounting.Frontend
+	kind() accounting.Frontend
 	feed(p []byte) error // what was read; it calls back the door's request, bad and others
-	held() int           // bytes of reqs that are not whole
-	mid() bool           // part of a message was read
-	open() int           // slots in use: reqs that are read, and those not yet answered
-	drop()               // forget what is being read and is not whole
+	partialBytes() int   // bytes of reqs that are not whole
+	midMessage() bool    // part of a message was read
+	openSlots() int      // slots in use: reqs that are read, and those not yet answered
+	discardPartial()     // forget what is being read and is not whole
 
-	late(by time.Duration) (slot uint16, keep, any bool) // a req that was begun by then and is not whole
+	overdue(by time.Duration) (slot uint16, keep, any bool) // a req that was begun by then and is not whole
 	answer(b []byte, slot uint16, keep bool, a *reply) []byte
 }
--- a/backend/ajp.go
+++ b/backend/frontend_ajp.go
@@ -26,10 +26,10 @@
 
 var errShutdown = errors.New("it wants this backend to end")
 
-// jp is a connection that speaks AJP: one req at a time, and no abort but its end.
-type jp struct {
-	f     *door
-	e     *edge
+// ajpProtocol is a connection that speaks AJP: one req at a time, and no abort but its end.
+type ajpProtocol struct {
+	f     *frontend
+	e     *clientConn
 	p     *ajp.Server
 	begun time.Duration // of the req that is being read
 	part  bool          // one is
@@ -38,29 +38,29 @@
 // ajpSlot is the one slot of a connection.
 const ajpSlot = 1
 
-func (f *door) ajp(e *edge) protocol {
-	return &jp{f: f, e: e, p: ajp.NewServer(f.b.cfg.AJP.packet())}
+func (f *frontend) ajp(e *clientConn) protocol {
+	return &ajpProtocol{f: f, e: e, p: ajp.NewServer(f.backend.cfg.AJP.packet())}
 }
 
-func (x *jp) front() accounting.Frontend { return accounting.AJP }
-func (x *jp) held() int                  { return x.p.Held() }
+func (x *ajpProtocol) kind() accounting.Frontend { return accounting.AJP }
+func (x *ajpProtocol) partialBytes() int         { return x.p.Held() }
 
-func (x *jp) mid() bool { return x.p.Part() }
+func (x *ajpProtocol) midMessage() bool { return x.p.Part() }
 
-func (x *jp) drop() {
+func (x *ajpProtocol) discardPartial() {
 	if x.p.Part() {
-		x.p, x.part = ajp.NewServer(x.f.b.cfg.AJP.packet()), false
+		x.p, x.part = ajp.NewServer(x.f.backend.cfg.AJP.packet()), false
 	}
 }
 
-func (x *jp) open() int {
+func (x *ajpProtocol) openSlots() int {
 	if x.p.Open() {
 		return 1
 	}
 	return 0
 }
 
-func (x *jp) late(by time.Duration) (slot uint16, keep, any bool) {
+func (x *ajpProtocol) overdue(by time.Duration) (slot uint16, keep, any bool) {
 	if !x.part || x.begun > by {
 		return 0, false, false
 	}
@@ -69,44 +69,44 @@
 	return ajpSlot, false, true
 }
 
-func (x *jp) feed(p []byte) error {
+func (x *ajpProtocol) feed(p []byte) error {
 	err := x.p.Feed(p, x.message)
 	if part := x.p.Part(); part != x.part {
-		x.part, x.begun = part, x.f.b.now
+		x.part, x.begun = part, x.f.backend.now
 	}
 	return err
 }
 
-func (x *jp) message(m ajp.Message) {
+func (x *ajpProtocol) message(m ajp.Message) {
 	f, e := x.f, x.e
-	b := f.b
+	b := f.backend
 	if e.broken {
 		return
 	}
-	e.used, e.sent = b.now, true
+	e.lastUsed, e.hasSentRequest = b.now, true
 	switch m.Kind {
 	case ajp.CPing:
 		b.scratch = ajp.AppendCPong(b.scratch[:0])
-		e.c.Write(b.scratch)
+		e.conn.Write(b.scratch)
 	case ajp.More:
 		b.scratch = ajp.AppendMore(b.scratch[:0], b.cfg.AJP.packet())
-		e.c.Write(b.scratch)
+		e.conn.Write(b.scratch)
 	case ajp.Shutdown: // a front end has no say in that
 		f.cut(e, errShutdown)
 	case ajp.Bad:
-		f.bad(e, ajpSlot, false, f.nameless(e), 0, accounting.BadFields, "too large a body")
+		f.rejectMalformed(e, ajpSlot, false, f.nameless(e), 0, accounting.BadFields, "too large a body")
 	case ajp.Request:
 		if own := b.cfg.AJP.Secret; own != "" && subtle.ConstantTimeCompare([]byte(own), m.Secret) != 1 {
-			f.bad(e, ajpSlot, false, f.nameless(e), 0, accounting.BadSecret, "a wrong secret, or none")
+			f.rejectMalformed(e, ajpSlot, false, f.nameless(e), 0, accounting.BadSecret, "a wrong secret, or none")
 			return
 		}
-		a := f.newAsked(e, ajpSlot, true, m.Body)
-		a.r.route = string(m.Route)
+		a := f.newParsedRequest(e, ajpSlot, true, m.Body)
+		a.r.stickyRoute = string(m.Route)
 		a.set(pathField, m.Path)
 		a.set(queryField, m.Query)
 		var room [32]byte
 		m.Headers.Each(func(name, v []byte) { a.setAll(f.http[string(lower(room[:0], name))], v) })
-		f.request(a, true)
+		f.handleRequest(a, true)
 	}
 }
 
@@ -121,7 +121,7 @@
 	return room
 }
 
-func (x *jp) answer(b []byte, _ uint16, keep bool, a *reply) []byte {
+func (x *ajpProtocol) answer(b []byte, _ uint16, keep bool, a *reply) []byte {
 	var room [5]ajp.Field
 	fields := room[:0]
 	if len(a.signal) > 0 {
@@ -137,7 +137,7 @@
 	}
 	fields = append(fields, ajp.Field{Name: "Content-Length", Value: strconv.Itoa(len(a.body))})
 	b = ajp.AppendHeaders(b, a.status, statusText[a.status], fields)
-	b = ajp.AppendBody(b, x.f.b.cfg.AJP.packet(), a.body)
+	b = ajp.AppendBody(b, x.f.backend.cfg.AJP.packet(), a.body)
 	b = ajp.AppendEnd(b, keep)
 	x.p.Done()
 	return b
--- a/backend/keeper.go
+++ b/backend/idempotency.go
@@ -91,21 +91,21 @@
 	}
 }
 
-// guarded is what a req has that must not run twice.
-type guarded struct {
-	key    idempotency.Key
-	made   time.Duration     // since 1970; 0 not told
-	due    time.Duration     // it is answered by then, whatever the disk does
-	asked  time.Duration     // when the store, or the group, was asked
-	why    accounting.Reason // of its answer, once its run has ended
-	kept   bool              // its end was told to the store
-	replay bool              // it may run again: only the boxes of the cluster know of it
+// guardState is what a req has that must not run twice.
+type guardState struct {
+	key           idempotency.Key
+	createdAt     time.Duration     // since 1970; 0 not told
+	due           time.Duration     // it is answered by then, whatever the disk does
+	askedAt       time.Duration     // when the store, or the group, was asked
+	reason        accounting.Reason // of its answer, once its run has ended
+	resultDurable bool              // its end was told to the store
+	replayable    bool              // it may run again: only the boxes of the cluster know of it
 }
 
-// keeper is the core's side of the store: it asks it before a guarded req is taken and before it is begun, and carries out what it
+// idempotencyGuard is the core's side of the store: it asks it before a guarded req is taken and before it is begun, and carries out what it
 // says. All decisions are the store's.
-type keeper struct {
-	b       *Backend
+type idempotencyGuard struct {
+	backend *Backend
 	parts   [][]KeyPart        // by handler; nil: not guarded
 	store   *idempotency.Store // nil until it is read
 	log     *wal.Log
@@ -114,8 +114,8 @@
 	base    time.Duration // both clocks are read once: a jump of one while the process runs changes nothing
 	broken  bool          // for this life: nothing can be protected
 	closing chan struct{}
-	gone    chan struct{}     // closed when the reading is over
-	writing map[*req]struct{} // their runs have ended, their answers wait for the disk
+	gone    chan struct{}         // closed when the reading is over
+	writing map[*request]struct{} // their runs have ended, their answers wait for the disk
 	stats   IdempotencyStats
 }
 
@@ -135,8 +135,8 @@
 
 // init finds out what is guarded, and gives the settings with those handlers as uniqued: the module then lets their repeats join,
 // and has a run go on when its caller is gone, as its answer is for whoever repeats it.
-func (k *keeper) init(b *Backend) map[string]any {
-	k.b = b
+func (k *idempotencyGuard) init(b *Backend) map[string]any {
+	k.backend = b
 	cfg := &b.cfg.Idempotency
 	if cfg.Dir == "" {
 		return b.cfg.Settings
@@ -160,15 +160,15 @@
 	return settings
 }
 
-func (k *keeper) on() bool { return k.parts != nil }
+func (k *idempotencyGuard) enabled() bool { return k.parts != nil }
 
 // now is the time of day as the store has it.
-func (k *keeper) now() time.Duration { return k.base + k.b.now - k.from }
+func (k *idempotencyGuard) now() time.Duration { return k.base + k.backend.now - k.from }
 
 // open has the store read, beside all else.
-func (k *keeper) open() {
-	b := k.b
-	if !k.on() {
+func (k *idempotencyGuard) open() {
+	b := k.backend
+	if !k.enabled() {
 		return
 	}
 	for name := range b.cfg.Idempotency.Handlers {
@@ -178,11 +178,11 @@
 	}
 	b.clock()
 	k.base, k.from = b.wall, b.now
-	k.writing = map[*req]struct{}{}
+	k.writing = map[*request]struct{}{}
 	k.closing, k.gone = make(chan struct{}), make(chan struct{})
 	began := b.now
 	var first *lists
-	if b.cluster.on() {
+	if b.cluster.enabled() {
 		l := b.cfg.Cluster.wanted()
 		first = &l
 	}
@@ -191,26 +191,26 @@
 		o := openStore(b.cfg.Name, &b.cfg.Idempotency, first, k.base, k.closing, func(n int) {
 			b.log.Info("keep", "dir", b.cfg.Idempotency.Dir, "reading", n)
 		})
-		b.box.Post(func() { k.opened(o, began) })
+		b.loop.Post(func() { k.opened(o, began) })
 	}()
 }
 
-// openedStore is what opening a store brings.
-type openedStore struct {
+// loadedStore is what opening a store brings.
+type loadedStore struct {
 	store *idempotency.Store
 	log   *wal.Writer
 	lock  *os.File
 	found wal.Contents
 	aside bool  // its records are as lost
 	lists lists // of a box of a cluster, as what follows
-	known memory
+	known peerStateFile
 	err   error
 }
 
 var errClosing = errors.New("the process ends")
 
 // openStore reads a store; it is given up when closing is closed. first are the lists that a box of a cluster begins with, nil for one alone.
-func openStore(box string, cfg *IdempotencyConfig, first *lists, now time.Duration, closing chan struct{}, told func(records int)) (o openedStore) {
+func openStore(box string, cfg *IdempotencyConfig, first *lists, now time.Duration, closing chan struct{}, told func(records int)) (o loadedStore) {
 	disk := cfg.Disk
 	if disk == nil {
 		disk = wal.DirDisk(cfg.Dir)
@@ -257,8 +257,8 @@
 	return o
 }
 
-func (k *keeper) opened(o openedStore, began time.Duration) {
-	b, dir := k.b, k.b.cfg.Idempotency.Dir
+func (k *idempotencyGuard) opened(o loadedStore, began time.Duration) {
+	b, dir := k.backend, k.backend.cfg.Idempotency.Dir
 	k.lock = o.lock
 	if o.err != nil {
 		k.broken = true
@@ -274,12 +274,12 @@
 	}
 	k.store = o.store
 	k.log = wal.NewLog(o.log, b.cfg.Idempotency.CommitInterval, gatherEnough, func(seq uint64, err error) {
-		b.box.Post(func() { k.durable(seq, err) })
+		b.loop.Post(func() { k.durable(seq, err) })
 	})
-	if b.cluster.on() {
+	if b.cluster.enabled() {
 		b.cluster.returns(k.store, o)
 	}
-	k.hand()
+	k.flushEntries()
 	s := k.store.Stats()
 	k.stats.LoadingMS = (b.now - began).Milliseconds()
 	b.log.Info("keep", "dir", dir, "life", s.Incarnation, "keys", s.Keys, "in_doubt", s.OutcomeUnknown, "prints", s.Fingerprints, "segments", s.Segments,
@@ -287,11 +287,11 @@
 }
 
 // durable follows the disk's word.
-func (k *keeper) durable(seq uint64, err error) {
-	box := k.b.cluster.box // nil for a box alone
+func (k *idempotencyGuard) durable(seq uint64, err error) {
+	box := k.backend.cluster.node // nil for a box alone
 	if err != nil {
 		k.broken = true
-		k.b.log.Error("keep", "dir", k.b.cfg.Idempotency.Dir, "why", err, "so", "guarded reqs are refused in this life, but for repeats")
+		k.backend.log.Error("keep", "dir", k.backend.cfg.Idempotency.Dir, "why", err, "so", "guarded reqs are refused in this life, but for repeats")
 	}
 	switch {
 	case err == nil && box != nil:
@@ -306,18 +306,18 @@
 }
 
 // named tells whether a req has what its key needs.
-func (k *keeper) named(a *asked) bool {
-	return !k.on() || len(a.key) > 0 || !slices.Contains(k.parts[a.r.h], KeyPartField)
+func (k *idempotencyGuard) named(a *parsedRequest) bool {
+	return !k.enabled() || len(a.key) > 0 || !slices.Contains(k.parts[a.r.handler], KeyPartField)
 }
 
 // guards gives what a req has that must not run twice, nil if it may.
-func (k *keeper) guards(a *asked) *guarded {
-	if !k.on() {
+func (k *idempotencyGuard) guards(a *parsedRequest) *guardState {
+	if !k.enabled() {
 		return nil
 	}
-	parts, replay := k.parts[a.r.h], false
-	if parts == nil && k.b.cluster.on() {
-		parts, replay = k.b.cluster.parts[a.r.h], true
+	parts, replay := k.parts[a.r.handler], false
+	if parts == nil && k.backend.cluster.enabled() {
+		parts, replay = k.backend.cluster.parts[a.r.handler], true
 	}
 	if parts == nil || len(a.key) == 0 && slices.Contains(parts, KeyPartField) {
 		return nil
@@ -330,11 +330,11 @@
 		_, _ = h.Write(head[:]) // never an error
 		_, _ = h.Write(v)
 	}
-	put(0, []byte(k.b.handlers[a.r.h].name))
+	put(0, []byte(k.backend.handlers[a.r.handler].name))
 	for _, part := range parts {
 		switch part {
 		case KeyPartID:
-			put(part, []byte(a.r.name))
+			put(part, []byte(a.r.wireID))
 		case KeyPartCustomer:
 			put(part, a.owner)
 		case KeyPartField:
@@ -343,25 +343,25 @@
 			put(part, a.r.body)
 		}
 	}
-	return &guarded{key: idempotency.Key(h.Sum(nil)), made: time.Duration(a.made * float64(time.Millisecond)), replay: replay}
+	return &guardState{key: idempotency.Key(h.Sum(nil)), createdAt: time.Duration(a.made * float64(time.Millisecond)), replayable: replay}
 }
 
 // admit lets a guarded req go to the module, or answers it at once where that has nothing to decide: nothing can be run of it.
-func (k *keeper) admit(r *req) bool {
-	b := k.b
-	r.guard.due = b.now - r.ev.Delay + b.handlers[r.h].timeout - answerBefore
+func (k *idempotencyGuard) admit(r *request) bool {
+	b := k.backend
+	r.guard.due = b.now - r.arrival.Delay + b.handlers[r.handler].timeout - answerBefore
 	var verdict idempotency.Decision
 	switch {
-	case r.guard.replay && (b.cluster.box == nil || k.broken):
+	case r.guard.replayable && (b.cluster.node == nil || k.broken):
 		r.guard = nil
-		b.keys.meet(r)
+		b.results.lookup(r)
 		return true
-	case k.store != nil && !k.broken && b.cluster.box != nil:
+	case k.store != nil && !k.broken && b.cluster.node != nil:
 		b.cluster.ask(r)
 		return false
-	case k.store != nil && !k.broken && b.cluster.on(): // it is not yet sure of what it has
+	case k.store != nil && !k.broken && b.cluster.enabled(): // it is not yet sure of what it has
 	case k.store != nil:
-		verdict = k.store.Peek(k.now(), r.guard.made, r.guard.key)
+		verdict = k.store.Peek(k.now(), r.guard.createdAt, r.guard.key)
 	case k.broken:
 		verdict = idempotency.StoreFailed
 	}
@@ -369,23 +369,23 @@
 	case idempotency.Fresh:
 		return true
 	case idempotency.Duplicate:
-		if r.fore = k.store.Original(r.guard.key); r.fore == 0 || b.reqs[r.fore] == nil {
-			r.fore = binary.LittleEndian.Uint64(r.guard.key[:]) | 1 // of an earlier life, or ended: the module knows nothing of it
+		if r.originalID = k.store.Original(r.guard.key); r.originalID == 0 || b.requests[r.originalID] == nil {
+			r.originalID = binary.LittleEndian.Uint64(r.guard.key[:]) | 1 // of an earlier life, or ended: the module knows nothing of it
 		}
-		r.ev.RepeatOf = r.fore
+		r.arrival.RepeatOf = r.originalID
 		return true
 	}
 	why := accounting.StoreLoading
 	if verdict != 0 {
 		why = k.reason(verdict)
 	}
-	b.door.declined(r, why)
-	b.answered(r)
+	b.frontend.declined(r, why)
+	b.finishAnswered(r)
 	return false
 }
 
 // reason says how a verdict that ends a req is accounted for, and counts it.
-func (k *keeper) reason(v idempotency.Decision) accounting.Reason {
+func (k *idempotencyGuard) reason(v idempotency.Decision) accounting.Reason {
 	switch v {
 	case idempotency.Replay:
 		k.stats.Replayed++
@@ -414,128 +414,128 @@
 	return accounting.StoreFailed
 }
 
-// note has a req that the module wants run wait for its intent.
-func (k *keeper) note(r *req) {
-	if r.guard.replay {
-		k.b.cluster.box.MarkRunning(k.now(), r.guard.key, r.id)
-		k.b.begin(r)
+// requestStart has a req that the module wants run wait for its intent.
+func (k *idempotencyGuard) requestStart(r *request) {
+	if r.guard.replayable {
+		k.backend.cluster.node.MarkRunning(k.now(), r.guard.key, r.id)
+		k.backend.startRun(r)
 		return
 	}
-	r.at = noting
-	if k.b.cluster.on() {
-		k.b.cluster.box.Start(k.now(), r.guard.key, r.id, k.b.link.last)
+	r.state = stateAwaitingIntent
+	if k.backend.cluster.enabled() {
+		k.backend.cluster.node.Start(k.now(), r.guard.key, r.id, k.backend.processor.last)
 		return
 	}
-	if o := k.store.Reserve(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Decision != idempotency.Wait {
+	if o := k.store.Reserve(k.now(), r.guard.createdAt, r.guard.key, k.backend.handlers[r.handler].name, r.id); o.Decision != idempotency.Wait {
 		k.outcome(o)
 	}
 }
 
 // join has a repeat meet its forerunner.
-func (k *keeper) join(r *req) {
-	if k.b.cluster.on() {
-		r.at = joined
-		k.b.cluster.box.Join(k.now(), r.guard.key, r.id)
+func (k *idempotencyGuard) join(r *request) {
+	if k.backend.cluster.enabled() {
+		r.state = stateJoined
+		k.backend.cluster.node.Join(k.now(), r.guard.key, r.id)
 		return
 	}
-	if k.store.Peek(k.now(), r.guard.made, r.guard.key) != idempotency.Duplicate { // proved never to have run since the module was told
+	if k.store.Peek(k.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate { // proved never to have run since the module was told
 		k.outcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
 		return
 	}
-	r.at = joined
-	if o := k.store.Reserve(k.now(), r.guard.made, r.guard.key, k.b.handlers[r.h].name, r.id); o.Decision != idempotency.Wait {
+	r.state = stateJoined
+	if o := k.store.Reserve(k.now(), r.guard.createdAt, r.guard.key, k.backend.handlers[r.handler].name, r.id); o.Decision != idempotency.Wait {
 		k.outcome(o)
 	}
 }
 
 // leave follows a req that no longer waits and never ran.
-func (k *keeper) leave(r *req) {
+func (k *idempotencyGuard) leave(r *request) {
 	switch {
-	case r.guard == nil || k.store == nil || k.b.cluster.on() && k.b.cluster.box == nil:
-	case k.b.cluster.on():
-		k.b.cluster.box.Release(k.now(), r.guard.key, r.id)
-	case r.at >= joined:
+	case r.guard == nil || k.store == nil || k.backend.cluster.enabled() && k.backend.cluster.node == nil:
+	case k.backend.cluster.enabled():
+		k.backend.cluster.node.Release(k.now(), r.guard.key, r.id)
+	case r.state >= stateJoined:
 		k.store.Withdraw(k.now(), r.guard.key, r.id)
 	}
 }
 
-func (k *keeper) heed(all []idempotency.Outcome) {
+func (k *idempotencyGuard) heed(all []idempotency.Outcome) {
 	for _, o := range all {
 		k.outcome(o)
 	}
 }
 
 // outcome carries out what the store says of a req.
-func (k *keeper) outcome(o idempotency.Outcome) {
-	b := k.b
-	r := b.reqs[o.ID]
-	if r == nil || r.guard == nil || r.guard.kept && r.at != writing {
+func (k *idempotencyGuard) outcome(o idempotency.Outcome) {
+	b := k.backend
+	r := b.requests[o.ID]
+	if r == nil || r.guard == nil || r.guard.resultDurable && r.state != stateAwaitingResult {
 		invariant.Check(o.Decision != idempotency.Start, "what is to be begun is there")
 		return
 	}
 	delete(k.writing, r)
 	switch o.Decision {
 	case idempotency.Start:
-		if !b.wanted(r) || r.at != noting { // nobody waits and it never ran, or the module has it joined
+		if !b.isWanted(r) || r.state != stateAwaitingIntent { // nobody waits and it never ran, or the module has it joined
 			why := accounting.NeverRan
-			if r.at == joined {
+			if r.state == stateJoined {
 				why = accounting.RetryAllowed
 			}
-			r.guard.kept = true
+			r.guard.resultDurable = true
 			others := k.store.Finish(k.now(), r.guard.key, idempotency.EntryNeverRan, nil)
-			b.ended(r, overload.NeverRan, why, 0, nil)
+			b.runEnded(r, overload.NeverRan, why, 0, nil)
 			k.heed(others)
 			return
 		}
-		b.begin(r)
+		b.startRun(r)
 	case idempotency.Completed:
-		b.cluster.settled(r, r.guard.why)
-		delete(b.reqs, r.id)
-		if b.owes(r) {
-			b.door.done(r, r.guard.why, o.Result)
-			b.owed--
-			r.edge = nil
+		b.cluster.settled(r, r.guard.reason)
+		delete(b.requests, r.id)
+		if b.hasClient(r) {
+			b.frontend.succeeded(r, r.guard.reason, o.Result)
+			b.unanswered--
+			r.client = nil
 		}
 	case idempotency.Replay:
-		r.guard.kept = true
-		b.ended(r, overload.OK, k.reason(o.Decision), 0, o.Result)
+		r.guard.resultDurable = true
+		b.runEnded(r, overload.OK, k.reason(o.Decision), 0, o.Result)
 	default:
-		r.guard.kept = true
+		r.guard.resultDurable = true
 		how := overload.Failed
 		why := k.reason(o.Decision)
 		if why.Category() == accounting.Rejected {
 			how = overload.NeverRan
 		}
-		b.ended(r, how, why, 0, nil)
+		b.runEnded(r, how, why, 0, nil)
 	}
 }
 
 // writes follows the end of a guarded req, and tells whether its answer has to wait for the disk.
-func (k *keeper) writes(r *req, how overload.Outcome, why accounting.Reason, body []byte) bool {
+func (k *idempotencyGuard) writes(r *request, how overload.Outcome, why accounting.Reason, body []byte) bool {
 	g := r.guard
-	if g.replay {
+	if g.replayable {
 		switch {
-		case g.kept:
-		case r.at < running:
+		case g.resultDurable:
+		case r.state < stateRunning:
 			k.leave(r)
 		default:
-			g.kept = true
+			g.resultDurable = true
 			kind := idempotency.EntryNeverRan
 			if how == overload.OK {
 				kind = idempotency.EntryResult
 			}
-			k.b.cluster.box.Finish(k.now(), g.key, r.id, kind, body)
+			k.backend.cluster.node.Finish(k.now(), g.key, r.id, kind, body)
 		}
 		return false
 	}
-	if g.kept || r.at < noting { // joined ones and held ones have no run of their own
-		if r.at == joined && !g.kept {
+	if g.resultDurable || r.state < stateAwaitingIntent { // joined ones and held ones have no run of their own
+		if r.state == stateJoined && !g.resultDurable {
 			k.leave(r)
 		}
 		return false
 	}
-	g.kept = true
-	if r.at == noting {
+	g.resultDurable = true
+	if r.state == stateAwaitingIntent {
 		k.leave(r)
 		return false
 	}
@@ -544,63 +544,63 @@
 		kind = idempotency.EntryFailed
 	}
 	if kind == idempotency.EntryResult {
-		g.why, r.at = why, writing
+		g.reason, r.state = why, stateAwaitingResult
 		k.writing[r] = struct{}{}
 	}
-	if k.b.cluster.on() {
-		k.b.cluster.box.Finish(k.now(), g.key, r.id, kind, body)
+	if k.backend.cluster.enabled() {
+		k.backend.cluster.node.Finish(k.now(), g.key, r.id, kind, body)
 	} else {
 		k.heed(k.store.Finish(k.now(), g.key, kind, body))
 	}
 	return kind == idempotency.EntryResult
 }
 
-// lookAtTime answers what waits for the disk and can wait no longer. Its result is kept all the same once the disk has it.
-func (k *keeper) lookAtTime() {
-	b := k.b
+// onTimer answers what waits for the disk and can wait no longer. Its result is kept all the same once the disk has it.
+func (k *idempotencyGuard) onTimer() {
+	b := k.backend
 	for r := range k.writing {
 		due := r.guard.due
 		if b.process.Phase() > lifecycle.Serving {
 			due = min(due, b.process.AnswerBy())
 		}
 		if b.now < due {
-			b.at(due)
+			b.wakeBy(due)
 			continue
 		}
-		if b.owes(r) {
-			b.door.errored(r, accounting.ResultNotDurable)
-			b.answered(r)
+		if b.hasClient(r) {
+			b.frontend.failed(r, accounting.ResultNotDurable)
+			b.finishAnswered(r)
 		}
-		if delete(k.writing, r); b.cluster.on() { // too few of its group may ever answer
+		if delete(k.writing, r); b.cluster.enabled() { // too few of its group may ever answer
 			b.cluster.settled(r, accounting.ResultNotDurable)
-			delete(b.reqs, r.id)
+			delete(b.requests, r.id)
 		}
 	}
 }
 
-// hand gives the log what the store wrote in this turn.
-func (k *keeper) hand() {
+// flushEntries gives the log what the store wrote in this turn.
+func (k *idempotencyGuard) flushEntries() {
 	if k.log != nil {
 		k.log.Append(k.store.TakeEntries())
 	}
 }
 
-func (k *keeper) tidy() {
+func (k *idempotencyGuard) sweep() {
 	if k.store != nil {
 		k.store.Sweep(k.now())
 	}
 }
 
 // close has the log end: all answers have left, what waits is records of failures and ages.
-func (k *keeper) close() {
-	if !k.on() {
+func (k *idempotencyGuard) close() {
+	if !k.enabled() {
 		return
 	}
 	close(k.closing)
 	if k.log != nil {
-		k.hand()
+		k.flushEntries()
 		if err := k.log.Close(patientEnd); err != nil {
-			k.b.log.Error("keep", "dir", k.b.cfg.Idempotency.Dir, "why", err)
+			k.backend.log.Error("keep", "dir", k.backend.cfg.Idempotency.Dir, "why", err)
 			return // the lock goes with the process
 		}
 	} else {
@@ -617,12 +617,12 @@
 
 // IdempotencyStats gives those of the store, while Serve runs and after it; nil without one.
 func (b *Backend) IdempotencyStats() *IdempotencyStats {
-	if !b.keeper.on() {
+	if !b.guard.enabled() {
 		return nil
 	}
 	var out IdempotencyStats
-	b.ask(func() {
-		k := &b.keeper
+	b.onOwner(func() {
+		k := &b.guard
 		out = k.stats
 		out.Loading, out.StoreFailed = k.store == nil && !k.broken, k.broken
 		if k.store != nil {
--- a/backend/return.go
+++ b/backend/recovery.go
@@ -24,8 +24,8 @@
 	memoryEvery = 250 * time.Millisecond // between its writes, and between words of this box on how far its disk is: of twice that a loss is not found
 )
 
-// memory is what this box remembers of the others, and the state of its record.
-type memory struct {
+// peerStateFile is what this box remembers of the others, and the state of its record.
+type peerStateFile struct {
 	*recovery.PeerStates
 	writing bool
 	nextAt  time.Duration
@@ -33,31 +33,31 @@
 }
 
 // readMemory gives what is remembered; nothing where the box is new.
-func readMemory(dir string) (memory, error) {
+func readMemory(dir string) (peerStateFile, error) {
 	text, err := os.ReadFile(filepath.Join(dir, memoryName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return memory{PeerStates: recovery.NewPeerStates(true)}, nil
+		return peerStateFile{PeerStates: recovery.NewPeerStates(true)}, nil
 	}
 	m := recovery.NewPeerStates(false)
 	if err == nil {
 		err = json.Unmarshal(text, m)
 	}
 	if err != nil {
-		return memory{}, fmt.Errorf("%s: %w", memoryName, err)
+		return peerStateFile{}, fmt.Errorf("%s: %w", memoryName, err)
 	}
-	return memory{PeerStates: m}, nil
+	return peerStateFile{PeerStates: m}, nil
 }
 
 // returns begins a box's way back, once its store is read.
-func (c *cluster) returns(store *idempotency.Store, o openedStore) {
-	b := c.b
-	c.store, c.lists, c.known = store, o.lists, o.known
-	c.life, c.goes, c.mark = store.Stats().Incarnation, c.lists.roster().Digests(), rand.Uint64()
+func (c *cluster) returns(store *idempotency.Store, o loadedStore) {
+	b := c.backend
+	c.store, c.lists, c.peerStates = store, o.lists, o.known
+	c.incarnation, c.goes, c.mark = store.Stats().Incarnation, c.lists.roster().Digests(), rand.Uint64()
 	c.connect()
-	c.way = recovery.New(recovery.Config{Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.wait(),
+	c.recovery = recovery.New(recovery.Config{Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.wait(),
 		MajorityAfter: b.cfg.Cluster.MajorityAfter, DegradeAfter: b.cfg.Cluster.DegradeAfter}, c.mark)
-	c.way.StartLoading()
-	c.way.DiskLoaded(b.now, recovery.DiskState{Incarnation: c.life, Seq: store.LastSeq(), New: c.life == 1 && !o.aside})
+	c.recovery.StartLoading()
+	c.recovery.DiskLoaded(b.now, recovery.DiskState{Incarnation: c.incarnation, Seq: store.LastSeq(), New: c.incarnation == 1 && !o.aside})
 	c.follow()
 }
 
@@ -65,11 +65,11 @@
 // does not grow with the fleet.
 func (c *cluster) witnesses() (names []string) {
 	var key idempotency.Key
-	copy(key[:], c.b.cfg.Name)
+	copy(key[:], c.backend.cfg.Name)
 	for _, list := range [][]ClusterMember{c.lists.Members, c.lists.Before} {
 		n := 0
 		for _, name := range failover.Group(plain(list), key, witnessMost+1) {
-			if name == c.b.cfg.Name || n == witnessMost || c.known.Forgotten(name) {
+			if name == c.backend.cfg.Name || n == witnessMost || c.peerStates.Forgotten(name) {
 				continue
 			}
 			if n++; !slices.Contains(names, name) {
@@ -82,12 +82,12 @@
 
 // follow does what the way back wants.
 func (c *cluster) follow() {
-	if c.way == nil {
+	if c.recovery == nil {
 		return
 	}
-	b := c.b
+	b := c.backend
 	again, lost := false, false
-	for _, a := range c.way.Ready() {
+	for _, a := range c.recovery.Ready() {
 		for _, name := range a.Query {
 			if l := c.links[name]; l != nil {
 				l.ask = true
@@ -95,87 +95,87 @@
 		}
 		if a.HistoryLost {
 			lost = true
-			c.store.MarkOutdated(b.keeper.now())
-			b.log.Error("store older than known", "life", c.life, "why", c.way.Reason(), "so", "what it does not have is not taken for fresh until the horizon has passed")
+			c.store.MarkOutdated(b.guard.now())
+			b.log.Error("store older than known", "life", c.incarnation, "why", c.recovery.Reason(), "so", "what it does not have is not taken for fresh until the horizon has passed")
 		}
 		if a.Incarnation > 0 {
 			if !c.store.RaiseIncarnation(a.Incarnation) {
-				b.keeper.broken = true
+				b.guard.broken = true
 				b.log.Error("store older than known", "why", "a life that can't be counted", "known", a.Incarnation, "so", "guarded reqs are refused in this life")
 			}
-			c.life = c.store.Stats().Incarnation
-			again = c.box != nil
+			c.incarnation = c.store.Stats().Incarnation
+			again = c.node != nil
 		}
 		if a.To != a.From {
 			b.log.Info("recovery", "phase", a.To.String(), "was", a.From.String(), "why", a.Reason)
 		}
 	}
 	switch {
-	case c.way.Established() && (c.box == nil || again):
+	case c.recovery.Established() && (c.node == nil || again):
 		c.begin()
-	case c.box != nil && lost:
+	case c.node != nil && lost:
 		c.lacks()
 	}
 }
 
 // heard takes what a box says of itself, and answers what it asks.
 func (c *cluster) heard(h *peerproto.Hello) {
-	if c.way == nil {
+	if c.recovery == nil {
 		return // it asks again
 	}
 	if h.QueryState {
-		a := c.known.Answer(h.From, h.Mark)
+		a := c.peerStates.Answer(h.From, h.Mark)
 		c.links[h.From].batch.PeerState = &a
 	}
-	if c.known.Returned(h.From) {
-		c.b.log.Warn("recovery", "back", h.From, "so", "it is waited for again")
-		c.way.SetOthers(c.witnesses())
+	if c.peerStates.Returned(h.From) {
+		c.backend.log.Warn("recovery", "back", h.From, "so", "it is waited for again")
+		c.recovery.SetOthers(c.witnesses())
 	}
-	c.known.Update(h.From, h.Mark, recovery.PeerState{Incarnation: h.Incarnation, Seq: h.Seq})
-	c.known.SetFeatures(h.From, h.Features)
+	c.peerStates.Update(h.From, h.Mark, recovery.PeerState{Incarnation: h.Incarnation, Seq: h.Seq})
+	c.peerStates.SetFeatures(h.From, h.Features)
 }
 
 // lookBack does what is due on the way back, tells others how far this box's disk is, and has what it remembers of them recorded.
 func (c *cluster) lookBack() {
-	if c.way == nil {
+	if c.recovery == nil {
 		return
 	}
-	b := c.b
-	if at := c.way.NextDeadline(); b.now >= at {
-		c.way.Tick(b.now)
+	b := c.backend
+	if at := c.recovery.NextDeadline(); b.now >= at {
+		c.recovery.Tick(b.now)
 	}
-	b.at(c.way.NextDeadline())
-	if b.now < c.known.nextAt {
-		b.at(c.known.nextAt)
+	b.wakeBy(c.recovery.NextDeadline())
+	if b.now < c.peerStates.nextAt {
+		b.wakeBy(c.peerStates.nextAt)
 		return
 	}
-	c.known.nextAt = b.now + memoryEvery
-	b.at(c.known.nextAt)
-	if last := c.store.LastSeq(); last != c.known.said {
-		c.known.said = last
+	c.peerStates.nextAt = b.now + memoryEvery
+	b.wakeBy(c.peerStates.nextAt)
+	if last := c.store.LastSeq(); last != c.peerStates.said {
+		c.peerStates.said = last
 		for _, name := range c.witnesses() {
 			if l := c.links[name]; l != nil && l.c != nil {
 				l.c.Write(c.hello(false))
 			}
 		}
 	}
-	if c.known.writing || !c.known.Changed() {
+	if c.peerStates.writing || !c.peerStates.Changed() {
 		return
 	}
-	c.known.writing = true
-	text, err := json.Marshal(c.known.PeerStates)
-	dir, noted := b.cfg.Idempotency.Dir, fences(c.known.Fences)
+	c.peerStates.writing = true
+	text, err := json.Marshal(c.peerStates.PeerStates)
+	dir, noted := b.cfg.Idempotency.Dir, fences(c.peerStates.Fences)
 	go func() { // the disk may be slow
 		if err == nil {
 			err = wal.WriteFile(wal.DirDisk(dir), memoryName, text)
 		}
-		b.box.Post(func() {
-			c.known.writing = false
+		b.loop.Post(func() {
+			c.peerStates.writing = false
 			switch {
 			case err != nil:
-				b.note("not remembered", "why", err)
-			case c.box != nil:
-				c.box.AddFences(noted)
+				b.logLimited("not remembered", "why", err)
+			case c.node != nil:
+				c.node.AddFences(noted)
 			}
 		})
 	}()
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -11,8 +11,8 @@
 
 const settleKeys = 4096 // in doubt at a start that the others are asked about: as many as are in hand at most
 
-// refilling is the core's side of being told again what this box's disk lacks, and of how runs ended whose end it does not know.
-type refilling struct {
+// refillState is the core's side of being told again what this box's disk lacks, and of how runs ended whose end it does not know.
+type refillState struct {
 	from   *recovery.Refill[failover.Cursor] // nil while nothing is lacking
 	doubts *recovery.UnknownOutcomes
 }
@@ -23,25 +23,25 @@
 	for _, key := range c.store.UnknownKeys(settleKeys) {
 		keys = append(keys, key)
 	}
-	c.refill = refilling{doubts: recovery.NewUnknownOutcomes(keys)}
+	c.refill = refillState{doubts: recovery.NewUnknownOutcomes(keys)}
 	if c.store.Complete() {
 		return
 	}
-	r := recovery.NewRefill[failover.Cursor](recovery.RefillConfig{Incarnation: c.life, Others: c.others()}, c.mark)
+	r := recovery.NewRefill[failover.Cursor](recovery.RefillConfig{Incarnation: c.incarnation, Others: c.others()}, c.mark)
 	for _, name := range c.others() {
-		if c.known.Forgotten(name) {
+		if c.peerStates.Forgotten(name) {
 			r.Exclude(name)
 		}
 	}
 	c.refill.from = r
-	c.store.SetProver(func(key idempotency.Key) bool { return r.Covers(c.box.GroupPeers(key)) })
+	c.store.SetProver(func(key idempotency.Key) bool { return r.Covers(c.node.GroupPeers(key)) })
 	c.toldAll() // where an operator has said of all others that they never come back
 }
 
 // others are all boxes of the lists but this one.
 func (c *cluster) others() (names []string) {
 	for _, m := range c.lists.all() {
-		if m.Name != c.b.cfg.Name {
+		if m.Name != c.backend.cfg.Name {
 			names = append(names, m.Name)
 		}
 	}
@@ -50,16 +50,16 @@
 
 // refillTick asks for what is due.
 func (c *cluster) refillTick() {
-	b, now := c.b, c.b.keeper.now()
+	b, now := c.backend, c.backend.guard.now()
 	var ask []idempotency.Key
 	for _, k := range c.refill.doubts.Tick(now, func(k [16]byte) bool { return c.store.PeekOutcome(now, 0, k).Decision == idempotency.OutcomeUnknown }) {
 		ask = append(ask, k)
 	}
-	c.box.ResolveUnknown(now, ask)
+	c.node.ResolveUnknown(now, ask)
 	if r := c.refill.from; r != nil && !r.Done() {
 		for _, q := range r.Tick(b.now, c.Alive) {
 			if l := c.links[q.To]; l != nil {
-				l.batch.PageRequest = &failover.PageRequest{Incarnation: c.life, From: q.From}
+				l.batch.PageRequest = &failover.PageRequest{Incarnation: c.incarnation, From: q.From}
 			}
 		}
 	}
@@ -70,11 +70,11 @@
 	if t.Incarnation != life || life < c.Incarnation(from) {
 		return
 	}
-	p := c.box.BuildPage(c.b.keeper.now(), from, *t)
-	p.FencesSupported = c.known.AllSupport(slices.DeleteFunc(c.others(), func(name string) bool { return name == from }), recovery.FeatureFences)
+	p := c.node.BuildPage(c.backend.guard.now(), from, *t)
+	p.FencesSupported = c.peerStates.AllSupport(slices.DeleteFunc(c.others(), func(name string) bool { return name == from }), recovery.FeatureFences)
 	c.links[from].batch.Page = &p
-	for _, f := range c.box.Fences() {
-		c.known.AddFence(f.Node, f.Incarnation)
+	for _, f := range c.node.Fences() {
+		c.peerStates.AddFence(f.Node, f.Incarnation)
 	}
 }
 
@@ -88,13 +88,13 @@
 
 // toldAgain takes a page.
 func (c *cluster) toldAgain(from string, life uint64, p *failover.Page) {
-	b, r := c.b, c.refill.from
+	b, r := c.backend, c.refill.from
 	info := recovery.PageInfo[failover.Cursor]{Incarnation: p.Incarnation, From: p.From, Next: p.Next, Keys: len(p.Records) + len(p.InFlight),
 		Last: p.Next.Step == failover.StepDone, Complete: p.Complete && p.FencesSupported}
-	if r == nil || r.Done() || !c.box.SameConfiguration(p) || !r.Wants(from, life, &info) {
+	if r == nil || r.Done() || !c.node.SameConfiguration(p) || !r.Wants(from, life, &info) {
 		return
 	}
-	r.PageReceived(b.now, from, &info, c.box.ReceivePage(b.keeper.now(), p))
+	r.PageReceived(b.now, from, &info, c.node.ReceivePage(b.guard.now(), p))
 	if info.Last {
 		b.log.Info("told again", "by", from, "whole", p.Complete, "fences_heeded", p.FencesSupported)
 	}
@@ -103,13 +103,13 @@
 
 // toldAll follows the end of the telling, if it has come.
 func (c *cluster) toldAll() {
-	b := c.b
+	b := c.backend
 	if c.refill.from == nil || !c.refill.from.Done() {
 		return
 	}
-	kept := c.store.MarkComplete(b.keeper.now())
+	kept := c.store.MarkComplete(b.guard.now())
 	b.log.Info("told again", "by", "all others", "also_for_later_lives", kept)
-	c.way.MarkComplete()
+	c.recovery.MarkComplete()
 	c.follow()
 }
 
@@ -124,20 +124,20 @@
 // Trust takes an operator's word that this box's disk is all that there is, and that what it may lack is not asked for any more, or may run twice.
 // It is recorded in the store.
 func (b *Backend) Trust() (err error) {
-	b.ask(func() {
+	b.onOwner(func() {
 		c := &b.cluster
 		switch {
-		case c.way == nil:
+		case c.recovery == nil:
 			err = ErrNoCluster
-		case c.store.Complete() && c.way.Phase() != recovery.Querying:
+		case c.store.Complete() && c.recovery.Phase() != recovery.Querying:
 			err = ErrNothingUnknown
 		default:
 			b.log.Warn("recovery", "said", "an operator answers for the disk")
-			c.store.AcceptHistory(b.keeper.now())
+			c.store.AcceptHistory(b.guard.now())
 			c.refill.from = nil
-			c.way.TrustDisk()
+			c.recovery.TrustDisk()
 			c.follow()
-			b.keeper.hand()
+			b.guard.flushEntries()
 		}
 	})
 	return err
@@ -146,20 +146,20 @@
 // Forget takes an operator's word that a box of the cluster never comes back: nobody here waits for what it may know. It is recorded beside the
 // store, and ends when that box is heard after all.
 func (b *Backend) Forget(name string) (err error) {
-	b.ask(func() {
+	b.onOwner(func() {
 		c := &b.cluster
 		switch {
-		case c.way == nil:
+		case c.recovery == nil:
 			err = ErrNoCluster
 		case c.links[name] == nil:
 			err = ErrUnknownNode
-		case c.box != nil && c.Alive(name):
+		case c.node != nil && c.Alive(name):
 			err = ErrNodeAlive
 		default:
 			b.log.Warn("recovery", "said", "a box never comes back", "box", name)
-			c.known.Forget(name, b.keeper.now())
-			c.way.SetOthers(c.witnesses())
-			c.way.Tick(b.now)
+			c.peerStates.Forget(name, b.guard.now())
+			c.recovery.SetOthers(c.witnesses())
+			c.recovery.Tick(b.now)
 			if c.refill.from != nil {
 				c.refill.from.Exclude(name)
 				c.toldAll()
@@ -171,7 +171,7 @@
 }
 
 // wants tells whether a link has something to send.
-func (l *boxLink) wants() bool {
+func (l *nodeLink) wants() bool {
 	x := &l.batch
 	return len(x.Members)+len(x.Claims) > 0 || x.PeerState != nil || x.PageRequest != nil || x.Page != nil || l.ask
 }
--- a/backend/request.go
+++ b/backend/request.go
@@ -1,254 +1,289 @@
 package backend
 
 import (
-	"math"
-	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"frosthub/accounting"
-	"frosthub/internal/lineproto"
+	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
 )
 
-// fieldNames are the fields as HTTP names them, what the deployment and the operators of others call theirs.
-var fieldNames = []ownField{{"X-Request-Id", idField}, {"X-Request-Start", startField}, {"X-Caller", callerField},
-	{"X-Cost-Ms", costField}, {"X-Memory-Kb", memoryField}, {"X-Rank", rankField}, {"X-Object", objectField},
-	{"Idempotency-Key", onceField}, {"X-Tenant", tenantField}, {"X-Timeout-Ms", timeoutField}}
-
-func (f *door) init(b *Backend) {
-	f.b, f.edges = b, map[*edge]struct{}{}
-	f.cgi = map[string][]field{"SCRIPT_NAME": {pathField}, "QUERY_STRING": {queryField}}
-	f.http = map[string][]field{}
-	for _, x := range append(slices.Clone(fieldNames), ownField{b.cfg.Accounting.CustomerField, customerField},
-		ownField{b.cfg.Idempotency.KeyField, keyField}, ownField{b.cfg.Idempotency.CreatedField, madeField}) {
-		if x.header != "" {
-			param, lower := "HTTP_"+strings.ToUpper(strings.ReplaceAll(x.header, "-", "_")), strings.ToLower(x.header)
-			f.cgi[param] = append(f.cgi[param], x.means)
-			f.http[lower] = append(f.http[lower], x.means)
-		}
-	}
-}
+// requestState is where a req is.
+type requestState uint8
+
+const (
+	stateUnverified requestState = iota // the processor is asked whether it knows it; the module has not heard of it
+	stateHeld
+	stateJoined         // waits for the result of another
+	stateAwaitingIntent // guarded, to be begun: waits until that is on the disk, or for another with its key
+	stateAwaitingResult // guarded, and ended: waits until its result is
+	stateRunning        // begun, or to be begun once the link stands
+	stateAwaitingCall   // its run waits for a call that is not made
+	stateCalling        // and for one that is
+)
 
-// ownField is a header and its meaning.
-type ownField struct {
-	header string
-	means  field
+// request is one req from reading to the end of its run.
+type request struct {
+	id          uint64
+	wireID      string // the id as it came
+	handler     int
+	stickyRoute string // of the worker that its calls stick to; empty: any
+	body        []byte
+	state       requestState
+
+	ticket   accounting.Ticket
+	client   *clientConn // who waits for the answer; nil once it is given or nobody does
+	slot     uint16
+	keepOpen bool
+
+	startSent, runHeard bool          // begin is written; something of the run was heard
+	confirmTag          uint64        // the last question for gauges before the last command: one answered later proves it arrived
+	cancelRequested     bool          // the run is to end
+	probeDue            time.Duration // after an interrupt: nothing heard until then may prove that it never ran
+	probeTag            uint64        // the question for gauges, asked after that, whose answer does; 0 before
+	callBody            []byte        // what the run asks of the next tier
+	callReply           []byte        // the reply, until more is heard of the run
+	callReplied         bool
+	call                *call
+	callFailed          bool // its last call failed
+	callOutcomeUnknown  bool // and may have had its effect
+
+	arrival   overload.Event // unverified: its arrival
+	readAt    time.Duration  // when it was read whole
+	arrivedAt time.Duration  // when it came to the machine
+	verified  bool           // the processor knows it
+	verifyTag uint64         // the question for gauges whose answer proves that it is known if it is not rejected
+
+	guard     *guardState // nil where it may run twice
+	takenOver bool        // over from another box: nobody waits for it on a connection
+	accounted bool        // taken over, and its account is closed
+
+	clientTimeout time.Duration // how long its caller waits from when it came, as told; 0 not told
+	subject       cacheKey
+	originalID    uint64     // the remembered req that it repeats
+	followers     []*request // those that wait for its result
 }
 
-// bad answers a req that can't be taken. Who goes on with such is closed: it would begin again at once.
-func (f *door) bad(e *edge, slot uint16, keep bool, t accounting.Ticket, id uint64, reason accounting.Reason, why string) {
-	f.b.count.BadRequests++
-	f.b.note("bad req", "why", why)
-	e.bad++
-	status := 400
-	switch reason {
-	case accounting.UnknownHandler:
-		status = 404
-	case accounting.BadSecret:
-		status = 403
+func (b *Backend) hasClient(r *request) bool { return r.client != nil }
+
+// isWanted tells whether anybody waits for a req, here or elsewhere.
+func (b *Backend) isWanted(r *request) bool { return b.hasClient(r) || r.takenOver }
+
+// apply carries out one action of the module.
+func (b *Backend) apply(a *overload.Action) {
+	switch a.Kind {
+	case overload.Health:
+		b.healthy, b.shallowChecks = a.Healthy, a.Shallow
+		return
+	case overload.Signal:
+		b.signal = strconv.AppendFloat(b.signal[:0], a.Value, 'f', 4, 64)
+		return
+	case overload.Wake:
+		b.controllerWake = a.At
+		b.wakeBy(a.At)
+		return
+	case overload.CloseIdle:
+		b.idleTimeout = a.Duration
+		return
+	case overload.Forget: // also of a req that has ended
+		if e := b.results.byID[a.ID]; e != nil && !e.runsOnce { // what must run once goes as it never ran: by its end
+			b.results.drop(e)
+		}
+		return
 	}
-	f.answer(e, slot, keep && e.bad < badMost, &reply{status: status})
-	f.owe(e, t, id, reason)
-	if e.bad >= badCut && !e.broken {
-		f.cut(e, errBad)
+	r := b.requests[a.ID]
+	if r == nil {
+		return // it ended in the same batch
+	}
+	switch a.Kind {
+	case overload.Start:
+		if !invariant.Check(r.state == stateHeld && b.isWanted(r), "what is run is held") {
+			return
+		}
+		if v := b.process.Start(r.readAt); v != lifecycle.Allowed && !r.takenOver {
+			b.recordViolation("start", r, v)
+			b.runEnded(r, overload.NeverRan, accounting.NotReady, 0, nil)
+			return
+		}
+		if r.guard != nil {
+			b.guard.requestStart(r)
+			return
+		}
+		b.startRun(r)
+	case overload.Cancel:
+		switch {
+		case r.state >= stateRunning:
+			b.stats.Stopped++
+			b.processor.cancel(r)
+		case r.state == stateAwaitingIntent:
+			b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
+		}
+	case overload.Reject:
+		if r.takenOver {
+			b.cluster.settled(r, accounting.Shed)
+			b.releaseUnstarted(r)
+			return
+		}
+		if b.process.Phase() > lifecycle.Serving && b.cluster.handOff(r) {
+			return
+		}
+		if invariant.Check(r.state == stateHeld, "what is shed never ran") {
+			b.frontend.shed(r, a.RetryAfter, a.NoRetry)
+		} else {
+			b.frontend.failed(r, accounting.Cancelled)
+		}
+		b.finishAnswered(r)
+	case overload.Fail:
+		if b.hasClient(r) {
+			why := accounting.Cancelled
+			if r.state == stateAwaitingCall && r.callFailed {
+				why = accounting.CallFailed
+			}
+			b.frontend.failed(r, why)
+			b.finishAnswered(r)
+		} else if r.takenOver && r.state < stateAwaitingIntent {
+			b.cluster.settled(r, accounting.Cancelled)
+			b.releaseUnstarted(r)
+		} else if r.state >= stateAwaitingCall {
+			b.cancelRun(r) // nobody waits, but the run does
+		}
+	case overload.Remember:
+		b.results.remember(r, a.Duration)
+	case overload.Coalesce:
+		switch {
+		case !invariant.Check(r.state == stateHeld && b.isWanted(r) && r.originalID != 0, "what joins is a held repeat"):
+		case r.guard != nil && !r.guard.replayable:
+			b.guard.join(r)
+		default:
+			b.results.join(r)
+		}
+	case overload.Call:
+		if r.state == stateAwaitingCall {
+			b.call(r, a.Duration)
+		}
+	default:
+		invariant.Check(false, "an action that this protocol has no message for")
 	}
 }
 
-// refusePart answers a req that is half read: nothing of it will run.
-func (f *door) refusePart(e *edge, slot uint16, keep bool) {
-	t := f.nameless(e)
-	f.answer(e, slot, keep, f.refusal())
-	f.owe(e, t, 0, accounting.NotReady)
-	f.weigh(e)
-}
-
-// nameless takes a req of which neither id nor handler is known.
-func (f *door) nameless(e *edge) accounting.Ticket {
-	return f.b.book.Open(f.b.wall, 0, 0, e.p.front(), accounting.CustomerName{})
+// admit hands a req to the module.
+func (b *Backend) admit(r *request) {
+	r.state = stateHeld
+	r.arrival.Delay += b.now - r.readAt
+	if r.guard != nil {
+		r.guard.askedAt = b.now
+		if !b.guard.admit(r) {
+			return
+		}
+	} else {
+		switch why := b.results.lookup(r); why {
+		case accounting.None:
+		case accounting.UnknownRequest:
+			b.frontend.unknown(r)
+			return
+		default:
+			b.frontend.declined(r, why)
+			b.finishAnswered(r)
+			return
+		}
+	}
+	b.submitArrival(r)
 }
 
-// takenBack follows the word that nobody waits any more.
-func (f *door) takenBack(e *edge, slot uint16) {
-	if r := e.open[slot]; r != nil {
-		delete(e.open, slot)
-		f.b.gone(r, 0)
+// submitArrival has the module hear of a req.
+func (b *Backend) submitArrival(r *request) {
+	if r.clientTimeout > 0 {
+		r.arrival.Remaining = max(time.Millisecond, r.clientTimeout-r.arrival.Delay)
 	}
-	delete(e.checks, slot)
+	b.events = append(b.events, r.arrival)
 }
 
-// field is one that a req may have, whatever a protocol calls it.
-type field uint8
-
-const (
-	pathField field = iota
-	queryField
-	idField
-	startField
-	callerField
-	costField
-	memoryField
-	rankField
-	objectField
-	customerField
-	keyField
-	madeField
-	onceField
-	tenantField
-	timeoutField
-)
-
-// asked is a req whose fields are being read.
-type asked struct {
-	b           *Backend
-	r           *req
-	ev          overload.Event
-	path, query string
-	started     float64
-	hasStart    bool
-	customer    accounting.CustomerName
-	owner       []byte  // the customer's name whole, and
-	key         []byte  // the field that names what must not run twice: both only where something is guarded
-	made        float64 // Unix milliseconds; 0 not told
-	once        string  // its idempotency key
-	tenant      string
-	why         string // what is wrong with it
+// startRun has the processor run a req.
+func (b *Backend) startRun(r *request) {
+	r.state = stateRunning
+	b.stats.Begun++
+	b.processor.start(r)
 }
 
-// newAsked begins one.
-func (f *door) newAsked(e *edge, slot uint16, keep bool, body []byte) *asked {
-	return &asked{b: f.b, r: &req{edge: e, slot: slot, keep: keep, body: body}, ev: overload.Event{Kind: overload.Arrived}}
+// finishAnswered follows the final answer of a req.
+func (b *Backend) finishAnswered(r *request) {
+	b.unanswered--
+	r.client = nil
+	b.releaseUnstarted(r)
 }
 
-func (a *asked) number(v []byte, most float64) float64 {
-	n, err := strconv.ParseFloat(string(v), 64)
-	if err != nil || !(n >= 0 && n <= most) {
-		a.why = "a field is no number in its range"
+// clientGone follows the edge node's word that it no longer waits, or (BrokenOff) the end of its connection.
+func (b *Backend) clientGone(r *request, how overload.Outcome) {
+	b.unanswered--
+	why := accounting.Aborted
+	if how == overload.BrokenOff {
+		why = accounting.ConnectionLost
 	}
-	return n
-}
-
-// setAll takes a field in each of its meanings.
-func (a *asked) setAll(names []field, v []byte) {
-	for _, name := range names {
-		a.set(name, v)
+	b.ledger.Close(b.wall, r.ticket, why)
+	r.client = nil
+	if r.state != stateUnverified && r.state != stateAwaitingResult {
+		b.events = append(b.events, overload.Event{Kind: overload.ClientGone, ID: r.id, Outcome: how})
 	}
+	b.releaseUnstarted(r)
 }
 
-// set takes a field.
-func (a *asked) set(name field, v []byte) {
-	switch name {
-	case pathField:
-		a.path = string(v)
-	case queryField:
-		a.query = string(v)
-	case idField:
-		a.r.name = string(v)
-		a.r.id, _ = lineproto.ID(v)
-	case startField:
-		a.started, a.hasStart = a.number(v, math.MaxInt64/2), true
-	case callerField:
-		n := a.number(v, math.MaxInt32)
-		if a.ev.Caller = int(n); float64(a.ev.Caller) != n {
-			a.why = "a field is no number in its range"
-		}
-		if a.b.cfg.Accounting.CustomerField == "" {
-			a.owned(v)
-		}
-	case costField:
-		a.ev.Hint = time.Duration(a.number(v, 1e9) * float64(time.Millisecond))
-	case memoryField:
-		a.ev.Size = a.number(v, sizeMost)
-	case rankField:
-		a.ev.ValueRank = a.number(v, 1)
-	case objectField:
-		a.ev.Subject = string(v)
-	case customerField:
-		a.owned(v)
-	case keyField:
-		a.key = append(a.key[:0], v...)
-	case madeField:
-		a.made = a.number(v, math.MaxInt64/2)
-	case onceField:
-		a.once = string(v)
-	case tenantField:
-		a.tenant = string(v)
-	case timeoutField:
-		a.r.waits = time.Duration(a.number(v, 1e9) * float64(time.Millisecond))
+// releaseUnstarted lets go of a req that never ran, and ends a run that stands at a call: as the simulator does.
+func (b *Backend) releaseUnstarted(r *request) {
+	switch r.state {
+	case stateUnverified, stateHeld, stateJoined:
+		delete(b.requests, r.id)
+		b.guard.leave(r)
+		b.results.ended(r, overload.Failed, false, nil)
+	case stateAwaitingCall, stateCalling:
+		b.cancelRun(r)
 	}
 }
 
-// owned takes its customer.
-func (a *asked) owned(v []byte) {
-	a.customer = accounting.NewCustomerName(v)
-	if a.b.keeper.on() {
-		a.owner = append(a.owner[:0], v...)
-	}
+func (b *Backend) cancelRun(r *request) {
+	b.upstream.cancel(r)
+	b.processor.cancel(r)
 }
 
-// request takes a req whose fields were all read, and whole if they were.
-func (f *door) request(a *asked, whole bool) {
-	b, r, ev := f.b, a.r, &a.ev
-	e := r.edge
-	if whole && a.path == "/_health" {
-		f.check(e, r.slot, r.keep, a.query)
-		return
+// runEnded follows the end of a run, why says how it is accounted for; body is the result.
+func (b *Backend) runEnded(r *request, how overload.Outcome, why accounting.Reason, took time.Duration, body []byte) {
+	if r.state >= stateRunning {
+		b.stats.Ended++
 	}
-	name, isInvoke := strings.CutPrefix(a.path, "/invoke/")
-	r.h = b.handlerOf(name)
-	reason := accounting.BadFields
-	why := a.why
-	switch {
-	case !whole:
-		why = "parameters cut short"
-	case !isInvoke || r.h < 0:
-		why, reason = "unknown handler", accounting.UnknownHandler
-	case why != "":
-	case r.id == 0:
-		why = "no id of 16 hex digits"
-	case !a.hasStart || ev.Size == 0:
-		why = "start or memory is missing"
-	case !b.keeper.named(a):
-		why = "no key, and it must not run twice"
-	case ev.ValueRank == 1 || ev.Size == sizeMost || ev.Hint > costMost*b.handlers[r.h].timeout || a.started > startMost:
-		why = "a field is out of its range"
-	case b.reqs[r.id] != nil:
-		why = "an id that is in use"
+	waits := r.guard != nil && b.guard.writes(r, how, why, body) // until its result is on the disk
+	b.upstream.cancel(r)
+	if r.probeDue > 0 {
+		b.processor.probes--
+		r.probeTag, r.probeDue = 0, 0
 	}
-	r.ticket = b.book.Open(b.wall, r.id, b.rowOf(r.h), e.p.front(), a.customer)
-	if why != "" {
-		f.bad(e, r.slot, r.keep, r.ticket, r.id, reason, why)
+	b.events = append(b.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: how, Took: took})
+	if waits {
 		return
 	}
-	unread := b.stamps.QueueDelay(time.Duration(a.started*float64(time.Millisecond)), e.known || !b.canStop)
-	refuses := b.ctl == nil || b.process.Accept() != lifecycle.Allowed
-	if refuses || unread > b.handlers[r.h].timeout || r.waits > 0 && unread > r.waits { // nobody waits; so old a start would tell of a standstill
-		reason = accounting.Expired
-		if refuses {
-			reason = accounting.NotReady
+	if b.hasClient(r) {
+		if how == overload.OK {
+			b.frontend.succeeded(r, why, body)
+		} else {
+			b.frontend.declined(r, why)
 		}
-		f.answer(e, r.slot, r.keep, f.refusal())
-		f.owe(e, r.ticket, r.id, reason)
-		return
-	}
-	ev.ID, ev.Handler, ev.Delay, ev.Customer = r.id, r.h, unread, slices.Index(b.customers, a.tenant)
-	r.of = b.keys.subjectOf(r, ev.Subject, a.tenant, a.once)
-	r.ev, r.since, r.came = *ev, b.now, b.now-unread
-	r.guard = b.keeper.guards(a)
-	b.reqs[r.id] = r
-	b.owed++
-	e.open[r.slot] = r
-	if e.known && b.keys.repeats(r) == nil || !b.link.identify(r) {
-		b.arrived(r)
+		b.unanswered--
+		r.client = nil
 	}
+	b.cluster.settled(r, why)
+	delete(b.requests, r.id)
+	b.results.ended(r, how, r.startSent && why != accounting.NeverRan, body)
 }
 
-// unknown follows the processor's word that it knows no such req: nobody sent it one, and whoever sends reqs that
-// nobody knows is no edge node.
-func (f *door) unknown(r *req) {
-	delete(r.edge.open, r.slot)
-	f.bad(r.edge, r.slot, false, r.ticket, r.id, accounting.UnknownRequest, "no req of this machine")
-	f.b.answered(r)
+// reasonOf says how the end of a run is accounted for.
+func reasonOf(how overload.Outcome) accounting.Reason {
+	switch how {
+	case overload.OK:
+		return accounting.Completed
+	case overload.Stopped:
+		return accounting.RunStopped
+	case overload.NeverRan:
+		return accounting.NeverRan
+	}
+	return accounting.RunFailed
 }
--- a/backend/keys_test.go
+++ b/backend/result_cache_test.go
@@ -20,8 +20,8 @@
 }
 
 // reads gives a req of a handler that came so long before it is read now.
-func (b *Backend) reads(id uint64, h int, name string, unread time.Duration) *req {
-	return &req{id: id, h: h, of: subject{h: h, name: name}, proved: true, came: b.now - unread, since: b.now}
+func (b *Backend) reads(id uint64, h int, name string, unread time.Duration) *request {
+	return &request{id: id, handler: h, subject: cacheKey{handler: h, name: name}, verified: true, arrivedAt: b.now - unread, readAt: b.now}
 }
 
 // TestWindows: what repeats a req that must run once is told by when it came and not by when it was read; the result of a
@@ -31,13 +31,13 @@
 	var got []string
 	step := func(at time.Duration, id uint64, h int, unread time.Duration) {
 		b.now = at
-		b.keys.tidy()
+		b.results.sweep()
 		r := b.reads(id, h, "k", unread)
-		b.keys.meet(r)
-		got = append(got, fmt.Sprintf("%d repeats %d", id, r.fore))
-		if r.fore == 0 {
-			b.keys.remember(r, time.Hour)
-			b.keys.ended(r, overload.OK, true, []byte("x"))
+		b.results.lookup(r)
+		got = append(got, fmt.Sprintf("%d repeats %d", id, r.originalID))
+		if r.originalID == 0 {
+			b.results.remember(r, time.Hour)
+			b.results.ended(r, overload.OK, true, []byte("x"))
 		}
 	}
 	const s, ms = time.Second, time.Millisecond
@@ -53,9 +53,9 @@
 		t.Error(diff)
 	}
 	b.now = time.Hour
-	b.keys.tidy()
-	if len(b.keys.byID) > 0 || len(b.keys.of) > 0 || b.keys.kept != 0 {
-		t.Error("not all is let go:", len(b.keys.byID), len(b.keys.of), b.keys.kept)
+	b.results.sweep()
+	if len(b.results.byID) > 0 || len(b.results.entries) > 0 || b.results.resultBytes != 0 {
+		t.Error("not all is let go:", len(b.results.byID), len(b.results.entries), b.results.resultBytes)
 	}
 }
 
@@ -64,21 +64,21 @@
 	b := keysAt(t, "1")
 	taken := 0
 	for i := range uint64(100) {
-		if r := b.reads(i+1, 1, fmt.Sprint(i), 0); b.keys.meet(r) == accounting.None {
+		if r := b.reads(i+1, 1, fmt.Sprint(i), 0); b.results.lookup(r) == accounting.None {
 			taken++
 		}
 	}
-	if taken == 0 || taken == 100 || float64(b.keys.kept) > b.share(keptShare) {
-		t.Error(taken, "of 100 are taken,", b.keys.kept, "bytes are kept")
+	if taken == 0 || taken == 100 || float64(b.results.resultBytes) > b.memoryShare(keptShare) {
+		t.Error(taken, "of 100 are taken,", b.results.resultBytes, "bytes are kept")
 	}
 	for i := range uint64(taken) {
-		b.keys.ended(b.reads(i+1, 1, fmt.Sprint(i), 0), overload.Failed, true, nil)
-		if r := b.reads(i+1000, 1, fmt.Sprint(i), 0); b.keys.meet(r) != accounting.None || r.fore != i+1 {
+		b.results.ended(b.reads(i+1, 1, fmt.Sprint(i), 0), overload.Failed, true, nil)
+		if r := b.reads(i+1000, 1, fmt.Sprint(i), 0); b.results.lookup(r) != accounting.None || r.originalID != i+1 {
 			t.Fatal(i, "is forgotten")
 		}
 	}
-	b.keys.ended(&req{id: 1}, overload.Failed, false, nil)
-	if r := b.reads(2000, 1, "0", 0); b.keys.meet(r) != accounting.None || r.fore != 0 {
+	b.results.ended(&request{id: 1}, overload.Failed, false, nil)
+	if r := b.reads(2000, 1, "0", 0); b.results.lookup(r) != accounting.None || r.originalID != 0 {
 		t.Error("what never ran is still known")
 	}
 }
@@ -96,12 +96,12 @@
 			s.step([]string{"edge", "a", "sends", "1", "HTTP_X_TENANT=south", "HTTP_X_TIMEOUT_MS=700"})
 			s.step([]string{"edge", "a", "sends", "2", "HTTP_X_TENANT=east"})
 			s.settle(2)
-			s.b.ask(func() {
-				told, other := s.b.reqs[1], s.b.reqs[2]
-				if told == nil || told.ev.Customer != 1 || told.ev.Remaining <= 0 || told.ev.Remaining > 700*time.Millisecond {
+			s.b.onOwner(func() {
+				told, other := s.b.requests[1], s.b.requests[2]
+				if told == nil || told.arrival.Customer != 1 || told.arrival.Remaining <= 0 || told.arrival.Remaining > 700*time.Millisecond {
 					t.Error("a told customer and time:", told)
 				}
-				if other == nil || other.ev.Customer != -1 || other.ev.Remaining != 0 {
+				if other == nil || other.arrival.Customer != -1 || other.arrival.Remaining != 0 {
 					t.Error("a customer that the settings don't know:", other)
 				}
 			})
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -90,32 +90,32 @@
 
 // change has the box go by the lists of another configuration as soon as it may.
 func (c *cluster) change(cfg ClusterConfig) {
-	if !c.on() || cfg.Name != c.b.cfg.Cluster.Name {
+	if !c.enabled() || cfg.Name != c.backend.cfg.Cluster.Name {
 		return
 	}
-	c.b.cfg.Cluster.Members, c.b.cfg.Cluster.Previous = cfg.Members, cfg.Previous
+	c.backend.cfg.Cluster.Members, c.backend.cfg.Cluster.Previous = cfg.Members, cfg.Previous
 	c.pending = true
-	c.tryAt = c.b.now
+	c.tryAt = c.backend.now
 }
 
 // tryChange does so if it may, and finds out whether all others go by both lists.
 func (c *cluster) tryChange() {
-	b := c.b
+	b := c.backend
 	if c.recording || !c.pending && (len(c.lists.Before) == 0 || c.lists.Since > 0) {
 		return
 	}
 	if b.now < c.tryAt {
-		b.at(c.tryAt)
+		b.wakeBy(c.tryAt)
 		return
 	}
 	c.tryAt = b.now + rosterAgain
-	b.at(c.tryAt)
+	b.wakeBy(c.tryAt)
 	r := c.lists.roster()
 	if len(r.Previous) > 0 && r.Since == 0 {
-		behind := r.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.told[name] })
+		behind := r.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.adopted[name] })
 		if c.why = ""; len(behind) == 0 {
 			l := c.lists
-			l.Since = b.keeper.now()
+			l.Since = b.guard.now()
 			c.record(l)
 			return
 		}
@@ -125,12 +125,12 @@
 		return
 	}
 	want := b.cfg.Cluster.wanted()
-	next, err := r.Next(b.keeper.now(), c.wait(), want.roster())
+	next, err := r.Next(b.guard.now(), c.wait(), want.roster())
 	if err != nil {
 		if c.why == "" || !errors.Is(err, failover.ErrNotAdopted) {
 			c.why = err.Error()
 		}
-		b.note("members not changed", "why", c.why)
+		b.logLimited("members not changed", "why", c.why)
 		return
 	}
 	want.Since, c.why, c.pending = next.Since, "", false
@@ -141,8 +141,8 @@
 
 // wait is how long after a req was read it may run or be asked for again.
 func (c *cluster) wait() time.Duration {
-	longest := c.b.cfg.Idempotency.Store.RetryHorizon
-	for _, h := range c.b.handlers {
+	longest := c.backend.cfg.Idempotency.Store.RetryHorizon
+	for _, h := range c.backend.handlers {
 		longest = max(longest, h.timeout)
 	}
 	return longest
@@ -150,16 +150,16 @@
 
 // record has the box go by these lists once they are on the disk.
 func (c *cluster) record(l lists) {
-	b := c.b
+	b := c.backend
 	c.recording = true
 	dir := b.cfg.Idempotency.Dir
 	go func() { // the disk may be slow
 		err := writeLists(dir, l)
-		b.box.Post(func() {
+		b.loop.Post(func() {
 			c.recording = false
 			if err != nil {
 				c.pending = true
-				b.note("members not changed", "why", err)
+				b.logLimited("members not changed", "why", err)
 				return
 			}
 			c.goBy(l)
@@ -169,7 +169,7 @@
 
 // goBy has the box go by these lists from now on.
 func (c *cluster) goBy(l lists) {
-	b := c.b
+	b := c.backend
 	if len(l.Before) == 0 { // who was in the list before may still hold reqs, and have them noted
 		for _, m := range c.lists.Before {
 			if !m.Removed && m.Name != b.cfg.Name && !has(l.Members, m.Name) {
@@ -181,9 +181,9 @@
 	c.lists = l
 	r := l.roster()
 	c.goes = r.Digests()
-	c.box.Reconfigure(b.keeper.now(), r.Members, r.Previous)
+	c.node.Reconfigure(b.guard.now(), r.Members, r.Previous)
 	c.connect()
-	c.way.SetOthers(c.witnesses())
+	c.recovery.SetOthers(c.witnesses())
 	if r := c.refill.from; r != nil && !r.Done() {
 		r.SetOthers(c.others())
 	}
@@ -209,12 +209,12 @@
 	var names []string
 	for _, m := range all {
 		names = append(names, m.Name)
-		if m.Name == c.b.cfg.Name {
+		if m.Name == c.backend.cfg.Name {
 			continue
 		}
 		l := c.links[m.Name]
 		if l == nil {
-			l = &boxLink{}
+			l = &nodeLink{}
 			c.links[m.Name] = l
 		}
 		if l.c != nil && l.address != m.Address {
@@ -229,7 +229,7 @@
 		if delete(c.links, name); l.c != nil {
 			l.c.Abort(conn.ErrClosedLocally)
 		}
-		delete(c.told, name)
+		delete(c.adopted, name)
 	}
 	if c.list != nil {
 		c.list.SetOthers(names)
@@ -248,7 +248,7 @@
 
 // hello is what a connection to another box begins with, and what it is told when the lists change.
 func (c *cluster) hello(ask bool) []byte {
-	b := c.b
-	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Incarnation: c.life,
+	b := c.backend
+	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Incarnation: c.incarnation,
 		Lists: c.goes, Seq: c.store.LastSeq(), Mark: c.mark, QueryState: ask, Features: recovery.FeatureFences}})
 }
--- a/backend/stand_test.go
+++ b/backend/stand_test.go
@@ -267,8 +267,8 @@
 	return all
 }
 
-// request gives the records of a req; fields overwrite the usual ones, "-" leaves one out.
-func request(slot uint16, fields map[string]string) string {
+// fastcgiRequest gives the records of a req; fields overwrite the usual ones, "-" leaves one out.
+func fastcgiRequest(slot uint16, fields map[string]string) string {
 	all := usual(slot, fields)
 	delete(all, "secret") // of AJP
 	body := all["body"]
@@ -282,8 +282,8 @@
 	return stand.Records(slot, params.String(), body)
 }
 
-// requestAJP gives the packets of the same req over AJP.
-func requestAJP(slot uint16, fields map[string]string) string {
+// ajpRequest gives the packets of the same req over AJP.
+func ajpRequest(slot uint16, fields map[string]string) string {
 	all := usual(slot, fields)
 	f := ajp.Forward{Path: all["SCRIPT_NAME"], Query: all["QUERY_STRING"], Secret: all["secret"], Body: []byte(all["body"])}
 	for _, k := range slices.Sorted(maps.Keys(all)) {
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -78,12 +78,12 @@
 		s.b.Reload(s.config())
 	case "pause": // the owner stands still, as on a machine that does; what is sent to it lies unread
 		d, _ := time.ParseDuration(w[1])
-		s.b.box.Post(func() { time.Sleep(d) })
+		s.b.loop.Post(func() { time.Sleep(d) })
 	case "owner": // it stands still between "holds" and "goes"; what is sent meanwhile is one batch
 		if w[1] == "holds" {
 			gate, held := make(chan struct{}), make(chan struct{})
 			s.gate = gate
-			s.b.box.Post(func() { close(held); <-gate })
+			s.b.loop.Post(func() { close(held); <-gate })
 			<-held
 		} else {
 			close(s.gate)
@@ -118,7 +118,7 @@
 			if err != nil {
 				continue
 			}
-			_, _ = io.WriteString(c, request(1, map[string]string{"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 1<<20+i),
+			_, _ = io.WriteString(c, fastcgiRequest(1, map[string]string{"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 1<<20+i),
 				"HTTP_X_CALLER": strconv.Itoa(1000 + i), "HTTP_X_OBJECT": strconv.Itoa(i)}))
 			head := make([]byte, 24)
 			if _, err := io.ReadFull(c, head); err == nil && strings.HasSuffix(string(head), "Status: 200 OK\r\n") {
@@ -134,11 +134,11 @@
 	case "figures": // by reason, and the sums
 		s.print("figures", "%s", s.figures())
 	case "kept":
-		s.b.box.Post(func() {
+		s.b.loop.Post(func() {
 			b := s.b
 			s.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
-				len(b.reqs), len(b.door.edges), len(b.link.unverified), b.tier.inHand(), b.tier.connections(), len(b.keys.byID),
-				len(b.link.trials), b.door.parts)
+				len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.inFlight(), b.upstream.connections(), len(b.results.byID),
+				len(b.processor.trials), b.frontend.partialBytes)
 		})
 	case "counters":
 		c := s.b.Counters()
@@ -195,9 +195,9 @@
 		if e.c == nil {
 			return
 		}
-		request := request
+		request := fastcgiRequest
 		if s.ajp {
-			request = requestAJP
+			request = ajpRequest
 		}
 		text := ""
 		switch w[2] {
@@ -221,7 +221,7 @@
 				text += stand.Record(1, i+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + stand.Record(4, i+1, strings.Repeat("x", 4000))
 			}
 		case "half": // a req over AJP whose body stops in its middle
-			whole := requestAJP(slot, map[string]string{"body": "a body that is cut"})
+			whole := ajpRequest(slot, map[string]string{"body": "a body that is cut"})
 			text = whole[:len(whole)-9]
 		case "aborts":
 			if text = stand.Abort(slot); s.ajp { // its end is the abort
--- a/backend/peers.go
+++ b/backend/upstream_ajp.go
@@ -28,34 +28,34 @@
 	Secret   string // that each call brings; empty: none
 }
 
-// nextTier makes calls. Which are made is the module's.
-type nextTier interface {
-	room() int // connections it may hold
-	invoke(r *req, after time.Duration)
-	cancel(r *req) // gives up the call of a req, if there is one
-	move(cfg *Config)
-	lookAtTime()
-	inHand() int
+// upstream makes calls. Which are made is the module's.
+type upstream interface {
+	reservedConns() int // connections it may hold
+	invoke(r *request, after time.Duration)
+	cancel(r *request) // gives up the call of a req, if there is one
+	reconfigure(cfg *Config)
+	onTimer()
+	inFlight() int
 	connections() int
 }
 
-// peers makes calls over AJP to the peers that route picks. A call goes to another peer only where it is proved never to
+// ajpUpstream makes calls over AJP to the peers that route picks. A call goes to another peer only where it is proved never to
 // have run; one that may have run is the module's to make again.
-type peers struct {
+type ajpUpstream struct {
 	b     *Backend
 	r     *loadbalance.Balancer
-	pools map[*loadbalance.Target]*pool
+	pools map[*loadbalance.Target]*connPool
 	calls map[uint64]*call
 	wires int // connections, and those being dialled
 }
 
-// pool is the connections to a peer.
-type pool struct {
-	idle []*peerWire // free ones, the last used at the end
+// connPool is the connections to a peer.
+type connPool struct {
+	idle []*ajpConn // free ones, the last used at the end
 }
 
-// peerWire is one connection to a peer.
-type peerWire struct {
+// ajpConn is one connection to a peer.
+type ajpConn struct {
 	c    *conn.Conn
 	p    *ajp.Client
 	at   *loadbalance.Target
@@ -70,28 +70,28 @@
 
 var errNoPong = errors.New("nobody answers there")
 
-func newPeers(b *Backend) *peers {
-	p := &peers{b: b, pools: map[*loadbalance.Target]*pool{}, calls: map[uint64]*call{}}
+func newAJPUpstream(b *Backend) *ajpUpstream {
+	p := &ajpUpstream{b: b, pools: map[*loadbalance.Target]*connPool{}, calls: map[uint64]*call{}}
 	cfg := b.cfg.AJPUpstream.Balancer
 	cfg.Seed = b.cfg.Seed
 	p.r = loadbalance.New(cfg)
 	return p
 }
 
-func (p *peers) room() int        { return p.b.wireRoom() }
-func (p *peers) inHand() int      { return len(p.calls) }
-func (p *peers) connections() int { return p.wires }
+func (p *ajpUpstream) reservedConns() int { return p.b.wireRoom() }
+func (p *ajpUpstream) inFlight() int      { return len(p.calls) }
+func (p *ajpUpstream) connections() int   { return p.wires }
 
-func (p *peers) invoke(r *req, after time.Duration) {
-	k := p.b.callBegins(r, after)
+func (p *ajpUpstream) invoke(r *request, after time.Duration) {
+	k := p.b.callStarted(r, after)
 	p.calls[r.id] = k
 	p.place(k)
 }
 
 // place has a peer picked for a call, and gives it a connection there.
-func (p *peers) place(k *call) {
+func (p *ajpUpstream) place(k *call) {
 	b := p.b
-	k.at = p.r.Pick(b.now, k.r.route, k.tried...)
+	k.at = p.r.Pick(b.now, k.request.stickyRoute, k.tried...)
 	if k.at == nil {
 		p.end(k, cmp.Or(k.proved, overload.Overloaded))
 		return
@@ -103,28 +103,28 @@
 		p.give(w, k)
 		return
 	}
-	if p.wires >= p.room() && !p.closeOldest() {
+	if p.wires >= p.reservedConns() && !p.closeOldest() {
 		p.done(k, loadbalance.Abandoned)
 		p.end(k, overload.Overloaded)
 		return
 	}
 	p.wires++
 	at := k.at
-	b.box.Dial(at.Address, func(c *conn.Conn, err error) { p.dialled(at, k, c, err) })
+	b.loop.Dial(at.Address, func(c *conn.Conn, err error) { p.dialled(at, k, c, err) })
 }
 
-func (p *peers) pool(t *loadbalance.Target) *pool {
+func (p *ajpUpstream) pool(t *loadbalance.Target) *connPool {
 	l := p.pools[t]
 	if l == nil {
-		l = &pool{}
+		l = &connPool{}
 		p.pools[t] = l
 	}
 	return l
 }
 
 // closeOldest makes room by the connection that is idle for longest, and tells whether there is one.
-func (p *peers) closeOldest() bool {
-	var oldest *peerWire
+func (p *ajpUpstream) closeOldest() bool {
+	var oldest *ajpConn
 	for _, l := range p.pools { // a minimum: among equals any will do
 		if len(l.idle) > 0 && (oldest == nil || l.idle[0].used < oldest.used) {
 			oldest = l.idle[0]
@@ -137,20 +137,20 @@
 	return true
 }
 
-func (p *peers) dialled(at *loadbalance.Target, k *call, c *conn.Conn, err error) {
+func (p *ajpUpstream) dialled(at *loadbalance.Target, k *call, c *conn.Conn, err error) {
 	b := p.b
-	waits := k.r.call == k && k.at == at && k.jw == nil
+	waits := k.request.call == k && k.at == at && k.ajpConn == nil
 	if err != nil {
 		p.wires--
-		b.note("next tier not reached", "peer", at.Address, "why", err)
+		b.logLimited("next tier not reached", "peer", at.Address, "why", err)
 		if waits {
 			p.elsewhere(k, loadbalance.Fault, overload.NoConnection)
 		}
 		return
 	}
-	w := &peerWire{c: c, p: ajp.NewClient(b.cfg.AJP.packet()), at: at, used: b.now}
+	w := &ajpConn{c: c, p: ajp.NewClient(b.cfg.AJP.packet()), at: at, used: b.now}
 	c.MaxUnsent = wireMost
-	c.OnData = b.noting("bad reply", func(text []byte) error {
+	c.OnData = b.parseLogged("bad reply", func(text []byte) error {
 		return w.p.Feed(text, func(a ajp.Answer) { p.answer(w, a) })
 	})
 	c.OnClosed = func(error) { p.closed(w) }
@@ -162,30 +162,30 @@
 }
 
 // give has a connection carry a call. Where it was idle, or its peer is in doubt, it is asked first whether anybody is there.
-func (p *peers) give(w *peerWire, k *call) {
+func (p *ajpUpstream) give(w *ajpConn, k *call) {
 	b := p.b
-	w.k, k.jw = k, w
+	w.k, k.ajpConn = k, w
 	if b.now-w.used < trustIdle && !w.at.NeedsHealthCheck() {
 		p.send(w)
 		return
 	}
 	w.pong = b.now + pongWait
-	b.at(w.pong)
+	b.wakeBy(w.pong)
 	b.scratch = ajp.AppendCPing(b.scratch[:0])
 	w.c.Write(b.scratch)
 }
 
 // done tells the router how a call ended at its peer, where it is no more.
-func (p *peers) done(k *call, how loadbalance.Outcome) {
+func (p *ajpUpstream) done(k *call, how loadbalance.Outcome) {
 	p.r.Done(p.b.now, k.at, how)
-	k.at, k.jw = nil, nil
+	k.at, k.ajpConn = nil, nil
 }
 
 // elsewhere follows the proof that a call never ran at its peer: another may have it.
-func (p *peers) elsewhere(k *call, how loadbalance.Outcome, proved overload.Outcome) {
+func (p *ajpUpstream) elsewhere(k *call, how loadbalance.Outcome, proved overload.Outcome) {
 	k.tried, k.proved = append(k.tried, k.at), proved
 	p.done(k, how)
-	if p.b.now >= k.till {
+	if p.b.now >= k.deadline {
 		p.end(k, proved)
 		return
 	}
@@ -193,27 +193,27 @@
 }
 
 // send writes the call of a connection.
-func (p *peers) send(w *peerWire) {
+func (p *ajpUpstream) send(w *ajpConn) {
 	b, k := p.b, w.k
-	r := k.r
+	r := k.request
 	w.pong, w.used, w.sent = 0, b.now, w.c.QueuedTotal()
 	w.p.Waiting = true
-	left := max(1, (k.till - b.now).Milliseconds())
-	f := ajp.Forward{Path: "/invoke/" + b.handlers[r.h].name, Secret: b.cfg.AJPUpstream.Secret, Body: r.ask, Fields: []ajp.Field{
-		{Name: "X-Request-Id", Value: r.name},
+	left := max(1, (k.deadline - b.now).Milliseconds())
+	f := ajp.Forward{Path: "/invoke/" + b.handlers[r.handler].name, Secret: b.cfg.AJPUpstream.Secret, Body: r.callBody, Fields: []ajp.Field{
+		{Name: "X-Request-Id", Value: r.wireID},
 		{Name: "X-Request-Start", Value: strconv.FormatInt(b.wall.Milliseconds(), 10)},
 		{Name: "X-Timeout-Ms", Value: strconv.FormatInt(left, 10)},
-		{Name: "X-Caller", Value: strconv.Itoa(r.ev.Caller)},
-		{Name: "X-Memory-Kb", Value: strconv.FormatFloat(r.ev.Size, 'f', -1, 64)},
-		{Name: "X-Rank", Value: strconv.FormatFloat(r.ev.ValueRank, 'f', -1, 64)},
+		{Name: "X-Caller", Value: strconv.Itoa(r.arrival.Caller)},
+		{Name: "X-Memory-Kb", Value: strconv.FormatFloat(r.arrival.Size, 'f', -1, 64)},
+		{Name: "X-Rank", Value: strconv.FormatFloat(r.arrival.ValueRank, 'f', -1, 64)},
 	}}
 	most := b.cfg.AJP.packet()
 	b.scratch = ajp.AppendForward(b.scratch[:0], &f, most)
-	w.rest = r.ask[min(len(r.ask), ajp.PartMost(most)):]
+	w.rest = r.callBody[min(len(r.callBody), ajp.PartMost(most)):]
 	w.c.Write(b.scratch)
 }
 
-func (p *peers) answer(w *peerWire, a ajp.Answer) {
+func (p *ajpUpstream) answer(w *ajpConn, a ajp.Answer) {
 	b, k := p.b, w.k
 	switch a.Kind {
 	case ajp.CPong:
@@ -231,7 +231,7 @@
 	if k == nil {
 		return // given up: the connection is being closed
 	}
-	w.k, k.jw, w.used = nil, nil, b.now
+	w.k, k.ajpConn, w.used = nil, nil, b.now
 	if a.Reuse {
 		p.free(w)
 	} else {
@@ -240,7 +240,7 @@
 	switch a.Status {
 	case 200:
 		p.done(k, loadbalance.Succeeded)
-		b.link.answer(k.r, a.Body)
+		b.processor.answer(k.request, a.Body)
 		p.end(k, overload.OK)
 	case 429, 503: // it never ran
 		here := false
@@ -264,7 +264,7 @@
 }
 
 // free has a connection wait for the next call.
-func (p *peers) free(w *peerWire) {
+func (p *ajpUpstream) free(w *ajpConn) {
 	if w.at.Removed {
 		p.close(w)
 		return
@@ -274,12 +274,12 @@
 }
 
 // close ends a connection; what was in hand there is another's matter.
-func (p *peers) close(w *peerWire) {
+func (p *ajpUpstream) close(w *ajpConn) {
 	if w.c == nil {
 		return
 	}
 	l := p.pool(w.at)
-	l.idle = slices.DeleteFunc(l.idle, func(o *peerWire) bool { return o == w })
+	l.idle = slices.DeleteFunc(l.idle, func(o *ajpConn) bool { return o == w })
 	if w.at.Removed && len(l.idle) == 0 {
 		delete(p.pools, w.at)
 	}
@@ -291,7 +291,7 @@
 
 // closed follows the end of a connection. A call of which no byte had left, or that waited for a CPong, never ran; of
 // another nothing is proved.
-func (p *peers) closed(w *peerWire) {
+func (p *ajpUpstream) closed(w *ajpConn) {
 	k, c := w.k, w.c
 	if c == nil {
 		return // closed here
@@ -308,16 +308,16 @@
 	}
 }
 
-func (p *peers) end(k *call, how overload.Outcome) {
+func (p *ajpUpstream) end(k *call, how overload.Outcome) {
 	invariant.Check(k.at == nil, "a call that ends is at no peer")
-	delete(p.calls, k.r.id)
-	k.r.call, k.r.at = nil, asking
+	delete(p.calls, k.request.id)
+	k.request.call, k.request.state = nil, stateAwaitingCall
 	p.b.callEnded(k, how)
 }
 
 // drop takes a call from its peer, of which nothing is known, and ends its connection: AJP has no other abort.
-func (p *peers) drop(k *call, how loadbalance.Outcome) {
-	w := k.jw
+func (p *ajpUpstream) drop(k *call, how loadbalance.Outcome) {
+	w := k.ajpConn
 	if k.at != nil {
 		p.done(k, how)
 	}
@@ -327,18 +327,18 @@
 	}
 }
 
-func (p *peers) cancel(r *req) {
+func (p *ajpUpstream) cancel(r *request) {
 	k := r.call
 	if k == nil {
 		return
 	}
 	p.drop(k, loadbalance.Abandoned)
 	delete(p.calls, r.id)
-	r.call, r.at = nil, asking
+	r.call, r.state = nil, stateAwaitingCall
 }
 
-// move has new calls go to other peers; what is in hand may finish.
-func (p *peers) move(cfg *Config) {
+// reconfigure has new calls go to other peers; what is in hand may finish.
+func (p *ajpUpstream) reconfigure(cfg *Config) {
 	r := cfg.AJPUpstream.Balancer
 	r.Seed = p.b.cfg.Seed
 	p.r.Update(r)
@@ -351,16 +351,16 @@
 	}
 }
 
-// lookAtTime gives up the calls whose time has passed, peers that do not answer CPing, and idle connections.
-func (p *peers) lookAtTime() {
+// onTimer gives up the calls whose time has passed, peers that do not answer CPing, and idle connections.
+func (p *ajpUpstream) onTimer() {
 	b := p.b
 	for _, id := range slices.Sorted(maps.Keys(p.calls)) {
 		k := p.calls[id]
 		if k == nil {
 			continue // ended by one before it
 		}
-		switch w := k.jw; {
-		case b.now >= k.till+callGrace:
+		switch w := k.ajpConn; {
+		case b.now >= k.deadline+callGrace:
 			how := loadbalance.TimedOut
 			if w == nil || w.pong > 0 { // it never got that far
 				how = loadbalance.Fault
@@ -368,14 +368,14 @@
 			p.drop(k, how)
 			p.end(k, overload.TimedOut)
 		case w != nil && w.pong > 0 && b.now >= w.pong:
-			b.note("next tier not reached", "peer", w.at.Address, "why", errNoPong)
+			b.logLimited("next tier not reached", "peer", w.at.Address, "why", errNoPong)
 			w.k = nil
 			p.close(w)
 			p.elsewhere(k, loadbalance.Fault, overload.NoConnection)
 		default:
-			b.at(k.till + callGrace)
+			b.wakeBy(k.deadline + callGrace)
 			if w != nil && w.pong > 0 {
-				b.at(w.pong)
+				b.wakeBy(w.pong)
 			}
 		}
 	}
--- a/backend/tier.go
+++ b/backend/upstream_proxy.go
@@ -24,22 +24,22 @@
 	// are closed there after 1.5 s
 )
 
-// tier makes calls to the next tier. As long as there is room for more connections each carries one call at a
+// proxyUpstream makes calls to the next tier. As long as there is room for more connections each carries one call at a
 // time: a spoilt reply, a reset or a reply that never comes then costs that call alone. What is in doubt is not
 // used again. Covers any far side that breaks in one call; where it is sound it costs descriptors.
-type tier struct {
+type proxyUpstream struct {
 	b       *Backend
 	address string
 	safe    time.Duration // idle for so long a connection is still used: less once the far side forgot one sooner
-	wires   map[*wire]struct{}
-	idle    []*wire // free ones, the last used at the end
-	queue   []*call // wait for a connection, in order
-	dialing int     // for those in the queue
+	wires   map[*proxyConn]struct{}
+	idle    []*proxyConn // free ones, the last used at the end
+	queue   []*call      // wait for a connection, in order
+	dialing int          // for those in the queue
 	calls   map[uint64]*call
 }
 
-// wire is one connection to the next tier.
-type wire struct {
+// proxyConn is one connection to the next tier.
+type proxyConn struct {
 	c      *conn.Conn
 	calls  map[uint64]*call // in hand on it
 	last   uint64           // whose call it carried last: a second copy of that reply may follow
@@ -50,29 +50,29 @@
 
 // call is a call in hand.
 type call struct {
-	r     *req
-	w     *wire // nil while it waits for one
-	began time.Duration
-	till  time.Duration
-	sent  time.Duration // when it was written
-	idle  time.Duration // of the connection before
-	mark  int           // bytes written there before
-
-	at     *loadbalance.Target   // over AJP: its peer
-	jw     *peerWire             // and its connection; nil while that is dialled
-	tried  []*loadbalance.Target // peers at which it is proved never to have run
-	proved overload.Outcome      // and what the last of them proved
+	request   *request
+	proxyConn *proxyConn // nil while it waits for one
+	began     time.Duration
+	deadline  time.Duration
+	sent      time.Duration // when it was written
+	idle      time.Duration // of the connection before
+	mark      int           // bytes written there before
+
+	at      *loadbalance.Target   // over AJP: its peer
+	ajpConn *ajpConn              // and its connection; nil while that is dialled
+	tried   []*loadbalance.Target // peers at which it is proved never to have run
+	proved  overload.Outcome      // and what the last of them proved
 }
 
-func newTier(b *Backend) *tier {
-	return &tier{b: b, address: b.cfg.Upstream, safe: wireIdle, wires: map[*wire]struct{}{}, calls: map[uint64]*call{}}
+func newProxyUpstream(b *Backend) *proxyUpstream {
+	return &proxyUpstream{b: b, address: b.cfg.Upstream, safe: wireIdle, wires: map[*proxyConn]struct{}{}, calls: map[uint64]*call{}}
 }
 
-// room is how many connections it may hold.
-func (t *tier) room() int { return t.b.wireRoom() }
+// reservedConns is how many connections it may hold.
+func (t *proxyUpstream) reservedConns() int { return t.b.wireRoom() }
 
-func (t *tier) invoke(r *req, after time.Duration) {
-	k := t.b.callBegins(r, after)
+func (t *proxyUpstream) invoke(r *request, after time.Duration) {
+	k := t.b.callStarted(r, after)
 	t.calls[r.id] = k
 	if t.address == "" {
 		t.end(k, overload.NoConnection)
@@ -83,23 +83,23 @@
 
 // place gives a call a connection: a free one, a new one, or where there is no room for more the one with the
 // fewest calls.
-func (t *tier) place(k *call) {
+func (t *proxyUpstream) place(k *call) {
 	b := t.b
 	for i := len(t.idle) - 1; i >= 0; i-- {
 		w := t.idle[i]
-		if w.last != k.r.id && b.now-w.used < t.safe {
+		if w.last != k.request.id && b.now-w.used < t.safe {
 			t.send(w, k)
 			return
 		}
 	}
-	if len(t.wires)+t.dialing < t.room() {
+	if len(t.wires)+t.dialing < t.reservedConns() {
 		t.queue = append(t.queue, k)
 		t.dial()
 		return
 	}
-	var least *wire
+	var least *proxyConn
 	for w := range t.wires { // a minimum of one kind: which of its equals does not matter
-		if !w.doubt && w.last != k.r.id && (least == nil || len(w.calls) < len(least.calls)) {
+		if !w.doubt && w.last != k.request.id && (least == nil || len(w.calls) < len(least.calls)) {
 			least = w
 		}
 	}
@@ -110,20 +110,20 @@
 	t.send(least, k)
 }
 
-func (t *tier) dial() {
+func (t *proxyUpstream) dial() {
 	t.dialing++
 	address := t.address
-	t.b.box.Dial(address, func(c *conn.Conn, err error) { t.dialled(address, c, err) })
+	t.b.loop.Dial(address, func(c *conn.Conn, err error) { t.dialled(address, c, err) })
 }
 
 // dialMore dials where more wait than are dialled for.
-func (t *tier) dialMore() {
+func (t *proxyUpstream) dialMore() {
 	if len(t.queue) > t.dialing {
 		t.dial()
 	}
 }
 
-func (t *tier) dialled(address string, c *conn.Conn, err error) {
+func (t *proxyUpstream) dialled(address string, c *conn.Conn, err error) {
 	b := t.b
 	t.dialing--
 	if address != t.address { // replaced meanwhile
@@ -134,7 +134,7 @@
 		return
 	}
 	if err != nil {
-		b.note("next tier not reached", "why", err)
+		b.logLimited("next tier not reached", "why", err)
 		if !errors.Is(err, conn.ErrDialTimeout) { // else its calls may wait for another dial as long as they last
 			if k := t.first(); k != nil {
 				t.end(k, overload.NoConnection)
@@ -143,20 +143,20 @@
 		t.dialMore()
 		return
 	}
-	w := &wire{c: c, calls: map[uint64]*call{}, used: b.now}
+	w := &proxyConn{c: c, calls: map[uint64]*call{}, used: b.now}
 	t.wires[w] = struct{}{}
 	c.MaxUnsent = wireMost
-	c.OnData = b.noting("bad reply", upstreamproto.NewParser(func(p upstreamproto.Reply) { t.reply(w, p) }).Feed)
+	c.OnData = b.parseLogged("bad reply", upstreamproto.NewParser(func(p upstreamproto.Reply) { t.reply(w, p) }).Feed)
 	c.OnClosed = func(error) { t.closed(w) }
 	t.free(w)
 }
 
 // first takes the first of the queue that still waits.
-func (t *tier) first() *call {
+func (t *proxyUpstream) first() *call {
 	for len(t.queue) > 0 {
 		k := t.queue[0]
 		t.queue = t.queue[1:]
-		if k.r.call == k {
+		if k.request.call == k {
 			return k
 		}
 	}
@@ -164,7 +164,7 @@
 }
 
 // free has a connection without calls take the next, or wait for one.
-func (t *tier) free(w *wire) {
+func (t *proxyUpstream) free(w *proxyConn) {
 	if w.doubt {
 		t.close(w)
 		return
@@ -176,24 +176,24 @@
 	t.idle = append(t.idle, w)
 }
 
-func (t *tier) send(w *wire, k *call) {
+func (t *proxyUpstream) send(w *proxyConn, k *call) {
 	b := t.b
 	t.notIdle(w)
 	k.sent, k.idle, k.mark = b.now, b.now-w.used, w.c.QueuedTotal()
-	k.w, w.last, w.used = w, k.r.id, b.now
-	w.calls[k.r.id] = k
-	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], k.r.name, k.till-b.now, k.r.ask)
+	k.proxyConn, w.last, w.used = w, k.request.id, b.now
+	w.calls[k.request.id] = k
+	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], k.request.wireID, k.deadline-b.now, k.request.callBody)
 	w.c.Write(b.scratch)
 }
 
-func (t *tier) reply(w *wire, p upstreamproto.Reply) {
+func (t *proxyUpstream) reply(w *proxyConn, p upstreamproto.Reply) {
 	k := w.calls[p.ID]
 	if k == nil {
 		return // given up, a second copy, or none of ours
 	}
 	w.used = t.b.now
 	if p.Outcome == overload.OK {
-		t.b.link.answer(k.r, p.Body)
+		t.b.processor.answer(k.request, p.Body)
 	}
 	t.end(k, p.Outcome)
 	if len(w.calls) == 0 {
@@ -204,13 +204,13 @@
 // closed follows the end of a connection. A call of which no byte had left never ran and goes elsewhere; of the
 // others nothing is proved. One that broke at once after a while of idleness had been forgotten by the far side: such
 // connections are let go sooner from then on, as a new one costs less than a call. Harm: more dials.
-func (t *tier) closed(w *wire) {
+func (t *proxyUpstream) closed(w *proxyConn) {
 	t.forget(w)
 	for _, id := range slices.Sorted(maps.Keys(w.calls)) {
 		k := w.calls[id]
 		if w.c.SentTotal() <= k.mark {
 			delete(w.calls, id)
-			k.w = nil
+			k.proxyConn = nil
 			t.place(k)
 			continue
 		}
@@ -222,18 +222,18 @@
 	t.dialMore()
 }
 
-func (t *tier) forget(w *wire) {
+func (t *proxyUpstream) forget(w *proxyConn) {
 	w.doubt = true
 	delete(t.wires, w)
 	t.notIdle(w)
 }
 
-func (t *tier) notIdle(w *wire) {
-	t.idle = slices.DeleteFunc(t.idle, func(o *wire) bool { return o == w })
+func (t *proxyUpstream) notIdle(w *proxyConn) {
+	t.idle = slices.DeleteFunc(t.idle, func(o *proxyConn) bool { return o == w })
 }
 
 // close ends a connection; what is in hand there is given up by it.
-func (t *tier) close(w *wire) {
+func (t *proxyUpstream) close(w *proxyConn) {
 	t.forget(w)
 	if len(w.calls) > 0 {
 		w.c.Abort(conn.ErrClosedLocally)
@@ -242,7 +242,7 @@
 	}
 }
 
-func (t *tier) end(k *call, how overload.Outcome) {
+func (t *proxyUpstream) end(k *call, how overload.Outcome) {
 	b := t.b
 	t.letGo(k)
 	b.callEnded(k, how)
@@ -251,61 +251,61 @@
 // wireRoom is how many connections to the next tier there may be.
 func (b *Backend) wireRoom() int { return max(1, int(wireShare*float64(b.cfg.Limits.Sockets))) }
 
-// callBegins has the run of a req wait for a call.
-func (b *Backend) callBegins(r *req, after time.Duration) *call {
-	b.count.Calls++
-	k := &call{r: r, began: b.now, till: b.now + after}
-	r.at, r.call = calling, k
+// callStarted has the run of a req wait for a call.
+func (b *Backend) callStarted(r *request, after time.Duration) *call {
+	b.stats.Calls++
+	k := &call{request: r, began: b.now, deadline: b.now + after}
+	r.state, r.call = stateCalling, k
 	return k
 }
 
 // call makes the call of a req, if it may be made: one that was made before and may have had its effect is not made again where that does harm.
-func (b *Backend) call(r *req, after time.Duration) {
-	again := lifecycle.Command{Repeatable: b.handlers[r.h].replayable, NeverRan: !r.callDoubt, Wanted: b.wanted(r)}
+func (b *Backend) call(r *request, after time.Duration) {
+	again := lifecycle.Command{Repeatable: b.handlers[r.handler].replayable, NeverRan: !r.callOutcomeUnknown, Wanted: b.isWanted(r)}
 	if v := lifecycle.Repeat(again); v != lifecycle.Allowed {
-		b.violated("call", r, v)
+		b.recordViolation("call", r, v)
 		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
 		return
 	}
-	b.tier.invoke(r, after)
+	b.upstream.invoke(r, after)
 }
 
 // callEnded tells the module of the end of a call.
 func (b *Backend) callEnded(k *call, how overload.Outcome) {
-	r := k.r
-	r.unserved = how != overload.OK
-	r.callDoubt = how != overload.OK && how != overload.Overloaded && how != overload.NeverRan && how != overload.NoConnection
+	r := k.request
+	r.callFailed = how != overload.OK
+	r.callOutcomeUnknown = how != overload.OK && how != overload.Overloaded && how != overload.NeverRan && how != overload.NoConnection
 	if how == overload.OK {
-		b.count.CallsOK++
-		r.at = running
+		b.stats.CallsOK++
+		r.state = stateRunning
 	} else {
-		b.count.CallsFailed++
+		b.stats.CallsFailed++
 	}
 	b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: how, Took: b.now - k.began})
 }
 
-func (t *tier) letGo(k *call) {
-	delete(t.calls, k.r.id)
-	if k.w != nil {
-		delete(k.w.calls, k.r.id)
+func (t *proxyUpstream) letGo(k *call) {
+	delete(t.calls, k.request.id)
+	if k.proxyConn != nil {
+		delete(k.proxyConn.calls, k.request.id)
 	}
-	k.r.call, k.r.at = nil, asking
+	k.request.call, k.request.state = nil, stateAwaitingCall
 }
 
 // cancel gives up the call of a req, if there is one. Its reply may be under way or never come, so its
 // connection takes no more.
-func (t *tier) cancel(r *req) {
+func (t *proxyUpstream) cancel(r *request) {
 	k := r.call
 	if k == nil {
 		return
 	}
 	t.letGo(k)
-	w := k.w
+	w := k.proxyConn
 	if w == nil {
 		return
 	}
 	w.doubt = true
-	t.b.scratch = upstreamproto.AppendCancel(t.b.scratch[:0], r.name)
+	t.b.scratch = upstreamproto.AppendCancel(t.b.scratch[:0], r.wireID)
 	w.c.Write(t.b.scratch)
 	if len(w.calls) == 0 {
 		t.forget(w)
@@ -313,11 +313,11 @@
 	}
 }
 
-func (t *tier) inHand() int      { return len(t.calls) }
-func (t *tier) connections() int { return len(t.wires) }
+func (t *proxyUpstream) inFlight() int    { return len(t.calls) }
+func (t *proxyUpstream) connections() int { return len(t.wires) }
 
-// move has new calls go to another address; what is in hand may finish.
-func (t *tier) move(cfg *Config) {
+// reconfigure has new calls go to another address; what is in hand may finish.
+func (t *proxyUpstream) reconfigure(cfg *Config) {
 	address := cfg.Upstream
 	if address == t.address {
 		return
@@ -338,38 +338,38 @@
 	}
 }
 
-// lookAtTime gives up the calls whose time has passed and closes connections that are idle or out of time.
-func (t *tier) lookAtTime() {
+// onTimer gives up the calls whose time has passed and closes connections that are idle or out of time.
+func (t *proxyUpstream) onTimer() {
 	b := t.b
 	var late []uint64
 	for id, k := range t.calls {
-		if due := k.till + callGrace; b.now >= due {
+		if due := k.deadline + callGrace; b.now >= due {
 			late = append(late, id)
 		} else {
-			b.at(due)
+			b.wakeBy(due)
 		}
 	}
 	slices.Sort(late)
 	for _, id := range late {
 		k := t.calls[id]
 		how := overload.TimedOut
-		if k.w == nil {
+		if k.proxyConn == nil {
 			how = overload.NoConnection // it never left
 		}
-		t.cancel(k.r)
+		t.cancel(k.request)
 		t.end(k, how)
 	}
 	for len(t.idle) > 0 && b.now-t.idle[0].used >= t.safe {
 		t.close(t.idle[0])
 	}
 	if len(t.idle) > 0 {
-		b.at(t.idle[0].used + t.safe)
+		b.wakeBy(t.idle[0].used + t.safe)
 	}
 	for w := range t.wires { // each alike
 		if w.finish > 0 && b.now >= w.finish {
 			t.close(w)
 		} else if w.finish > 0 {
-			b.at(w.finish)
+			b.wakeBy(w.finish)
 		}
 	}
 }
