--- a/accounting/book.go
+++ b/accounting/book.go
@@ -271,8 +271,10 @@
 	b.lives.seen(op.At)
 	switch op.Kind {
 	case EntryOpen:
-		*e = entry{id: op.ID, at: op.At, gen: max(1, e.gen+1), handler: op.Handler, front: op.Front,
-			customer: b.customers.find(op.Customer), state: waits}
+		*e = entry{
+			id: op.ID, at: op.At, gen: max(1, e.gen+1), handler: op.Handler, front: op.Front,
+			customer: b.customers.find(op.Customer), state: waits,
+		}
 		b.opened(e)
 	case EntryAnswer:
 		e.state, e.reason = answering, op.Reason
--- a/accounting/book_test.go
+++ b/accounting/book_test.go
@@ -3,14 +3,13 @@
 import (
 	"bytes"
 	"fmt"
+	"frosthub/internal/golden"
 	"slices"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
-
-	"frosthub/internal/golden"
 )
 
 func init() { golden.SameDraws() }
--- a/accounting/op.go
+++ b/accounting/op.go
@@ -94,8 +94,10 @@
 	if le.Uint32(b[60:]) != Checksum(b[:60]) {
 		return false
 	}
-	*o = Entry{Seq: le.Uint64(b), At: time.Duration(le.Uint64(b[8:])), ID: le.Uint64(b[16:]), Slot: le.Uint32(b[24:]),
-		Kind: EntryKind(b[28]), Reason: Reason(b[29]), Front: Frontend(b[30]), Handler: le.Uint16(b[32:])}
+	*o = Entry{
+		Seq: le.Uint64(b), At: time.Duration(le.Uint64(b[8:])), ID: le.Uint64(b[16:]), Slot: le.Uint32(b[24:]),
+		Kind: EntryKind(b[28]), Reason: Reason(b[29]), Front: Frontend(b[30]), Handler: le.Uint16(b[32:]),
+	}
 	o.Customer.length = min(b[31], nameMost)
 	copy(o.Customer.bytes[:], b[34:58])
 	return o.Seq > 0
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -44,8 +44,10 @@
 // Report gives what the book says, with its periods or without.
 func (b *Ledger) Report(periods bool) Report {
 	list, earlier, before := b.Incarnations()
-	out := Report{Total: b.total, Mismatches: b.differs, Rows: b.rowsOf(b.cells), Incarnations: slices.Clone(list), Earlier: earlier,
-		EarlierIncarnations: before}
+	out := Report{
+		Total: b.total, Mismatches: b.differs, Rows: b.rowsOf(b.cells), Incarnations: slices.Clone(list), Earlier: earlier,
+		EarlierIncarnations: before,
+	}
 	for _, c := range b.customers.list {
 		if c.Received != 0 {
 			out.Customers = append(out.Customers, Customer{c.name.String(), c.Counts})
--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -1,11 +1,10 @@
 package backend
 
 import (
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/internal/statsfile"
+	"time"
 )
 
 const (
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -5,14 +5,6 @@
 import (
 	"context"
 	"errors"
-	"log/slog"
-	"maps"
-	"math"
-	"slices"
-	"sync/atomic"
-	"syscall"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/arrival"
 	"frosthub/internal/conn"
@@ -22,6 +14,13 @@
 	"frosthub/internal/statsfile"
 	"frosthub/lifecycle"
 	"frosthub/overload"
+	"log/slog"
+	"maps"
+	"math"
+	"slices"
+	"sync/atomic"
+	"syscall"
+	"time"
 )
 
 const (
@@ -109,9 +108,11 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(cfg.Limits.Sockets) {
 		cfg.Limits.Sockets = int(files.Cur) // the process may hold fewer than it was told
 	}
-	b := &Backend{cfg: cfg, log: log, start: time.Now().Add(-startSpan), loop: conn.NewLoop(),
+	b := &Backend{
+		cfg: cfg, log: log, start: time.Now().Add(-startSpan), loop: conn.NewLoop(),
 		requests: map[uint64]*request{}, logLimits: map[string]*logthrottle.Limiter{}, healthy: true,
-		ownerCalls: make(chan func()), done: make(chan struct{})}
+		ownerCalls: make(chan func()), done: make(chan struct{}),
+	}
 	part, _ := cfg.Settings["backend"].(map[string]any)
 	b.canCancel = part["halt"] != nil && part["halt"] != "off"
 	rules, _ := b.cfg.Settings["rules"].(map[string]any)
@@ -132,8 +133,10 @@
 		}
 		value, _ := m["value"].(float64)
 		window, _ := m["window"].(time.Duration)
-		b.handlers = append(b.handlers, handler{name: name, replayable: m["repeats"] == "replayable",
-			uniqued: m["repeats"] == "uniqued", window: window, timeout: timeout, value: value})
+		b.handlers = append(b.handlers, handler{
+			name: name, replayable: m["repeats"] == "replayable",
+			uniqued: m["repeats"] == "uniqued", window: window, timeout: timeout, value: value,
+		})
 	}
 	customers, _ := b.cfg.Settings["customers"].([]any)
 	for _, v := range customers {
@@ -453,8 +456,10 @@
 
 // passing tells whether an error of the system may pass by itself.
 func passing(err error) bool {
-	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR, syscall.EIO,
-		syscall.EADDRINUSE} {
+	for _, e := range []error{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR, syscall.EIO,
+		syscall.EADDRINUSE,
+	} {
 		if errors.Is(err, e) {
 			return true
 		}
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -3,19 +3,20 @@
 import (
 	"cmp"
 	"fmt"
-	"maps"
-	"slices"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/internal/conn"
 	"frosthub/lifecycle"
 	"frosthub/overload"
+	"maps"
+	"slices"
+	"time"
 )
 
 // statusText is the word for a status.
-var statusText = map[int]string{200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
-	500: "Internal Server Error", 503: "Service Unavailable"}
+var statusText = map[int]string{
+	200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
+	500: "Internal Server Error", 503: "Service Unavailable",
+}
 
 // clientConn is one connection of an edge node.
 type clientConn struct {
@@ -50,8 +51,10 @@
 
 // lifecycleState is what its end has to wait for; what is unread the connection itself looks at last.
 func (e *clientConn) lifecycleState() lifecycle.Connection {
-	return lifecycle.Connection{OpenRequests: len(e.requests) + len(e.checks), HalfRead: e.protocol.openSlots() > len(e.requests)+len(e.checks) || e.protocol.midMessage(),
-		Broken: e.broken}
+	return lifecycle.Connection{
+		OpenRequests: len(e.requests) + len(e.checks), HalfRead: e.protocol.openSlots() > len(e.requests)+len(e.checks) || e.protocol.midMessage(),
+		Broken: e.broken,
+	}
 }
 
 // reservedConns is how many connections there may be in all when one more is accepted: calls always find theirs.
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -4,10 +4,6 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"math"
-	"slices"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/failover"
 	"frosthub/idempotency"
@@ -17,6 +13,9 @@
 	"frosthub/membership"
 	"frosthub/overload"
 	"frosthub/recovery"
+	"math"
+	"slices"
+	"time"
 )
 
 // ClusterConfig is the boxes that take each other's guarded reqs over. The zero value is a box alone.
@@ -128,8 +127,10 @@
 	c.pending = true // until it goes by those of its file
 	c.list = membership.New(membership.Config{Name: b.cfg.Name, Incarnation: c.incarnation, ProbeInterval: probeEvery, ProbeTimeout: probeAnd}, b.cfg.Seed, b.now)
 	c.connect()
-	c.node = failover.New(failover.Config{Name: b.cfg.Name, Incarnation: c.incarnation, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
-		MaxResultBytes: int(min(b.memoryShare(noteShare), noteShare*memoryNone))}, c.store, c, b.cfg.Seed^1,
+	c.node = failover.New(failover.Config{
+		Name: b.cfg.Name, Incarnation: c.incarnation, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
+		MaxResultBytes: int(min(b.memoryShare(noteShare), noteShare*memoryNone)),
+	}, c.store, c, b.cfg.Seed^1,
 		b.guard.now())
 	c.node.AddFences(fences(c.peerStates.Fences))
 	c.lacks()
@@ -137,7 +138,8 @@
 }
 
 // Alive, Gone and Life are what takeover is told of others. One that is only suspected is tried to be replaced: that harms nothing.
-func (c *cluster) Alive(name string) bool         { return c.list.Lookup(name).State == membership.Alive }
+func (c *cluster) Alive(name string) bool { return c.list.Lookup(name).State == membership.Alive }
+
 func (c *cluster) Dead(name string) bool          { return c.list.Lookup(name).State >= membership.Dead }
 func (c *cluster) Incarnation(name string) uint64 { return c.list.Lookup(name).Incarnation }
 
@@ -353,8 +355,10 @@
 	g := r.guard
 	r.state = stateUnverified
 	h := &c.backend.handlers[r.handler]
-	c.node.Claim(c.backend.guard.now(), g.key, g.createdAt, r.id, failover.Work{Handler: h.name, Body: r.body, Left: int64(g.due - c.backend.now),
-		Cost: int64(r.arrival.Hint), Size: r.arrival.Size, Rank: r.arrival.ValueRank, Weight: h.value, Replayable: g.replayable})
+	c.node.Claim(c.backend.guard.now(), g.key, g.createdAt, r.id, failover.Work{
+		Handler: h.name, Body: r.body, Left: int64(g.due - c.backend.now),
+		Cost: int64(r.arrival.Hint), Size: r.arrival.Size, Rank: r.arrival.ValueRank, Weight: h.value, Replayable: g.replayable,
+	})
 }
 
 // admitted hands a req to the module, after its group was asked.
@@ -430,8 +434,10 @@
 		if c.recovery == nil {
 			return
 		}
-		out = &ClusterStats{Name: b.cfg.Cluster.Name, Incarnation: c.incarnation, Previous: len(c.lists.Before), Since: c.allSince(), RosterReason: c.why,
-			Phase: c.recovery.Phase().String(), PhaseReason: c.recovery.Reason(), Unanswered: c.recovery.Unanswered()}
+		out = &ClusterStats{
+			Name: b.cfg.Cluster.Name, Incarnation: c.incarnation, Previous: len(c.lists.Before), Since: c.allSince(), RosterReason: c.why,
+			Phase: c.recovery.Phase().String(), PhaseReason: c.recovery.Reason(), Unanswered: c.recovery.Unanswered(),
+		}
 		if c.node == nil {
 			return
 		}
@@ -473,10 +479,14 @@
 		c.node.Release(b.guard.now(), o.Key, o.ID)
 		return
 	}
-	r := &request{id: o.ID, wireID: fmt.Sprintf("%016x", o.ID), handler: h, body: o.Work.Body, state: stateHeld, takenOver: true, readAt: b.now,
-		guard: &guardState{key: o.Key, createdAt: o.Made, due: b.now + left, replayable: o.Work.Replayable}}
-	r.arrival = overload.Event{Kind: overload.Arrived, ID: r.id, Handler: h, Remaining: left, Hint: time.Duration(o.Work.Cost),
-		Size: cmp.Or(o.Work.Size, sizeTaken), ValueRank: o.Work.Rank, Delay: max(0, b.handlers[h].timeout-left)}
+	r := &request{
+		id: o.ID, wireID: fmt.Sprintf("%016x", o.ID), handler: h, body: o.Work.Body, state: stateHeld, takenOver: true, readAt: b.now,
+		guard: &guardState{key: o.Key, createdAt: o.Made, due: b.now + left, replayable: o.Work.Replayable},
+	}
+	r.arrival = overload.Event{
+		Kind: overload.Arrived, ID: r.id, Handler: h, Remaining: left, Hint: time.Duration(o.Work.Cost),
+		Size: cmp.Or(o.Work.Size, sizeTaken), ValueRank: o.Work.Rank, Delay: max(0, b.handlers[h].timeout-left),
+	}
 	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(h), accounting.FailedOver, accounting.CustomerName{})
 	b.requests[r.id] = r
 	b.stats.TakenOver++
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -4,6 +4,13 @@
 	"bytes"
 	"context"
 	"errors"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/peerproto"
+	"frosthub/internal/stand"
+	"frosthub/internal/wal"
+	"frosthub/membership"
+	"frosthub/recovery"
 	"io"
 	"log/slog"
 	"net"
@@ -12,14 +19,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/internal/peerproto"
-	"frosthub/internal/stand"
-	"frosthub/internal/wal"
-	"frosthub/membership"
-	"frosthub/recovery"
 )
 
 // written is a log that is read while it is written.
@@ -57,8 +56,10 @@
 				if err != nil {
 					return err
 				}
-				_, err = d.Write(peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: "north", From: "n1", Incarnation: 1, Lists: b.Hello.Lists},
-					PeerState: &recovery.Answer{Mark: b.Hello.Mark}}))
+				_, err = d.Write(peerproto.Append(nil, &peerproto.Batch{
+					Hello:     &peerproto.Hello{Cluster: "north", From: "n1", Incarnation: 1, Lists: b.Hello.Lists},
+					PeerState: &recovery.Answer{Mark: b.Hello.Mark},
+				}))
 				return err
 			})
 			buf := make([]byte, 4<<10)
@@ -120,13 +121,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	hello := func(cluster, from string, life uint64) []byte {
-		return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: cluster, From: from, Incarnation: life,
-			Lists: []uint64{failover.Digest(plain(cfg.Cluster.Members))}}})
+		return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
+			Cluster: cluster, From: from, Incarnation: life,
+			Lists: []uint64{failover.Digest(plain(cfg.Cluster.Members))},
+		}})
 	}
 	claim := peerproto.Append(nil, &peerproto.Batch{Members: []membership.Message{{Kind: membership.Ping, Number: 1}}, Claims: []failover.Message{
 		{Kind: failover.MsgAcquire, Key: idempotency.Key{1}, Ballot: failover.Ballot{Number: 1, Node: "n1", Incarnation: 1}, Work: &failover.Work{Left: int64(time.Minute)}},
 		{Kind: failover.MsgFinish, Key: idempotency.Key{2}, Ballot: failover.Ballot{Number: 2, Node: "who", Incarnation: 9}, Outcome: idempotency.EntryResult, Result: []byte("x")},
-		{Kind: failover.MsgHolderCheck, Key: idempotency.Key{1}, Ballot: failover.Ballot{Number: 2, Node: "who", Incarnation: 9}}, {Kind: 99}}})
+		{Kind: failover.MsgHolderCheck, Key: idempotency.Key{1}, Ballot: failover.Ballot{Number: 2, Node: "who", Incarnation: 9}},
+		{Kind: 99},
+	}})
 	for _, c := range []struct {
 		name   string
 		text   []byte
--- a/backend/config.go
+++ b/backend/config.go
@@ -4,6 +4,9 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"frosthub/internal/faultinject"
+	"frosthub/internal/settings"
+	"frosthub/lifecycle"
 	"math"
 	"os"
 	"runtime"
@@ -12,10 +15,6 @@
 	"time"
 
 	"github.com/valyala/fastjson"
-
-	"frosthub/internal/faultinject"
-	"frosthub/internal/settings"
-	"frosthub/lifecycle"
 )
 
 // Config is all that a backend is told.
@@ -107,10 +106,12 @@
 	if err != nil || v.Type() != fastjson.TypeObject {
 		return Config{}, errors.New(`field "settings" is no object`)
 	}
-	c := Config{Name: in.Name, Listen: in.Listen, Processor: in.Processor, ControlPlane: in.Control, Upstream: in.Backend,
+	c := Config{
+		Name: in.Name, Listen: in.Listen, Processor: in.Processor, ControlPlane: in.Control, Upstream: in.Backend,
 		StopTimeout: time.Duration(in.StopMS * float64(time.Millisecond)),
 		Limits:      Limits{Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets},
-		Settings:    settings.Map(v)}
+		Settings:    settings.Map(v),
+	}
 	if in.Seed != "" {
 		if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
 			return Config{}, errors.New(`field "seed" is no hexadecimal number`)
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -13,9 +13,11 @@
 	const whole = `{"name":"n3","listen":"127.0.0.1:4100","processor":"127.0.0.1:6100","seed":"ff","stop_ms":3200.5,` +
 		`"limits":{"cores":1.5,"memory_mb":192,"sockets":64},"settings":{"tickUs":1000,"later":[null]},"later":1}`
 	c, err := Parse([]byte(whole))
-	want := Config{Name: "n3", Listen: "127.0.0.1:4100", Processor: "127.0.0.1:6100", Seed: 255,
+	want := Config{
+		Name: "n3", Listen: "127.0.0.1:4100", Processor: "127.0.0.1:6100", Seed: 255,
 		StopTimeout: 3200500 * time.Microsecond, Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 64},
-		Settings: map[string]any{"batch_every": time.Millisecond, "later": []any{nil}}}
+		Settings: map[string]any{"batch_every": time.Millisecond, "later": []any{nil}},
+	}
 	if diff := cmp.Diff(want, c); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -1,11 +1,10 @@
 package backend
 
 import (
-	"net"
-	"time"
-
 	"frosthub/internal/control"
 	"frosthub/internal/faultinject"
+	"net"
+	"time"
 )
 
 // Fifteen in the 3 s after which a silent backend leaves the list: datagrams are lost, and cost little.
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -1,13 +1,12 @@
 package backend
 
 import (
-	"log/slog"
-	"maps"
-	"slices"
-
 	"frosthub/accounting"
 	"frosthub/internal/logthrottle"
 	"frosthub/lifecycle"
+	"log/slog"
+	"maps"
+	"slices"
 )
 
 // Counters tell what a backend has taken in, sent and answered since its start.
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -5,6 +5,10 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"frosthub/accounting"
+	"frosthub/internal/stand"
+	"frosthub/lifecycle"
+	"frosthub/overload"
 	"io"
 	"maps"
 	"net"
@@ -14,11 +18,6 @@
 	"syscall"
 	"testing"
 	"time"
-
-	"frosthub/accounting"
-	"frosthub/internal/stand"
-	"frosthub/lifecycle"
-	"frosthub/overload"
 )
 
 // These tests force the moments in which two events cross: the owner is held at a gate while the other event happens, or
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -2,10 +2,9 @@
 
 import (
 	"errors"
+	"frosthub/accounting"
 	"math"
 	"time"
-
-	"frosthub/accounting"
 )
 
 const (
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -3,11 +3,10 @@
 import (
 	"crypto/subtle"
 	"errors"
-	"strconv"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/internal/ajp"
+	"strconv"
+	"time"
 )
 
 // AJPConfig says how front ends that speak AJP/1.3 are served. The zero value serves none.
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -1,11 +1,10 @@
 package backend
 
 import (
-	"strconv"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/internal/fastcgi"
+	"strconv"
+	"time"
 )
 
 // fastcgiProtocol is a connection that speaks FastCGI: 32 slots, an abort for each.
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -5,12 +5,6 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"errors"
-	"maps"
-	"os"
-	"path/filepath"
-	"slices"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/failover"
 	"frosthub/idempotency"
@@ -19,6 +13,11 @@
 	"frosthub/internal/wal"
 	"frosthub/lifecycle"
 	"frosthub/overload"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
 )
 
 // KeyPart is one thing that goes into the key of a guarded req. Its number goes there too.
--- a/backend/parse.go
+++ b/backend/parse.go
@@ -1,22 +1,30 @@
 package backend
 
 import (
+	"frosthub/accounting"
+	"frosthub/internal/lineproto"
+	"frosthub/lifecycle"
+	"frosthub/overload"
 	"math"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
-
-	"frosthub/accounting"
-	"frosthub/internal/lineproto"
-	"frosthub/lifecycle"
-	"frosthub/overload"
 )
 
 // fieldNames are the fields as HTTP names them, what the deployment and the operators of others call theirs.
-var fieldNames = []ownField{{"X-Request-Id", idField}, {"X-Request-Start", startField}, {"X-Caller", callerField},
-	{"X-Cost-Ms", costField}, {"X-Memory-Kb", memoryField}, {"X-Rank", rankField}, {"X-Object", objectField},
-	{"Idempotency-Key", onceField}, {"X-Tenant", tenantField}, {"X-Timeout-Ms", timeoutField}}
+var fieldNames = []ownField{
+	{"X-Request-Id", idField},
+	{"X-Request-Start", startField},
+	{"X-Caller", callerField},
+	{"X-Cost-Ms", costField},
+	{"X-Memory-Kb", memoryField},
+	{"X-Rank", rankField},
+	{"X-Object", objectField},
+	{"Idempotency-Key", onceField},
+	{"X-Tenant", tenantField},
+	{"X-Timeout-Ms", timeoutField},
+}
 
 func (f *frontend) init(b *Backend) {
 	f.backend, f.clients = b, map[*clientConn]struct{}{}
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -2,16 +2,15 @@
 
 import (
 	"cmp"
-	"maps"
-	"math"
-	"slices"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/internal/conn"
 	"frosthub/internal/processor"
 	"frosthub/lifecycle"
 	"frosthub/overload"
+	"maps"
+	"math"
+	"slices"
+	"time"
 )
 
 const (
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -4,18 +4,17 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/peerproto"
+	"frosthub/internal/wal"
+	"frosthub/recovery"
 	"io/fs"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"slices"
 	"time"
-
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/internal/peerproto"
-	"frosthub/internal/wal"
-	"frosthub/recovery"
 )
 
 const (
@@ -54,8 +53,10 @@
 	c.store, c.lists, c.peerStates = store, o.lists, o.known
 	c.incarnation, c.goes, c.mark = store.Stats().Incarnation, c.lists.roster().Digests(), rand.Uint64()
 	c.connect()
-	c.recovery = recovery.New(recovery.Config{Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.wait(),
-		MajorityAfter: b.cfg.Cluster.MajorityAfter, DegradeAfter: b.cfg.Cluster.DegradeAfter}, c.mark)
+	c.recovery = recovery.New(recovery.Config{
+		Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.wait(),
+		MajorityAfter: b.cfg.Cluster.MajorityAfter, DegradeAfter: b.cfg.Cluster.DegradeAfter,
+	}, c.mark)
 	c.recovery.StartLoading()
 	c.recovery.DiskLoaded(b.now, recovery.DiskState{Incarnation: c.incarnation, Seq: store.LastSeq(), New: c.incarnation == 1 && !o.aside})
 	c.follow()
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -2,11 +2,10 @@
 
 import (
 	"errors"
-	"slices"
-
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/recovery"
+	"slices"
 )
 
 const settleKeys = 4096 // in doubt at a start that the others are asked about: as many as are in hand at most
@@ -89,8 +88,10 @@
 // toldAgain takes a page.
 func (c *cluster) toldAgain(from string, life uint64, p *failover.Page) {
 	b, r := c.backend, c.refill.from
-	info := recovery.PageInfo[failover.Cursor]{Incarnation: p.Incarnation, From: p.From, Next: p.Next, Keys: len(p.Records) + len(p.InFlight),
-		Last: p.Next.Step == failover.StepDone, Complete: p.Complete && p.FencesSupported}
+	info := recovery.PageInfo[failover.Cursor]{
+		Incarnation: p.Incarnation, From: p.From, Next: p.Next, Keys: len(p.Records) + len(p.InFlight),
+		Last: p.Next.Step == failover.StepDone, Complete: p.Complete && p.FencesSupported,
+	}
 	if r == nil || r.Done() || !c.node.SameConfiguration(p) || !r.Wants(from, life, &info) {
 		return
 	}
--- a/backend/request.go
+++ b/backend/request.go
@@ -1,13 +1,12 @@
 package backend
 
 import (
-	"strconv"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
+	"strconv"
+	"time"
 )
 
 // requestState is where a req is.
--- a/backend/response.go
+++ b/backend/response.go
@@ -1,12 +1,11 @@
 package backend
 
 import (
+	"frosthub/accounting"
+	"frosthub/lifecycle"
 	"slices"
 	"strings"
 	"time"
-
-	"frosthub/accounting"
-	"frosthub/lifecycle"
 )
 
 // reply is an answer as all protocols give it.
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -2,11 +2,10 @@
 
 import (
 	"crypto/sha256"
-	"slices"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/overload"
+	"slices"
+	"time"
 )
 
 const (
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
+	"frosthub/accounting"
+	"frosthub/overload"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/accounting"
-	"frosthub/overload"
 )
 
 // keysAt is a table of remembered reqs whose clock the test sets.
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -4,6 +4,12 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"frosthub/failover"
+	"frosthub/internal/conn"
+	"frosthub/internal/peerproto"
+	"frosthub/internal/wal"
+	"frosthub/membership"
+	"frosthub/recovery"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -11,13 +17,6 @@
 	"slices"
 	"strings"
 	"time"
-
-	"frosthub/failover"
-	"frosthub/internal/conn"
-	"frosthub/internal/peerproto"
-	"frosthub/internal/wal"
-	"frosthub/membership"
-	"frosthub/recovery"
 )
 
 const (
@@ -249,6 +248,8 @@
 // hello is what a connection to another box begins with, and what it is told when the lists change.
 func (c *cluster) hello(ask bool) []byte {
 	b := c.backend
-	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Incarnation: c.incarnation,
-		Lists: c.goes, Seq: c.store.LastSeq(), Mark: c.mark, QueryState: ask, Features: recovery.FeatureFences}})
+	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
+		Cluster: b.cfg.Cluster.Name, From: b.cfg.Name, Incarnation: c.incarnation,
+		Lists: c.goes, Seq: c.store.LastSeq(), Mark: c.mark, QueryState: ask, Features: recovery.FeatureFences,
+	}})
 }
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -1,13 +1,12 @@
 package backend
 
 import (
-	"math"
-	"time"
-
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
+	"math"
+	"time"
 )
 
 // lookLeaving is between looks at what may be ended while the process ends.
@@ -37,8 +36,10 @@
 
 // pendingWork is what the end of the process has to wait for.
 func (b *Backend) pendingWork() lifecycle.PendingWork {
-	return lifecycle.PendingWork{Unanswered: b.unanswered, Connections: len(b.frontend.clients), Accepting: !b.listenersClosed(), Unhandled: !b.loop.Idle(),
-		Unsaved: b.guard.enabled() && b.process.Phase() < lifecycle.Ending}
+	return lifecycle.PendingWork{
+		Unanswered: b.unanswered, Connections: len(b.frontend.clients), Accepting: !b.listenersClosed(), Unhandled: !b.loop.Idle(),
+		Unsaved: b.guard.enabled() && b.process.Phase() < lifecycle.Ending,
+	}
 }
 
 // shutdown takes the end of the process as far as the time allows, and tells whether it may end.
--- a/backend/stand_test.go
+++ b/backend/stand_test.go
@@ -6,6 +6,9 @@
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
+	"frosthub/internal/ajp"
+	"frosthub/internal/stand"
+	"frosthub/internal/wal"
 	"io"
 	"log/slog"
 	"maps"
@@ -18,10 +21,6 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"frosthub/internal/ajp"
-	"frosthub/internal/stand"
-	"frosthub/internal/wal"
 )
 
 const (
@@ -257,10 +256,12 @@
 
 // usual is the usual fields of a req with others over them.
 func usual(slot uint16, fields map[string]string) map[string]string {
-	all := map[string]string{"REQUEST_METHOD": "POST", "SCRIPT_NAME": "/invoke/status", "HTTP_X_CALLER": "4",
+	all := map[string]string{
+		"REQUEST_METHOD": "POST", "SCRIPT_NAME": "/invoke/status", "HTTP_X_CALLER": "4",
 		"HTTP_X_REQUEST_ID":    fmt.Sprintf("%016x", slot),
 		"HTTP_X_REQUEST_START": strconv.FormatInt(time.Now().UnixMilli(), 10),
-		"HTTP_X_COST_MS":       "12.50", "HTTP_X_MEMORY_KB": "24.5", "HTTP_X_RANK": "0.6250"}
+		"HTTP_X_COST_MS":       "12.50", "HTTP_X_MEMORY_KB": "24.5", "HTTP_X_RANK": "0.6250",
+	}
 	for k, v := range fields {
 		all[k] = v
 	}
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -5,6 +5,8 @@
 	"errors"
 	"flag"
 	"fmt"
+	"frosthub/internal/golden"
+	"frosthub/internal/stand"
 	"io"
 	"net"
 	"os"
@@ -14,9 +16,6 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/internal/golden"
-	"frosthub/internal/stand"
 )
 
 // TestTraces plays the steps of each trace file against a backend on loopback; what follows a step is what the
@@ -118,8 +117,10 @@
 			if err != nil {
 				continue
 			}
-			_, _ = io.WriteString(c, fastcgiRequest(1, map[string]string{"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 1<<20+i),
-				"HTTP_X_CALLER": strconv.Itoa(1000 + i), "HTTP_X_OBJECT": strconv.Itoa(i)}))
+			_, _ = io.WriteString(c, fastcgiRequest(1, map[string]string{
+				"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 1<<20+i),
+				"HTTP_X_CALLER":     strconv.Itoa(1000 + i), "HTTP_X_OBJECT": strconv.Itoa(i),
+			}))
 			head := make([]byte, 24)
 			if _, err := io.ReadFull(c, head); err == nil && strings.HasSuffix(string(head), "Status: 200 OK\r\n") {
 				done++
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -4,16 +4,15 @@
 	"bytes"
 	"cmp"
 	"errors"
-	"maps"
-	"slices"
-	"strconv"
-	"time"
-
 	"frosthub/internal/ajp"
 	"frosthub/internal/conn"
 	"frosthub/internal/invariant"
 	"frosthub/loadbalance"
 	"frosthub/overload"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
 )
 
 const (
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -2,15 +2,14 @@
 
 import (
 	"errors"
-	"maps"
-	"slices"
-	"time"
-
 	"frosthub/internal/conn"
 	"frosthub/internal/upstreamproto"
 	"frosthub/lifecycle"
 	"frosthub/loadbalance"
 	"frosthub/overload"
+	"maps"
+	"slices"
+	"time"
 )
 
 const (
--- a/cmd/frosthub/ajp_test.go
+++ b/cmd/frosthub/ajp_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"flag"
+	"frosthub/internal/stand"
 	"math"
 	"net"
 	"slices"
@@ -12,8 +13,6 @@
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
-
-	"frosthub/internal/stand"
 )
 
 var ajpPairs = flag.Int("ajppairs", 0, "compare AJP with FastCGI at 110% of capacity in so many pairs of runs")
@@ -84,9 +83,11 @@
 		jp, fcgi := stand.NewAJP(x.front), stand.NewFastCGI(x.box.Listen)
 		defer jp.Close()
 		defer fcgi.Close()
-		s := stand.Stream{Rate: 1.1 * cores / work.Seconds(), Handlers: []string{"status", "field-update", "file-claim"},
+		s := stand.Stream{
+			Rate: 1.1 * cores / work.Seconds(), Handlers: []string{"status", "field-update", "file-claim"},
 			CostMS: 20, Target: time.Second, Patient: 3 * time.Second, Body: "a field",
-			Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3}}
+			Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
+		}
 		tally := stand.NewTally()
 		all = s.Run(ctx, seed, tally, func(id uint64) stand.Asker {
 			if float64(id>>32)/math.MaxUint32 < share {
@@ -204,8 +205,10 @@
 		}
 		ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
 		defer stop()
-		stand.Stream{Rate: 1500, Handlers: []string{"status", "file-claim"}, CostMS: 0.2, Target: time.Second, Patient: time.Second,
-			Body: "a field"}.Run(ctx, 1, tally, func(uint64) stand.Asker { return asker })
+		stand.Stream{
+			Rate: 1500, Handlers: []string{"status", "file-claim"}, CostMS: 0.2, Target: time.Second, Patient: time.Second,
+			Body: "a field",
+		}.Run(ctx, 1, tally, func(uint64) stand.Asker { return asker })
 		after, err := x.box.CPU()
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/frosthub/crossing_test.go
+++ b/cmd/frosthub/crossing_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"flag"
 	"fmt"
+	"frosthub/internal/stand"
 	"net"
 	"os"
 	"path/filepath"
@@ -15,8 +16,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"frosthub/internal/stand"
 )
 
 var restarts = flag.Int("restarts", 5, "how often a box is restarted each way; 100 outside CI")
--- a/cmd/frosthub/drain_test.go
+++ b/cmd/frosthub/drain_test.go
@@ -3,11 +3,10 @@
 import (
 	"context"
 	"fmt"
+	"frosthub/internal/stand"
 	"sync"
 	"testing"
 	"time"
-
-	"frosthub/internal/stand"
 )
 
 // drainNodes is how many nodes drain side by side: as many as in the report that this test was made for.
@@ -34,9 +33,11 @@
 			defer stop()
 			var callers sync.WaitGroup
 			callers.Go(func() {
-				stand.Caller{Node: "n1", Address: x.box.Listen, Conns: 4, Every: 4 * time.Millisecond, Slots: 24, CostMS: 1, Body: "a field",
+				stand.Caller{
+					Node: "n1", Address: x.box.Listen, Conns: 4, Every: 4 * time.Millisecond, Slots: 24, CostMS: 1, Body: "a field",
 					Handlers: []string{"status", "status", "status", "status", "status", "status", "status", "status", "status", "file-claim"},
-					Pieces:   0.2, Pause: 10 * time.Millisecond}.Run(ctx, ledger, uint64(i))
+					Pieces:   0.2, Pause: 10 * time.Millisecond,
+				}.Run(ctx, ledger, uint64(i))
 			})
 			time.Sleep(time.Duration(300+37*i) * time.Millisecond)
 			if err := x.box.Drain(); err != nil {
--- a/cmd/frosthub/figures_test.go
+++ b/cmd/frosthub/figures_test.go
@@ -5,6 +5,10 @@
 	"encoding/json"
 	"flag"
 	"fmt"
+	"frosthub/accounting"
+	"frosthub/internal/invariant"
+	"frosthub/internal/stand"
+	"frosthub/internal/statsfile"
 	"math/rand/v2"
 	"os"
 	"os/exec"
@@ -12,14 +16,8 @@
 	"slices"
 	"strings"
 	"sync"
-
 	"testing"
 	"time"
-
-	"frosthub/accounting"
-	"frosthub/internal/invariant"
-	"frosthub/internal/stand"
-	"frosthub/internal/statsfile"
 )
 
 var (
@@ -80,8 +78,10 @@
 	}
 	dir := t.TempDir()
 	x.path = filepath.Join(dir, "figures")
-	x.box = &stand.Box{Binary: binary, Dir: dir, Listen: address, Processor: x.p.Address(), StopMS: 500,
-		Conf: strings.NewReplacer("FRONT", x.front, "FIGURES", x.path).Replace(lines)}
+	x.box = &stand.Box{
+		Binary: binary, Dir: dir, Listen: address, Processor: x.p.Address(), StopMS: 500,
+		Conf: strings.NewReplacer("FRONT", x.front, "FIGURES", x.path).Replace(lines),
+	}
 	return x
 }
 
@@ -173,8 +173,10 @@
 	x := newRig(t, 2, everyReq(2*time.Millisecond), "ajp listen FRONT\nfigures file FIGURES\nfigures trail 65536\n"+
 		"figures periods 60 every 1s\nfigures customers 8\n")
 	p, box, path, front := x.p, x.box, x.path, x.front
-	load := stand.Load{Address: box.Listen, Conns: 6, Every: 6 * time.Millisecond, Slots: 24, Callers: 20,
-		Handlers: []string{"status", "field-update", "file-claim"}, Abort: 0.05, Close: 0.02, Bad: 0.02, Body: "a field"}
+	load := stand.Load{
+		Address: box.Listen, Conns: 6, Every: 6 * time.Millisecond, Slots: 24, Callers: 20,
+		Handlers: []string{"status", "field-update", "file-claim"}, Abort: 0.05, Close: 0.02, Bad: 0.02, Body: "a field",
+	}
 	stream := stand.Stream{Rate: 250, Handlers: load.Handlers, CostMS: 2, Target: time.Second, Patient: 3 * time.Second, Body: "a field"}
 	r := rand.New(rand.NewPCG(seed, 7))
 	var sums accounting.Counts // as the edge nodes have them
@@ -336,8 +338,10 @@
 		tally := stand.NewTally()
 		ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
 		defer stop()
-		stand.Load{Address: box.Listen, Conns: 8, Every: 4 * time.Millisecond, Slots: 30, Callers: *callers,
-			Handlers: []string{"status", "file-claim"}, CostMS: 0.2, Body: "a field"}.Run(ctx, tally, 1)
+		stand.Load{
+			Address: box.Listen, Conns: 8, Every: 4 * time.Millisecond, Slots: 30, Callers: *callers,
+			Handlers: []string{"status", "file-claim"}, CostMS: 0.2, Body: "a field",
+		}.Run(ctx, tally, 1)
 		after, err := box.CPU()
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/frosthub/keep_test.go
+++ b/cmd/frosthub/keep_test.go
@@ -5,6 +5,10 @@
 	"encoding/json"
 	"flag"
 	"fmt"
+	"frosthub/backend"
+	"frosthub/idempotency"
+	"frosthub/internal/stand"
+	"frosthub/internal/wal"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -18,11 +22,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"frosthub/backend"
-	"frosthub/idempotency"
-	"frosthub/internal/stand"
-	"frosthub/internal/wal"
 )
 
 var keepKills = flag.Int("keepkills", 30, "how often boxes that keep results are killed under repeats; 500 outside CI")
@@ -191,8 +190,10 @@
 	a := stand.NewFastCGI(address)
 	defer a.Close()
 	tally := stand.NewTally()
-	stream := stand.Stream{Rate: 1.1 * 250, Handlers: []string{"status", "file-claim"}, CostMS: 8, Target: time.Second,
-		Patient: 3100 * time.Millisecond, Value: map[string]float64{"status": 1, "file-claim": 3}}
+	stream := stand.Stream{
+		Rate: 1.1 * 250, Handlers: []string{"status", "file-claim"}, CostMS: 8, Target: time.Second,
+		Patient: 3100 * time.Millisecond, Value: map[string]float64{"status": 1, "file-claim": 3},
+	}
 	var during, claims int
 	share := stream.Run(ctx, 1, tally, func(id uint64) stand.Asker { return a })
 	mu.Lock()
@@ -273,12 +274,14 @@
 			load := func(address string, p *stand.Processor) (float64, *hdrhistogram.Histogram) {
 				h := hdrhistogram.New(1, 10_000_000, 3)
 				var mu sync.Mutex
-				l := &stand.Claims{Handler: "file-claim", Callers: 32, Patient: 3 * time.Second, CostMS: c.work.Seconds() * 1000,
+				l := &stand.Claims{
+					Handler: "file-claim", Callers: 32, Patient: 3 * time.Second, CostMS: c.work.Seconds() * 1000,
 					Took: func(d time.Duration) {
 						mu.Lock()
 						defer mu.Unlock()
 						_ = h.RecordValue(d.Microseconds())
-					}}
+					},
+				}
 				ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
 				defer stop()
 				a := stand.NewFastCGI(address)
@@ -356,8 +359,10 @@
 // fillStore has a store hold what ran with so many keys, the newest of them as results and the rest as prints.
 func fillStore(t *testing.T, dir string, entries, keys, segment int) {
 	t.Helper()
-	bounds := idempotency.Config{MaxEntries: entries, MaxBytes: entries*100 + 1<<20, MaxResultBytes: 1 << 16, ResultTTL: time.Hour,
-		RetryHorizon: 24 * time.Hour, MaxSegments: 1000, KeysPerSegment: segment, SegmentBytes: 64 << 20}
+	bounds := idempotency.Config{
+		MaxEntries: entries, MaxBytes: entries*100 + 1<<20, MaxResultBytes: 1 << 16, ResultTTL: time.Hour,
+		RetryHorizon: 24 * time.Hour, MaxSegments: 1000, KeysPerSegment: segment, SegmentBytes: 64 << 20,
+	}
 	s, disk := idempotency.New(bounds), wal.DirDisk(dir)
 	now := time.Duration(time.Now().UnixNano())
 	w, _, err := wal.Open(disk, "n1", s, now, nil)
--- a/cmd/frosthub/main.go
+++ b/cmd/frosthub/main.go
@@ -2,9 +2,8 @@
 package main
 
 import (
-	"os"
-
 	"frosthub/internal/cli"
+	"os"
 )
 
 func main() { os.Exit(cli.Run(os.Args[1:])) }
--- a/cmd/frosthub/peers_test.go
+++ b/cmd/frosthub/peers_test.go
@@ -4,14 +4,13 @@
 	"context"
 	"flag"
 	"fmt"
+	"frosthub/internal/stand"
 	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
-
-	"frosthub/internal/stand"
 )
 
 var calls = flag.Int("calls", 900, "calls with faults by chance; 10000 outside CI")
@@ -190,8 +189,10 @@
 		ctx, stop := context.WithTimeout(t.Context(), time.Duration(float64(*calls)/rate*float64(time.Second)))
 		defer stop()
 		tally := stand.NewTally()
-		stand.Stream{Rate: rate, Handlers: []string{"file-claim", "status"}, CostMS: 1, Target: time.Second, Patient: 4 * time.Second,
-			Body: "x"}.Run(ctx, 9, tally, func(uint64) stand.Asker { return x.asker })
+		stand.Stream{
+			Rate: rate, Handlers: []string{"file-claim", "status"}, CostMS: 1, Target: time.Second, Patient: 4 * time.Second,
+			Body: "x",
+		}.Run(ctx, 9, tally, func(uint64) stand.Asker { return x.asker })
 		once, twice := 0, 0
 		claims := x.p.Handlers()
 		for id, n := range x.ran() {
@@ -215,8 +216,10 @@
 		tally := stand.NewTally()
 		loaded := make(chan struct{})
 		go func() {
-			stand.Stream{Rate: 150, Handlers: []string{"file-claim"}, CostMS: 1, Target: time.Second, Patient: 4 * time.Second,
-				Body: "x"}.Run(ctx, 5, tally, func(uint64) stand.Asker { return x.asker })
+			stand.Stream{
+				Rate: 150, Handlers: []string{"file-claim"}, CostMS: 1, Target: time.Second, Patient: 4 * time.Second,
+				Body: "x",
+			}.Run(ctx, 5, tally, func(uint64) stand.Asker { return x.asker })
 			close(loaded)
 		}()
 		for i := range 6 { // one peer leaves the file, another returns
--- a/cmd/frosthub/return_test.go
+++ b/cmd/frosthub/return_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"flag"
+	"frosthub/internal/invariant"
+	"frosthub/internal/stand"
 	"io/fs"
 	"math/rand/v2"
 	"os"
@@ -12,9 +14,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"frosthub/internal/invariant"
-	"frosthub/internal/stand"
 )
 
 // powerBinary is the program with disks that note what a loss of power would leave.
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"flag"
 	"fmt"
+	"frosthub/internal/stand"
 	"os/exec"
 	"path/filepath"
 	"slices"
@@ -11,8 +12,6 @@
 	"sync"
 	"testing"
 	"time"
-
-	"frosthub/internal/stand"
 )
 
 var (
@@ -125,9 +124,11 @@
 }
 
 func (s *soak) asks(n *stand.Node, via *stand.Proxy, conns int) stand.Caller {
-	return stand.Caller{Node: n.Name, Address: n.Box.Listen, Via: via, Conns: conns, Every: 40 * time.Millisecond, Slots: 24, CostMS: 10,
+	return stand.Caller{
+		Node: n.Name, Address: n.Box.Listen, Via: via, Conns: conns, Every: 40 * time.Millisecond, Slots: 24, CostMS: 10,
 		Body: "a field", Handlers: []string{"status", "field-update", "file-claim"}, Pieces: 0.1, Pause: 20 * time.Millisecond,
-		Excuse: n.KilledSince}
+		Excuse: n.KilledSince,
+	}
 }
 
 // servesAgain: once all faults are over each node serves, and has held no more memory than it was told.
@@ -216,9 +217,11 @@
 	seen := map[string]int{}
 	for _, n := range s.nodes {
 		for line := range strings.Lines(n.Box.Log()) {
-			for _, what := range []string{"time of day stepped", "stood still", "link lost", "not accepted", "bad reply", "next tier not reached",
+			for _, what := range []string{
+				"time of day stepped", "stood still", "link lost", "not accepted", "bad reply", "next tier not reached",
 				"configuration not taken", "configuration read anew", "command repeated", "req without its answer", "to=draining",
-				"req given up at the stop", "processor not reached"} {
+				"req given up at the stop", "processor not reached",
+			} {
 				if strings.Contains(line, what) {
 					seen[what]++
 				}
--- a/cmd/frosthub/takeover_test.go
+++ b/cmd/frosthub/takeover_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"flag"
 	"fmt"
+	"frosthub/internal/stand"
 	"math/rand/v2"
 	"os/exec"
 	"path/filepath"
@@ -14,8 +15,6 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"frosthub/internal/stand"
 )
 
 var faults = flag.Int("faults", 24, "how often a box of five is killed or stopped under load; 500 outside CI")
@@ -87,8 +86,10 @@
 			t.Cleanup(link.Close)
 			f.links[i] = append(f.links[i], link)
 		}
-		f.boxes = append(f.boxes, &stand.Box{Binary: binary, Dir: dir, Name: name, Listen: address, Processor: f.ps[i].Address(), StopMS: 800,
-			Conf: f.alone[i]})
+		f.boxes = append(f.boxes, &stand.Box{
+			Binary: binary, Dir: dir, Name: name, Listen: address, Processor: f.ps[i].Address(), StopMS: 800,
+			Conf: f.alone[i],
+		})
 		f.fc = append(f.fc, stand.NewFastCGI(address))
 		t.Cleanup(f.fc[i].Close)
 	}
@@ -422,8 +423,10 @@
 				}
 				for try := 0; try < 50 && answers[i][k] == ""; try++ { // refusals are asked again
 					time.Sleep(time.Duration(min(try, 1)) * 20 * time.Millisecond)
-					req := stand.Req{ID: uint64(1000*i + 100*k + try + 1), Handler: "file-claim", Caller: k, Start: time.Now().UnixMilli(),
-						Body: fmt.Sprint("claim ", i), CostMS: 10}
+					req := stand.Req{
+						ID: uint64(1000*i + 100*k + try + 1), Handler: "file-claim", Caller: k, Start: time.Now().UnixMilli(),
+						Body: fmt.Sprint("claim ", i), CostMS: 10,
+					}
 					began := time.Now()
 					got, o := f.fc[(i+k)%5].Exchange(&req, 3*time.Second)
 					if o == stand.Served && got.Status == 200 {
@@ -628,8 +631,10 @@
 
 // mixed is what comes to a fleet by chance, each req its own.
 func mixed(rate float64, cost time.Duration, handlers ...string) stand.Stream {
-	return stand.Stream{Rate: rate, Handlers: handlers, CostMS: cost.Seconds() * 1000, Target: time.Second, Patient: 2900 * time.Millisecond,
-		Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3}}
+	return stand.Stream{
+		Rate: rate, Handlers: handlers, CostMS: cost.Seconds() * 1000, Target: time.Second, Patient: 2900 * time.Millisecond,
+		Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
+	}
 }
 
 // TestClusterLoad measures the service of five boxes, one of which dies, or is slow to hear and be heard, at 110% of what they take: as a
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -3,9 +3,8 @@
 
 import (
 	"fmt"
-	"os"
-
 	"frosthub/internal/simproto"
+	"os"
 )
 
 func main() {
--- a/failover/group.go
+++ b/failover/group.go
@@ -2,12 +2,11 @@
 
 import (
 	"cmp"
+	"frosthub/idempotency"
 	"math"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
-
-	"frosthub/idempotency"
 )
 
 // Member is one box of a cluster, as the operators' files name it.
--- a/failover/refill.go
+++ b/failover/refill.go
@@ -2,10 +2,9 @@
 
 import (
 	"cmp"
+	"frosthub/idempotency"
 	"slices"
 	"time"
-
-	"frosthub/idempotency"
 )
 
 // A box whose disk is older than what others know does not know what it does not have: in the groups of such keys it counts for neither
--- a/failover/sim_test.go
+++ b/failover/sim_test.go
@@ -4,6 +4,9 @@
 	"bytes"
 	"flag"
 	"fmt"
+	"frosthub/idempotency"
+	"frosthub/internal/stand"
+	"frosthub/recovery"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -11,18 +14,16 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/idempotency"
-	"frosthub/internal/stand"
-	"frosthub/recovery"
 )
 
 var schedules = flag.Int("schedules", 2000, "clusters simulated; each takes some hundred steps")
 
 const noon = 500_000 * time.Hour
 
-var bounds = idempotency.Config{MaxEntries: 1000, MaxBytes: 100_000, MaxResultBytes: 1000, ResultTTL: time.Hour, RetryHorizon: 24 * time.Hour, MaxSegments: 20, KeysPerSegment: 100,
-	SegmentBytes: 10_000}
+var bounds = idempotency.Config{
+	MaxEntries: 1000, MaxBytes: 100_000, MaxResultBytes: 1000, ResultTTL: time.Hour, RetryHorizon: 24 * time.Hour, MaxSegments: 20, KeysPerSegment: 100,
+	SegmentBytes: 10_000,
+}
 
 // world is a cluster in one process: links that delay, cut one way, lose and repeat; boxes that die and come back with what their disk had
 // confirmed, or stand still; and beliefs about who is alive that are wrong at random.
@@ -604,8 +605,10 @@
 // newWorld has boxes up in one process, and nothing happening yet.
 func newWorld(t testing.TB, seed uint64, n int, kind kind) *world {
 	r := rand.New(rand.NewPCG(seed, 5))
-	w := &world{t: t, r: r, seed: seed, Schedule: stand.Schedule{Now: noon}, cut: map[[2]int]bool{}, keys: map[idempotency.Key]*truth{}, verdicts: map[idempotency.Decision]int{},
-		askedAt: map[uint64]time.Duration{}, answered: map[uint64]bool{}}
+	w := &world{
+		t: t, r: r, seed: seed, Schedule: stand.Schedule{Now: noon}, cut: map[[2]int]bool{}, keys: map[idempotency.Key]*truth{}, verdicts: map[idempotency.Decision]int{},
+		askedAt: map[uint64]time.Duration{}, answered: map[uint64]bool{},
+	}
 	w.loss, w.wrong = []float64{0, 0, 0.02, 0.1}[r.IntN(4)], []float64{0, 0.02, 0.3}[r.IntN(3)]
 	w.disk = []time.Duration{4 * time.Millisecond, 60 * time.Millisecond}[r.IntN(2)]
 	w.moves, w.loses = kind == moving, kind == losing
@@ -818,8 +821,18 @@
 	for _, c := range []struct {
 		off  rule
 		name string
-	}{{ruleMajority, "majority"}, {ruleBallot, "ballot"}, {ruleBegun, "begun"}, {ruleDurable, "durable"}, {ruleBefore, "list before"}, {ruleWait, "wait"},
-		{ruleWhole, "whole"}, {ruleInHand, "in hand"}, {rulePrints, "prints"}, {ruleEvery, "every"}} {
+	}{
+		{ruleMajority, "majority"},
+		{ruleBallot, "ballot"},
+		{ruleBegun, "begun"},
+		{ruleDurable, "durable"},
+		{ruleBefore, "list before"},
+		{ruleWait, "wait"},
+		{ruleWhole, "whole"},
+		{ruleInHand, "in hand"},
+		{rulePrints, "prints"},
+		{ruleEvery, "every"},
+	} {
 		off = c.off
 		found := false
 		for seed := uint64(0); seed < uint64(*schedules) && !found; seed++ {
--- a/failover/takeover.go
+++ b/failover/takeover.go
@@ -10,12 +10,11 @@
 import (
 	"cmp"
 	"fmt"
+	"frosthub/idempotency"
+	"frosthub/internal/prng"
 	"maps"
 	"slices"
 	"time"
-
-	"frosthub/idempotency"
-	"frosthub/internal/prng"
 )
 
 // Config says who takes part.
@@ -304,9 +303,11 @@
 func New(cfg Config, store *idempotency.Store, peers Peers, seed uint64, now time.Duration) *Node {
 	cfg.GroupSize, cfg.SuspectAfter, cfg.RetryInterval = cmp.Or(cfg.GroupSize, sizeUsual), cmp.Or(cfg.SuspectAfter, patientUsual), cmp.Or(cfg.RetryInterval, againUsual)
 	cfg.MaxNotes, cfg.MaxInFlight, cfg.MaxResultBytes = cmp.Or(cfg.MaxNotes, notesUsual), cmp.Or(cfg.MaxInFlight, inHandUsual), cmp.Or(cfg.MaxResultBytes, bytesUsual)
-	return &Node{cfg: cfg, store: store, peers: peers, now: now, notes: map[idempotency.Key]*note{}, byNote: map[uint64]idempotency.Key{}, byRun: map[run]*note{},
+	return &Node{
+		cfg: cfg, store: store, peers: peers, now: now, notes: map[idempotency.Key]*note{}, byNote: map[uint64]idempotency.Key{}, byRun: map[run]*note{},
 		claims: map[idempotency.Key]*claim{}, groups: map[idempotency.Key][][]string{}, fences: map[string]fence{}, noteIDs: cfg.Incarnation << 32,
-		chance: prng.New(seed), goes: goes(cfg)}
+		chance: prng.New(seed), goes: goes(cfg),
+	}
 }
 
 // Ready hands over what is to be sent, and what becomes of reqs, since the last call.
--- a/idempotency/keep.go
+++ b/idempotency/keep.go
@@ -201,8 +201,10 @@
 
 // Stats gives them.
 func (s *Store) Stats() Stats {
-	t := Stats{Incarnation: s.life, Keys: len(s.entries), OutcomeUnknown: s.doubts, InFlight: s.hands, Bytes: s.bytes, Segments: len(s.segments),
-		LostBefore: s.blind, Failed: s.failed}
+	t := Stats{
+		Incarnation: s.life, Keys: len(s.entries), OutcomeUnknown: s.doubts, InFlight: s.hands, Bytes: s.bytes, Segments: len(s.segments),
+		LostBefore: s.blind, Failed: s.failed,
+	}
 	for i, g := range s.segments {
 		if i == 0 {
 			t.Since = g.From
@@ -811,8 +813,10 @@
 
 // String is the kind's word.
 func (k EntryKind) String() string {
-	words := [...]string{EntryIntent: "intent", EntryResult: "result", EntryFailed: "failed", EntryNeverRan: "never", EntryResultTooLong: "too long", EntrySegmentOpened: "open", EntryIncarnation: "life",
-		EntryHistoryAccepted: "accepted", EntrySegmentDropped: "drop", EntrySegmentRetired: "retire", EntryHistoryLost: "gap"}
+	words := [...]string{
+		EntryIntent: "intent", EntryResult: "result", EntryFailed: "failed", EntryNeverRan: "never", EntryResultTooLong: "too long", EntrySegmentOpened: "open", EntryIncarnation: "life",
+		EntryHistoryAccepted: "accepted", EntrySegmentDropped: "drop", EntrySegmentRetired: "retire", EntryHistoryLost: "gap",
+	}
 	if int(k) >= len(words) || words[k] == "" {
 		return "unknown"
 	}
--- a/idempotency/keep_test.go
+++ b/idempotency/keep_test.go
@@ -4,14 +4,13 @@
 	"bytes"
 	"encoding/binary"
 	"fmt"
+	"frosthub/internal/golden"
 	"slices"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
-
-	"frosthub/internal/golden"
 )
 
 func init() { golden.SameDraws() }
@@ -73,8 +72,10 @@
 // back, no key is begun twice unless it was proved never to have run, who repeats gets the first result or none, and bounds hold.
 func TestNeverTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{MaxEntries: 6, MaxBytes: 60, MaxResultBytes: 30, ResultTTL: 20 * time.Second, RetryHorizon: 80 * time.Second, MaxSegments: 30, KeysPerSegment: 4,
-			SegmentBytes: 1000}
+		cfg := Config{
+			MaxEntries: 6, MaxBytes: 60, MaxResultBytes: 30, ResultTTL: 20 * time.Second, RetryHorizon: 80 * time.Second, MaxSegments: 30, KeysPerSegment: 4,
+			SegmentBytes: 1000,
+		}
 		now := noon
 		d := &disk{map[uint64][]LogEntry{}, map[uint64]Fingerprints{}}
 		s := New(cfg)
@@ -353,12 +354,14 @@
 		play func(s *Store) []Outcome
 		want string
 	}{
-		{"a result", func(s *Store) []Outcome {
-			s.MarkDurable(9)
-			s.Finish(noon, keyOf(1), EntryResult, []byte("yes"))
-			return s.MarkDurable(99)
+		{
+			"a result", func(s *Store) []Outcome {
+				s.MarkDurable(9)
+				s.Finish(noon, keyOf(1), EntryResult, []byte("yes"))
+				return s.MarkDurable(99)
+			},
+			"[{1 5 yes} {2 6 yes}]",
 		},
-			"[{1 5 yes} {2 6 yes}]"},
 		{"too long a one", func(s *Store) []Outcome {
 			s.MarkDurable(9)
 			s.Finish(noon, keyOf(1), EntryResult, []byte("longer"))
--- a/idempotency/told_test.go
+++ b/idempotency/told_test.go
@@ -13,8 +13,10 @@
 // what it meets in the first, or that it has aged; nothing that ran is fresh. What it learnt it has after a restart too.
 func TestTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := Config{MaxEntries: rapid.IntRange(4, 20).Draw(t, "entries"), MaxBytes: 400, MaxResultBytes: 30, ResultTTL: time.Hour, RetryHorizon: 24 * time.Hour,
-			MaxSegments: 50, KeysPerSegment: 5, SegmentBytes: 2000}
+		cfg := Config{
+			MaxEntries: rapid.IntRange(4, 20).Draw(t, "entries"), MaxBytes: 400, MaxResultBytes: 30, ResultTTL: time.Hour, RetryHorizon: 24 * time.Hour,
+			MaxSegments: 50, KeysPerSegment: 5, SegmentBytes: 2000,
+		}
 		from, to := New(cfg), New(cfg)
 		from.FinishLoading(noon, false, 0)
 		to.FinishLoading(noon, false, 0)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -4,6 +4,8 @@
 import (
 	"context"
 	"encoding/json"
+	"frosthub/accounting"
+	"frosthub/backend"
 	"log/slog"
 	"net"
 	"net/http"
@@ -11,9 +13,6 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
-
-	"frosthub/accounting"
-	"frosthub/backend"
 )
 
 const (
@@ -67,8 +66,10 @@
 )
 
 func (c collector) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{taken, closed, open, customer, differs, recorded, life, keptKeys, keptSize, keptGood,
-		keptMet, keptDisk, keptLog, boxes, boxReqs, boxMet} {
+	for _, d := range []*prometheus.Desc{
+		taken, closed, open, customer, differs, recorded, life, keptKeys, keptSize, keptGood,
+		keptMet, keptDisk, keptLog, boxes, boxReqs, boxMet,
+	} {
 		out <- d
 	}
 }
@@ -114,8 +115,10 @@
 		for part, n := range map[string]int{"holds": s.Failover.Held, "waits": s.Failover.Waiting, "notes": s.Failover.Notes, "begun": s.Failover.Running} {
 			gauge(boxReqs, float64(n), part)
 		}
-		for what, n := range map[string]int64{"taken": s.Failover.TakenOver, "lost": s.Failover.Lost, "joined": s.Failover.Joined, "in-doubt": s.Failover.OutcomeUnknown,
-			"found": s.Failover.FoundAtProcessor} {
+		for what, n := range map[string]int64{
+			"taken": s.Failover.TakenOver, "lost": s.Failover.Lost, "joined": s.Failover.Joined, "in-doubt": s.Failover.OutcomeUnknown,
+			"found": s.Failover.FoundAtProcessor,
+		} {
 			count(boxMet, n, what)
 		}
 	}
@@ -182,8 +185,10 @@
 	}
 	said(pathTrust, func(*http.Request) error { return of.Trust() })
 	said(pathGone, func(r *http.Request) error { return of.Forget(r.URL.Query().Get("box")) })
-	s := &http.Server{Handler: mux, ReadTimeout: readFor, WriteTimeout: writeFor, IdleTimeout: idleFor, MaxHeaderBytes: headMost,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
+	s := &http.Server{
+		Handler: mux, ReadTimeout: readFor, WriteTimeout: writeFor, IdleTimeout: idleFor, MaxHeaderBytes: headMost,
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+	}
 	log.Info("admin", "listen", ln.Addr().String())
 	go func() { _ = s.Serve(ln) }()
 	return func() {
--- a/internal/ajp/ajp.go
+++ b/internal/ajp/ajp.go
@@ -73,9 +73,11 @@
 }
 
 // methods are the coded ones, from 1.
-var methods = [...]string{1: "OPTIONS", "GET", "HEAD", "POST", "PUT", "DELETE", "TRACE", "PROPFIND", "PROPPATCH", "MKCOL", "COPY",
+var methods = [...]string{
+	1: "OPTIONS", "GET", "HEAD", "POST", "PUT", "DELETE", "TRACE", "PROPFIND", "PROPPATCH", "MKCOL", "COPY",
 	"MOVE", "LOCK", "UNLOCK", "ACL", "REPORT", "VERSION-CONTROL", "CHECKIN", "CHECKOUT", "UNCHECKOUT", "SEARCH", "MKWORKSPACE",
-	"UPDATE", "LABEL", "MERGE", "BASELINE_CONTROL", "MKACTIVITY"}
+	"UPDATE", "LABEL", "MERGE", "BASELINE_CONTROL", "MKACTIVITY",
+}
 
 const storedMethod = 0xff
 
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -3,13 +3,12 @@
 import (
 	"errors"
 	"fmt"
+	"frosthub/internal/golden"
 	"os"
 	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/internal/golden"
 )
 
 // open follows a stream to a server or from one, as its first byte says. A req is answered once the next comes with
@@ -52,8 +51,10 @@
 				body := strings.Repeat("x", size)
 				s := NewServer(most)
 				var got []string
-				f := Forward{Path: "/invoke/status", Query: "deep=1", Route: "w1", Secret: "s", Body: []byte(body), Unknown: unknown,
-					Fields: []Field{{"X-Request-Id", "0123456789abcdef"}}}
+				f := Forward{
+					Path: "/invoke/status", Query: "deep=1", Route: "w1", Secret: "s", Body: []byte(body), Unknown: unknown,
+					Fields: []Field{{"X-Request-Id", "0123456789abcdef"}},
+				}
 				rest := f.Body
 				if !unknown {
 					rest = rest[min(len(rest), most-headLen-2):]
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -4,13 +4,12 @@
 import (
 	"errors"
 	"fmt"
-	"os"
-
-	"github.com/spf13/cobra"
-
 	"frosthub/backend"
 	"frosthub/internal/admin"
 	"frosthub/internal/conffile"
+	"os"
+
+	"github.com/spf13/cobra"
 )
 
 // confName names the operator's file in the environment.
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -3,6 +3,13 @@
 import (
 	"bytes"
 	"errors"
+	"frosthub/accounting"
+	"frosthub/backend"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/admin"
+	"frosthub/internal/statsfile"
+	"frosthub/internal/wal"
 	"log/slog"
 	"net/http"
 	"os"
@@ -12,14 +19,6 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/accounting"
-	"frosthub/backend"
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/internal/admin"
-	"frosthub/internal/statsfile"
-	"frosthub/internal/wal"
 )
 
 // run runs a command and gives its output with the folder's name taken out.
@@ -116,8 +115,15 @@
 	if err == nil || !strings.HasPrefix(errs, "two: a damaged figures file") {
 		t.Error(errs, err)
 	}
-	for _, args := range [][]string{{"figures"}, {"figures", "--by", "day", one}, {"figures", "--since", "soon", one},
-		{"figures", "--since", "1h", "--by", "life", one}, {"figures", "--json", "--csv", one}, {"none-such"}, {"figures", dir + "/none"}} {
+	for _, args := range [][]string{
+		{"figures"},
+		{"figures", "--by", "day", one},
+		{"figures", "--since", "soon", one},
+		{"figures", "--since", "1h", "--by", "life", one},
+		{"figures", "--json", "--csv", one},
+		{"none-such"},
+		{"figures", dir + "/none"},
+	} {
 		if _, _, err := run(dir, args...); err == nil {
 			t.Error(args, "is taken")
 		}
@@ -216,9 +222,12 @@
 func (s source) Accounting() accounting.Report { return s.report }
 func (s source) AccountingRecorded() bool      { return true }
 func (s source) ClusterStats() *backend.ClusterStats {
-	return &backend.ClusterStats{Name: "north", Incarnation: 2, Phase: "asking", PhaseReason: "others are asked", Unanswered: []string{"n2"}, OutcomeUnknown: map[string]int{"file-claim": 3, "": 1},
+	return &backend.ClusterStats{
+		Name: "north", Incarnation: 2, Phase: "asking", PhaseReason: "others are asked", Unanswered: []string{"n2"}, OutcomeUnknown: map[string]int{"file-claim": 3, "": 1},
 		Members: []backend.MemberStats{{Name: "n1", Incarnation: 2, State: "alive", Roster: "as here"}, {Name: "n2", Incarnation: 7, State: "suspected", Roster: "unknown"}}, Requests: []failover.Request{
-			{Key: "00112233445566778899aabbccddeeff", Handler: "file-claim", Part: "notes", Step: "begun", Holder: "n2", Left: 1500 * time.Millisecond}}}
+			{Key: "00112233445566778899aabbccddeeff", Handler: "file-claim", Part: "notes", Step: "begun", Holder: "n2", Left: 1500 * time.Millisecond},
+		},
+	}
 }
 func (s source) Trust() error { return backend.ErrNothingUnknown }
 func (s source) Forget(box string) error {
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -5,6 +5,9 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"frosthub/backend"
+	"frosthub/internal/admin"
+	"frosthub/recovery"
 	"io"
 	"maps"
 	"net/http"
@@ -16,10 +19,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"frosthub/backend"
-	"frosthub/internal/admin"
-	"frosthub/recovery"
 )
 
 const (
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -6,6 +6,8 @@
 	"encoding/csv"
 	"encoding/json"
 	"fmt"
+	"frosthub/accounting"
+	"frosthub/internal/statsfile"
 	"io"
 	"os"
 	"slices"
@@ -15,9 +17,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"frosthub/accounting"
-	"frosthub/internal/statsfile"
 )
 
 // asked is what the figures command is asked for.
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -6,6 +6,11 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"frosthub/backend"
+	"frosthub/idempotency"
+	"frosthub/internal/conffile"
+	"frosthub/internal/filelock"
+	"frosthub/internal/wal"
 	"io"
 	"math/rand/v2"
 	"os"
@@ -14,12 +19,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"frosthub/backend"
-	"frosthub/idempotency"
-	"frosthub/internal/conffile"
-	"frosthub/internal/filelock"
-	"frosthub/internal/wal"
 )
 
 func keepCommand(conf *string) *cobra.Command {
@@ -112,7 +111,8 @@
 	list.Flags().BoolVar(&records, "records", false, "all records instead, in their order")
 	list.MarkFlagsMutuallyExclusive("in-doubt", "records")
 	change := func(use, short, long string, do func(s *idempotency.Store, now time.Duration)) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Long: long, Args: cobra.ExactArgs(1),
+		return &cobra.Command{
+			Use: use, Short: short, Long: long, Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				if err := changeStore(args[0], *conf, do); err != nil {
 					return fmt.Errorf("%s: %w", args[0], err)
@@ -122,7 +122,8 @@
 					r.print(c.OutOrStdout())
 				}
 				return err
-			}}
+			},
+		}
 	}
 	c.AddCommand(makes, look, list,
 		change("compact DIR", "Age what is past its lifetime, and replace records by prints", "compact works by the bounds of --conf, or the usual ones, "+
--- a/internal/conffile/operator.go
+++ b/internal/conffile/operator.go
@@ -5,6 +5,7 @@
 import (
 	"errors"
 	"fmt"
+	"frosthub/backend"
 	"io"
 	"os"
 	"slices"
@@ -12,8 +13,6 @@
 
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
-
-	"frosthub/backend"
 )
 
 // Config is what the operator's file says.
--- a/internal/conffile/operator_test.go
+++ b/internal/conffile/operator_test.go
@@ -2,31 +2,35 @@
 
 import (
 	"errors"
+	"frosthub/backend"
+	"frosthub/idempotency"
 	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/backend"
-	"frosthub/idempotency"
 )
 
 // TestParse: what stands in a file is taken, and what is wrong is told with its place and what was expected.
 func TestParse(t *testing.T) {
 	got, err := Parse("x.conf", "# all\n\nadmin listen 127.0.0.1:9180\r\n  figures file \"/var/lib/a b\" # here\n"+
 		"figures trail 1024\nfigures periods 60 every 30s\nfigures customers 9\nfigures customer-field X-Customer")
-	want := Config{Admin: "127.0.0.1:9180", Accounting: backend.AccountingConfig{File: "/var/lib/a b", Entries: 1024, MaxPeriods: 60,
-		PeriodLength: 30 * time.Second, MaxCustomers: 9, CustomerField: "X-Customer"}}
+	want := Config{Admin: "127.0.0.1:9180", Accounting: backend.AccountingConfig{
+		File: "/var/lib/a b", Entries: 1024, MaxPeriods: 60,
+		PeriodLength: 30 * time.Second, MaxCustomers: 9, CustomerField: "X-Customer",
+	}}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
 	got, err = Parse("x.conf", "keep dir /k\nkeep handler file-claim by field+body\nkeep handler other by id\nkeep key-field X-Claim\n"+
 		"keep entries 1000\nkeep lifetime 2h\nkeep horizon 48h\n")
-	want = Config{Idempotency: backend.IdempotencyConfig{Dir: "/k", KeyField: "X-Claim", Handlers: map[string][]backend.KeyPart{
-		"file-claim": {backend.KeyPartField, backend.KeyPartBody}, "other": {backend.KeyPartID}},
-		Store: idempotency.Config{MaxEntries: 1000, ResultTTL: 2 * time.Hour, RetryHorizon: 48 * time.Hour}}}
+	want = Config{Idempotency: backend.IdempotencyConfig{
+		Dir: "/k", KeyField: "X-Claim", Handlers: map[string][]backend.KeyPart{
+			"file-claim": {backend.KeyPartField, backend.KeyPartBody}, "other": {backend.KeyPartID},
+		},
+		Store: idempotency.Config{MaxEntries: 1000, ResultTTL: 2 * time.Hour, RetryHorizon: 48 * time.Hour},
+	}}
 	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -15,6 +15,8 @@
 	"bytes"
 	"context"
 	"errors"
+	"frosthub/internal/faultinject"
+	"frosthub/internal/logthrottle"
 	"log/slog"
 	"math"
 	"runtime"
@@ -26,9 +28,6 @@
 
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
-
-	"frosthub/internal/faultinject"
-	"frosthub/internal/logthrottle"
 )
 
 const (
@@ -457,8 +456,10 @@
 
 // lostBy are the errors of a write after which a connection can't go on. Others may pass: a system that is out of buffers or memory for a
 // moment takes no answers with it.
-var lostBy = []error{syscall.EPIPE, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ENOTCONN, syscall.EBADF, syscall.ENOTSOCK,
-	syscall.EINVAL, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EDESTADDRREQ}
+var lostBy = []error{
+	syscall.EPIPE, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ENOTCONN, syscall.EBADF, syscall.ENOTSOCK,
+	syscall.EINVAL, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EDESTADDRREQ,
+}
 
 func lost(err error) bool {
 	return slices.ContainsFunc(lostBy, func(e error) bool { return errors.Is(err, e) })
--- a/internal/conn/fault_test.go
+++ b/internal/conn/fault_test.go
@@ -3,10 +3,9 @@
 package conn
 
 import (
+	"frosthub/internal/faultinject"
 	"io"
 	"testing"
-
-	"frosthub/internal/faultinject"
 )
 
 // TestPassingErrors: a write that fails for a moment costs no answer, and an accept no connection.
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"frosthub/internal/faultinject"
 	"net"
 	"os"
 	"sync"
@@ -11,8 +12,6 @@
 
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
-
-	"frosthub/internal/faultinject"
 )
 
 const (
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"errors"
+	"frosthub/internal/golden"
 	"strings"
 	"testing"
-
-	"frosthub/internal/golden"
 )
 
 // open has a parser print its messages. Even slots are answered at once, odd ones stay open.
--- a/internal/faultinject/told.go
+++ b/internal/faultinject/told.go
@@ -24,8 +24,10 @@
 	clock  atomic.Int64
 	failed [calls]atomic.Int64 // the error's number, 0 none
 
-	errnos = map[string]syscall.Errno{"ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM, "EMFILE": syscall.EMFILE, "EIO": syscall.EIO,
-		"EAGAIN": syscall.EAGAIN, "EINTR": syscall.EINTR}
+	errnos = map[string]syscall.Errno{
+		"ENOBUFS": syscall.ENOBUFS, "ENOMEM": syscall.ENOMEM, "EMFILE": syscall.EMFILE, "EIO": syscall.EIO,
+		"EAGAIN": syscall.EAGAIN, "EINTR": syscall.EINTR,
+	}
 )
 
 func init() {
--- a/internal/peerproto/bench_test.go
+++ b/internal/peerproto/bench_test.go
@@ -3,6 +3,9 @@
 import (
 	"context"
 	"flag"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/conn"
 	"net"
 	"syscall"
 	"testing"
@@ -11,10 +14,6 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/mem"
-
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/internal/conn"
 )
 
 var wires = flag.Int("wires", 0, "batches sent and answered over connections of the core and over gRPC, to compare what they cost")
@@ -24,8 +23,10 @@
 func question() *Batch {
 	b := &Batch{}
 	for i := range inBatch {
-		b.Claims = append(b.Claims, failover.Message{Kind: failover.MsgAcquire, Key: idempotency.Key{byte(i)}, Ballot: failover.Ballot{Number: 8, Node: "n1", Incarnation: 3},
-			Work: &failover.Work{Handler: "file-claim", Body: make([]byte, 500), Left: 9, Cost: 4, Size: 24.5, Rank: 0.625}})
+		b.Claims = append(b.Claims, failover.Message{
+			Kind: failover.MsgAcquire, Key: idempotency.Key{byte(i)}, Ballot: failover.Ballot{Number: 8, Node: "n1", Incarnation: 3},
+			Work: &failover.Work{Handler: "file-claim", Body: make([]byte, 500), Left: 9, Cost: 4, Size: 24.5, Rank: 0.625},
+		})
 	}
 	return b
 }
@@ -103,6 +104,7 @@
 func (frames) Marshal(v any) (mem.BufferSlice, error) {
 	return mem.BufferSlice{mem.SliceBuffer(v.([]byte))}, nil
 }
+
 func (frames) Unmarshal(data mem.BufferSlice, v any) error {
 	*v.(*[]byte) = data.Materialize()
 	return nil
@@ -130,7 +132,8 @@
 					return err
 				}
 			}
-		}}}}, nil)
+		},
+	}}}, nil)
 	go func() { _ = s.Serve(ln) }()
 	defer s.Stop()
 	c, err := grpc.NewClient(ln.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()),
--- a/internal/peerproto/boxwire.go
+++ b/internal/peerproto/boxwire.go
@@ -4,15 +4,14 @@
 import (
 	"encoding/binary"
 	"errors"
-	"math"
-	"time"
-
-	"google.golang.org/protobuf/encoding/protowire"
-
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/membership"
 	"frosthub/recovery"
+	"math"
+	"time"
+
+	"google.golang.org/protobuf/encoding/protowire"
 )
 
 const listsMost = 8 // of a hello; two are in use
--- a/internal/peerproto/page.go
+++ b/internal/peerproto/page.go
@@ -2,13 +2,12 @@
 
 import (
 	"encoding/binary"
+	"frosthub/failover"
+	"frosthub/idempotency"
 	"time"
 
 	"github.com/bits-and-blooms/bloom/v3"
 	"google.golang.org/protobuf/encoding/protowire"
-
-	"frosthub/failover"
-	"frosthub/idempotency"
 )
 
 const (
--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -3,12 +3,11 @@
 
 import (
 	"errors"
+	"frosthub/internal/lineproto"
+	"frosthub/overload"
 	"math"
 	"strconv"
 	"time"
-
-	"frosthub/internal/lineproto"
-	"frosthub/overload"
 )
 
 // ErrLine is a line that is no notice.
--- a/internal/processor/processor_test.go
+++ b/internal/processor/processor_test.go
@@ -1,9 +1,8 @@
 package processor
 
 import (
-	"testing"
-
 	"frosthub/internal/golden"
+	"testing"
 )
 
 func open(print func(string, ...any)) func([]byte) error {
--- a/internal/simproto/simwire.go
+++ b/internal/simproto/simwire.go
@@ -7,14 +7,13 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"frosthub/internal/settings"
+	"frosthub/overload"
 	"io"
 	"strconv"
 	"time"
 
 	"github.com/valyala/fastjson"
-
-	"frosthub/internal/settings"
-	"frosthub/overload"
 )
 
 type instance struct {
--- a/internal/stand/ajpserver.go
+++ b/internal/stand/ajpserver.go
@@ -1,12 +1,11 @@
 package stand
 
 import (
+	"frosthub/internal/ajp"
 	"net"
 	"strconv"
 	"sync"
 	"time"
-
-	"frosthub/internal/ajp"
 )
 
 // Fault is what an AJP server does with a call.
--- a/internal/stand/ask.go
+++ b/internal/stand/ask.go
@@ -4,13 +4,12 @@
 	"bufio"
 	"context"
 	"fmt"
+	"frosthub/internal/ajp"
 	"io"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
-
-	"frosthub/internal/ajp"
 )
 
 // Asker sends a req and waits for its answer. Many may ask at a time.
--- a/internal/stand/box.go
+++ b/internal/stand/box.go
@@ -90,20 +90,26 @@
 	handler := func(name, repeats string, value int) m {
 		return m{"name": name, "credit": value, "giveUpUs": 3_000_000, "goalTimeUs": 1_000_000, "idempotency": repeats}
 	}
-	settings := m{"servers": 1, "tickUs": 1000,
+	settings := m{
+		"servers": 1, "tickUs": 1000,
 		"classes": []m{handler("status", "retryable", 1), handler("field-update", "retryable", 2), handler("file-claim", "fragile", 3)},
-		"familyInfo": m{"cores": cmp.Or(b.ProcCores, 2), "downstream": "tier", "halt": "discard", "keyKb": 10, "memoryKb": 100000, "runFactor": 8,
+		"familyInfo": m{
+			"cores": cmp.Or(b.ProcCores, 2), "downstream": "tier", "halt": "discard", "keyKb": 10, "memoryKb": 100000, "runFactor": 8,
 			"senders": 2, "shareForUs": 800_000, "ownStats": []string{"cpu_busy", "runnable", "mem_used", "sockets"},
-			"signal": "allowance", "tellsGone": true},
+			"signal": "allowance", "tellsGone": true,
+		},
 		"invariants": m{"answerSlackUs": 80_000, "drainGraceUs": 1000 * cmp.Or(b.GraceMS, 300), "fallMultiple": 8},
-		"limits":     m{"maxRetryAfterUs": 1_000_000, "retryAfter": true}}
+		"limits":     m{"maxRetryAfterUs": 1_000_000, "retryAfter": true},
+	}
 	cores := b.Cores
 	if cores == 0 {
 		cores = 1
 	}
-	return json.Marshal(m{"name": cmp.Or(b.Name, "n1"), "listen": b.Listen, "processor": b.Processor, "backend": b.NextTier,
+	return json.Marshal(m{
+		"name": cmp.Or(b.Name, "n1"), "listen": b.Listen, "processor": b.Processor, "backend": b.NextTier,
 		"seed": "8c1f30d27a5be964", "stop_ms": b.StopMS, "limits": m{"cores": cores, "memory_mb": cmp.Or(b.MemoryMB, 192), "sockets": cmp.Or(b.Sockets, 1024)},
-		"settings": settings})
+		"settings": settings,
+	})
 }
 
 // Start starts the process, and returns once it accepts connections.
--- a/internal/stand/claims.go
+++ b/internal/stand/claims.go
@@ -95,8 +95,10 @@
 	known := c.First != ""
 	l.mu.Unlock()
 	n, began := r.Uint64(), time.Now()
-	req := Req{ID: n | 1, Handler: l.Handler, Caller: r.IntN(4), Start: time.Now().UnixMilli(), CostMS: l.CostMS, Body: key,
-		Customer: l.Customer}
+	req := Req{
+		ID: n | 1, Handler: l.Handler, Caller: r.IntN(4), Start: time.Now().UnixMilli(), CostMS: l.CostMS, Body: key,
+		Customer: l.Customer,
+	}
 	if l.TellMade {
 		req.Made = c.Made
 	}
--- a/internal/stand/disk.go
+++ b/internal/stand/disk.go
@@ -2,13 +2,12 @@
 
 import (
 	"errors"
+	"frosthub/internal/wal"
 	"io/fs"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"sync"
-
-	"frosthub/internal/wal"
 )
 
 // ErrPower is what a disk without power answers.
--- a/internal/stand/edge.go
+++ b/internal/stand/edge.go
@@ -207,8 +207,10 @@
 		if used || full {
 			continue
 		}
-		req := Req{ID: r.Uint64() | 1, Handler: l.Handlers[r.IntN(len(l.Handlers))], Caller: r.IntN(max(1, l.Callers)),
-			Start: time.Now().UnixMilli(), CostMS: l.CostMS, Body: l.Body}
+		req := Req{
+			ID: r.Uint64() | 1, Handler: l.Handlers[r.IntN(len(l.Handlers))], Caller: r.IntN(max(1, l.Callers)),
+			Start: time.Now().UnixMilli(), CostMS: l.CostMS, Body: l.Body,
+		}
 		if r.Float64() < l.Bad {
 			req.Handler = "none-such"
 		}
--- a/internal/stand/plan.go
+++ b/internal/stand/plan.go
@@ -30,8 +30,10 @@
 
 // String is the kind's word.
 func (k FaultKind) String() string {
-	return [...]string{"drain", "kill", "pause", "clock", "call", "files", "link reset", "link stall", "edge reset", "edge delay", "edge stall",
-		"tier", "move"}[k]
+	return [...]string{
+		"drain", "kill", "pause", "clock", "call", "files", "link reset", "link stall", "edge reset", "edge delay", "edge stall",
+		"tier", "move",
+	}[k]
 }
 
 // NodeFault is one of a plan.
--- a/internal/stand/processor.go
+++ b/internal/stand/processor.go
@@ -58,8 +58,10 @@
 		return nil, err
 	}
 	now := time.Now()
-	p := &Processor{Cores: cores, Work: work, ln: ln, started: now, last: now, runs: map[uint64]int{},
-		ids: map[uint64]string{}, first: map[uint64]time.Time{}, effects: map[string]int{}, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	p := &Processor{
+		Cores: cores, Work: work, ln: ln, started: now, last: now, runs: map[uint64]int{},
+		ids: map[uint64]string{}, first: map[uint64]time.Time{}, effects: map[string]int{}, wake: make(chan struct{}, 1), done: make(chan struct{}),
+	}
 	go p.accept()
 	go p.run()
 	return p, nil
--- a/internal/statsfile/figures_test.go
+++ b/internal/statsfile/figures_test.go
@@ -3,6 +3,8 @@
 import (
 	"bytes"
 	"errors"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 	"io"
 	"log/slog"
 	"os"
@@ -13,9 +15,6 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 )
 
 var cfg = accounting.Config{Handlers: []string{"status", "file-claim"}, MaxCustomers: 3, MaxPeriods: 5, PeriodLength: time.Second}
@@ -183,8 +182,10 @@
 		got = append(got, row.Handler+" "+figuresText(row.Figures))
 	}
 	r.Close(b, noon)
-	want := []string{"left, 2=1+0+1+0, 2=1+0+1+0", "runs, 2=0+0+0+2, 4=1+0+1+2", "killed, 2=0+0+2+0",
-		"claims 1=0+0+0+1", "status 3=0+0+3+0", "file-claim 1=1+0+0+0"}
+	want := []string{
+		"left, 2=1+0+1+0, 2=1+0+1+0", "runs, 2=0+0+0+2, 4=1+0+1+2", "killed, 2=0+0+2+0",
+		"claims 1=0+0+0+1", "status 3=0+0+3+0", "file-claim 1=1+0+0+0",
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -6,6 +6,8 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 	"os"
 	"path/filepath"
 	"runtime/debug"
@@ -14,9 +16,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 )
 
 const (
--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -3,15 +3,14 @@
 import (
 	"errors"
 	"fmt"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 	"io/fs"
 	"log/slog"
 	"os"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 )
 
 const (
--- a/internal/upstreamproto/nexttier.go
+++ b/internal/upstreamproto/nexttier.go
@@ -3,11 +3,10 @@
 
 import (
 	"errors"
-	"strconv"
-	"time"
-
 	"frosthub/internal/lineproto"
 	"frosthub/overload"
+	"strconv"
+	"time"
 )
 
 // ErrLine is a line that is no reply.
--- a/internal/upstreamproto/nexttier_test.go
+++ b/internal/upstreamproto/nexttier_test.go
@@ -1,10 +1,9 @@
 package upstreamproto
 
 import (
+	"frosthub/internal/golden"
 	"testing"
 	"time"
-
-	"frosthub/internal/golden"
 )
 
 func open(print func(string, ...any)) func([]byte) error {
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -6,20 +6,21 @@
 	"errors"
 	"flag"
 	"fmt"
-	"math/rand/v2"
-	"testing"
-	"time"
-
 	"frosthub/idempotency"
 	"frosthub/internal/stand"
 	"frosthub/internal/wal"
+	"math/rand/v2"
+	"testing"
+	"time"
 )
 
 var cuts = flag.Int("cuts", 600, "histories with power lost by chance; 100000 outside CI")
 
 // small has segments that fill, retire and go within a hundred reqs.
-var small = idempotency.Config{MaxEntries: 20, MaxBytes: 600, MaxResultBytes: 64, ResultTTL: 20 * time.Second, RetryHorizon: 160 * time.Second, MaxSegments: 24,
-	KeysPerSegment: 12, SegmentBytes: 1500}
+var small = idempotency.Config{
+	MaxEntries: 20, MaxBytes: 600, MaxResultBytes: 64, ResultTTL: 20 * time.Second, RetryHorizon: 160 * time.Second, MaxSegments: 24,
+	KeysPerSegment: 12, SegmentBytes: 1500,
+}
 
 const noon = 500_000 * time.Hour
 
@@ -51,8 +52,10 @@
 }
 
 func newLab(t *testing.T, seed uint64, note string) *lab {
-	l := &lab{t: t, r: rand.New(rand.NewPCG(seed, 3)), disk: stand.NewDisk(), now: noon, note: note, keyOf: map[uint64]int{},
-		effects: map[int]int{}, answers: map[int][]byte{}, first: map[int]time.Duration{}}
+	l := &lab{
+		t: t, r: rand.New(rand.NewPCG(seed, 3)), disk: stand.NewDisk(), now: noon, note: note, keyOf: map[uint64]int{},
+		effects: map[int]int{}, answers: map[int][]byte{}, first: map[int]time.Duration{},
+	}
 	if err := wal.Init(l.disk, "n1", noon, seed); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/format.go
+++ b/internal/wal/format.go
@@ -7,14 +7,13 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"frosthub/idempotency"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/bits-and-blooms/bloom/v3"
 	"github.com/cespare/xxhash/v2"
-
-	"frosthub/idempotency"
 )
 
 const (
@@ -170,8 +169,10 @@
 		if len(payload) < recordHead {
 			return 0, 0, errFrame
 		}
-		w := idempotency.LogEntry{Seq: seq, Kind: idempotency.EntryKind(payload[0]), Segment: segment, At: time.Duration(binary.LittleEndian.Uint64(payload[1:])),
-			Key: idempotency.Key(payload[9:25])}
+		w := idempotency.LogEntry{
+			Seq: seq, Kind: idempotency.EntryKind(payload[0]), Segment: segment, At: time.Duration(binary.LittleEndian.Uint64(payload[1:])),
+			Key: idempotency.Key(payload[9:25]),
+		}
 		size := int(binary.LittleEndian.Uint32(payload[25:]))
 		if payload = payload[recordHead:]; size > len(payload) {
 			return 0, 0, errFrame
@@ -235,8 +236,10 @@
 	if int(binary.LittleEndian.Uint32(b[4:])) != len(filter) || at(64) != i.sum(number, b[:64], filter) || at(8) != number {
 		return p, errFrame
 	}
-	p = idempotency.Fingerprints{Segment: number, LastSeq: at(16), From: time.Duration(at(24)), Until: time.Duration(at(32)), Keys: int(at(40)),
-		LostBefore: time.Duration(at(48)), Accepted: at(56) == 1}
+	p = idempotency.Fingerprints{
+		Segment: number, LastSeq: at(16), From: time.Duration(at(24)), Until: time.Duration(at(32)), Keys: int(at(40)),
+		LostBefore: time.Duration(at(48)), Accepted: at(56) == 1,
+	}
 	if len(filter) > 0 {
 		p.Filter = &bloom.BloomFilter{}
 		if err := p.Filter.UnmarshalBinary(filter); err != nil {
--- a/internal/wal/read.go
+++ b/internal/wal/read.go
@@ -5,12 +5,11 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"frosthub/idempotency"
 	"io/fs"
 	"slices"
 	"strings"
 	"time"
-
-	"frosthub/idempotency"
 )
 
 // Contents is what a disk has.
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -3,17 +3,16 @@
 import (
 	"errors"
 	"fmt"
+	"frosthub/idempotency"
+	"frosthub/internal/filelock"
+	"frosthub/internal/stand"
+	"frosthub/internal/wal"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"frosthub/idempotency"
-	"frosthub/internal/filelock"
-	"frosthub/internal/stand"
-	"frosthub/internal/wal"
 )
 
 // filled is a disk with the records of a few dozen claims in several segments, some of which are prints.
@@ -268,8 +267,10 @@
 	if err := wal.Init(d, "n1", noon, 7); err != nil {
 		b.Fatal(err)
 	}
-	cfg := idempotency.Config{MaxEntries: 1 << 21, MaxBytes: 1 << 30, MaxResultBytes: 1 << 16, ResultTTL: time.Hour, RetryHorizon: 24 * time.Hour, MaxSegments: 64,
-		KeysPerSegment: 1 << 17, SegmentBytes: 64 << 20}
+	cfg := idempotency.Config{
+		MaxEntries: 1 << 21, MaxBytes: 1 << 30, MaxResultBytes: 1 << 16, ResultTTL: time.Hour, RetryHorizon: 24 * time.Hour, MaxSegments: 64,
+		KeysPerSegment: 1 << 17, SegmentBytes: 64 << 20,
+	}
 	s := idempotency.New(cfg)
 	w, _, err := wal.Open(d, "n1", s, noon, nil)
 	if err != nil {
--- a/internal/wal/tries.go
+++ b/internal/wal/tries.go
@@ -3,10 +3,9 @@
 import (
 	"errors"
 	"fmt"
+	"frosthub/recovery"
 	"strconv"
 	"strings"
-
-	"frosthub/recovery"
 )
 
 const (
--- a/internal/wal/write.go
+++ b/internal/wal/write.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
+	"frosthub/idempotency"
 	"sync"
 	"time"
-
-	"frosthub/idempotency"
 )
 
 // Writer puts writes on a disk, one batch after the other. After an error it takes no more: what the disk has then is not known.
--- a/lab/outage/sim.go
+++ b/lab/outage/sim.go
@@ -4,13 +4,12 @@
 
 import (
 	"container/heap"
-	"math/rand/v2"
-	"slices"
-	"time"
-
 	"frosthub/internal/stand"
 	"frosthub/overload"
 	"frosthub/recovery"
+	"math/rand/v2"
+	"slices"
+	"time"
 )
 
 // way is how boxes come back.
@@ -119,14 +118,20 @@
 		if h.guarded {
 			repeats = "uniqued"
 		}
-		list = append(list, map[string]any{"repeats": repeats, "value": h.worth, "response_target": time.Second, "client_timeout": timeout,
-			"window": time.Duration(0)})
+		list = append(list, map[string]any{
+			"repeats": repeats, "value": h.worth, "response_target": time.Second, "client_timeout": timeout,
+			"window": time.Duration(0),
+		})
 	}
-	return map[string]any{"batch_every": time.Millisecond, "handlers": list,
-		"backend": map[string]any{"cores": cores, "memory": 100000.0, "run_factor": 4.0, "key_size": 10.0, "halt": "drop", "signal": "off",
-			"gauges": []any{"busy", "runnable"}},
+	return map[string]any{
+		"batch_every": time.Millisecond, "handlers": list,
+		"backend": map[string]any{
+			"cores": cores, "memory": 100000.0, "run_factor": 4.0, "key_size": 10.0, "halt": "drop", "signal": "off",
+			"gauges": []any{"busy", "runnable"},
+		},
 		"rules":  map[string]any{"fall_multiple": 8.0, "drain_grace": time.Second},
-		"limits": map[string]any{"retry_after": true, "max_retry_after": time.Second}}
+		"limits": map[string]any{"retry_after": true, "max_retry_after": time.Second},
+	}
 }
 
 // play runs a fleet.
@@ -304,8 +309,10 @@
 	default:
 		r.at = b
 		b.reqs[r.id] = r
-		b.events = append(b.events, overload.Event{Kind: overload.Arrived, ID: r.id, Handler: r.h, Remaining: timeout - (f.Now - r.made),
-			Hint: r.left, Size: 1, Caller: int(r.id % 50)})
+		b.events = append(b.events, overload.Event{
+			Kind: overload.Arrived, ID: r.id, Handler: r.h, Remaining: timeout - (f.Now - r.made),
+			Hint: r.left, Size: 1, Caller: int(r.id % 50),
+		})
 	}
 }
 
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -85,9 +85,13 @@
 		c    Connection
 		want Verdict
 	}{
-		{Connection{}, Allowed}, {Connection{OpenRequests: 1}, RequestOpen}, {Connection{HalfRead: true}, HalfRead},
-		{Connection{Unread: true}, InputUnread}, {Connection{Unsent: true}, OutputUnsent},
-		{Connection{Broken: true, HalfRead: true, Unread: true}, Allowed}, {Connection{Broken: true, OpenRequests: 1}, RequestOpen},
+		{Connection{}, Allowed},
+		{Connection{OpenRequests: 1}, RequestOpen},
+		{Connection{HalfRead: true}, HalfRead},
+		{Connection{Unread: true}, InputUnread},
+		{Connection{Unsent: true}, OutputUnsent},
+		{Connection{Broken: true, HalfRead: true, Unread: true}, Allowed},
+		{Connection{Broken: true, OpenRequests: 1}, RequestOpen},
 	} {
 		if got := End(x.c); got != x.want {
 			t.Errorf("%+v: %v", x.c, got)
@@ -101,8 +105,10 @@
 		c    Command
 		want Verdict
 	}{
-		{Command{Wanted: true}, MayHaveRun}, {Command{Wanted: true, Repeatable: true}, Allowed},
-		{Command{Wanted: true, NeverRan: true}, Allowed}, {Command{Repeatable: true, NeverRan: true}, NobodyWaits},
+		{Command{Wanted: true}, MayHaveRun},
+		{Command{Wanted: true, Repeatable: true}, Allowed},
+		{Command{Wanted: true, NeverRan: true}, Allowed},
+		{Command{Repeatable: true, NeverRan: true}, NobodyWaits},
 	} {
 		if got := Repeat(x.c); got != x.want {
 			t.Errorf("%+v: %v", x.c, got)
--- a/lifecycle/permit.go
+++ b/lifecycle/permit.go
@@ -22,8 +22,10 @@
 
 // String says why in log lines.
 func (v Verdict) String() string {
-	return [...]string{"allowed", "read after the grace", "the process ends", "a request is open", "a request is half read",
-		"input is unread", "output is unsent", "it may have run", "it was answered", "work is left", "nobody waits"}[v]
+	return [...]string{
+		"allowed", "read after the grace", "the process ends", "a request is open", "a request is half read",
+		"input is unread", "output is unsent", "it may have run", "it was answered", "work is left", "nobody waits",
+	}[v]
 }
 
 // Start decides whether what was read whole at a moment may start a run. After the notice only what was read within the grace may. When
--- a/loadbalance/route_test.go
+++ b/loadbalance/route_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"fmt"
+	"frosthub/internal/golden"
 	"math/rand/v2"
 	"strings"
 	"testing"
@@ -10,8 +11,6 @@
 
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
-
-	"frosthub/internal/golden"
 )
 
 func init() { golden.SameDraws() }
@@ -153,8 +152,10 @@
 		r.Done(now, p, Succeeded)
 	}
 	state()
-	want := []string{"a", "b", "c", "a", "b", "a", "a in 3, b in 2, c in 1", "a in 0, b out 0, c in 0", "a", "c", "none",
-		"a in 0, b out 0, c in 1", "a in 0, b in 0, c in 1"}
+	want := []string{
+		"a", "b", "c", "a", "b", "a", "a in 3, b in 2, c in 1", "a in 0, b out 0, c in 0", "a", "c", "none",
+		"a in 0, b out 0, c in 1", "a in 0, b in 0, c in 1",
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/membership/members.go
+++ b/membership/members.go
@@ -5,11 +5,10 @@
 
 import (
 	"cmp"
+	"frosthub/internal/prng"
 	"maps"
 	"slices"
 	"time"
-
-	"frosthub/internal/prng"
 )
 
 // State is what is believed of a box.
@@ -129,8 +128,10 @@
 func New(cfg Config, seed uint64, now time.Duration) *Detector {
 	cfg.ProbeInterval, cfg.ProbeTimeout = cmp.Or(cfg.ProbeInterval, everyUsual), cmp.Or(cfg.ProbeTimeout, withinUsual)
 	cfg.IndirectProbes, cfg.SuspicionFactor = cmp.Or(cfg.IndirectProbes, helpersUsual), cmp.Or(cfg.SuspicionFactor, patientUsual)
-	l := &Detector{cfg: cfg, self: Update{cfg.Name, cfg.Incarnation, 0, Alive}, peers: map[string]*peer{}, chance: prng.New(seed),
-		probeAt: now}
+	l := &Detector{
+		cfg: cfg, self: Update{cfg.Name, cfg.Incarnation, 0, Alive}, peers: map[string]*peer{}, chance: prng.New(seed),
+		probeAt: now,
+	}
 	for _, name := range cfg.Others {
 		if name != cfg.Name {
 			l.peers[name] = &peer{Update: Update{Name: name}}
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -181,8 +181,10 @@
 // New returns the controller of a server that has just come up.
 func New(seed uint64, settings map[string]any, now time.Duration) *Controller {
 	b, rules := get[map[string]any](settings, "backend", nil), get[map[string]any](settings, "rules", nil)
-	c := &Controller{reqs: map[uint64]*req{}, lapsed: map[uint64]time.Duration{}, from: map[int]edge{},
-		started: now, progress: now, lastTick: now, inHandAt: now, stop: math.MaxInt64, open: 1}
+	c := &Controller{
+		reqs: map[uint64]*req{}, lapsed: map[uint64]time.Duration{}, from: map[int]edge{},
+		started: now, progress: now, lastTick: now, inHandAt: now, stop: math.MaxInt64, open: 1,
+	}
 	c.chance.seed(seed)
 	c.cores, c.memory = math.Max(1, get(b, "cores", 1.0)), get(b, "memory", math.Inf(1))
 	c.runFactor, c.keySize = math.Max(1, get(b, "run_factor", 1.0)), get(b, "key_size", 0.0)
@@ -200,8 +202,10 @@
 	skips := get[[]any](b, "handler_skip_value", nil)
 	for i, v := range get[[]any](settings, "handlers", nil) {
 		m, _ := v.(map[string]any)
-		h := &handler{timeout: get(m, "client_timeout", bearable), window: get(m, "window", time.Duration(0)),
-			value: math.Max(0.01, get(m, "value", 1.0)), late: get(m, "late_share", 0.0)}
+		h := &handler{
+			timeout: get(m, "client_timeout", bearable), window: get(m, "window", time.Duration(0)),
+			value: math.Max(0.01, get(m, "value", 1.0)), late: get(m, "late_share", 0.0),
+		}
 		h.target = min(get(m, "response_target", h.timeout), h.timeout)
 		// Who calls a tier below has the target for itself and its calls: an answer in the last moment is late.
 		h.target = time.Duration(float64(h.target) / (1 + math.Max(0, c.tier)))
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"frosthub/internal/golden"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
-
-	"frosthub/internal/golden"
 )
 
 // TestTraces plays the events of each trace file and compares the decisions with those that stand there.
@@ -17,14 +16,18 @@
 // standard settings: three handlers, one of each kind; a trace's own settings go over them.
 func standard() map[string]any {
 	handler := func(repeats string, value float64) any {
-		return map[string]any{"repeats": repeats, "value": value, "response_target": time.Second,
-			"client_timeout": 2 * time.Second, "window": 5 * time.Second}
+		return map[string]any{
+			"repeats": repeats, "value": value, "response_target": time.Second,
+			"client_timeout": 2 * time.Second, "window": 5 * time.Second,
+		}
 	}
 	return map[string]any{
 		"batch_every": time.Millisecond,
 		"handlers":    []any{handler("replayable", 1), handler("uniqued", 1), handler("non-replayable", 1)},
-		"backend": map[string]any{"cores": 2.0, "memory": 1000.0, "run_factor": 4.0, "key_size": 10.0,
-			"halt": "drop", "below": "tier", "signal": "off", "gauges": []any{"busy", "runnable"}},
+		"backend": map[string]any{
+			"cores": 2.0, "memory": 1000.0, "run_factor": 4.0, "key_size": 10.0,
+			"halt": "drop", "below": "tier", "signal": "off", "gauges": []any{"busy", "runnable"},
+		},
 		"rules":  map[string]any{"fall_multiple": 8.0, "drain_grace": time.Second, "cold_for": 10 * time.Second},
 		"limits": map[string]any{"retry_after": true, "max_retry_after": time.Second},
 	}
@@ -114,11 +117,15 @@
 	return s
 }
 
-var eventNames = map[string]EventKind{"arrived": Arrived, "ended": Ended, "gone": ClientGone, "needs-call": NeedsCall,
-	"call-ended": CallEnded, "tick": Timer, "leave": Drain}
+var eventNames = map[string]EventKind{
+	"arrived": Arrived, "ended": Ended, "gone": ClientGone, "needs-call": NeedsCall,
+	"call-ended": CallEnded, "tick": Timer, "leave": Drain,
+}
 
-var outcomeNames = map[string]Outcome{"ok": OK, "errored": Failed, "full": Overloaded, "timed-out": TimedOut,
-	"no-connection": NoConnection, "broken-off": BrokenOff, "stopped": Stopped, "moot": NeverRan}
+var outcomeNames = map[string]Outcome{
+	"ok": OK, "errored": Failed, "full": Overloaded, "timed-out": TimedOut,
+	"no-connection": NoConnection, "broken-off": BrokenOff, "stopped": Stopped, "moot": NeverRan,
+}
 
 type repeated struct {
 	Event
@@ -235,8 +242,11 @@
 	c := New(1, standard(), 0)
 	for i := range 100000 {
 		now, id := time.Duration(i)*time.Millisecond, uint64(i+1)
-		events := []Event{{Kind: Arrived, ID: id, Caller: i, Handler: i % 3, Size: 1, Hint: time.Millisecond},
-			{Kind: Ended, ID: id - 5, Outcome: OK}, {Kind: ClientGone, ID: id - 7}}
+		events := []Event{
+			{Kind: Arrived, ID: id, Caller: i, Handler: i % 3, Size: 1, Hint: time.Millisecond},
+			{Kind: Ended, ID: id - 5, Outcome: OK},
+			{Kind: ClientGone, ID: id - 7},
+		}
 		if i%100 == 0 {
 			events = append(events, Event{Kind: Timer, Gauges: []float64{0.5, 1}})
 		}
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -9,10 +9,9 @@
 
 import (
 	"cmp"
+	"frosthub/internal/prng"
 	"slices"
 	"time"
-
-	"frosthub/internal/prng"
 )
 
 // Phase is how far a box is on its way back.
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -2,10 +2,9 @@
 
 import (
 	"cmp"
+	"frosthub/internal/prng"
 	"slices"
 	"time"
-
-	"frosthub/internal/prng"
 )
 
 // Refill is how a box that has lost something of its disk is told it again by the others, while it serves. It decides whom to ask for the next
