--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -2,106 +2,88 @@
 
 import (
 	"frosthub/accounting"
-	"frosthub/internal/invariant"
 	"frosthub/internal/statsfile"
 	"time"
 )
 
 const (
-	compareEvery = 10 * time.Second // between looks whether the book and the core take the same reqs for open
-	startPatient = 2 * time.Second  // for a disk that keeps the figures file; then the box serves without it
+	compareInterval    = 10 * time.Second // between two comparisons of the ledger with the requests that are known here
+	statsFileOpenLimit = 2 * time.Second  // for the disk that keeps the statistics file; the node serves without it after that
 )
 
-// AccountingConfig says how the accounts are kept. The zero value keeps the figures of the process in memory.
+// AccountingConfig says how accounts of the requests are kept. The zero value keeps those of this process in memory.
 type AccountingConfig struct {
-	File          string        // that outlives the process; empty: none
-	Entries       int           // ops that it holds; figures.OpsUsual if 0
-	MaxPeriods    int           // kept of the past; 0 none
-	PeriodLength  time.Duration // of a period
-	MaxCustomers  int           // told apart
-	CustomerField string        // the header that names a customer; empty: the edge node's number does
+	File          string        // the statistics file, which outlives the process; empty for none
+	Entries       int           // how many entries the file holds; 0 for the default of package statsfile
+	MaxPeriods    int           // how many past periods are kept
+	PeriodLength  time.Duration // of each
+	MaxCustomers  int           // how many customers are told apart
+	CustomerField string        // the header that names a customer; if empty, the number of the calling front end does
 }
 
-// openLedger makes the book of the accounts, with those of earlier lives where a file has them. Trouble with the file
-// is told, and costs the file alone.
+// requestAccounting keeps the accounts of all requests: each is opened when the request is read, and closed once.
+type requestAccounting struct {
+	ledger     *accounting.Ledger  // nil until Serve
+	ledgerRows []uint16            // rows in the ledger, by handler
+	recorder   *statsfile.Recorder // nil without a statistics file
+	compareAt  time.Duration       // when the ledger is compared next with what the backend knows
+}
+
+// rowOf returns the row of a handler in the ledger, that of no handler for a negative index.
+func (a *requestAccounting) rowOf(handler int) uint16 {
+	if handler < 0 {
+		return 0
+	}
+	return a.ledgerRows[handler]
+}
+
+// openLedger makes the ledger, with the accounts of earlier processes where the statistics file has them. Trouble with
+// the file is logged and costs no more than the file.
 func (b *Backend) openLedger() error {
-	cfg := accounting.Config{MaxCustomers: b.cfg.Accounting.MaxCustomers, MaxPeriods: b.cfg.Accounting.MaxPeriods, PeriodLength: b.cfg.Accounting.PeriodLength}
+	cfg := accounting.Config{
+		MaxCustomers: b.cfg.Accounting.MaxCustomers,
+		MaxPeriods:   b.cfg.Accounting.MaxPeriods,
+		PeriodLength: b.cfg.Accounting.PeriodLength,
+	}
 	for _, h := range b.handlers {
 		cfg.Handlers = append(cfg.Handlers, h.name)
 	}
-	book, err := accounting.New(cfg)
+	ledger, err := accounting.New(cfg)
 	if err != nil {
 		return err
 	}
 	b.clock()
 	if b.cfg.Accounting.File == "" {
-		book.StartIncarnation(b.wall, 0)
+		ledger.StartIncarnation(b.wall, 0)
 	} else {
 		b.recorder = statsfile.NewRecorder(b.cfg.Accounting.File, b.cfg.Accounting.Entries, b.log)
-		book = b.recorder.Open(book, cfg, b.wall, startPatient)
+		ledger = b.recorder.Open(ledger, cfg, b.wall, statsFileOpenLimit)
 	}
-	b.ledger = book
+	b.ledger = ledger
 	for _, h := range b.handlers {
-		b.ledgerRows = append(b.ledgerRows, book.Handler(h.name))
+		b.ledgerRows = append(b.ledgerRows, ledger.Handler(h.name))
 	}
 	return nil
 }
 
-// rowOf is the handler's row in the book, that of none for one that is not known.
-func (b *Backend) rowOf(h int) uint16 {
-	if h < 0 {
-		return 0
-	}
-	return b.ledgerRows[h]
-}
-
-// flush sends what was written, and has the record say before and after which answers may have left.
-func (b *Backend) flush(t time.Time) time.Duration {
+// flush sends what was written in the turn that began at that time. The statistics file is told before and after it
+// which answers may have left. It returns when to try again what a peer did not take, 0 for nothing left.
+func (b *Backend) flush(turn time.Time) (retryAfter time.Duration) {
 	if b.recorder == nil {
-		return b.loop.Flush(t)
+		return b.loop.Flush(turn)
 	}
-	b.ledger.Flush(b.wall, true)
-	b.recorder.Append(b.ledger, b.wall)
-	again := b.loop.Flush(t)
-	b.ledger.Flush(b.wall, false)
-	b.recorder.Append(b.ledger, b.wall)
-	return again
-}
-
-// audit has the book look whether its figures add up, and tells what does not.
-func (b *Backend) audit() {
-	b.ledger.Audit(b.wall)
-	if b.now >= b.compareAt {
-		b.compareAt = b.now + compareEvery
-		b.compareLedger()
-	}
-	b.logMismatches()
+	b.recordFlush(true)
+	retryAfter = b.loop.Flush(turn)
+	b.recordFlush(false)
+	return retryAfter
 }
 
-// compareLedger holds the book against the core's own tables.
-func (b *Backend) compareLedger() {
-	b.ledger.Compare(b.wall, func(have func(accounting.Ticket, uint64)) {
-		for _, r := range b.requests { // a sum: the order does not matter
-			if b.hasClient(r) || r.takenOver && !r.accounted {
-				have(r.ticket, r.id)
-			}
-		}
-		for e := range b.frontend.clients {
-			for _, a := range e.undelivered {
-				have(a.ticket, a.id)
-			}
-		}
-	})
-}
-
-func (b *Backend) logMismatches() {
-	for _, d := range b.ledger.TakeMismatches() {
-		b.log.Error("figures differ", "what", d.What, "one", d.Left, "other", d.Right, "trail", d.Trail)
-		invariant.Check(false, "figures add up: "+d.What)
-	}
+func (b *Backend) recordFlush(before bool) {
+	b.ledger.Flush(b.wall, before)
+	b.recorder.Append(b.ledger, b.wall)
 }
 
-// closeAccounts closes the accounts of a process that ends by itself.
+// closeAccounts closes the accounts of a process that exits by itself.
 func (b *Backend) closeAccounts() {
 	b.ledger.CloseAll(accounting.OpenAtExit, accounting.Exited)
 	if b.recorder != nil {
@@ -109,20 +91,22 @@
 	}
 }
 
-// Accounting gives the accounts of all reqs, while Serve runs and after it.
+// Accounting returns the accounts of all requests, those of earlier processes included where a statistics file has
+// them. It may be called from any goroutine while Serve runs and after that.
 func (b *Backend) Accounting() accounting.Report {
-	var out accounting.Report
+	var report accounting.Report
 	b.onOwner(func() {
 		if b.ledger != nil { // Serve got that far
-			out = b.ledger.Report(false)
+			report = b.ledger.Report(false)
 		}
 	})
-	return out
+	return report
 }
 
-// AccountingRecorded tells whether the figures are being recorded, or need not be.
+// AccountingRecorded reports whether the accounts are being recorded, or need not be. It may be called from any
+// goroutine while Serve runs and after that.
 func (b *Backend) AccountingRecorded() bool {
-	up := true
-	b.onOwner(func() { up = b.recorder == nil || b.recorder.Recording() })
-	return up
+	recorded := true
+	b.onOwner(func() { recorded = b.recorder == nil || b.recorder.Recording() })
+	return recorded
 }
--- a/backend/config.go
+++ b/backend/config.go
@@ -17,42 +17,66 @@
 	"github.com/valyala/fastjson"
 )
 
-// Config is all that a backend is told.
+const (
+	configPathVariable = "PROXY_CONFIG" // the environment variable that names the configuration file
+
+	gcMemoryShare      = 0.75            // of the memory limit, which the garbage collector aims at; the rest is stacks and the program
+	defaultStopTimeout = 3 * time.Second // where the configuration tells none
+	defaultSockets     = 1024
+	socketsMin         = 32 // a backend can't serve with fewer descriptors
+)
+
+// Config is all that a backend is told. The first part is the platform's and is read by Parse; the second part is the
+// operator's and is filled in by the program.
 type Config struct {
 	Name         string
-	Listen       string // where edge nodes connect
-	Processor    string
-	ControlPlane string // empty: no reports
-	Upstream     string // empty: the last tier
-	Seed         uint64
-	StopTimeout  time.Duration // from the notice to leave until the process is ended
+	Listen       string        // the address where FastCGI clients connect
+	Processor    string        // the address of the processor, which runs requests
+	ControlPlane string        // the address that lease reports go to; empty for none
+	Upstream     string        // the address of the next tier's proxy; empty for the last tier
+	Seed         uint64        // of the overload controller's random source
+	StopTimeout  time.Duration // from the notice to leave until the process is killed
 	Limits       Limits
-	Settings     map[string]any   // in the module's names
-	Accounting   AccountingConfig // of the operator, as what follows
-	AJP          AJPConfig
-	AJPUpstream  AJPUpstreamConfig // instead of NextTier
-	Idempotency  IdempotencyConfig
-	Cluster      ClusterConfig // needs Keep
+	Settings     map[string]any // for package overload, in its own names
+
+	Accounting  AccountingConfig
+	AJP         AJPConfig
+	AJPUpstream AJPUpstreamConfig // with peers, calls go there instead of to Upstream
+	Idempotency IdempotencyConfig
+	Cluster     ClusterConfig // needs Idempotency
 }
 
-// Limits are those of the process.
+// Limits are the limits of the process.
 type Limits struct {
-	Cores    float64
-	MemoryMB float64
-	Sockets  int
+	Cores    float64 // 0 for no limit
+	MemoryMB float64 // in 2^20 bytes; 0 for no limit
+	Sockets  int     // descriptors
 }
 
-const (
-	memoryShare  = 0.75            // of the memory limit that the collector aims at: the rest is stacks and the program
-	stopMissing  = 3 * time.Second // where no time to stop is told
-	socketsLeast = 32              // descriptors under which a backend can't serve
-)
+// configFile is the configuration file. Its keys are matched without regard to case.
+type configFile struct {
+	Name      string
+	Listen    string
+	Processor string
+	Control   string
+	Backend   string  // the next tier
+	Seed      string  // hexadecimal
+	StopMS    float64 `json:"stop_ms"`
+	Limits    struct {
+		Cores    float64
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int
+	}
+	Settings json.RawMessage
+}
 
-// Load reads the configuration that the environment names. The time to stop is bounded by what the platform's rules allow.
+// Load reads the configuration file that the environment names. The stop timeout is bounded by what the platform allows,
+// see lifecycle.KillAfter. An error that wraps *fs.PathError says that the file could not be read; others say that it
+// can't be used.
 func Load() (Config, error) {
-	path := os.Getenv("PROXY_CONFIG")
+	path := os.Getenv(configPathVariable)
 	if path == "" {
-		return Config{}, errors.New("PROXY_CONFIG is not set: it names the configuration file")
+		return Config{}, errors.New(configPathVariable + " is not set: it names the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if fault := faultinject.Error(faultinject.ReadFile); fault != nil {
@@ -69,7 +93,7 @@
 	return c, nil
 }
 
-// longestTimeout is the longest client timeout of all handlers, 0 if none is told.
+// longestTimeout returns the longest client timeout of all handlers, 0 if none is told.
 func (c *Config) longestTimeout() (longest time.Duration) {
 	list, _ := c.Settings["handlers"].([]any)
 	for _, v := range list {
@@ -80,61 +104,72 @@
 	return longest
 }
 
-// Parse reads a configuration from JSON.
+// Parse reads the platform's part of a configuration from JSON. Fields that it does not know are ignored.
 func Parse(text []byte) (Config, error) {
-	var in struct {
-		Name, Listen, Processor, Control, Backend, Seed string
-		StopMS                                          float64 `json:"stop_ms"`
-		Limits                                          struct {
-			Cores    float64
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int
-		}
-		Settings json.RawMessage
-	}
-	if err := json.Unmarshal(text, &in); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, fmt.Errorf("not understood: %w", err)
 	}
-	for _, f := range []struct{ name, value string }{
-		{"name", in.Name}, {"listen", in.Listen}, {"processor", in.Processor}, {"settings", string(in.Settings)},
-	} {
-		if f.value == "" || f.value == "null" {
-			return Config{}, fmt.Errorf("field %q is missing", f.name)
-		}
+	if err := file.checkRequired(); err != nil {
+		return Config{}, err
 	}
-	v, err := fastjson.ParseBytes(in.Settings)
-	if err != nil || v.Type() != fastjson.TypeObject {
+	value, err := fastjson.ParseBytes(file.Settings)
+	if err != nil || value.Type() != fastjson.TypeObject {
 		return Config{}, errors.New(`field "settings" is no object`)
 	}
-	c := Config{
-		Name: in.Name, Listen: in.Listen, Processor: in.Processor, ControlPlane: in.Control, Upstream: in.Backend,
-		StopTimeout: time.Duration(in.StopMS * float64(time.Millisecond)),
-		Limits:      Limits{Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets},
-		Settings:    settings.Map(v),
-	}
-	if in.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
+	cfg := Config{
+		Name:         file.Name,
+		Listen:       file.Listen,
+		Processor:    file.Processor,
+		ControlPlane: file.Control,
+		Upstream:     file.Backend,
+		StopTimeout:  time.Duration(file.StopMS * float64(time.Millisecond)),
+		Limits:       Limits{Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets},
+		Settings:     settings.Map(value),
+	}
+	if file.Seed != "" {
+		if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 			return Config{}, errors.New(`field "seed" is no hexadecimal number`)
 		}
 	}
-	if c.StopTimeout <= 0 {
-		c.StopTimeout = stopMissing
+	if cfg.StopTimeout <= 0 {
+		cfg.StopTimeout = defaultStopTimeout
 	}
-	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = 1024
+	if cfg.Limits.Sockets == 0 {
+		cfg.Limits.Sockets = defaultSockets
 	}
-	if c.Limits.Sockets < socketsLeast {
-		return Config{}, fmt.Errorf("limits: %d sockets are too few, %d at least", c.Limits.Sockets, socketsLeast)
+	if cfg.Limits.Sockets < socketsMin {
+		return Config{}, fmt.Errorf("limits: %d sockets are too few, %d at least", cfg.Limits.Sockets, socketsMin)
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// Apply sets the process's own limits. A program that embeds a backend among other things leaves it out.
+// checkRequired returns an error if a field is missing that has no default.
+func (f *configFile) checkRequired() error {
+	required := []struct{ name, value string }{
+		{"name", f.Name},
+		{"listen", f.Listen},
+		{"processor", f.Processor},
+		{"settings", string(f.Settings)},
+	}
+	for _, field := range required {
+		if field.value == "" || field.value == "null" {
+			return fmt.Errorf("field %q is missing", field.name)
+		}
+	}
+	return nil
+}
+
+// callsOverAJP reports whether calls go to AJP peers instead of the next tier's proxy.
+func (c *Config) callsOverAJP() bool { return len(c.AJPUpstream.Balancer.Peers) > 0 }
+
+// Apply sets the limits of the Go runtime: the number of threads that run Go code, and the memory that the garbage
+// collector aims at. A program that embeds a backend among other things leaves it out.
 func (l Limits) Apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * l.MemoryMB * (1 << 20)))
+		debug.SetMemoryLimit(int64(gcMemoryShare * l.MemoryMB * (1 << 20)))
 	}
 }
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -7,67 +7,84 @@
 	"time"
 )
 
-// Fifteen in the 3 s after which a silent backend leaves the list: datagrams are lost, and cost little.
-const reportEvery = 200 * time.Millisecond
+// reportInterval is how often the control plane is told of this backend. It drops a backend that was silent for 3 s, so
+// fifteen datagrams would have to be lost; each costs little.
+const reportInterval = 200 * time.Millisecond
 
-// controlReporter reports to the control plane. It hears nothing back, so its silence changes nothing.
+// controlReporter renews the lease of this backend at the control plane. It reads no replies, so a control plane that is
+// silent changes nothing.
 type controlReporter struct {
-	address string
-	c       net.Conn // nil while the system gives none, or without a control plane
-	next    time.Duration
-	said    bool // ready
-	buf     []byte
+	address   string
+	conn      net.Conn // nil without a control plane, and while the system gives no socket
+	nextAt    time.Duration
+	saidReady bool // in the last report
+	buf       []byte
 }
 
-// open reports to that address from now on; one that can't be an address changes nothing.
-func (l *controlReporter) open(address string) error {
+// open sends reports to that address from now on. An error for what can't be an address changes nothing.
+func (r *controlReporter) open(address string) error {
 	if address != "" {
 		if _, err := net.ResolveUDPAddr("udp", address); err != nil {
 			return err
 		}
 	}
-	l.close()
-	l.address, l.c, l.next = address, nil, 0
+	r.close()
+	r.address = address
+	r.conn = nil
+	r.nextAt = 0
 	return nil
 }
 
-func (l *controlReporter) close() {
-	if l.c != nil {
-		_ = l.c.Close()
+func (r *controlReporter) close() {
+	if r.conn != nil {
+		_ = r.conn.Close()
 	}
 }
 
-// report tells the control plane, in time and at once what has changed.
-func (l *controlReporter) report(b *Backend) {
-	if l.address == "" {
+// report tells the control plane whether this backend is ready, when that is due and as soon as it has changed.
+func (r *controlReporter) report(b *Backend) {
+	if r.address == "" {
 		return
 	}
-	if l.c == nil && b.now >= l.next {
-		c, err := net.Dial("udp", l.address)
-		if err != nil { // the system has none to give for a while
-			b.logLimited("control plane not reached", "why", err)
-			l.next = b.now + reportEvery
-		} else {
-			l.c = c
-		}
+	if r.conn == nil && b.now >= r.nextAt {
+		r.dial(b)
 	}
-	if l.c == nil {
-		b.wakeBy(l.next)
+	if r.conn == nil {
+		b.wakeBy(r.nextAt)
 		return
 	}
-	if ready := b.healthy && b.controller != nil; b.now >= l.next || ready != l.said {
-		l.next, l.said = b.now+reportEvery, ready
-		l.buf = control.AppendLease(l.buf[:0], b.cfg.Name, ready)
-		err := faultinject.Error(faultinject.Send)
-		if err == nil {
-			_, err = l.c.Write(l.buf)
-		}
-		if err != nil { // the answer to an earlier one, to which nobody listened: this one was not sent
-			_, err = l.c.Write(l.buf)
-		}
-		if err == nil {
-			b.stats.Reports++
-		}
+	ready := b.advice.healthy && b.controller != nil
+	if b.now >= r.nextAt || ready != r.saidReady {
+		r.nextAt = b.now + reportInterval
+		r.saidReady = ready
+		r.send(b)
+	}
+	b.wakeBy(r.nextAt)
+}
+
+// dial takes a socket. The system may have none to give for a while.
+func (r *controlReporter) dial(b *Backend) {
+	conn, err := net.Dial("udp", r.address)
+	if err != nil {
+		b.logLimited("control plane not reached", "why", err)
+		r.nextAt = b.now + reportInterval
+		return
+	}
+	r.conn = conn
+}
+
+// send sends one report. An error of the first write is the answer to an earlier report, to which nobody listened: this
+// one was not sent then.
+func (r *controlReporter) send(b *Backend) {
+	r.buf = control.AppendLease(r.buf[:0], b.cfg.Name, r.saidReady)
+	err := faultinject.Error(faultinject.Send)
+	if err == nil {
+		_, err = r.conn.Write(r.buf)
+	}
+	if err != nil {
+		_, err = r.conn.Write(r.buf)
+	}
+	if err == nil {
+		b.stats.Reports++
 	}
-	b.wakeBy(l.next)
 }
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -2,6 +2,7 @@
 
 import (
 	"frosthub/accounting"
+	"frosthub/internal/invariant"
 	"frosthub/internal/logthrottle"
 	"frosthub/lifecycle"
 	"log/slog"
@@ -9,77 +10,140 @@
 	"slices"
 )
 
-// Counters tell what a backend has taken in, sent and answered since its start.
+// Counters say what a backend has received, sent and answered since its start.
 type Counters struct {
-	Conns, ConnsRefused, ConnsClosed, ConnsTrimmed     int64
-	Checks, BadRequests, BadConns, Unanswered          int64
-	Begun, Stopped, Ended, Asked, TakenOver, HandedOff int64
-	Calls, CallsOK, CallsFailed                        int64
-	Links, LinksLost, Rejects, Remarks, Repeated       int64
-	Reports, Batches, Events, GaugesLate, Reloads      int64
-	Open, Pending                                      int64 // now: connections, reqs without their answer
-	Broken                                             int64 // invariants found broken
-	Violations                                         int64 // acts that a rule forbade, found at the moment of the act
-	Dropped                                            int64 // bytes of connections that were thrown away unread
-	Stalls                                             int64 // turns of the owner that came later than they were due, by stallTold or more
-	ClockSteps                                         int64 // steps of the time of day
-
-	Requests   accounting.Counts // over all lives that the figures file knows, of this process without one
-	Mismatches int64             // figures found that do not add up
-	Reasons    map[string]int64  // of the reqs that are closed, over the same lives
+	// Connections of clients.
+	Conns        int64 // accepted
+	ConnsRefused int64 // for which there was no room
+	ConnsClosed  int64
+	ConnsTrimmed int64 // closed here because they were idle
+	BadConns     int64 // cut because they did not keep to the protocol
+	Dropped      int64 // bytes that were discarded unread
+	Open         int64 // now: connections of all kinds
+
+	// Requests.
+	Checks      int64 // health checks
+	BadRequests int64 // rejected as malformed
+	Unanswered  int64 // whose client left without its answer
+	Pending     int64 // now: without their answer
+	TakenOver   int64 // from other nodes of the cluster
+	HandedOff   int64 // to other nodes of the cluster
+
+	// Runs.
+	Begun   int64
+	Stopped int64
+	Ended   int64
+
+	// Calls to the next tier.
+	Asked       int64 // that runs have asked for
+	Calls       int64 // that were made
+	CallsOK     int64
+	CallsFailed int64
+
+	// The link to the processor.
+	Links      int64 // connections made
+	LinksLost  int64
+	Rejects    int64 // commands that it rejected
+	Remarks    int64
+	Repeated   int64 // commands that were sent again after a break
+	GaugesLate int64 // timer events that did not get fresh gauges
+
+	// The owner.
+	Reports    int64 // to the control plane
+	Batches    int64 // handed to the overload controller
+	Events     int64 // in those
+	Reloads    int64 // of the configuration
+	Stalls     int64 // turns that came later than they were due, by stallMin or more
+	ClockSteps int64 // steps of the time of day
+	Broken     int64 // invariants found broken
+	Violations int64 // acts that a rule forbade at the moment of the act, and that were not done
+
+	// Accounts, over all processes that the statistics file knows; of this process alone without one.
+	Requests   accounting.Counts
+	Mismatches int64            // sums found not to add up
+	Reasons    map[string]int64 // of the requests that are closed
+}
+
+// Counters returns the counters. It may be called from any goroutine while Serve runs and after that.
+func (b *Backend) Counters() Counters {
+	var counters Counters
+	b.onOwner(func() { counters = b.counters() })
+	return counters
+}
+
+func (b *Backend) counters() Counters {
+	c := b.stats
+	if b.ledger != nil { // Serve has begun
+		c.Requests = b.ledger.Total()
+		c.Mismatches = b.ledger.Mismatches()
+		c.Reasons = reasonsOf(b.ledger)
+	}
+	c.ConnsRefused = b.connsRejected.Load()
+	c.Open = b.loop.Open.Load()
+	c.Dropped = b.loop.Discarded.Load()
+	c.Pending = int64(b.unanswered)
+	c.Broken = invariant.Broken()
+	return c
 }
 
-// LogValue prints the counters in groups.
+// LogValue returns the counters in groups, under the words that operators search for.
 func (c Counters) LogValue() slog.Value {
 	return slog.GroupValue(
-		slog.Group("conns", "taken", c.Conns, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed",
-			c.ConnsTrimmed, "bad", c.BadConns, "open", c.Open, "dropped_bytes", c.Dropped),
-		slog.Group("reqs", "taken", c.Requests.Received, "served", c.Requests.Served, "refused", c.Requests.Rejected, "failed",
-			c.Requests.Failed, "open", c.Requests.Open, "differs", c.Mismatches, "owed", c.Pending, "bad", c.BadRequests, "checks", c.Checks, "unanswered", c.Unanswered),
-		slog.Group("runs", "begun", c.Begun, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated, "taken", c.TakenOver, "handed", c.HandedOff),
+		slog.Group("conns", "taken", c.Conns, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed", c.ConnsTrimmed,
+			"bad", c.BadConns, "open", c.Open, "dropped_bytes", c.Dropped),
+		slog.Group("reqs", "taken", c.Requests.Received, "served", c.Requests.Served, "refused", c.Requests.Rejected,
+			"failed", c.Requests.Failed, "open", c.Requests.Open, "differs", c.Mismatches, "owed", c.Pending,
+			"bad", c.BadRequests, "checks", c.Checks, "unanswered", c.Unanswered),
+		slog.Group("runs", "begun", c.Begun, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated,
+			"taken", c.TakenOver, "handed", c.HandedOff),
 		slog.Group("calls", "asked", c.Asked, "made", c.Calls, "ok", c.CallsOK, "failed", c.CallsFailed),
 		slog.Group("link", "made", c.Links, "lost", c.LinksLost, "rejects", c.Rejects, "remarks", c.Remarks,
 			"gauges_late", c.GaugesLate),
-		slog.Int64("reports", c.Reports), slog.Int64("batches", c.Batches), slog.Int64("events", c.Events),
+		slog.Int64("reports", c.Reports),
+		slog.Int64("batches", c.Batches),
+		slog.Int64("events", c.Events),
 		slog.Int64("reloads", c.Reloads),
-		slog.Int64("stalls", c.Stalls), slog.Int64("clock_steps", c.ClockSteps),
-		slog.Int64("broken", c.Broken), slog.Int64("violations", c.Violations), slog.Any("reasons", c.reasons()))
+		slog.Int64("stalls", c.Stalls),
+		slog.Int64("clock_steps", c.ClockSteps),
+		slog.Int64("broken", c.Broken),
+		slog.Int64("violations", c.Violations),
+		slog.Any("reasons", c.reasons()))
 }
 
-// reasons lists why reqs were closed, in order of their words.
+// reasons returns why requests were closed, in the order of the words.
 func (c Counters) reasons() slog.Value {
-	var all []slog.Attr
-	for _, why := range slices.Sorted(maps.Keys(c.Reasons)) {
-		all = append(all, slog.Int64(why, c.Reasons[why]))
+	var attrs []slog.Attr
+	for _, reason := range slices.Sorted(maps.Keys(c.Reasons)) {
+		attrs = append(attrs, slog.Int64(reason, c.Reasons[reason]))
 	}
-	return slog.GroupValue(all...)
+	return slog.GroupValue(attrs...)
 }
 
-// reasonsOf adds up the reasons of all rows of a book.
-func reasonsOf(book *accounting.Ledger) map[string]int64 {
+// reasonsOf adds up the reasons of all rows of a ledger.
+func reasonsOf(ledger *accounting.Ledger) map[string]int64 {
 	sums := map[string]int64{}
-	for _, row := range book.Report(false).Rows {
-		for why, n := range row.Reasons {
-			sums[why] += n
+	for _, row := range ledger.Report(false).Rows {
+		for reason, n := range row.Reasons {
+			sums[reason] += n
 		}
 	}
 	return sums
 }
 
-// recordViolation counts and tells of an act that a rule forbids at this moment, and that was not done.
-func (b *Backend) recordViolation(act string, r *request, why lifecycle.Verdict) {
+// recordViolation counts and logs an act that a rule forbids at this moment. The caller leaves it undone.
+func (b *Backend) recordViolation(act string, r *request, verdict lifecycle.Verdict) {
 	b.stats.Violations++
-	b.log.Error("rule kept at the last moment", "act", act, "id", r.wireID, "why", why)
+	b.log.Error("rule kept at the last moment", "act", act, "id", r.wireID, "why", verdict)
 }
 
-// logLimited logs a trouble, at most once a second for each kind, with the number left out since.
+// logLimited logs a warning, at most once a second for each kind, with the number left out since the last one.
 func (b *Backend) logLimited(kind string, args ...any) {
-	line := b.logLimits[kind]
-	if line == nil {
-		line = &logthrottle.Limiter{}
-		b.logLimits[kind] = line
+	limiter := b.logLimits[kind]
+	if limiter == nil {
+		limiter = &logthrottle.Limiter{}
+		b.logLimits[kind] = limiter
 	}
-	leftOut, ok := line.Allow()
+	leftOut, ok := limiter.Allow()
 	if !ok {
 		return
 	}
@@ -89,7 +153,7 @@
 	b.log.Warn(kind, args...)
 }
 
-// parseLogged is a connection's Data that feeds a parser and logs what it can't follow as that kind of trouble.
+// parseLogged returns a function for a connection's OnData that feeds a parser, and logs the errors of that under kind.
 func (b *Backend) parseLogged(kind string, feed func([]byte) error) func([]byte) error {
 	return func(p []byte) error {
 		err := feed(p)
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -344,7 +344,7 @@
 			s.over()
 		}},
 		{"a deep check at the processor: answered in the closing", func(s *stage) {
-			s.turn(func() { s.b.shallowChecks = false })
+			s.turn(func() { s.b.advice.shallowChecks = false })
 			c := s.client()
 			c.sends(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
 			s.until(func() bool { return len(s.b.processor.trials) == 1 })
@@ -570,7 +570,7 @@
 	s.until(func() bool { return s.b.frontend.partialBytes == parts*1000 })
 	for range parts {
 		s.turn(func() {
-			s.b.now += wholeMost
+			s.b.now += partialTimeout
 			s.b.frontend.sweep()
 		})
 		if got := c.answer(); !strings.HasSuffix(got, " Status: 400 Bad Request") {
@@ -762,7 +762,7 @@
 	s.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	s.want(`tier: invoke 0000000000000001 "what"`)
 	release := s.holdOwner()
-	s.b.loop.Post(func() { s.b.frontend.takenBack(s.b.requests[1].client, 1) }) // as an abort that is read first
+	s.b.loop.Post(func() { s.b.frontend.abort(s.b.requests[1].client, 1) }) // as an abort that is read first
 	s.step([]string{"tier", "replies", "0000000000000001", "late"})
 	release()
 	s.until(func() bool { return s.b.upstream.inFlight() == 0 && s.b.upstream.connections() == 0 })
--- /dev/null
+++ b/backend/eviction.go
@@ -0,0 +1,105 @@
+package backend
+
+import (
+	"cmp"
+	"frosthub/accounting"
+	"slices"
+	"time"
+)
+
+// sweep closes connections that have been idle for too long, or the longest idle ones where places run short. It
+// rejects requests that take too long to come whole, and answers deep health checks that got no word.
+func (f *frontend) sweep() {
+	idleTimeout := min(idleMax, cmp.Or(f.backend.advice.idleTimeout, idleMax))
+	for client := range f.clients {
+		f.expireChecks(client, f.backend.now)
+		f.sweepConnection(client, idleTimeout)
+	}
+	f.evict()
+}
+
+func (f *frontend) sweepConnection(client *clientConn, idleTimeout time.Duration) {
+	b := f.backend
+	unused := b.now - client.lastUsed
+	partial, late := client.protocol.overdue(b.now - partialTimeout)
+	switch {
+	case client.broken:
+	case !client.hasSentRequest && b.now-client.acceptedAt >= partialTimeout:
+		f.cut(client, errIncomplete)
+	case late: // its other requests may be good
+		f.rejectMalformed(partial, f.openUnnamed(client), 0, accounting.Incomplete, errIncomplete.Error())
+		f.updatePartialBytes(client)
+	case !client.idle():
+	case client.conn.Closing():
+		if unused >= idleTimeout+partialTimeout { // part of a message keeps it from its end
+			f.cut(client, errIncomplete)
+		}
+	case unused >= idleTimeout:
+		b.stats.ConnsTrimmed++
+		client.conn.CloseGracefully(errIdle)
+	case !client.buffersReleased && unused >= idleBuffersMax:
+		client.buffersReleased = true
+		client.conn.ReleaseBuffers()
+	}
+}
+
+// evictionThreshold returns how many connections there may be before the longest idle ones are closed.
+func (f *frontend) evictionThreshold() int { return int(evictionShare * float64(f.connectionLimit())) }
+
+// evict closes the longest idle connections where there are more than there should be. It is called for each new
+// connection and not only by sweep: a flood of silent clients takes all places between two sweeps, and other clients
+// would find none.
+func (f *frontend) evict() {
+	var idle []*clientConn
+	excess := -f.evictionThreshold()
+	for client := range f.clients {
+		if client.conn.Closing() {
+			continue
+		}
+		excess++
+		if !client.broken && client.idle() {
+			idle = append(idle, client)
+		}
+	}
+	if excess <= 0 {
+		return
+	}
+	slices.SortFunc(idle, func(x, y *clientConn) int { return cmp.Compare(x.lastUsed, y.lastUsed) })
+	for _, client := range idle[:min(len(idle), excess)] {
+		f.backend.stats.ConnsTrimmed++
+		if !client.hasSentRequest && client.protocol.midMessage() { // a client that never sent a whole message would stay for seconds
+			f.stopReading(client)
+		}
+		client.conn.CloseGracefully(errEvicted)
+	}
+}
+
+// closeAll closes all connections, each as soon as nothing is open on it.
+func (f *frontend) closeAll() {
+	for client := range f.clients {
+		client.conn.CloseGracefully(errLeaving)
+	}
+}
+
+// endAll closes all connections like closeAll, and does not wait for the rest of what was partly read: requests are
+// rejected, and what is only part of a message is discarded.
+func (f *frontend) endAll() {
+	for client := range f.clients {
+		f.rejectPartials(client)
+		if !client.busy() && client.protocol.midMessage() {
+			f.stopReading(client)
+		}
+		client.conn.CloseGracefully(errLeaving)
+	}
+}
+
+// rejectPartials rejects all requests of a connection that are partly read.
+func (f *frontend) rejectPartials(client *clientConn) {
+	for {
+		partial, found := client.protocol.overdue(f.backend.now)
+		if !found {
+			return
+		}
+		f.rejectPartial(partial)
+	}
+}
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -3,56 +3,157 @@
 import (
 	"errors"
 	"frosthub/accounting"
-	"math"
+	"frosthub/internal/conn"
+	"slices"
+	"strings"
 	"time"
 )
 
+// How many connections of clients there may be.
 const (
-	sizeMost  = 2000.0                  // kilobytes booked for a req, by the protocol
-	costMost  = 10                      // client timeouts that a told cost may be: past it nothing could come of the req
-	startMost = math.MaxInt64 / 2 / 1e6 // milliseconds of a start that fit a span
-	trialWait = time.Second             // for a deep health check: edge nodes wait no longer
-	outMost   = 192 << 10               // bytes of answers that one edge node may leave: 32 of the longest are 140 KB
-	partShare = 0.15                    // of the memory limit, for reqs that are not yet whole
-	wholeMost = 2500 * time.Millisecond // from the connection, and from its begin, until a req is whole: 3 s are
-	// owed to those that never send one
-	idleMost  = 3 * time.Second        // between reqs: edge nodes close idle connections after some seconds, some never
-	restIdle  = 300 * time.Millisecond // idle for so long a connection keeps no memory
-	openUsual = 32                     // answers of a connection on their way: more were a burst
-	badMost   = 8                      // bad reqs of a connection since the last good one that was run: then it is to end
-	badCut    = 2 * badMost            // and then nothing more is read of it: it does not let it come to an end
+	reservedDescriptors = 16  // for the processor, reports, files and the runtime
+	evictionShare       = 0.8 // of the connections; beyond it the longest idle ones are closed early
 )
 
+// What the connections of clients may hold.
+const (
+	connUnsentMax   = 192 << 10 // bytes of answers that one client may leave: 32 of the longest are 140 KB
+	partialShare    = 0.15      // of the memory limit, for requests that are not yet whole
+	undeliveredKept = 32        // answers of one connection in flight; a longer list is let go once it is empty
+)
+
+// How long connections of clients may stay.
+const (
+	// partialTimeout is how long a connection may take until its first request, and a request from its begin, until it
+	// is whole. Clients may take 3 s.
+	partialTimeout = 2500 * time.Millisecond
+
+	idleMax          = 3 * time.Second        // between requests: some clients never close an idle connection
+	idleBuffersMax   = 300 * time.Millisecond // after that an idle connection keeps no buffers
+	deepCheckTimeout = time.Second            // for the processor's word: clients wait no longer for a health check
+)
+
+// Malformed requests of a connection since the last good one that was run.
+const (
+	malformedMax    = 8                // then the connection is closed once nothing is open there
+	malformedCutoff = 2 * malformedMax // then nothing more is read of it: it does not let itself be closed
+)
+
+// Why connections of clients are closed here.
 var (
-	errCrowded = errors.New("idle, and the place is needed")
-	errIdle    = errors.New("idle")
-	errLast    = errors.New("it was not to stay")
-	errLeaving = errors.New("the process ends")
-	errBad     = errors.New("it goes on with bad reqs")
-	errPart    = errors.New("a req does not come whole")
-	errParts   = errors.New("too much of reqs that are not whole")
+	errEvicted          = errors.New("idle, and the place is needed")
+	errIdle             = errors.New("idle")
+	errNotKept          = errors.New("it was not to stay")
+	errLeaving          = errors.New("the process ends")
+	errMalformed        = errors.New("it goes on with bad reqs")
+	errIncomplete       = errors.New("a req does not come whole")
+	errPartialsTooLarge = errors.New("too much of reqs that are not whole")
 )
 
-// frontend is the side of those that ask, whatever protocol they speak: what becomes of a req that was read, what is owed
-// to whom, and who is closed. It answers each req once, by the protocol of its connection.
+// frontend is the side of the clients, whatever protocol they speak: it takes requests that were read, answers each one
+// once, and decides which connections are closed. It belongs to the owner goroutine.
 type frontend struct {
 	backend      *Backend
 	clients      map[*clientConn]struct{}
-	partialBytes int // bytes of reqs that are not yet whole, of all
-	accepted     int // taken so far: they are numbered
+	partialBytes int // bytes of requests that are not yet whole, of all clients
+	accepted     int // connections accepted so far; they are numbered
 
-	cgi, http map[string][]field // what a name means: as CGI has it, as HTTP has it in lower case
+	// The meanings of header fields, by their names as CGI parameters and in lower case.
+	cgiFields  map[string][]requestField
+	httpFields map[string][]requestField
 }
 
-// protocol is what one way to ask has of its own: its parser, the slots of a connection, how an answer is cut.
+// protocol is what differs between the protocols of clients: the parser, the slots of a connection and the encoding of
+// responses. There is one for each connection.
 type protocol interface {
 	kind() accounting.Frontend
-	feed(p []byte) error // what was read; it calls back the door's request, bad and others
-	partialBytes() int   // bytes of reqs that are not whole
-	midMessage() bool    // part of a message was read
-	openSlots() int      // slots in use: reqs that are read, and those not yet answered
-	discardPartial()     // forget what is being read and is not whole
-
-	overdue(by time.Duration) (slot uint16, keep, any bool) // a req that was begun by then and is not whole
-	answer(b []byte, slot uint16, keep bool, a *reply) []byte
+
+	// feed parses input. It calls back the front end with each message that is complete.
+	feed(input []byte) error
+
+	partialBytes() int // held of requests that are not yet whole
+	midMessage() bool  // part of a message was read
+	openSlots() int    // in use: requests being read and requests without their answer
+	discardPartial()   // forgets what was read of requests that are not whole
+
+	// overdue returns a request that began by that time and is not whole yet, if there is one.
+	overdue(by time.Duration) (partial exchange, found bool)
+
+	appendResponse(buf []byte, slot uint16, keepOpen bool, r *response) []byte
+}
+
+// headerField is a header and its meaning.
+type headerField struct {
+	name  string
+	field requestField
+}
+
+func (f *frontend) init(b *Backend) {
+	f.backend = b
+	f.clients = map[*clientConn]struct{}{}
+	f.cgiFields = map[string][]requestField{"SCRIPT_NAME": {pathField}, "QUERY_STRING": {queryField}}
+	f.httpFields = map[string][]requestField{}
+	headers := append(slices.Clone(headerFields),
+		headerField{b.cfg.Accounting.CustomerField, customerField},
+		headerField{b.cfg.Idempotency.KeyField, keyField},
+		headerField{b.cfg.Idempotency.CreatedField, createdField})
+	for _, header := range headers {
+		if header.name == "" {
+			continue
+		}
+		cgiName := "HTTP_" + strings.ToUpper(strings.ReplaceAll(header.name, "-", "_"))
+		httpName := strings.ToLower(header.name)
+		f.cgiFields[cgiName] = append(f.cgiFields[cgiName], header.field)
+		f.httpFields[httpName] = append(f.httpFields[httpName], header.field)
+	}
+}
+
+// connectionLimit returns how many connections there may be in all when one more of a client is accepted. It leaves
+// room for those that calls need.
+func (f *frontend) connectionLimit() int {
+	return f.backend.cfg.Limits.Sockets - reservedDescriptors - f.backend.upstream.reservedConns()
+}
+
+// accept returns the function that takes the connections of clients which speak a protocol.
+func (f *frontend) accept(newProtocol func(*clientConn) protocol) func(*conn.Conn) {
+	return func(c *conn.Conn) { f.addConnection(c, newProtocol) }
+}
+
+// updatePartialBytes follows a change in what a connection holds of requests that are not whole.
+func (f *frontend) updatePartialBytes(client *clientConn) {
+	held := client.protocol.partialBytes()
+	f.partialBytes += held - client.partialBytes
+	client.partialBytes = held
+}
+
+// cut reads no more of a connection that does not keep to its protocol. What was read whole of it is still answered;
+// with nothing to answer the connection is aborted at once.
+func (f *frontend) cut(client *clientConn, reason error) {
+	f.backend.stats.BadConns++
+	f.backend.logLimited("bad connection", "from", "edge node", "why", reason)
+	f.stopReading(client)
+	if !client.busy() && client.conn.Unsent() == 0 {
+		client.conn.Abort(reason)
+		return
+	}
+	client.conn.CloseGracefully(reason)
+}
+
+// cutLargestPartial cuts the connection that holds most of requests that are not whole.
+func (f *frontend) cutLargestPartial() {
+	var largest *clientConn
+	for client := range f.clients {
+		if largest == nil || client.protocol.partialBytes() > largest.protocol.partialBytes() {
+			largest = client
+		}
+	}
+	f.cut(largest, errPartialsTooLarge)
+}
+
+// stopReading has nothing more be read of a connection.
+func (f *frontend) stopReading(client *clientConn) {
+	client.broken = true
+	client.conn.DiscardInput()
+	client.protocol.discardPartial()
+	f.updatePartialBytes(client)
 }
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -9,135 +9,159 @@
 	"time"
 )
 
-// AJPConfig says how front ends that speak AJP/1.3 are served. The zero value serves none.
+// AJPConfig says how clients that speak AJP/1.3 are served. The zero value serves none.
 type AJPConfig struct {
-	Listen    string // where they connect
-	Secret    string // that each req must bring; empty: none
-	MaxPacket int    // bytes of a packet at most, with its head; ajp.PacketUsual if 0
+	Listen    string // the address where they connect; empty for none
+	Secret    string // that each request must bring; empty for none
+	MaxPacket int    // bytes of a packet at most, with its header; 0 for ajp.PacketUsual
 }
 
-func (a AJPConfig) packet() int {
-	if a.MaxPacket == 0 {
+func (c AJPConfig) packet() int {
+	if c.MaxPacket == 0 {
 		return ajp.PacketUsual
 	}
-	return a.MaxPacket
+	return c.MaxPacket
 }
 
-var errShutdown = errors.New("it wants this backend to end")
+// errShutdownRequested is why a connection is cut whose client asks this backend to end: clients have no say in that.
+var errShutdownRequested = errors.New("it wants this backend to end")
 
-// ajpProtocol is a connection that speaks AJP: one req at a time, and no abort but its end.
+// ajpSlot is the one slot of an AJP connection.
+const ajpSlot = 1
+
+// ajpProtocol is a connection of a client that speaks AJP: one request at a time, and no abort but the end of the
+// connection.
 type ajpProtocol struct {
-	f     *frontend
-	e     *clientConn
-	p     *ajp.Server
-	begun time.Duration // of the req that is being read
-	part  bool          // one is
+	frontend  *frontend
+	client    *clientConn
+	server    *ajp.Server
+	inPartial bool          // part of a request was read
+	begunAt   time.Duration // when that request began
 }
 
-// ajpSlot is the one slot of a connection.
-const ajpSlot = 1
-
-func (f *frontend) ajp(e *clientConn) protocol {
-	return &ajpProtocol{f: f, e: e, p: ajp.NewServer(f.backend.cfg.AJP.packet())}
+func (f *frontend) ajp(client *clientConn) protocol {
+	return &ajpProtocol{frontend: f, client: client, server: ajp.NewServer(f.backend.cfg.AJP.packet())}
 }
 
-func (x *ajpProtocol) kind() accounting.Frontend { return accounting.AJP }
-func (x *ajpProtocol) partialBytes() int         { return x.p.Held() }
+func (p *ajpProtocol) kind() accounting.Frontend { return accounting.AJP }
+
+func (p *ajpProtocol) partialBytes() int { return p.server.Held() }
 
-func (x *ajpProtocol) midMessage() bool { return x.p.Part() }
+func (p *ajpProtocol) midMessage() bool { return p.server.Part() }
 
-func (x *ajpProtocol) discardPartial() {
-	if x.p.Part() {
-		x.p, x.part = ajp.NewServer(x.f.backend.cfg.AJP.packet()), false
+func (p *ajpProtocol) discardPartial() {
+	if p.server.Part() {
+		p.server = ajp.NewServer(p.frontend.backend.cfg.AJP.packet())
+		p.inPartial = false
 	}
 }
 
-func (x *ajpProtocol) openSlots() int {
-	if x.p.Open() {
+func (p *ajpProtocol) openSlots() int {
+	if p.server.Open() {
 		return 1
 	}
 	return 0
 }
 
-func (x *ajpProtocol) overdue(by time.Duration) (slot uint16, keep, any bool) {
-	if !x.part || x.begun > by {
-		return 0, false, false
+func (p *ajpProtocol) overdue(by time.Duration) (partial exchange, found bool) {
+	if !p.inPartial || p.begunAt > by {
+		return exchange{}, false
 	}
-	x.part = false
-	x.p.Refuse()
-	return ajpSlot, false, true
+	p.inPartial = false
+	p.server.Refuse()
+	return exchange{client: p.client, slot: ajpSlot}, true
 }
 
-func (x *ajpProtocol) feed(p []byte) error {
-	err := x.p.Feed(p, x.message)
-	if part := x.p.Part(); part != x.part {
-		x.part, x.begun = part, x.f.backend.now
+func (p *ajpProtocol) feed(input []byte) error {
+	err := p.server.Feed(input, p.message)
+	if inPartial := p.server.Part(); inPartial != p.inPartial {
+		p.inPartial = inPartial
+		p.begunAt = p.frontend.backend.now
 	}
 	return err
 }
 
-func (x *ajpProtocol) message(m ajp.Message) {
-	f, e := x.f, x.e
+// message takes one message of the parser.
+func (p *ajpProtocol) message(m ajp.Message) {
+	f, client := p.frontend, p.client
 	b := f.backend
-	if e.broken {
+	if client.broken {
 		return
 	}
-	e.lastUsed, e.hasSentRequest = b.now, true
+	client.lastUsed = b.now
+	client.hasSentRequest = true
 	switch m.Kind {
 	case ajp.CPing:
 		b.scratch = ajp.AppendCPong(b.scratch[:0])
-		e.conn.Write(b.scratch)
+		client.conn.Write(b.scratch)
 	case ajp.More:
 		b.scratch = ajp.AppendMore(b.scratch[:0], b.cfg.AJP.packet())
-		e.conn.Write(b.scratch)
-	case ajp.Shutdown: // a front end has no say in that
-		f.cut(e, errShutdown)
+		client.conn.Write(b.scratch)
+	case ajp.Shutdown:
+		f.cut(client, errShutdownRequested)
 	case ajp.Bad:
-		f.rejectMalformed(e, ajpSlot, false, f.nameless(e), 0, accounting.BadFields, "too large a body")
+		p.reject(accounting.BadFields, "too large a body")
 	case ajp.Request:
-		if own := b.cfg.AJP.Secret; own != "" && subtle.ConstantTimeCompare([]byte(own), m.Secret) != 1 {
-			f.rejectMalformed(e, ajpSlot, false, f.nameless(e), 0, accounting.BadSecret, "a wrong secret, or none")
-			return
-		}
-		a := f.newParsedRequest(e, ajpSlot, true, m.Body)
-		a.r.stickyRoute = string(m.Route)
-		a.set(pathField, m.Path)
-		a.set(queryField, m.Query)
-		var room [32]byte
-		m.Headers.Each(func(name, v []byte) { a.setAll(f.http[string(lower(room[:0], name))], v) })
-		f.handleRequest(a, true)
+		p.request(m)
 	}
 }
 
-// lower gives a name in lower case, in room where that is enough.
-func lower(room, name []byte) []byte {
+// request takes a request.
+func (p *ajpProtocol) request(m ajp.Message) {
+	f := p.frontend
+	secret := f.backend.cfg.AJP.Secret
+	if secret != "" && subtle.ConstantTimeCompare([]byte(secret), m.Secret) != 1 {
+		p.reject(accounting.BadSecret, "a wrong secret, or none")
+		return
+	}
+	parsed := f.newParsedRequest(exchange{client: p.client, slot: ajpSlot, keepOpen: true}, m.Body)
+	parsed.r.stickyRoute = string(m.Route)
+	parsed.set(pathField, m.Path)
+	parsed.set(queryField, m.Query)
+	var room [32]byte
+	m.Headers.Each(func(name, value []byte) {
+		parsed.setAll(f.httpFields[string(appendLower(room[:0], name))], value)
+	})
+	f.handleRequest(parsed, true)
+}
+
+// reject answers a request that can't be taken, and closes the connection.
+func (p *ajpProtocol) reject(reason accounting.Reason, problem string) {
+	x := exchange{client: p.client, slot: ajpSlot}
+	p.frontend.rejectMalformed(x, p.frontend.openUnnamed(p.client), 0, reason, problem)
+}
+
+// appendLower appends a name in lower case.
+func appendLower(buf, name []byte) []byte {
 	for _, c := range name {
 		if 'A' <= c && c <= 'Z' {
 			c += 'a' - 'A'
 		}
-		room = append(room, c)
+		buf = append(buf, c)
 	}
-	return room
+	return buf
 }
 
-func (x *ajpProtocol) answer(b []byte, _ uint16, keep bool, a *reply) []byte {
+func (p *ajpProtocol) appendResponse(buf []byte, _ uint16, keepOpen bool, r *response) []byte {
 	var room [5]ajp.Field
 	fields := room[:0]
-	if len(a.signal) > 0 {
-		fields = append(fields, ajp.Field{Name: "X-Load-Signal", Value: string(a.signal)})
+	if len(r.signal) > 0 {
+		fields = append(fields, ajp.Field{Name: "X-Load-Signal", Value: string(r.signal)})
 	}
-	if a.after > 0 {
-		ms := max(1, a.after.Milliseconds())
-		fields = append(fields, ajp.Field{Name: "Retry-After-Ms", Value: strconv.FormatInt(ms, 10)},
-			ajp.Field{Name: "Retry-After", Value: strconv.FormatInt((ms+999)/1000, 10)}) // never earlier
+	if r.retryAfter > 0 {
+		millis := retryAfterMillis(r)
+		seconds := (millis + 999) / 1000 // rounded up: never earlier
+		fields = append(fields,
+			ajp.Field{Name: "Retry-After-Ms", Value: strconv.FormatInt(millis, 10)},
+			ajp.Field{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)})
 	}
-	if a.dontRetry {
+	if r.dontRetry {
 		fields = append(fields, ajp.Field{Name: "X-Dont-Retry", Value: "1"})
 	}
-	fields = append(fields, ajp.Field{Name: "Content-Length", Value: strconv.Itoa(len(a.body))})
-	b = ajp.AppendHeaders(b, a.status, statusText[a.status], fields)
-	b = ajp.AppendBody(b, x.f.backend.cfg.AJP.packet(), a.body)
-	b = ajp.AppendEnd(b, keep)
-	x.p.Done()
-	return b
+	fields = append(fields, ajp.Field{Name: "Content-Length", Value: strconv.Itoa(len(r.body))})
+	buf = ajp.AppendHeaders(buf, r.status, statusText[r.status], fields)
+	buf = ajp.AppendBody(buf, p.frontend.backend.cfg.AJP.packet(), r.body)
+	buf = ajp.AppendEnd(buf, keepOpen)
+	p.server.Done()
+	return buf
 }
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -7,86 +7,113 @@
 	"time"
 )
 
-// fastcgiProtocol is a connection that speaks FastCGI: 32 slots, an abort for each.
+// fastcgiProtocol is a connection of a client that speaks FastCGI: many slots, each with an abort.
 type fastcgiProtocol struct {
-	f *frontend
-	e *clientConn
-	p fastcgi.Parser
+	frontend *frontend
+	client   *clientConn
+	parser   fastcgi.Parser
 }
 
-func (f *frontend) fastCGI(e *clientConn) protocol { return &fastcgiProtocol{f: f, e: e} }
+func (f *frontend) fastCGI(client *clientConn) protocol {
+	return &fastcgiProtocol{frontend: f, client: client}
+}
+
+func (p *fastcgiProtocol) kind() accounting.Frontend { return accounting.FastCGI }
+
+func (p *fastcgiProtocol) partialBytes() int { return p.parser.Held() }
+
+func (p *fastcgiProtocol) midMessage() bool { return p.parser.Mid() }
+
+func (p *fastcgiProtocol) openSlots() int { return p.parser.Open() }
 
-func (x *fastcgiProtocol) kind() accounting.Frontend { return accounting.FastCGI }
-func (x *fastcgiProtocol) partialBytes() int         { return x.p.Held() }
-func (x *fastcgiProtocol) openSlots() int            { return x.p.Open() }
-func (x *fastcgiProtocol) midMessage() bool          { return x.p.Mid() }
-func (x *fastcgiProtocol) discardPartial()           { x.p.Drop() }
+func (p *fastcgiProtocol) discardPartial() { p.parser.Drop() }
 
-func (x *fastcgiProtocol) overdue(by time.Duration) (slot uint16, keep, any bool) {
-	slot, keep = x.p.Late(by)
-	return slot, keep, slot > 0
+func (p *fastcgiProtocol) overdue(by time.Duration) (partial exchange, found bool) {
+	slot, keepOpen := p.parser.Late(by)
+	return exchange{client: p.client, slot: slot, keepOpen: keepOpen}, slot > 0
 }
 
-func (x *fastcgiProtocol) feed(p []byte) error {
-	x.p.Now = x.f.backend.now
-	return x.p.Feed(p, x.message)
+func (p *fastcgiProtocol) feed(input []byte) error {
+	p.parser.Now = p.frontend.backend.now
+	return p.parser.Feed(input, p.message)
 }
 
-func (x *fastcgiProtocol) message(m fastcgi.Message) {
-	f, e := x.f, x.e
-	b := f.backend
-	if e.broken {
+// message takes one message of the parser.
+func (p *fastcgiProtocol) message(m fastcgi.Message) {
+	f, client := p.frontend, p.client
+	if client.broken {
 		return
 	}
-	e.lastUsed, e.hasSentRequest = b.now, true
+	client.lastUsed = f.backend.now
+	client.hasSentRequest = true
+	x := exchange{client: client, slot: m.Slot, keepOpen: m.Keep}
 	switch m.Kind {
 	case fastcgi.Request:
-		a := f.newParsedRequest(e, m.Slot, m.Keep, m.Body)
-		whole := fastcgi.Each(m.Params, func(name, v []byte) { a.setAll(f.cgi[string(name)], v) })
-		f.handleRequest(a, whole)
+		parsed := f.newParsedRequest(x, m.Body)
+		complete := fastcgi.Each(m.Params, func(name, value []byte) { parsed.setAll(f.cgiFields[string(name)], value) })
+		f.handleRequest(parsed, complete)
 	case fastcgi.Bad:
-		f.rejectMalformed(e, m.Slot, false, f.nameless(e), 0, accounting.BadFields, "too large, or without its parameters")
+		x.keepOpen = false
+		f.rejectMalformed(x, f.openUnnamed(client), 0, accounting.BadFields, "too large, or without its parameters")
 	case fastcgi.Abort:
-		f.takenBack(e, m.Slot)
-		x.end(m.Slot, m.Keep, fastcgi.Complete)
+		f.abort(client, m.Slot)
+		p.endSlot(x, fastcgi.Complete)
 	case fastcgi.Refuse:
-		b.stats.BadRequests++
-		b.logLimited("bad req", "why", "role or number of open reqs", "status", m.Status)
-		t, why := f.nameless(e), accounting.UnsupportedRole
-		if m.Status == fastcgi.Overloaded {
-			why = accounting.TooManyOpen
-		}
-		x.end(m.Slot, m.Keep, m.Status)
-		f.trackDelivery(e, t, 0, why)
+		p.refuse(x, m.Status)
 	case fastcgi.Reply:
-		e.conn.Write(m.Body)
+		client.conn.Write(m.Body)
 	}
 }
 
-// end closes a slot without an answer.
-func (x *fastcgiProtocol) end(slot uint16, keep bool, status byte) {
-	x.f.backend.scratch = fastcgi.AppendEnd(x.f.backend.scratch[:0], slot, status)
-	x.p.Done(slot)
-	x.f.write(x.e, keep)
+// refuse ends a slot on which the parser takes no request: its role is not that of a responder, or too many are open.
+func (p *fastcgiProtocol) refuse(x exchange, status byte) {
+	f := p.frontend
+	f.backend.stats.BadRequests++
+	f.backend.logLimited("bad req", "why", "role or number of open reqs", "status", status)
+	ticket := f.openUnnamed(p.client)
+	reason := accounting.UnsupportedRole
+	if status == fastcgi.Overloaded {
+		reason = accounting.TooManyOpen
+	}
+	p.endSlot(x, status)
+	f.trackDelivery(p.client, ticket, 0, reason)
+}
+
+// endSlot ends a slot without an answer.
+func (p *fastcgiProtocol) endSlot(x exchange, status byte) {
+	b := p.frontend.backend
+	b.scratch = fastcgi.AppendEnd(b.scratch[:0], x.slot, status)
+	p.parser.Done(x.slot)
+	p.frontend.writeScratch(x)
 }
 
-func (x *fastcgiProtocol) answer(b []byte, slot uint16, _ bool, a *reply) []byte {
+func (p *fastcgiProtocol) appendResponse(buf []byte, slot uint16, _ bool, r *response) []byte {
 	var room [256]byte
-	head := strconv.AppendInt(append(room[:0], "Status: "...), int64(a.status), 10)
-	head = append(append(append(head, ' '), statusText[a.status]...), "\r\n"...)
-	if len(a.signal) > 0 {
-		head = append(append(append(head, "X-Load-Signal: "...), a.signal...), "\r\n"...)
+	content := append(room[:0], "Status: "...)
+	content = strconv.AppendInt(content, int64(r.status), 10)
+	content = append(content, ' ')
+	content = append(content, statusText[r.status]...)
+	content = append(content, "\r\n"...)
+	if len(r.signal) > 0 {
+		content = append(content, "X-Load-Signal: "...)
+		content = append(content, r.signal...)
+		content = append(content, "\r\n"...)
 	}
-	if a.after > 0 {
-		head = strconv.AppendInt(append(head, "Retry-After-Ms: "...), max(1, a.after.Milliseconds()), 10)
-		head = append(head, "\r\n"...)
+	if r.retryAfter > 0 {
+		content = append(content, "Retry-After-Ms: "...)
+		content = strconv.AppendInt(content, retryAfterMillis(r), 10)
+		content = append(content, "\r\n"...)
 	}
-	if a.dontRetry {
-		head = append(head, "X-Dont-Retry: 1\r\n"...)
+	if r.dontRetry {
+		content = append(content, "X-Dont-Retry: 1\r\n"...)
 	}
-	head = append(head, "\r\n"...)
-	b = fastcgi.AppendStdout(b, slot, append(head, a.body...))
-	b = fastcgi.AppendEnd(b, slot, fastcgi.Complete)
-	x.p.Done(slot)
-	return b
+	content = append(content, "\r\n"...)
+	content = append(content, r.body...)
+	buf = fastcgi.AppendStdout(buf, slot, content)
+	buf = fastcgi.AppendEnd(buf, slot, fastcgi.Complete)
+	p.parser.Done(slot)
+	return buf
 }
+
+// retryAfterMillis returns when to come back in whole milliseconds, at least one.
+func retryAfterMillis(r *response) int64 { return max(1, r.retryAfter.Milliseconds()) }
--- a/backend/main.go
+++ b/backend/main.go
@@ -14,91 +14,104 @@
 )
 
 const (
-	lastLines     = 50 * time.Millisecond  // for the log when the process ends: it may be held, and the kill is near
-	rereadEvery   = 200 * time.Millisecond // between tries to read a configuration that the disk did not give
-	rereadFor     = 30 * time.Second       // and for how long after SIGHUP
-	rereadAtStart = 10 * time.Second       // and at the start: a node has 30 s to be ready
+	logFlushTimeout = 50 * time.Millisecond // for the log when the process exits: its reader may stall, and the kill is near
+
+	// Retries to read a configuration file that is there and that the disk did not give.
+	configRetryInterval = 200 * time.Millisecond
+	configRetryTimeout  = 30 * time.Second // after SIGHUP
+	startRetryTimeout   = 10 * time.Second // at the start: a node has 30 s to be ready
 )
 
-// Main runs one backend as a process: configuration from the environment, log on standard error, SIGTERM to
-// leave, SIGHUP to read the configuration anew, SIGUSR1 to print the counters. The operator's settings are put in by set;
-// up starts what is served beside it, and gives what ends that.
-func Main(set func(*Config) error, up func(*Backend) (stop func(), err error)) error {
-	asked := make(chan os.Signal, 8)
-	signal.Notify(asked, syscall.SIGHUP, syscall.SIGUSR1) // before all else: unheeded they end the process
-	defer signal.Stop(asked)
+// Main runs one backend as a process, and returns when that may exit. It reads the platform's configuration, see Load,
+// and logs to standard error. SIGTERM and SIGINT drain the backend, SIGHUP has it read the configuration again, and
+// SIGUSR1 has it log its counters.
+//
+// Main calls configure to fill in the operator's part of each configuration that was read, and beside once with the
+// backend before it serves; the function that beside returns is called when the backend has ended.
+func Main(configure func(*Config) error, beside func(*Backend) (stop func(), err error)) error {
+	requests := make(chan os.Signal, 8)
+	signal.Notify(requests, syscall.SIGHUP, syscall.SIGUSR1) // first of all: unhandled they end the process
+	defer signal.Stop(requests)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // a second one changes nothing
 	defer stop()
-	cfg, err := loadAtStart(ctx, set)
+	cfg, err := loadAtStart(ctx, configure)
 	if err != nil {
 		return err
 	}
 	cfg.Limits.Apply()
-	signal.Ignore(syscall.SIGPIPE) // who reads the log may go: that ends nothing
+	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go: that ends nothing
 	lines := asynclog.New(os.Stderr)
-	defer lines.Flush(lastLines)
+	defer lines.Flush(logFlushTimeout)
 	log := slog.New(slog.NewTextHandler(lines, nil))
 	conn.Prepare(log)
 	b := New(cfg, log)
-	end, err := up(b)
+	stopBeside, err := beside(b)
 	if err != nil {
 		return err
 	}
-	defer end()
+	defer stopBeside()
 	done := make(chan struct{})
 	defer close(done)
-	go func() {
-		var again <-chan time.Time // the configuration could not be read, and is to be
-		var until time.Time
-		for {
-			select {
-			case s := <-asked:
-				if s == syscall.SIGUSR1 {
-					b.log.Info("counters", "counters", b.Counters())
-					continue
-				}
-				until = time.Now().Add(rereadFor)
-			case <-again:
-			case <-done:
-				return
-			}
-			again = nil
-			if b.reread(set) && time.Now().Before(until) {
-				again = time.After(rereadEvery)
+	go b.handleSignals(requests, done, configure)
+	return b.Serve(ctx)
+}
+
+// handleSignals carries out what signals ask for while the backend serves, until done is closed.
+func (b *Backend) handleSignals(requests <-chan os.Signal, done <-chan struct{}, configure func(*Config) error) {
+	var retry <-chan time.Time // the configuration file could not be read, and is to be
+	var retryUntil time.Time
+	for {
+		select {
+		case s := <-requests:
+			if s == syscall.SIGUSR1 {
+				b.log.Info("counters", "counters", b.Counters())
+				continue
 			}
+			retryUntil = time.Now().Add(configRetryTimeout)
+		case <-retry:
+		case <-done:
+			return
 		}
-	}()
-	return b.Serve(ctx)
+		retry = nil
+		if err := b.reloadFile(configure); isUnreadable(err) && time.Now().Before(retryUntil) {
+			retry = time.After(configRetryInterval)
+		}
+	}
 }
 
-// load reads the platform's configuration and puts the operator's in; unread tells that a file is there and the disk did not give it.
-func load(set func(*Config) error) (cfg Config, unread bool, err error) {
-	cfg, err = Load()
+// load reads the platform's configuration and has the operator's part filled in.
+func load(configure func(*Config) error) (Config, error) {
+	cfg, err := Load()
 	if err == nil {
-		err = set(&cfg)
+		err = configure(&cfg)
 	}
+	return cfg, err
+}
+
+// isUnreadable reports whether an error says that a file is there and the disk did not give it. That may pass.
+func isUnreadable(err error) bool {
 	var disk *fs.PathError
-	return cfg, errors.As(err, &disk) && !errors.Is(err, fs.ErrNotExist), err
+	return errors.As(err, &disk) && !errors.Is(err, fs.ErrNotExist)
 }
 
-// loadAtStart reads the configuration, for a while again where the disk does not give it.
-func loadAtStart(ctx context.Context, set func(*Config) error) (Config, error) {
-	for end := time.Now().Add(rereadAtStart); ; time.Sleep(rereadEvery) {
-		cfg, unread, err := load(set)
-		if !unread || ctx.Err() != nil || time.Now().After(end) {
+// loadAtStart reads the configuration, and retries for a while where the disk does not give it.
+func loadAtStart(ctx context.Context, configure func(*Config) error) (Config, error) {
+	for end := time.Now().Add(startRetryTimeout); ; time.Sleep(configRetryInterval) {
+		cfg, err := load(configure)
+		if !isUnreadable(err) || ctx.Err() != nil || time.Now().After(end) {
 			return cfg, err
 		}
 	}
 }
 
-// reread reads the configuration anew. One that can't be used changes nothing; it tells whether the file could not be read at all, as
-// where a disk fails for a while: the addresses of before may be gone for good, so it is tried again.
-func (b *Backend) reread(set func(*Config) error) (unread bool) {
-	cfg, unread, err := load(set)
+// reloadFile reads the configuration again and has the backend use it. One that can't be used changes nothing. An
+// unreadable one has to be tried again: the addresses that are in use may be gone for good.
+func (b *Backend) reloadFile(configure func(*Config) error) error {
+	cfg, err := load(configure)
 	if err != nil {
 		b.log.Error("configuration not taken", "why", err)
-		return unread
+		return err
 	}
 	b.Reload(cfg)
-	return false
+	return nil
 }
--- a/backend/request.go
+++ b/backend/request.go
@@ -2,196 +2,100 @@
 
 import (
 	"frosthub/accounting"
-	"frosthub/internal/invariant"
-	"frosthub/lifecycle"
 	"frosthub/overload"
-	"strconv"
 	"time"
 )
 
-// requestState is where a req is.
-type requestState uint8
-
-const (
-	stateUnverified requestState = iota // the processor is asked whether it knows it; the module has not heard of it
-	stateHeld
-	stateJoined         // waits for the result of another
-	stateAwaitingIntent // guarded, to be begun: waits until that is on the disk, or for another with its key
-	stateAwaitingResult // guarded, and ended: waits until its result is
-	stateRunning        // begun, or to be begun once the link stands
-	stateAwaitingCall   // its run waits for a call that is not made
-	stateCalling        // and for one that is
-)
-
-// request is one req from reading to the end of its run.
+// request is one request from the moment it was read until it is answered and its run has ended. It belongs to the
+// owner goroutine.
 type request struct {
 	id          uint64
-	wireID      string // the id as it came
-	handler     int
-	stickyRoute string // of the worker that its calls stick to; empty: any
+	wireID      string // the id as it was received
+	handler     int    // index in Backend.handlers
+	stickyRoute string // the worker that its calls stick to; empty for any
 	body        []byte
 	state       requestState
 
+	// Its client.
 	ticket   accounting.Ticket
-	client   *clientConn // who waits for the answer; nil once it is given or nobody does
-	slot     uint16
-	keepOpen bool
-
-	startSent, runHeard bool          // begin is written; something of the run was heard
-	confirmTag          uint64        // the last question for gauges before the last command: one answered later proves it arrived
-	cancelRequested     bool          // the run is to end
-	probeDue            time.Duration // after an interrupt: nothing heard until then may prove that it never ran
-	probeTag            uint64        // the question for gauges, asked after that, whose answer does; 0 before
-	callBody            []byte        // what the run asks of the next tier
-	callReply           []byte        // the reply, until more is heard of the run
-	callReplied         bool
-	call                *call
-	callFailed          bool // its last call failed
-	callOutcomeUnknown  bool // and may have had its effect
-
-	arrival   overload.Event // unverified: its arrival
+	client   *clientConn // who waits for the answer; nil once it is given or nobody waits
+	slot     uint16      // of the client's connection
+	keepOpen bool        // the connection stays open after the answer
+
+	// Its run.
+	startSent       bool          // the begin command is written
+	runHeard        bool          // something was heard of the run
+	confirmTag      uint64        // the last gauge query before the last command: an answer to a later one proves that it arrived
+	cancelRequested bool          // the run is to end
+	probeDue        time.Duration // after an interrupt: if nothing is heard until then, the run may be proved never to have been
+	probeTag        uint64        // the gauge query after that, whose answer proves it; 0 before
+
+	// The call of its run.
+	callBody           []byte // what the run asks of the next tier
+	callReply          []byte // the reply, until more is heard of the run
+	callReplied        bool
+	call               *call // in flight; nil for none
+	callFailed         bool  // the last one failed
+	callOutcomeUnknown bool  // it may have had its effect all the same
+
+	// Its arrival.
+	arrival   overload.Event // what the controller hears of it
 	readAt    time.Duration  // when it was read whole
 	arrivedAt time.Duration  // when it came to the machine
 	verified  bool           // the processor knows it
-	verifyTag uint64         // the question for gauges whose answer proves that it is known if it is not rejected
+	verifyTag uint64         // the gauge query whose answer proves that it is known, unless it is rejected before
 
 	guard     *guardState // nil where it may run twice
-	takenOver bool        // over from another box: nobody waits for it on a connection
-	accounted bool        // taken over, and its account is closed
+	takenOver bool        // from another node of the cluster: no client of this node waits for it
+	accounted bool        // it was taken over, and its account is closed
 
-	clientTimeout time.Duration // how long its caller waits from when it came, as told; 0 not told
+	clientTimeout time.Duration // how long its client waits from its arrival on, as told; 0 if not told
 	subject       cacheKey
-	originalID    uint64     // the remembered req that it repeats
+	originalID    uint64     // the remembered request that it repeats; 0 for none
 	followers     []*request // those that wait for its result
 }
 
+// requestTable holds all requests that are not answered or still run. It is not safe for concurrent use.
+type requestTable struct {
+	requests   map[uint64]*request // by id
+	unanswered int                 // those that a client waits for
+}
+
+// answered counts that a client no longer waits for a request: it has its answer, or has gone.
+func (t *requestTable) answered(r *request) {
+	t.unanswered--
+	r.client = nil
+}
+
+// hasClient reports whether a client of this node waits for the answer.
 func (b *Backend) hasClient(r *request) bool { return r.client != nil }
 
-// isWanted tells whether anybody waits for a req, here or elsewhere.
+// isWanted reports whether anybody waits for a request, here or at another node.
 func (b *Backend) isWanted(r *request) bool { return b.hasClient(r) || r.takenOver }
 
-// apply carries out one action of the module.
-func (b *Backend) apply(a *overload.Action) {
-	switch a.Kind {
-	case overload.Health:
-		b.healthy, b.shallowChecks = a.Healthy, a.Shallow
-		return
-	case overload.Signal:
-		b.signal = strconv.AppendFloat(b.signal[:0], a.Value, 'f', 4, 64)
-		return
-	case overload.Wake:
-		b.controllerWake = a.At
-		b.wakeBy(a.At)
-		return
-	case overload.CloseIdle:
-		b.idleTimeout = a.Duration
-		return
-	case overload.Forget: // also of a req that has ended
-		if e := b.results.byID[a.ID]; e != nil && !e.runsOnce { // what must run once goes as it never ran: by its end
-			b.results.drop(e)
-		}
-		return
-	}
-	r := b.requests[a.ID]
-	if r == nil {
-		return // it ended in the same batch
-	}
-	switch a.Kind {
-	case overload.Start:
-		if !invariant.Check(r.state == stateHeld && b.isWanted(r), "what is run is held") {
-			return
-		}
-		if v := b.process.Start(r.readAt); v != lifecycle.Allowed && !r.takenOver {
-			b.recordViolation("start", r, v)
-			b.runEnded(r, overload.NeverRan, accounting.NotReady, 0, nil)
-			return
-		}
-		if r.guard != nil {
-			b.guard.requestStart(r)
-			return
-		}
-		b.startRun(r)
-	case overload.Cancel:
-		switch {
-		case r.state >= stateRunning:
-			b.stats.Stopped++
-			b.processor.cancel(r)
-		case r.state == stateAwaitingIntent:
-			b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
-		}
-	case overload.Reject:
-		if r.takenOver {
-			b.cluster.settled(r, accounting.Shed)
-			b.releaseUnstarted(r)
-			return
-		}
-		if b.process.Phase() > lifecycle.Serving && b.cluster.handOff(r) {
-			return
-		}
-		if invariant.Check(r.state == stateHeld, "what is shed never ran") {
-			b.frontend.shed(r, a.RetryAfter, a.NoRetry)
-		} else {
-			b.frontend.failed(r, accounting.Cancelled)
-		}
-		b.finishAnswered(r)
-	case overload.Fail:
-		if b.hasClient(r) {
-			why := accounting.Cancelled
-			if r.state == stateAwaitingCall && r.callFailed {
-				why = accounting.CallFailed
-			}
-			b.frontend.failed(r, why)
-			b.finishAnswered(r)
-		} else if r.takenOver && r.state < stateAwaitingIntent {
-			b.cluster.settled(r, accounting.Cancelled)
-			b.releaseUnstarted(r)
-		} else if r.state >= stateAwaitingCall {
-			b.cancelRun(r) // nobody waits, but the run does
-		}
-	case overload.Remember:
-		b.results.remember(r, a.Duration)
-	case overload.Coalesce:
-		switch {
-		case !invariant.Check(r.state == stateHeld && b.isWanted(r) && r.originalID != 0, "what joins is a held repeat"):
-		case r.guard != nil && !r.guard.replayable:
-			b.guard.join(r)
-		default:
-			b.results.join(r)
-		}
-	case overload.Call:
-		if r.state == stateAwaitingCall {
-			b.call(r, a.Duration)
-		}
-	default:
-		invariant.Check(false, "an action that this protocol has no message for")
-	}
-}
-
-// admit hands a req to the module.
+// admit hands a request to the controller, unless it can be answered without.
 func (b *Backend) admit(r *request) {
-	r.state = stateHeld
+	r.hold()
 	r.arrival.Delay += b.now - r.readAt
 	if r.guard != nil {
 		r.guard.askedAt = b.now
-		if !b.guard.admit(r) {
-			return
-		}
-	} else {
-		switch why := b.results.lookup(r); why {
-		case accounting.None:
-		case accounting.UnknownRequest:
-			b.frontend.unknown(r)
-			return
-		default:
-			b.frontend.declined(r, why)
-			b.finishAnswered(r)
-			return
+		if b.guard.admit(r) {
+			b.submitArrival(r)
 		}
+		return
+	}
+	switch reason := b.results.lookup(r); reason {
+	case accounting.None:
+		b.submitArrival(r)
+	case accounting.UnknownRequest:
+		b.frontend.unknown(r)
+	default:
+		b.frontend.declined(r, reason)
+		b.finishAnswered(r)
 	}
-	b.submitArrival(r)
 }
 
-// submitArrival has the module hear of a req.
+// submitArrival adds the event by which the controller hears of a request.
 func (b *Backend) submitArrival(r *request) {
 	if r.clientTimeout > 0 {
 		r.arrival.Remaining = max(time.Millisecond, r.clientTimeout-r.arrival.Delay)
@@ -199,36 +103,34 @@
 	b.events = append(b.events, r.arrival)
 }
 
-// startRun has the processor run a req.
+// startRun has the processor run a request.
 func (b *Backend) startRun(r *request) {
-	r.state = stateRunning
+	r.run()
 	b.stats.Begun++
 	b.processor.start(r)
 }
 
-// finishAnswered follows the final answer of a req.
+// finishAnswered follows the final answer of a request. Its run may go on.
 func (b *Backend) finishAnswered(r *request) {
-	b.unanswered--
-	r.client = nil
+	b.answered(r)
 	b.releaseUnstarted(r)
 }
 
-// clientGone follows the edge node's word that it no longer waits, or (BrokenOff) the end of its connection.
-func (b *Backend) clientGone(r *request, how overload.Outcome) {
-	b.unanswered--
-	why := accounting.Aborted
-	if how == overload.BrokenOff {
-		why = accounting.ConnectionLost
+// clientGone follows the client's abort, or with overload.BrokenOff the end of its connection.
+func (b *Backend) clientGone(r *request, outcome overload.Outcome) {
+	reason := accounting.Aborted
+	if outcome == overload.BrokenOff {
+		reason = accounting.ConnectionLost
 	}
-	b.ledger.Close(b.wall, r.ticket, why)
-	r.client = nil
+	b.ledger.Close(b.wall, r.ticket, reason)
+	b.answered(r)
 	if r.state != stateUnverified && r.state != stateAwaitingResult {
-		b.events = append(b.events, overload.Event{Kind: overload.ClientGone, ID: r.id, Outcome: how})
+		b.events = append(b.events, overload.Event{Kind: overload.ClientGone, ID: r.id, Outcome: outcome})
 	}
 	b.releaseUnstarted(r)
 }
 
-// releaseUnstarted lets go of a req that never ran, and ends a run that stands at a call: as the simulator does.
+// releaseUnstarted lets go of a request that never ran, and cancels a run that waits for a call, as the simulator does.
 func (b *Backend) releaseUnstarted(r *request) {
 	switch r.state {
 	case stateUnverified, stateHeld, stateJoined:
@@ -240,43 +142,45 @@
 	}
 }
 
+// cancelRun gives up the call of a run and interrupts the run.
 func (b *Backend) cancelRun(r *request) {
 	b.upstream.cancel(r)
 	b.processor.cancel(r)
 }
 
-// runEnded follows the end of a run, why says how it is accounted for; body is the result.
-func (b *Backend) runEnded(r *request, how overload.Outcome, why accounting.Reason, took time.Duration, body []byte) {
-	if r.state >= stateRunning {
+// runEnded follows the end of a run: outcome is how it ended, reason how it is accounted for, took how long it ran.
+// The answer of a guarded request waits until its result is durable.
+func (b *Backend) runEnded(r *request, outcome overload.Outcome, reason accounting.Reason, took time.Duration, result []byte) {
+	if r.state.started() {
 		b.stats.Ended++
 	}
-	waits := r.guard != nil && b.guard.writes(r, how, why, body) // until its result is on the disk
+	awaitsDisk := r.guard != nil && b.guard.writes(r, outcome, reason, result)
 	b.upstream.cancel(r)
 	if r.probeDue > 0 {
 		b.processor.probes--
-		r.probeTag, r.probeDue = 0, 0
+		r.probeTag = 0
+		r.probeDue = 0
 	}
-	b.events = append(b.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: how, Took: took})
-	if waits {
+	b.events = append(b.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: outcome, Took: took})
+	if awaitsDisk {
 		return
 	}
 	if b.hasClient(r) {
-		if how == overload.OK {
-			b.frontend.succeeded(r, why, body)
+		if outcome == overload.OK {
+			b.frontend.succeeded(r, reason, result)
 		} else {
-			b.frontend.declined(r, why)
+			b.frontend.declined(r, reason)
 		}
-		b.unanswered--
-		r.client = nil
+		b.answered(r)
 	}
-	b.cluster.settled(r, why)
+	b.cluster.settled(r, reason)
 	delete(b.requests, r.id)
-	b.results.ended(r, how, r.startSent && why != accounting.NeverRan, body)
+	b.results.ended(r, outcome, r.startSent && reason != accounting.NeverRan, result)
 }
 
-// reasonOf says how the end of a run is accounted for.
-func reasonOf(how overload.Outcome) accounting.Reason {
-	switch how {
+// reasonOf returns how the end of a run is accounted for.
+func reasonOf(outcome overload.Outcome) accounting.Reason {
+	switch outcome {
 	case overload.OK:
 		return accounting.Completed
 	case overload.Stopped:
--- /dev/null
+++ b/backend/request_fields.go
@@ -0,0 +1,163 @@
+package backend
+
+import (
+	"frosthub/accounting"
+	"frosthub/internal/lineproto"
+	"frosthub/overload"
+	"math"
+	"strconv"
+	"time"
+)
+
+// Bounds of what requests may say of themselves.
+const (
+	memoryMax     = 2000.0                  // kilobytes booked for a request, by the protocol
+	costMaxFactor = 10                      // client timeouts that a stated cost may be: nothing could come of a longer run
+	startMax      = math.MaxInt64 / 2 / 1e6 // milliseconds since 1970 that fit a time.Duration
+	stampMax      = math.MaxInt64 / 2       // of any time that is told in milliseconds
+	millisMax     = 1e9                     // milliseconds of a cost or a timeout
+)
+
+// requestField is a field that a request may have, whatever its protocol calls it.
+type requestField uint8
+
+const (
+	pathField requestField = iota
+	queryField
+	idField
+	startField
+	callerField
+	costField
+	memoryField
+	rankField
+	objectField
+	customerField // the customer by which requests are accounted for
+	keyField      // what names a request that must not run twice
+	createdField  // when the request was first made
+	idempotencyKeyField
+	tenantField // the customer whose quota the request counts against
+	timeoutField
+)
+
+// headerFields are the fields with the headers that the deployment defines. Operators name others for customerField,
+// keyField and createdField.
+var headerFields = []headerField{
+	{"X-Request-Id", idField},
+	{"X-Request-Start", startField},
+	{"X-Caller", callerField},
+	{"X-Cost-Ms", costField},
+	{"X-Memory-Kb", memoryField},
+	{"X-Rank", rankField},
+	{"X-Object", objectField},
+	{"Idempotency-Key", idempotencyKeyField},
+	{"X-Tenant", tenantField},
+	{"X-Timeout-Ms", timeoutField},
+}
+
+// parsedRequest is a request whose fields are being read.
+type parsedRequest struct {
+	b        *Backend
+	r        *request
+	arrival  overload.Event // what the controller is to hear of it
+	path     string
+	query    string
+	start    float64 // Unix milliseconds
+	hasStart bool
+	customer accounting.CustomerName
+	tenant   string
+	once     string // its idempotency key
+	problem  string // what is wrong with a field; empty for nothing
+
+	// Both are read only where something must not run twice.
+	owner []byte // the customer's name in full
+	key   []byte // the field that names what must not run twice
+
+	made float64 // when it was first made, in Unix milliseconds; 0 if not told
+}
+
+func (f *frontend) newParsedRequest(x exchange, body []byte) *parsedRequest {
+	return &parsedRequest{
+		b:       f.backend,
+		r:       &request{client: x.client, slot: x.slot, keepOpen: x.keepOpen, body: body},
+		arrival: overload.Event{Kind: overload.Arrived},
+	}
+}
+
+// setAll takes a field in each of its meanings.
+func (p *parsedRequest) setAll(fields []requestField, value []byte) {
+	for _, field := range fields {
+		p.set(field, value)
+	}
+}
+
+// set takes a field. What is wrong with it is noted in problem.
+func (p *parsedRequest) set(field requestField, value []byte) {
+	switch field {
+	case pathField:
+		p.path = string(value)
+	case queryField:
+		p.query = string(value)
+	case idField:
+		p.r.wireID = string(value)
+		p.r.id, _ = lineproto.ID(value)
+	case startField:
+		p.start = p.number(value, stampMax)
+		p.hasStart = true
+	case callerField:
+		p.setCaller(value)
+	case costField:
+		p.arrival.Hint = p.milliseconds(value)
+	case memoryField:
+		p.arrival.Size = p.number(value, memoryMax)
+	case rankField:
+		p.arrival.ValueRank = p.number(value, 1)
+	case objectField:
+		p.arrival.Subject = string(value)
+	case customerField:
+		p.setCustomer(value)
+	case keyField:
+		p.key = append(p.key[:0], value...)
+	case createdField:
+		p.made = p.number(value, stampMax)
+	case idempotencyKeyField:
+		p.once = string(value)
+	case tenantField:
+		p.tenant = string(value)
+	case timeoutField:
+		p.r.clientTimeout = p.milliseconds(value)
+	}
+}
+
+const notANumber = "a field is no number in its range"
+
+// number reads a number from 0 to limit.
+func (p *parsedRequest) number(value []byte, limit float64) float64 {
+	n, err := strconv.ParseFloat(string(value), 64)
+	if err != nil || !(n >= 0 && n <= limit) {
+		p.problem = notANumber
+	}
+	return n
+}
+
+func (p *parsedRequest) milliseconds(value []byte) time.Duration {
+	return time.Duration(p.number(value, millisMax) * float64(time.Millisecond))
+}
+
+// setCaller takes the number of the calling front end, which is the customer too where no header names one.
+func (p *parsedRequest) setCaller(value []byte) {
+	n := p.number(value, math.MaxInt32)
+	p.arrival.Caller = int(n)
+	if float64(p.arrival.Caller) != n {
+		p.problem = notANumber
+	}
+	if p.b.cfg.Accounting.CustomerField == "" {
+		p.setCustomer(value)
+	}
+}
+
+func (p *parsedRequest) setCustomer(value []byte) {
+	p.customer = accounting.NewCustomerName(value)
+	if p.b.guard.enabled() {
+		p.owner = append(p.owner[:0], value...)
+	}
+}
--- /dev/null
+++ b/backend/request_intake.go
@@ -0,0 +1,154 @@
+package backend
+
+import (
+	"frosthub/accounting"
+	"frosthub/lifecycle"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Paths that clients ask for.
+const (
+	healthPath   = "/_health"
+	invokePrefix = "/invoke/" // followed by the name of a handler
+)
+
+// handleRequest takes a request whose fields were read: all of them if complete, else its parameters were cut short.
+func (f *frontend) handleRequest(p *parsedRequest, complete bool) {
+	b, r := f.backend, p.r
+	client := r.client
+	if complete && p.path == healthPath {
+		f.healthCheck(r.exchange(), p.query)
+		return
+	}
+	name, isInvoke := strings.CutPrefix(p.path, invokePrefix)
+	r.handler = b.handlerOf(name)
+	known := isInvoke && r.handler >= 0
+	reason, problem := f.validate(p, complete, known)
+	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(r.handler), client.protocol.kind(), p.customer)
+	if problem != "" {
+		f.rejectMalformed(r.exchange(), r.ticket, r.id, reason, problem)
+		return
+	}
+	start := time.Duration(p.start * float64(time.Millisecond))
+	queueDelay := b.arrivals.QueueDelay(start, client.verified || !b.canCancel)
+	if reason := f.refuse(r, queueDelay); reason != accounting.None {
+		f.answer(r.exchange(), f.rejection())
+		f.trackDelivery(client, r.ticket, r.id, reason)
+		return
+	}
+	p.arrival.ID = r.id
+	p.arrival.Handler = r.handler
+	p.arrival.Delay = queueDelay
+	p.arrival.Customer = slices.Index(b.customers, p.tenant)
+	r.subject = b.results.subjectOf(r, p.arrival.Subject, p.tenant, p.once)
+	r.arrival = p.arrival
+	r.readAt = b.now
+	r.arrivedAt = b.now - queueDelay
+	r.guard = b.guard.guards(p)
+	b.requests[r.id] = r
+	b.unanswered++
+	client.requests[r.slot] = r
+	verified := client.verified && b.results.repeats(r) == nil
+	if verified || !b.processor.identify(r) {
+		b.admit(r)
+	}
+}
+
+// validate checks the fields of a request. It returns an empty problem if they are good. The first problem found
+// counts; the order of the checks decides how the request is accounted for.
+func (f *frontend) validate(p *parsedRequest, complete, known bool) (reason accounting.Reason, problem string) {
+	b, r, arrival := f.backend, p.r, &p.arrival
+	reason = accounting.BadFields
+	switch {
+	case !complete:
+		problem = "parameters cut short"
+	case !known:
+		reason = accounting.UnknownHandler
+		problem = "unknown handler"
+	case p.problem != "":
+		problem = p.problem
+	case r.id == 0:
+		problem = "no id of 16 hex digits"
+	case !p.hasStart || arrival.Size == 0:
+		problem = "start or memory is missing"
+	case !b.guard.named(p):
+		problem = "no key, and it must not run twice"
+	case arrival.ValueRank == 1 || arrival.Size == memoryMax || p.start > startMax ||
+		arrival.Hint > costMaxFactor*b.handlers[r.handler].timeout:
+		problem = "a field is out of its range"
+	case b.requests[r.id] != nil:
+		problem = "an id that is in use"
+	}
+	return reason, problem
+}
+
+// refuse returns why a good request is rejected without the overload controller, accounting.None if it is not. One that
+// has waited for longer than its client does would tell the controller of a stall that is none.
+func (f *frontend) refuse(r *request, queueDelay time.Duration) accounting.Reason {
+	b := f.backend
+	switch {
+	case b.controller == nil || b.process.Accept() != lifecycle.Allowed:
+		return accounting.NotReady
+	case queueDelay > b.handlers[r.handler].timeout:
+		return accounting.Expired
+	case r.clientTimeout > 0 && queueDelay > r.clientTimeout:
+		return accounting.Expired
+	}
+	return accounting.None
+}
+
+// rejectMalformed answers a request that can't be taken. A client that goes on with such requests has its connection
+// closed.
+func (f *frontend) rejectMalformed(x exchange, ticket accounting.Ticket, id uint64, reason accounting.Reason, problem string) {
+	f.backend.stats.BadRequests++
+	f.backend.logLimited("bad req", "why", problem)
+	client := x.client
+	client.badRequests++
+	status := 400
+	switch reason {
+	case accounting.UnknownHandler:
+		status = 404
+	case accounting.BadSecret:
+		status = 403
+	}
+	x.keepOpen = x.keepOpen && client.badRequests < malformedMax
+	f.answer(x, &response{status: status})
+	f.trackDelivery(client, ticket, id, reason)
+	if client.badRequests >= malformedCutoff && !client.broken {
+		f.cut(client, errMalformed)
+	}
+}
+
+// rejectPartial answers a request that is partly read: nothing of it will run.
+func (f *frontend) rejectPartial(partial exchange) {
+	ticket := f.openUnnamed(partial.client)
+	f.answer(partial, f.rejection())
+	f.trackDelivery(partial.client, ticket, 0, accounting.NotReady)
+	f.updatePartialBytes(partial.client)
+}
+
+// openUnnamed opens the account of a request of which neither id nor handler is known.
+func (f *frontend) openUnnamed(client *clientConn) accounting.Ticket {
+	return f.backend.ledger.Open(f.backend.wall, 0, 0, client.protocol.kind(), accounting.CustomerName{})
+}
+
+// abort follows a client's word that it no longer waits for what it sent on a slot.
+func (f *frontend) abort(client *clientConn, slot uint16) {
+	if r := client.requests[slot]; r != nil {
+		delete(client.requests, slot)
+		f.backend.clientGone(r, 0)
+	}
+	delete(client.checks, slot)
+}
+
+// unknown follows the processor's word that it knows no such request. Nobody sent it one, so the client is none of
+// those that the deployment has.
+func (f *frontend) unknown(r *request) {
+	delete(r.client.requests, r.slot)
+	x := r.exchange()
+	x.keepOpen = false
+	f.rejectMalformed(x, r.ticket, r.id, accounting.UnknownRequest, "no req of this machine")
+	f.backend.finishAnswered(r)
+}
