--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -6,8 +6,9 @@
 	"errors"
 	"frosthub/failover"
 	"frosthub/idempotency"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
 	"frosthub/internal/peerproto"
-	"frosthub/internal/stand"
 	"frosthub/internal/wal"
 	"frosthub/membership"
 	"frosthub/recovery"
@@ -76,7 +77,7 @@
 // TestStrangers: who is not of the cluster, does not say who it is, or sends noise is closed, whatever it asks for; ballots of boxes that
 // nobody knows do no harm.
 func TestStrangers(t *testing.T) {
-	disk := stand.NewDisk()
+	disk := fake.NewDisk()
 	if err := wal.Init(disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +86,7 @@
 	var address [2]string
 	for i := range address {
 		var err error
-		if address[i], err = stand.FreeAddress(); err != nil {
+		if address[i], err = harness.FreeAddress(); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -6,7 +6,7 @@
 	"errors"
 	"fmt"
 	"frosthub/accounting"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
 	"frosthub/lifecycle"
 	"frosthub/overload"
 	"io"
@@ -565,7 +565,7 @@
 	s.served(c, 20)
 	const parts = 4
 	for slot := range uint16(parts) {
-		c.sends(stand.Record(1, slot+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + stand.Record(4, slot+1, strings.Repeat("x", 1000)))
+		c.sends(fake.FastCGIRecord(1, slot+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + fake.FastCGIRecord(4, slot+1, strings.Repeat("x", 1000)))
 	}
 	s.until(func() bool { return s.b.frontend.partialBytes == parts*1000 })
 	for range parts {
@@ -695,18 +695,20 @@
 	t.Parallel()
 	params := func(slot uint16, text string, step int) (out string) {
 		for i := 0; i < len(text); i += step {
-			out += stand.Record(4, slot, text[i:min(len(text), i+step)])
+			out += fake.FastCGIRecord(4, slot, text[i:min(len(text), i+step)])
 		}
-		return out + stand.Record(4, slot, "")
+		return out + fake.FastCGIRecord(4, slot, "")
 	}
 	text := func(slot uint16) (out string) {
 		for k, v := range usual(slot, nil) {
-			out += stand.Pair(k, v)
+			out += fake.FastCGIPair(k, v)
 		}
 		return out
 	}
-	begin := func(slot uint16) string { return stand.Record(1, slot, "\x00\x01\x01\x00\x00\x00\x00\x00") }
-	body := func(slot uint16, text string) string { return stand.Record(5, slot, text) + stand.Record(5, slot, "") }
+	begin := func(slot uint16) string { return fake.FastCGIRecord(1, slot, "\x00\x01\x01\x00\x00\x00\x00\x00") }
+	body := func(slot uint16, text string) string {
+		return fake.FastCGIRecord(5, slot, text) + fake.FastCGIRecord(5, slot, "")
+	}
 	a, b := text(3), text(4)
 	forms := []struct {
 		name, in string
@@ -715,12 +717,12 @@
 	}{
 		{"in one piece", fastcgiRequest(2, nil), []uint16{2}, 0},
 		{"parameters of one byte a record", begin(3) + params(3, a, 1) + body(3, "x"), []uint16{3}, 0},
-		{"two reqs whose records alternate", begin(3) + begin(4) + stand.Record(4, 3, a) + stand.Record(4, 4, b) + stand.Record(4, 3, "") +
-			stand.Record(4, 4, "") + stand.Record(5, 4, "y") + stand.Record(5, 3, "x") + stand.Record(5, 4, "") + stand.Record(5, 3, ""), []uint16{3, 4}, 0},
-		{"a question for values and an unknown type between", begin(3) + stand.Record(9, 0, "\x0f\x00FCGI_MPXS_CONNS") + params(3, a, 100) +
-			stand.Record(77, 0, "what") + body(3, "x"), []uint16{3}, 2},
-		{"records of slots that never began, and an end of its own", stand.Record(2, 9, "") + stand.Record(5, 9, "z") + stand.Record(4, 9, "z") +
-			stand.Record(3, 9, "\x00\x00\x00\x00\x00\x00\x00\x00") + stand.Record(8, 9, "z") + fastcgiRequest(5, nil), []uint16{5}, 1},
+		{"two reqs whose records alternate", begin(3) + begin(4) + fake.FastCGIRecord(4, 3, a) + fake.FastCGIRecord(4, 4, b) + fake.FastCGIRecord(4, 3, "") +
+			fake.FastCGIRecord(4, 4, "") + fake.FastCGIRecord(5, 4, "y") + fake.FastCGIRecord(5, 3, "x") + fake.FastCGIRecord(5, 4, "") + fake.FastCGIRecord(5, 3, ""), []uint16{3, 4}, 0},
+		{"a question for values and an unknown type between", begin(3) + fake.FastCGIRecord(9, 0, "\x0f\x00FCGI_MPXS_CONNS") + params(3, a, 100) +
+			fake.FastCGIRecord(77, 0, "what") + body(3, "x"), []uint16{3}, 2},
+		{"records of slots that never began, and an end of its own", fake.FastCGIRecord(2, 9, "") + fake.FastCGIRecord(5, 9, "z") + fake.FastCGIRecord(4, 9, "z") +
+			fake.FastCGIRecord(3, 9, "\x00\x00\x00\x00\x00\x00\x00\x00") + fake.FastCGIRecord(8, 9, "z") + fastcgiRequest(5, nil), []uint16{5}, 1},
 		{"reqs one after the other in one piece", fastcgiRequest(6, nil) + fastcgiRequest(7, nil) + fastcgiRequest(8, nil), []uint16{6, 7, 8}, 0},
 	}
 	s := crossing(t, nil)
--- a/backend/stand_test.go
+++ b/backend/stand_test.go
@@ -7,7 +7,8 @@
 	"encoding/hex"
 	"fmt"
 	"frosthub/internal/ajp"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
 	"frosthub/internal/wal"
 	"io"
 	"log/slog"
@@ -47,7 +48,7 @@
 	ajp       bool            // edge nodes speak AJP
 	jp        string          // and connect there
 	known     map[string]bool // ids that were begun; false: the processor knows no such req
-	disk      *stand.Disk     // of what is kept
+	disk      *fake.Disk      // of what is kept
 	hold      *sync.Mutex     // held while the disk stands still
 	lives     atomic.Int32
 	gate      chan struct{} // holds the owner
@@ -277,10 +278,10 @@
 	var params strings.Builder
 	for k, v := range all {
 		if v != "-" {
-			params.WriteString(stand.Pair(k, v))
+			params.WriteString(fake.FastCGIPair(k, v))
 		}
 	}
-	return stand.Records(slot, params.String(), body)
+	return fake.FastCGIRequest(slot, params.String(), body)
 }
 
 // ajpRequest gives the packets of the same req over AJP.
@@ -424,7 +425,7 @@
 }
 
 // newDisk has the next backend keep its store there.
-func (s *stage) newDisk(d *stand.Disk) {
+func (s *stage) newDisk(d *fake.Disk) {
 	hold := &sync.Mutex{}
 	s.disk, s.hold = d, hold
 	d.Slow = func(string, int) {
@@ -436,8 +437,8 @@
 // dies has the backend be gone with all that was not on its disk, and another come up where it was.
 func (s *stage) dies() {
 	s.lives.Add(1)
-	s.disk.Off()
-	after := s.disk.After(rand.New(rand.NewPCG(1, 1)))
+	s.disk.CutPower()
+	after := s.disk.AfterPowerLoss(rand.New(rand.NewPCG(1, 1)))
 	s.leave()
 	for _, p := range s.peers {
 		p.shut()
@@ -482,14 +483,14 @@
 func (s *stage) start(options map[string]string) {
 	s.options = options
 	if options["keep"] != "" && s.disk == nil {
-		s.newDisk(stand.NewDisk())
+		s.newDisk(fake.NewDisk())
 		if err := wal.Init(s.disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 			s.t.Fatal(err)
 		}
 	}
 	s.newPeers("")
 	var err error
-	if s.listen, err = stand.FreeAddress(); err != nil {
+	if s.listen, err = harness.FreeAddress(); err != nil {
 		s.t.Fatal(err)
 	}
 	cfg := s.config()
@@ -498,7 +499,7 @@
 	}
 	if s.ajp = s.ajp || options["ajp"] != ""; s.ajp {
 		cfg.AJP.Secret = options["secret"]
-		if s.jp, err = stand.FreeAddress(); err != nil {
+		if s.jp, err = harness.FreeAddress(); err != nil {
 			s.t.Fatal(err)
 		}
 		cfg.AJP.Listen = s.jp
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -5,8 +5,8 @@
 	"errors"
 	"flag"
 	"fmt"
+	"frosthub/internal/fake"
 	"frosthub/internal/golden"
-	"frosthub/internal/stand"
 	"io"
 	"net"
 	"os"
@@ -70,7 +70,7 @@
 		case "goes":
 			s.hold.Unlock()
 		case "fails":
-			s.disk.Off()
+			s.disk.CutPower()
 		}
 	case "moves": // all that the backend talks to is elsewhere from now on
 		s.newPeers("new ")
@@ -219,13 +219,13 @@
 			}
 		case "starts": // so many reqs that never come whole
 			for i := range slot {
-				text += stand.Record(1, i+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + stand.Record(4, i+1, strings.Repeat("x", 4000))
+				text += fake.FastCGIRecord(1, i+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + fake.FastCGIRecord(4, i+1, strings.Repeat("x", 4000))
 			}
 		case "half": // a req over AJP whose body stops in its middle
 			whole := ajpRequest(slot, map[string]string{"body": "a body that is cut"})
 			text = whole[:len(whole)-9]
 		case "aborts":
-			if text = stand.Abort(slot); s.ajp { // its end is the abort
+			if text = fake.FastCGIAbort(slot); s.ajp { // its end is the abort
 				_ = e.c.Close()
 				delete(s.edges, fmt.Sprint(w[1], "/", slot))
 				return
--- a/cmd/frosthub/ajp_test.go
+++ b/cmd/frosthub/ajp_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"flag"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
 	"math"
 	"net"
 	"slices"
@@ -21,21 +21,21 @@
 // were never begun.
 func TestClaimsAtNotice(t *testing.T) {
 	const drains, claims = 4, 100
-	outcomes := map[stand.Outcome]int{}
+	outcomes := map[fake.Outcome]int{}
 	for range drains {
 		x := newRig(t, 4, everyReq(5*time.Millisecond), "ajp listen FRONT\nfigures file FIGURES\n")
 		x.box.StopMS = 700
 		x.start()
-		tally := stand.NewTally()
-		asker := stand.NewAJP(x.front)
+		tally := fake.NewTally()
+		asker := fake.NewAJPClient(x.front)
 		var all sync.WaitGroup
 		start := time.Now()
 		for i := range claims {
 			all.Go(func() { // one each 10 ms, the notice in the middle of the first half
 				time.Sleep(time.Until(start.Add(time.Duration(i) * 10 * time.Millisecond)))
-				r := stand.Req{ID: uint64(i + 1), Handler: "file-claim", Start: time.Now().UnixMilli(), CostMS: 5, Body: "hail"}
-				tally.Set(r.ID, stand.Sent)
-				tally.Set(r.ID, asker.Ask(&r, 3*time.Second))
+				r := fake.Request{ID: uint64(i + 1), Handler: "file-claim", Start: time.Now().UnixMilli(), CostMS: 5, Body: "hail"}
+				tally.Set(r.ID, fake.Sent)
+				tally.Set(r.ID, asker.Send(&r, 3*time.Second))
 			})
 		}
 		time.Sleep(time.Until(start.Add(250 * time.Millisecond)))
@@ -49,16 +49,16 @@
 		for id, o := range tally.All() {
 			outcomes[o]++
 			f, taken := of[id]
-			if runs[id] > 1 || !agrees(o, f, taken) || o == stand.Wrong || o == stand.Refused && runs[id] > 0 {
+			if runs[id] > 1 || !agrees(o, f, taken) || o == fake.Wrong || o == fake.Rejected && runs[id] > 0 {
 				t.Errorf("claim %d: %s for the front end, %+v in the account, ran %d times", id, o, f, runs[id])
 			}
-			if (o == stand.Sent || o == stand.NotSent) && runs[id] > 0 {
+			if (o == fake.Sent || o == fake.NotSent) && runs[id] > 0 {
 				t.Errorf("claim %d ran, and its front end has no answer: %+v", id, f)
 			}
 		}
 	}
 	t.Log(outcomes)
-	if outcomes[stand.Served] < drains*20 || outcomes[stand.Refused]+outcomes[stand.NotSent] == 0 {
+	if outcomes[fake.Served] < drains*20 || outcomes[fake.Rejected]+outcomes[fake.NotSent] == 0 {
 		t.Error("too little happened to tell anything: ", outcomes)
 	}
 }
@@ -80,16 +80,16 @@
 		defer x.end()
 		ctx, stop := context.WithTimeout(t.Context(), 8*time.Second)
 		defer stop()
-		jp, fcgi := stand.NewAJP(x.front), stand.NewFastCGI(x.box.Listen)
+		jp, fcgi := fake.NewAJPClient(x.front), fake.NewFastCGIClient(x.box.Listen)
 		defer jp.Close()
 		defer fcgi.Close()
-		s := stand.Stream{
+		s := fake.OpenLoad{
 			Rate: 1.1 * cores / work.Seconds(), Handlers: []string{"status", "field-update", "file-claim"},
-			CostMS: 20, Target: time.Second, Patient: 3 * time.Second, Body: "a field",
+			CostMS: 20, Target: time.Second, Timeout: 3 * time.Second, Body: "a field",
 			Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
 		}
-		tally := stand.NewTally()
-		all = s.Run(ctx, seed, tally, func(id uint64) stand.Asker {
+		tally := fake.NewTally()
+		all = s.Run(ctx, seed, tally, func(id uint64) fake.Client {
 			if float64(id>>32)/math.MaxUint32 < share {
 				return jp
 			}
@@ -102,7 +102,7 @@
 				k = 1
 			}
 			asked[k]++
-			if o == stand.Served {
+			if o == fake.Served {
 				served[k]++
 			}
 		}
@@ -148,12 +148,12 @@
 	}()
 	ctx, stop := context.WithCancel(t.Context())
 	var all sync.WaitGroup
-	tallies := [2]*stand.Tally{stand.NewTally(), stand.NewTally()}
-	for i, asker := range []stand.Asker{stand.NewFastCGI(x.box.Listen), stand.NewAJP(x.front)} {
+	tallies := [2]*fake.Tally{fake.NewTally(), fake.NewTally()}
+	for i, asker := range []fake.Client{fake.NewFastCGIClient(x.box.Listen), fake.NewAJPClient(x.front)} {
 		defer asker.Close()
 		all.Go(func() {
-			stand.Stream{Rate: 100, Handlers: []string{"status"}, CostMS: 1, Target: time.Second, Patient: 3 * time.Second, Body: "x"}.
-				Run(ctx, uint64(i), tallies[i], func(uint64) stand.Asker { return asker })
+			fake.OpenLoad{Rate: 100, Handlers: []string{"status"}, CostMS: 1, Target: time.Second, Timeout: 3 * time.Second, Body: "x"}.
+				Run(ctx, uint64(i), tallies[i], func(uint64) fake.Client { return asker })
 		})
 	}
 	pongs := 0
@@ -176,8 +176,8 @@
 	all.Wait()
 	for i, tally := range tallies {
 		asked := len(tally.All())
-		t.Logf("front %d: %d of %d served beside a thousand idle connections", i, tally.Count(stand.Served), asked)
-		if tally.Count(stand.Served) < asked*95/100 || asked < 100 {
+		t.Logf("front %d: %d of %d served beside a thousand idle connections", i, tally.Count(fake.Served), asked)
+		if tally.Count(fake.Served) < asked*95/100 || asked < 100 {
 			t.Error(x.box.Log())
 		}
 	}
@@ -192,23 +192,23 @@
 	if *pairs == 0 {
 		t.Skip("asked for by -pairs")
 	}
-	cost := func(over func(x *rig) stand.Asker) float64 {
+	cost := func(over func(x *rig) fake.Client) float64 {
 		x := newRig(t, 8, everyReq(200*time.Microsecond), "ajp listen FRONT\n")
 		x.start()
 		defer x.end()
 		asker := over(x)
 		defer asker.Close()
-		tally := stand.NewTally()
+		tally := fake.NewTally()
 		before, err := x.box.CPU()
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
 		defer stop()
-		stand.Stream{
-			Rate: 1500, Handlers: []string{"status", "file-claim"}, CostMS: 0.2, Target: time.Second, Patient: time.Second,
+		fake.OpenLoad{
+			Rate: 1500, Handlers: []string{"status", "file-claim"}, CostMS: 0.2, Target: time.Second, Timeout: time.Second,
 			Body: "a field",
-		}.Run(ctx, 1, tally, func(uint64) stand.Asker { return asker })
+		}.Run(ctx, 1, tally, func(uint64) fake.Client { return asker })
 		after, err := x.box.CPU()
 		if err != nil {
 			t.Fatal(err)
@@ -219,8 +219,8 @@
 	for range *pairs {
 		var over, beside float64
 		var both sync.WaitGroup
-		both.Go(func() { over = cost(func(x *rig) stand.Asker { return stand.NewAJP(x.front) }) })
-		both.Go(func() { beside = cost(func(x *rig) stand.Asker { return stand.NewFastCGI(x.box.Listen) }) })
+		both.Go(func() { over = cost(func(x *rig) fake.Client { return fake.NewAJPClient(x.front) }) })
+		both.Go(func() { beside = cost(func(x *rig) fake.Client { return fake.NewFastCGIClient(x.box.Listen) }) })
 		both.Wait()
 		t.Logf("over AJP %.1f us a req, over FastCGI %.1f", over, beside)
 		ratios = append(ratios, over/beside)
--- a/cmd/frosthub/crossing_test.go
+++ b/cmd/frosthub/crossing_test.go
@@ -4,7 +4,8 @@
 	"bytes"
 	"flag"
 	"fmt"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
 	"net"
 	"os"
 	"path/filepath"
@@ -27,7 +28,7 @@
 		return false
 	}
 	defer func() { _ = c.Close() }()
-	r := stand.Req{ID: id, Handler: "status", Caller: 1, Start: time.Now().UnixMilli(), CostMS: 1}
+	r := fake.Request{ID: id, Handler: "status", Caller: 1, Start: time.Now().UnixMilli(), CostMS: 1}
 	if _, err := c.Write([]byte(r.FastCGI(1))); err != nil {
 		return false
 	}
@@ -62,7 +63,7 @@
 	if err := syscall.Mkfifo(config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x.box.Gate = config
+	x.box.ConfigPipe = config
 	if err := x.box.Launch(); err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +160,7 @@
 			var all []time.Duration
 			for i := range *restarts {
 				if way.after {
-					address, err := stand.FreeAddress()
+					address, err := harness.FreeAddress()
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -177,7 +178,7 @@
 						}
 						return err == nil
 					})
-					p, err := stand.NewProcessorAt(x.box.Processor, 1, everyReq(time.Millisecond))
+					p, err := fake.NewProcessorAt(x.box.Processor, 1, everyReq(time.Millisecond))
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/cmd/frosthub/drain_test.go
+++ b/cmd/frosthub/drain_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"frosthub/internal/stand"
+	"frosthub/internal/harness"
 	"sync"
 	"testing"
 	"time"
@@ -26,15 +26,15 @@
 				return time.Millisecond
 			}
 			x := newRig(t, 8, work, "")
-			x.box.ProcCores, x.box.StopMS = 8, 1500
+			x.box.ProcessorCores, x.box.StopMS = 8, 1500
 			x.start()
-			ledger := stand.NewLedger()
+			ledger := harness.NewExchangeLog()
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			var callers sync.WaitGroup
 			callers.Go(func() {
-				stand.Caller{
-					Node: "n1", Address: x.box.Listen, Conns: 4, Every: 4 * time.Millisecond, Slots: 24, CostMS: 1, Body: "a field",
+				harness.EdgeNode{
+					Name: "n1", Address: x.box.Listen, Conns: 4, Interval: 4 * time.Millisecond, Slots: 24, CostMS: 1, Body: "a field",
 					Handlers: []string{"status", "status", "status", "status", "status", "status", "status", "status", "status", "file-claim"},
 					Pieces:   0.2, Pause: 10 * time.Millisecond,
 				}.Run(ctx, ledger, uint64(i))
--- a/cmd/frosthub/figures_test.go
+++ b/cmd/frosthub/figures_test.go
@@ -6,8 +6,9 @@
 	"flag"
 	"fmt"
 	"frosthub/accounting"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
 	"frosthub/internal/invariant"
-	"frosthub/internal/stand"
 	"frosthub/internal/statsfile"
 	"math/rand/v2"
 	"os"
@@ -51,8 +52,8 @@
 // rig is a box with a stand-in processor, an address for AJP and a place for figures.
 type rig struct {
 	t           *testing.T
-	p           *stand.Processor
-	box         *stand.Box
+	p           *fake.Processor
+	box         *harness.Process
 	front, path string
 }
 
@@ -65,20 +66,20 @@
 	t.Helper()
 	x := &rig{t: t}
 	var err error
-	if x.p, err = stand.NewProcessor(cores, work); err != nil {
+	if x.p, err = fake.NewProcessor(cores, work); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(x.p.Close)
-	address, err := stand.FreeAddress()
+	address, err := harness.FreeAddress()
 	if err == nil {
-		x.front, err = stand.FreeAddress()
+		x.front, err = harness.FreeAddress()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	x.path = filepath.Join(dir, "figures")
-	x.box = &stand.Box{
+	x.box = &harness.Process{
 		Binary: binary, Dir: dir, Listen: address, Processor: x.p.Address(), StopMS: 500,
 		Conf: strings.NewReplacer("FRONT", x.front, "FIGURES", x.path).Replace(lines),
 	}
@@ -138,18 +139,18 @@
 }
 
 // agrees tells whether box and edge node say the same of a req.
-func agrees(o stand.Outcome, f fate, taken bool) bool {
+func agrees(o fake.Outcome, f fate, taken bool) bool {
 	var want accounting.Category
 	switch o {
-	case stand.Served:
+	case fake.Served:
 		want = accounting.Served
-	case stand.Refused:
+	case fake.Rejected:
 		want = accounting.Rejected
-	case stand.Failed:
+	case fake.Failed:
 		want = accounting.Failed
-	case stand.TakenOff:
+	case fake.Aborted:
 		return f.closed && f.why == accounting.Aborted
-	case stand.Sent, stand.NotSent: // nothing has come of it: never taken, or closed without an answer
+	case fake.Sent, fake.NotSent: // nothing has come of it: never taken, or closed without an answer
 		return !taken || !f.sent
 	default:
 		return false
@@ -173,11 +174,11 @@
 	x := newRig(t, 2, everyReq(2*time.Millisecond), "ajp listen FRONT\nfigures file FIGURES\nfigures trail 65536\n"+
 		"figures periods 60 every 1s\nfigures customers 8\n")
 	p, box, path, front := x.p, x.box, x.path, x.front
-	load := stand.Load{
-		Address: box.Listen, Conns: 6, Every: 6 * time.Millisecond, Slots: 24, Callers: 20,
+	load := fake.EdgeLoad{
+		Address: box.Listen, Conns: 6, Interval: 6 * time.Millisecond, Slots: 24, Callers: 20,
 		Handlers: []string{"status", "field-update", "file-claim"}, Abort: 0.05, Close: 0.02, Bad: 0.02, Body: "a field",
 	}
-	stream := stand.Stream{Rate: 250, Handlers: load.Handlers, CostMS: 2, Target: time.Second, Patient: 3 * time.Second, Body: "a field"}
+	stream := fake.OpenLoad{Rate: 250, Handlers: load.Handlers, CostMS: 2, Target: time.Second, Timeout: 3 * time.Second, Body: "a field"}
 	r := rand.New(rand.NewPCG(seed, 7))
 	var sums accounting.Counts // as the edge nodes have them
 	var doubts, most, lives int
@@ -189,16 +190,16 @@
 			t.Fatal(err)
 		}
 		lives++
-		tally := stand.NewTally()
+		tally := fake.NewTally()
 		ctx, stop := context.WithCancel(t.Context())
 		loaded, seeds := make(chan struct{}), [2]uint64{r.Uint64(), r.Uint64()}
 		go func() {
 			var both sync.WaitGroup
 			both.Go(func() { load.Run(ctx, tally, seeds[0]) })
 			both.Go(func() {
-				jp := stand.NewAJP(front)
+				jp := fake.NewAJPClient(front)
 				defer jp.Close()
-				stream.Run(ctx, seeds[1], tally, func(uint64) stand.Asker { return jp })
+				stream.Run(ctx, seeds[1], tally, func(uint64) fake.Client { return jp })
 			})
 			both.Wait()
 			close(loaded)
@@ -239,15 +240,15 @@
 			}
 			mine.Received++
 			switch o {
-			case stand.Served:
+			case fake.Served:
 				mine.Served++
-			case stand.Refused:
+			case fake.Rejected:
 				mine.Rejected++
 			default:
 				mine.Failed++
 			}
 			if f.doubt {
-				word := map[stand.Outcome]string{stand.Served: "served", stand.Refused: "refused"}[o]
+				word := map[fake.Outcome]string{fake.Served: "served", fake.Rejected: "refused"}[o]
 				if word == "" {
 					word = "failed"
 				}
@@ -268,9 +269,9 @@
 		got := life.Counts
 		for _, id := range life.UncertainIDs {
 			switch all[id] {
-			case stand.Served:
+			case fake.Served:
 				got = got.Reclassified(accounting.Served)
-			case stand.Refused:
+			case fake.Rejected:
 				got = got.Reclassified(accounting.Rejected)
 			}
 		}
@@ -329,17 +330,17 @@
 	cost := func(program, conf string) (float64, int64) {
 		x := newRig(t, 8, everyReq(200*time.Microsecond), conf)
 		box := x.box
-		box.Binary, box.Plain = program, program != binary || *bare
+		box.Binary, box.WithoutCommands = program, program != binary || *bare
 		x.start()
 		before, err := box.CPU() // without what the start takes
 		if err != nil {
 			t.Fatal(err)
 		}
-		tally := stand.NewTally()
+		tally := fake.NewTally()
 		ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
 		defer stop()
-		stand.Load{
-			Address: box.Listen, Conns: 8, Every: 4 * time.Millisecond, Slots: 30, Callers: *callers,
+		fake.EdgeLoad{
+			Address: box.Listen, Conns: 8, Interval: 4 * time.Millisecond, Slots: 30, Callers: *callers,
 			Handlers: []string{"status", "file-claim"}, CostMS: 0.2, Body: "a field",
 		}.Run(ctx, tally, 1)
 		after, err := box.CPU()
@@ -349,7 +350,7 @@
 		if err := box.Drain(); err != nil {
 			t.Fatal(err)
 		}
-		return float64((after - before).Microseconds()) / float64(len(tally.All())), box.Memory()
+		return float64((after - before).Microseconds()) / float64(len(tally.All())), box.MaxResident()
 	}
 	var ratios []float64
 	for range *pairs {
--- a/cmd/frosthub/keep_test.go
+++ b/cmd/frosthub/keep_test.go
@@ -7,7 +7,8 @@
 	"fmt"
 	"frosthub/backend"
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
 	"frosthub/internal/wal"
 	"io"
 	"log/slog"
@@ -57,8 +58,8 @@
 func keptOverKills(t *testing.T, kills int, seed uint64) {
 	x, dir := newKeepRig(t, 2, everyReq(4*time.Millisecond), keeps)
 	r := rand.New(rand.NewPCG(seed, 11))
-	load := &stand.Claims{Handler: "file-claim", Callers: 12, Repeats: 3, Late: 0.4, Pause: 3 * time.Millisecond, Patient: 2 * time.Second, CostMS: 4}
-	fc, jp := stand.NewFastCGI(x.box.Listen), stand.NewAJP(x.front)
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 12, Repeats: 3, Late: 0.4, Pause: 3 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 4}
+	fc, jp := fake.NewFastCGIClient(x.box.Listen), fake.NewAJPClient(x.front)
 	defer fc.Close()
 	defer jp.Close()
 	ctx, stop := context.WithCancel(t.Context())
@@ -66,7 +67,7 @@
 	x.start()
 	go func() {
 		defer close(done)
-		load.Run(ctx, seed, func(n uint64) stand.Asker {
+		load.Run(ctx, seed, func(n uint64) fake.Client {
 			if n>>32%2 == 0 {
 				return fc
 			}
@@ -99,7 +100,7 @@
 		t.Error(w)
 	}
 	t.Logf("%d kills, %d of them drains: %+v", kills, drains, sums)
-	if sums.Served < 20*kills || sums.Answers < 2*sums.Served || sums.Cut == 0 {
+	if sums.Served < 20*kills || sums.Answers < 2*sums.Served || sums.Interrupted == 0 {
 		t.Error("too little was asked to tell anything")
 	}
 	out, err := exec.Command(binary, "keep", "check", "--conf", filepath.Join(x.box.Dir, "frosthub.conf"), dir).CombinedOutput()
@@ -112,13 +113,13 @@
 }
 
 // inProcess has a backend in this process keep its store on a stand-in disk.
-func inProcess(t *testing.T, p *stand.Processor, disk *stand.Disk, by backend.KeyPart, cores int) (b *backend.Backend, address string) {
+func inProcess(t *testing.T, p *fake.Processor, disk *fake.Disk, by backend.KeyPart, cores int) (b *backend.Backend, address string) {
 	t.Helper()
-	address, err := stand.FreeAddress()
+	address, err := harness.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := stand.Box{Listen: address, Processor: p.Address(), StopMS: 1000, ProcCores: cores}
+	box := harness.Process{Listen: address, Processor: p.Address(), StopMS: 1000, ProcessorCores: cores}
 	text, err := box.Config()
 	if err != nil {
 		t.Fatal(err)
@@ -150,11 +151,11 @@
 // ready waits until a box at that address runs reqs.
 func ready(t *testing.T, address string) {
 	t.Helper()
-	a := stand.NewFastCGI(address)
+	a := fake.NewFastCGIClient(address)
 	defer a.Close()
 	for i, end := uint64(0), time.Now().Add(20*time.Second); time.Now().Before(end); i++ {
-		req := stand.Req{ID: 1<<60 + i, Handler: "file-claim", Start: time.Now().UnixMilli(), Body: fmt.Sprint("ready", i), CostMS: 1}
-		if a.Ask(&req, time.Second) == stand.Served {
+		req := fake.Request{ID: 1<<60 + i, Handler: "file-claim", Start: time.Now().UnixMilli(), Body: fmt.Sprint("ready", i), CostMS: 1}
+		if a.Send(&req, time.Second) == fake.Served {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -165,12 +166,12 @@
 // TestKeepStall: a disk that stands still for two seconds at 110% of capacity costs service, and no rule: each req gets its one answer
 // in its time, nothing runs twice, and replayable ones go on.
 func TestKeepStall(t *testing.T) {
-	p, err := stand.NewProcessor(2, everyReq(8*time.Millisecond))
+	p, err := fake.NewProcessor(2, everyReq(8*time.Millisecond))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	disk := stand.NewDisk()
+	disk := fake.NewDisk()
 	var stall sync.Once
 	var mu sync.Mutex
 	var from time.Time
@@ -187,15 +188,15 @@
 	_, address := inProcess(t, p, disk, backend.KeyPartID, 2)
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
-	a := stand.NewFastCGI(address)
+	a := fake.NewFastCGIClient(address)
 	defer a.Close()
-	tally := stand.NewTally()
-	stream := stand.Stream{
+	tally := fake.NewTally()
+	stream := fake.OpenLoad{
 		Rate: 1.1 * 250, Handlers: []string{"status", "file-claim"}, CostMS: 8, Target: time.Second,
-		Patient: 3100 * time.Millisecond, Value: map[string]float64{"status": 1, "file-claim": 3},
+		Timeout: 3100 * time.Millisecond, Value: map[string]float64{"status": 1, "file-claim": 3},
 	}
 	var during, claims int
-	share := stream.Run(ctx, 1, tally, func(id uint64) stand.Asker { return a })
+	share := stream.Run(ctx, 1, tally, func(id uint64) fake.Client { return a })
 	mu.Lock()
 	defer mu.Unlock()
 	if from.IsZero() {
@@ -211,9 +212,9 @@
 			claims++
 		}
 	}
-	t.Logf("service %.3f; served %d, refused %d, failed %d; begun %d replayable and %d guarded", share, tally.Count(stand.Served),
-		tally.Count(stand.Refused), tally.Count(stand.Failed), during, claims)
-	for _, bad := range []stand.Outcome{stand.Sent, stand.NotSent, stand.Wrong} {
+	t.Logf("service %.3f; served %d, refused %d, failed %d; begun %d replayable and %d guarded", share, tally.Count(fake.Served),
+		tally.Count(fake.Rejected), tally.Count(fake.Failed), during, claims)
+	for _, bad := range []fake.Outcome{fake.Sent, fake.NotSent, fake.Wrong} {
 		if n := tally.Count(bad); n > 0 {
 			t.Errorf("%d reqs: %s", n, bad)
 		}
@@ -228,10 +229,10 @@
 	x, dir := newKeepRig(t, 8, everyReq(100*time.Microsecond), keeps+"keep entries 400\nkeep bytes 20000\nkeep lifetime 1s\nkeep horizon 2s\nkeep gather 50us\n")
 	x.start()
 	ready(t, x.box.Listen)
-	load := &stand.Claims{Handler: "file-claim", Callers: 24, Keys: 180, Pause: 20 * time.Millisecond, Patient: 3 * time.Second, CostMS: 0.1, Padding: 100}
-	a := stand.NewFastCGI(x.box.Listen)
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 24, Keys: 180, Pause: 20 * time.Millisecond, Timeout: 3 * time.Second, CostMS: 0.1, Padding: 100}
+	a := fake.NewFastCGIClient(x.box.Listen)
 	defer a.Close()
-	load.Run(t.Context(), 1, func(uint64) stand.Asker { return a })
+	load.Run(t.Context(), 1, func(uint64) fake.Client { return a })
 	sums, wrong := load.Judge(x.p.Effects())
 	for _, w := range wrong {
 		t.Error(w)
@@ -249,7 +250,7 @@
 		b, _ := d.Read(n)
 		size += int64(len(b))
 	}
-	t.Logf("%+v; %d files, %d bytes on the disk, %d KB of memory", sums, len(names), size, x.box.Memory())
+	t.Logf("%+v; %d files, %d bytes on the disk, %d KB of memory", sums, len(names), size, x.box.MaxResident())
 	if sums.Served < 10*400 || size > 400_000 || len(names) > 70 {
 		t.Error("too little was kept, or too much is still there")
 	}
@@ -271,12 +272,12 @@
 		work  time.Duration
 	}{{"two cores, 4 ms", 2, 4 * time.Millisecond}, {"32 cores, 10 ms", 32, 10 * time.Millisecond}} {
 		t.Run(c.name, func(t *testing.T) {
-			load := func(address string, p *stand.Processor) (float64, *hdrhistogram.Histogram) {
+			load := func(address string, p *fake.Processor) (float64, *hdrhistogram.Histogram) {
 				h := hdrhistogram.New(1, 10_000_000, 3)
 				var mu sync.Mutex
-				l := &stand.Claims{
-					Handler: "file-claim", Callers: 32, Patient: 3 * time.Second, CostMS: c.work.Seconds() * 1000,
-					Took: func(d time.Duration) {
+				l := &harness.ClaimLoad{
+					Handler: "file-claim", Callers: 32, Timeout: 3 * time.Second, CostMS: c.work.Seconds() * 1000,
+					OnLatency: func(d time.Duration) {
 						mu.Lock()
 						defer mu.Unlock()
 						_ = h.RecordValue(d.Microseconds())
@@ -284,9 +285,9 @@
 				}
 				ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
 				defer stop()
-				a := stand.NewFastCGI(address)
+				a := fake.NewFastCGIClient(address)
 				defer a.Close()
-				l.Run(ctx, 1, func(uint64) stand.Asker { return a })
+				l.Run(ctx, 1, func(uint64) fake.Client { return a })
 				s, _ := l.Judge(p.Effects())
 				return float64(s.Served), h
 			}
@@ -296,11 +297,11 @@
 			}
 			measure := func(conf string) (f figure) {
 				x, _ := newKeepRig(t, float64(c.cores), everyReq(c.work), conf+"admin listen ADMIN\n")
-				admin, err := stand.FreeAddress()
+				admin, err := harness.FreeAddress()
 				if err != nil {
 					t.Fatal(err)
 				}
-				x.box.Conf, x.box.ProcCores = strings.ReplaceAll(x.box.Conf, "ADMIN", admin), c.cores
+				x.box.Conf, x.box.ProcessorCores = strings.ReplaceAll(x.box.Conf, "ADMIN", admin), c.cores
 				x.start()
 				ready(t, x.box.Listen)
 				before, err := x.box.CPU()
@@ -323,12 +324,12 @@
 				return f
 			}
 			slow := func() (f figure) {
-				p, err := stand.NewProcessor(float64(c.cores), everyReq(c.work))
+				p, err := fake.NewProcessor(float64(c.cores), everyReq(c.work))
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer p.Close()
-				disk := stand.NewDisk()
+				disk := fake.NewDisk()
 				disk.Slow = func(what string, _ int) {
 					if what == "fsync" {
 						time.Sleep(5 * time.Millisecond)
@@ -411,7 +412,7 @@
 			time.Sleep(100 * time.Microsecond)
 		}
 		took := time.Since(began)
-		kb, err := x.box.Peak()
+		kb, err := x.box.PeakResident()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -444,7 +445,7 @@
 	x.start()
 	defer x.end()
 	began := time.Now()
-	a := stand.NewFastCGI(x.box.Listen)
+	a := fake.NewFastCGIClient(x.box.Listen)
 	defer a.Close()
 	first, refused := map[string]time.Duration{}, 0
 	for n := uint64(1); len(first) < 2; n++ {
@@ -455,11 +456,11 @@
 			if first[handler] > 0 {
 				continue
 			}
-			req := stand.Req{ID: n<<8 + uint64(i) + 1, Handler: handler, Start: time.Now().UnixMilli(), Body: "new", CostMS: 1}
-			switch a.Ask(&req, time.Second) {
-			case stand.Served:
+			req := fake.Request{ID: n<<8 + uint64(i) + 1, Handler: handler, Start: time.Now().UnixMilli(), Body: "new", CostMS: 1}
+			switch a.Send(&req, time.Second) {
+			case fake.Served:
 				first[handler] = time.Since(began)
-			case stand.Refused:
+			case fake.Rejected:
 				if first["status"] > 0 {
 					refused++
 				}
--- a/cmd/frosthub/peers_test.go
+++ b/cmd/frosthub/peers_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
 	"os"
 	"path/filepath"
 	"strings"
@@ -18,8 +18,8 @@
 // tier is a box with a next tier of AJP servers.
 type tier struct {
 	*rig
-	peers []*stand.AJPServer
-	asker *stand.FastCGI
+	peers []*fake.AJPServer
+	asker *fake.FastCGIClient
 	lines string // of the operator's file beside the peers
 }
 
@@ -29,7 +29,7 @@
 	base.p.Calls = func(uint64, string) bool { return true }
 	x := &tier{rig: base, lines: lines}
 	for range n {
-		s, err := stand.NewAJPServer(3 * time.Millisecond)
+		s, err := fake.NewAJPServer(3 * time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,18 +37,18 @@
 	}
 	x.box.StopMS, x.box.Conf = 1000, x.conf(x.peers)
 	x.start()
-	x.asker = stand.NewFastCGI(x.box.Listen)
+	x.asker = fake.NewFastCGIClient(x.box.Listen)
 	t.Cleanup(func() {
 		x.asker.Close()
 		x.end()
 		for _, s := range x.peers {
-			s.Leave()
+			s.Stop()
 		}
 	})
 	return x
 }
 
-func (x *tier) conf(peers []*stand.AJPServer) string {
+func (x *tier) conf(peers []*fake.AJPServer) string {
 	var b strings.Builder
 	for i, s := range peers {
 		fmt.Fprintf(&b, "next-tier ajp %s route=w%d\n", s.Address(), i)
@@ -59,14 +59,14 @@
 // ask sends so many reqs one after the other. One that is refused never ran: it is asked again, as edge nodes do.
 func (x *tier) ask(from uint64, n int, handler string) (served int) {
 	for i := range n {
-		r := stand.Req{ID: from + uint64(i), Handler: handler, Start: time.Now().UnixMilli(), CostMS: 1, Body: "a policy"}
-		o := x.asker.Ask(&r, 4*time.Second)
-		for try := uint64(1); o == stand.Refused && try < 20; try++ {
+		r := fake.Request{ID: from + uint64(i), Handler: handler, Start: time.Now().UnixMilli(), CostMS: 1, Body: "a policy"}
+		o := x.asker.Send(&r, 4*time.Second)
+		for try := uint64(1); o == fake.Rejected && try < 20; try++ {
 			time.Sleep(20 * time.Millisecond)
 			r.ID, r.Start = from+uint64(i)+try<<32, time.Now().UnixMilli()
-			o = x.asker.Ask(&r, 4*time.Second)
+			o = x.asker.Send(&r, 4*time.Second)
 		}
-		if o == stand.Served {
+		if o == fake.Served {
 			served++
 		}
 	}
@@ -76,7 +76,7 @@
 func (x *tier) ran() map[uint64]int {
 	out := map[uint64]int{}
 	for _, s := range x.peers {
-		for id, n := range s.Ran() {
+		for id, n := range s.CallCounts() {
 			out[id] += n
 		}
 	}
@@ -88,17 +88,17 @@
 func TestCallsOverAJP(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		fault         stand.Fault
+		fault         fake.Fault
 		claims, reads int // of ten, served at least
 	}{
-		{"sound", stand.NoFault, 10, 10},
-		{"turns away", stand.TurnsAway, 10, 10},
-		{"resets before", stand.ResetBefore, 7, 7}, // the box can't know that it did not run
-		{"resets after", stand.ResetAfter, 7, 7},
-		{"half an answer", stand.HalfAnswer, 7, 7},
-		{"wrong length", stand.WrongLength, 7, 7},
-		{"fails", stand.Fails, 3, 3}, // it works, it says
-		{"never says", stand.NeverSays, 5, 5},
+		{"sound", fake.NoFault, 10, 10},
+		{"turns away", fake.Rejects, 10, 10},
+		{"resets before", fake.ResetBefore, 7, 7}, // the box can't know that it did not run
+		{"resets after", fake.ResetAfter, 7, 7},
+		{"half an answer", fake.TruncatedAnswer, 7, 7},
+		{"wrong length", fake.WrongLength, 7, 7},
+		{"fails", fake.Fails, 3, 3}, // it works, it says
+		{"never says", fake.NeverAnswers, 5, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -119,17 +119,17 @@
 	t.Run("away", func(t *testing.T) {
 		t.Parallel()
 		x := newTier(t, 3, "")
-		x.peers[0].Leave()
+		x.peers[0].Stop()
 		if n := x.ask(1, 20, "file-claim"); n != 20 {
 			t.Error(n, "of 20 with one peer away: ", x.box.Log())
 		}
-		if x.peers[1].Got()+x.peers[2].Got() != 20 {
+		if x.peers[1].Received()+x.peers[2].Received() != 20 {
 			t.Error("calls that are not where they must be")
 		}
-		if err := x.peers[0].Return(); err != nil {
+		if err := x.peers[0].Restart(); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(10 * time.Second); x.peers[0].Got() < 20; {
+		for end := time.Now().Add(10 * time.Second); x.peers[0].Received() < 20; {
 			if time.Now().After(end) {
 				t.Fatal("it is back and gets nothing")
 			}
@@ -139,14 +139,14 @@
 	t.Run("all away", func(t *testing.T) {
 		t.Parallel()
 		x := newTier(t, 2, "")
-		x.peers[0].Leave()
-		x.peers[1].Leave()
+		x.peers[0].Stop()
+		x.peers[1].Stop()
 		start := time.Now()
 		if n := x.ask(1, 5, "file-claim"); n != 0 || time.Since(start) > 3*time.Second {
 			t.Error(n, "served by nobody, in ", time.Since(start))
 		}
 		for _, s := range x.peers {
-			if err := s.Return(); err != nil {
+			if err := s.Restart(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -160,7 +160,7 @@
 		t.Parallel()
 		x := newTier(t, 2, "")
 		x.ask(1, 4, "file-claim")
-		x.peers[0].SetFault(stand.NoPong)
+		x.peers[0].SetFault(fake.NoPong)
 		time.Sleep(1100 * time.Millisecond) // connections idle for over a second are asked first
 		if n := x.ask(10, 6, "file-claim"); n < 5 {
 			t.Error(n, "of 6 beside a peer that does not answer CPing")
@@ -178,21 +178,21 @@
 		t.Parallel()
 		x := newTier(t, 4, "")
 		for i, s := range x.peers {
-			s.Fault = func(id uint64) stand.Fault { // another at each peer, a tenth of the calls
+			s.Fault = func(id uint64) fake.Fault { // another at each peer, a tenth of the calls
 				if h := (id ^ id>>17) * 2654435761 >> uint(3*i); h%10 == 0 {
-					return []stand.Fault{stand.ResetBefore, stand.ResetAfter, stand.HalfAnswer, stand.WrongLength, stand.TurnsAway}[h/10%5]
+					return []fake.Fault{fake.ResetBefore, fake.ResetAfter, fake.TruncatedAnswer, fake.WrongLength, fake.Rejects}[h/10%5]
 				}
-				return stand.NoFault
+				return fake.NoFault
 			}
 		}
 		rate := 300.0
 		ctx, stop := context.WithTimeout(t.Context(), time.Duration(float64(*calls)/rate*float64(time.Second)))
 		defer stop()
-		tally := stand.NewTally()
-		stand.Stream{
-			Rate: rate, Handlers: []string{"file-claim", "status"}, CostMS: 1, Target: time.Second, Patient: 4 * time.Second,
+		tally := fake.NewTally()
+		fake.OpenLoad{
+			Rate: rate, Handlers: []string{"file-claim", "status"}, CostMS: 1, Target: time.Second, Timeout: 4 * time.Second,
 			Body: "x",
-		}.Run(ctx, 9, tally, func(uint64) stand.Asker { return x.asker })
+		}.Run(ctx, 9, tally, func(uint64) fake.Client { return x.asker })
 		once, twice := 0, 0
 		claims := x.p.Handlers()
 		for id, n := range x.ran() {
@@ -204,8 +204,8 @@
 			}
 		}
 		asked := len(tally.All())
-		t.Logf("%d reqs, %d served; %d calls ran, %d of reads twice", asked, tally.Count(stand.Served), once, twice)
-		if tally.Count(stand.Served) < asked*80/100 || tally.Count(stand.Wrong) > 0 {
+		t.Logf("%d reqs, %d served; %d calls ran, %d of reads twice", asked, tally.Count(fake.Served), once, twice)
+		if tally.Count(fake.Served) < asked*80/100 || tally.Count(fake.Wrong) > 0 {
 			t.Error(x.box.Log())
 		}
 	})
@@ -213,18 +213,18 @@
 		t.Parallel()
 		x := newTier(t, 3, "")
 		ctx, stop := context.WithCancel(t.Context())
-		tally := stand.NewTally()
+		tally := fake.NewTally()
 		loaded := make(chan struct{})
 		go func() {
-			stand.Stream{
-				Rate: 150, Handlers: []string{"file-claim"}, CostMS: 1, Target: time.Second, Patient: 4 * time.Second,
+			fake.OpenLoad{
+				Rate: 150, Handlers: []string{"file-claim"}, CostMS: 1, Target: time.Second, Timeout: 4 * time.Second,
 				Body: "x",
-			}.Run(ctx, 5, tally, func(uint64) stand.Asker { return x.asker })
+			}.Run(ctx, 5, tally, func(uint64) fake.Client { return x.asker })
 			close(loaded)
 		}()
 		for i := range 6 { // one peer leaves the file, another returns
 			time.Sleep(200 * time.Millisecond)
-			left := append(append([]*stand.AJPServer{}, x.peers[:i%3]...), x.peers[i%3+1:]...)
+			left := append(append([]*fake.AJPServer{}, x.peers[:i%3]...), x.peers[i%3+1:]...)
 			if err := os.WriteFile(filepath.Join(x.box.Dir, "frosthub.conf"), []byte(x.conf(left)), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -235,7 +235,7 @@
 		stop()
 		<-loaded
 		all := tally.All()
-		if n := tally.Count(stand.Served); n < len(all)*98/100 {
+		if n := tally.Count(fake.Served); n < len(all)*98/100 {
 			t.Errorf("%d of %d are served over six reloads: %s", n, len(all), x.box.Log())
 		}
 		for id, n := range x.ran() {
--- a/cmd/frosthub/return_test.go
+++ b/cmd/frosthub/return_test.go
@@ -4,8 +4,9 @@
 	"context"
 	"errors"
 	"flag"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
 	"frosthub/internal/invariant"
-	"frosthub/internal/stand"
 	"io/fs"
 	"math/rand/v2"
 	"os"
@@ -56,7 +57,7 @@
 	f := newPoweredFleet(t, boxes, "")
 	defer f.end()
 	r := rand.New(rand.NewPCG(4, 4))
-	load := &stand.Claims{Handler: "file-claim", TellMade: true, Callers: 40, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 40, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
 	stop := f.asks(load, 6)
 	lose := func() {
 		f.dark()
@@ -122,8 +123,8 @@
 func TestStartsDie(t *testing.T) {
 	f := newFleetRig(t, 3, 5*time.Millisecond, true)
 	defer f.end()
-	load := &stand.Claims{Handler: "file-claim", Callers: 10, Keys: 20, Repeats: 1, Pause: 5 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
-	load.Run(t.Context(), 3, func(n uint64) stand.Asker { return f.fc[n>>40%3] })
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: 20, Repeats: 1, Pause: 5 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	load.Run(t.Context(), 3, func(n uint64) fake.Client { return f.fc[n>>40%3] })
 	if err := f.boxes[0].Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -135,8 +136,8 @@
 	if log := f.boxes[0].Log(); !strings.Contains(log, "starts died over it") || !strings.Contains(log, "serving in part") {
 		t.Error(log)
 	}
-	again := &stand.Claims{Handler: "file-claim", Callers: 10, Keys: 20, Repeats: 1, Pause: 5 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
-	again.Run(t.Context(), 3, func(n uint64) stand.Asker { return f.fc[n>>40%3] }) // the same keys
+	again := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: 20, Repeats: 1, Pause: 5 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	again.Run(t.Context(), 3, func(n uint64) fake.Client { return f.fc[n>>40%3] }) // the same keys
 	first, _ := load.Judge(f.effects())
 	sums := f.judge(again)
 	t.Logf("%+v; %+v", first, sums)
@@ -196,9 +197,9 @@
 func TestDiskLost(t *testing.T) {
 	f := newFleetRig(t, 5, 5*time.Millisecond, true)
 	defer f.end()
-	before := &stand.Claims{Handler: "file-claim", Callers: 20, Keys: 25, Repeats: 1, Pause: 2 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
-	before.Run(t.Context(), 3, func(n uint64) stand.Asker { return f.fc[n>>40%5] })
-	load := &stand.Claims{Handler: "file-claim", Callers: 10, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
+	before := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Keys: 25, Repeats: 1, Pause: 2 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	before.Run(t.Context(), 3, func(n uint64) fake.Client { return f.fc[n>>40%5] })
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
 	stop := f.asks(load, 4)
 	box := f.boxes[0]
 	if err := box.Kill(); err != nil {
@@ -226,8 +227,8 @@
 	f.ps[1].Reset()
 	time.Sleep(time.Second)
 	stop()
-	again := &stand.Claims{Handler: "file-claim", Callers: 20, Keys: 25, Repeats: 1, Pause: 2 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
-	again.Run(t.Context(), 3, func(n uint64) stand.Asker { return f.fc[[...]int{0, 2, 3, 4}[n>>40%4]] }) // the same keys
+	again := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Keys: 25, Repeats: 1, Pause: 2 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	again.Run(t.Context(), 3, func(n uint64) fake.Client { return f.fc[[...]int{0, 2, 3, 4}[n>>40%4]] }) // the same keys
 	first, _ := before.Judge(f.effects())
 	sums, wrong := again.Judge(f.effects())
 	_, bad := load.Judge(f.effects())
@@ -267,7 +268,7 @@
 func (f *fleetRig) cutDisks(r *rand.Rand) {
 	f.t.Helper()
 	for _, b := range f.boxes {
-		if err := stand.CutPower(filepath.Join(b.Dir, "keep"), r); err != nil {
+		if err := harness.CutPower(filepath.Join(b.Dir, "keep"), r); err != nil {
 			f.t.Fatal(err)
 		}
 	}
@@ -293,7 +294,7 @@
 	var admin [2]string
 	for i := range admin {
 		var err error
-		if admin[i], err = stand.FreeAddress(); err != nil {
+		if admin[i], err = harness.FreeAddress(); err != nil {
 			t.Fatal(err)
 		}
 		f.alone[i] += "cluster wait 300ms alone 1s\nadmin listen " + admin[i] + "\n"
@@ -302,9 +303,9 @@
 		f.joins(i, []int{0, 1, 2}, nil)
 	}
 	f.start(0, 1, 2)
-	ask := func(seed uint64, keys int, boxes ...int) *stand.Claims {
-		load := &stand.Claims{Handler: "file-claim", Callers: 10, Keys: keys, Pause: 5 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
-		load.Run(t.Context(), seed, func(n uint64) stand.Asker { return f.fc[boxes[n>>40%uint64(len(boxes))]] })
+	ask := func(seed uint64, keys int, boxes ...int) *harness.ClaimLoad {
+		load := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: keys, Pause: 5 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+		load.Run(t.Context(), seed, func(n uint64) fake.Client { return f.fc[boxes[n>>40%uint64(len(boxes))]] })
 		return load
 	}
 	first := ask(1, 20, 0, 1, 2)
@@ -314,9 +315,9 @@
 	if err := f.boxes[0].Start(); err != nil {
 		t.Fatal(err)
 	}
-	alone := &stand.Claims{Handler: "file-claim", Callers: 10, Keys: 1, Pause: 5 * time.Millisecond, Patient: time.Second, CostMS: 5}
-	alone.Run(t.Context(), 1, func(uint64) stand.Asker { return f.fc[0] })
-	if sums, _ := alone.Judge(nil); sums.Served > 0 || sums.Doubted > 0 || len(f.effects()) > len(before) {
+	alone := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: 1, Pause: 5 * time.Millisecond, Timeout: time.Second, CostMS: 5}
+	alone.Run(t.Context(), 1, func(uint64) fake.Client { return f.fc[0] })
+	if sums, _ := alone.Judge(nil); sums.Served > 0 || sums.OutcomeUnknown > 0 || len(f.effects()) > len(before) {
 		t.Errorf("an empty disk alone answers, or runs: %+v", sums)
 	}
 	if err := f.boxes[1].Start(); err != nil {
@@ -367,7 +368,7 @@
 	f := newPoweredFleet(t, boxes, "keep lifetime 4s\nkeep horizon 16s\n")
 	defer f.end()
 	r := rand.New(rand.NewPCG(7, 3))
-	load := &stand.Claims{Handler: "file-claim", TellMade: true, Callers: 30, Repeats: 1, Pause: 10 * time.Millisecond, Patient: time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 30, Repeats: 1, Pause: 10 * time.Millisecond, Timeout: time.Second, CostMS: 6}
 	stop := f.asks(load, 31)
 	for range 2 {
 		time.Sleep(2500 * time.Millisecond)
@@ -405,10 +406,10 @@
 		}
 		f.ps[i].Reset()
 	}
-	half := &stand.Claims{Handler: "file-claim", TellMade: true, Callers: 30, Pause: 20 * time.Millisecond, Patient: time.Second, CostMS: 6}
+	half := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 30, Pause: 20 * time.Millisecond, Timeout: time.Second, CostMS: 6}
 	ctx, done := context.WithTimeout(t.Context(), 2*time.Second)
 	defer done()
-	half.Run(ctx, 32, func(n uint64) stand.Asker { return f.fc[n>>40%4] })
+	half.Run(ctx, 32, func(n uint64) fake.Client { return f.fc[n>>40%4] })
 	whole, rest := f.judge(load), f.judge(half)
 	t.Logf("%+v; half of them %+v; %d segments are prints", whole, rest, retired)
 	if whole.Served < 300 || rest.Served < 10 || retired == 0 {
@@ -422,8 +423,8 @@
 	const boxes = 5
 	f := newPoweredFleet(t, boxes, "")
 	defer f.end()
-	load := &stand.Claims{Handler: "file-claim", TellMade: true, Callers: 8, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
-	flood := &stand.Claims{Handler: "file-claim", TellMade: true, Callers: 72, Repeats: 1, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
+	load := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 8, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	flood := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 72, Repeats: 1, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
 	stop := f.asks(load, 21)
 	r := rand.New(rand.NewPCG(9, 9))
 	ill := []string{"", "", "100ms", "full", "read-only"}
@@ -432,13 +433,13 @@
 		f.dark()
 		f.cutDisks(r)
 		for i, b := range f.boxes {
-			b.Clock = 0
+			b.ClockOffset = 0
 			fault := filepath.Join(b.Dir, "keep", ".fault")
 			_ = os.Remove(fault) // none at first
 			if round%2 == 1 {
 				continue
 			}
-			b.Clock = []time.Duration{-time.Hour, time.Hour, 0}[(i+round)%3]
+			b.ClockOffset = []time.Duration{-time.Hour, time.Hour, 0}[(i+round)%3]
 			if word := ill[(i+round)%len(ill)]; word != "" {
 				if err := os.WriteFile(fault, []byte(word), 0o600); err != nil {
 					t.Fatal(err)
@@ -458,7 +459,7 @@
 	}
 	time.Sleep(time.Second)
 	stop()
-	for _, l := range []*stand.Claims{load, flood} {
+	for _, l := range []*harness.ClaimLoad{load, flood} {
 		sums := f.judge(l)
 		t.Logf("%+v", sums)
 		if sums.Served < 50 {
@@ -482,7 +483,7 @@
 	}
 	f.boxes[3].Binary, f.boxes[4].Binary = *earlier, *earlier
 	f.start(0, 1, 2, 3, 4)
-	load := &stand.Claims{Handler: "file-claim", Callers: 20, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 5}
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Repeats: 2, Late: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
 	stop := f.asks(load, 5)
 	for i := range f.boxes {
 		time.Sleep(300 * time.Millisecond)
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -4,7 +4,9 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
+	"frosthub/internal/harness"
 	"os/exec"
 	"path/filepath"
 	"slices"
@@ -59,25 +61,25 @@
 	*testing.T
 	seed    uint64
 	program string
-	nodes   []*stand.Node
-	ledger  *stand.Ledger
+	nodes   []*harness.Node
+	ledger  *harness.ExchangeLog
 }
 
 func (s *soak) play() {
-	s.ledger = stand.NewLedger()
+	s.ledger = harness.NewExchangeLog()
 	s.begin()
 	ctx, stop := context.WithCancel(s.Context())
 	defer stop()
 	var callers, faults sync.WaitGroup
 	for i, n := range s.nodes {
 		callers.Go(func() { s.asks(n, nil, 2).Run(ctx, s.ledger, s.seed<<8+uint64(i)) })
-		callers.Go(func() { s.asks(n, n.Edges, 2).Run(ctx, s.ledger, s.seed<<8+uint64(i)+1<<40) })
+		callers.Go(func() { s.asks(n, n.EdgeProxy, 2).Run(ctx, s.ledger, s.seed<<8+uint64(i)+1<<40) })
 	}
-	plan := stand.Plan(s.seed, len(s.nodes), *soakFor, soakEach)
+	plan := harness.PlanFaults(s.seed, len(s.nodes), *soakFor, soakEach)
 	began := time.Now()
 	for _, f := range plan {
 		time.Sleep(time.Until(began.Add(f.At)))
-		faults.Go(func() { s.nodes[f.Node].Suffer(f) })
+		faults.Go(func() { s.nodes[f.Node].Inject(f) })
 	}
 	faults.Wait()
 	s.servesAgain()
@@ -105,12 +107,12 @@
 	}
 	var starts sync.WaitGroup
 	for i := range *soakNodes {
-		n, err := stand.NewNode(fmt.Sprint("n", i), s.program, s.TempDir(), 4, work, s.seed+uint64(i))
+		n, err := harness.NewNode(fmt.Sprint("n", i), s.program, s.TempDir(), 4, work, s.seed+uint64(i))
 		if err != nil {
 			s.Fatal(err)
 		}
 		n.KillAfter = soakKill
-		n.Box.StopMS, n.Box.GraceMS, n.Box.MemoryMB = 3700, int(soakGrace.Milliseconds()), soakMemory
+		n.Process.StopMS, n.Process.GraceMS, n.Process.MemoryMB = 3700, int(soakGrace.Milliseconds()), soakMemory
 		n.Processor.Calls = func(id uint64, handler string) bool { return handler != "status" && id%3 == 0 }
 		s.nodes = append(s.nodes, n)
 		s.Cleanup(n.Close)
@@ -123,11 +125,11 @@
 	starts.Wait()
 }
 
-func (s *soak) asks(n *stand.Node, via *stand.Proxy, conns int) stand.Caller {
-	return stand.Caller{
-		Node: n.Name, Address: n.Box.Listen, Via: via, Conns: conns, Every: 40 * time.Millisecond, Slots: 24, CostMS: 10,
+func (s *soak) asks(n *harness.Node, via *faultproxy.Proxy, conns int) harness.EdgeNode {
+	return harness.EdgeNode{
+		Name: n.Name, Address: n.Process.Listen, Proxy: via, Conns: conns, Interval: 40 * time.Millisecond, Slots: 24, CostMS: 10,
 		Body: "a field", Handlers: []string{"status", "field-update", "file-claim"}, Pieces: 0.1, Pause: 20 * time.Millisecond,
-		Excuse: n.KilledSince,
+		ExcuseFor: n.KilledSince,
 	}
 }
 
@@ -135,14 +137,14 @@
 func (s *soak) servesAgain() {
 	for i, n := range s.nodes {
 		id, end := s.seed<<32+uint64(i)<<16+1, time.Now().Add(back)
-		for ; !asks(n.Box.Listen, id); id += 2 {
+		for ; !asks(n.Process.Listen, id); id += 2 {
 			if time.Now().After(end) {
-				s.Errorf("%s does not serve again: %s", n.Name, tail(n.Box.Log()))
+				s.Errorf("%s does not serve again: %s", n.Name, tail(n.Process.Log()))
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if kb, err := n.Box.Peak(); err != nil || kb > soakMemory<<10 {
+		if kb, err := n.Process.PeakResident(); err != nil || kb > soakMemory<<10 {
 			s.Errorf("%s held %d KB at most, of %d MB: %v", n.Name, kb, soakMemory, err)
 		}
 	}
@@ -152,7 +154,7 @@
 func (s *soak) judge() {
 	s.tell("lost", s.ledger.Lost())
 	var doubles, late, grace, troubles, logged []string
-	byNode := map[string]*stand.Node{}
+	byNode := map[string]*harness.Node{}
 	for _, n := range s.nodes {
 		byNode[n.Name] = n
 		handlers := n.Processor.Handlers()
@@ -161,16 +163,16 @@
 				doubles = append(doubles, fmt.Sprintf("%s %016x ran %d times", n.Name, id, times))
 			}
 		}
-		for id, times := range n.Tier.Ran() {
+		for id, times := range n.Upstream.CallCounts() {
 			if times > 1 && handlers[id] == "file-claim" {
 				doubles = append(doubles, fmt.Sprintf("%s %016x called %d times", n.Name, id, times))
 			}
 		}
-		troubles = append(troubles, n.Troubles()...)
-		if _, stack, panicked := strings.Cut(n.Box.Log(), "panic: "); panicked {
+		troubles = append(troubles, n.Violations()...)
+		if _, stack, panicked := strings.Cut(n.Process.Log(), "panic: "); panicked {
 			logged = append(logged, n.Name+": panic: "+stack[:min(len(stack), 3000)])
 		}
-		for line := range strings.Lines(n.Box.Log()) {
+		for line := range strings.Lines(n.Process.Log()) {
 			if strings.Contains(line, "rule kept at the last moment") || strings.Contains(line, "invariant broken") ||
 				strings.Contains(line, "figures differ") {
 				logged = append(logged, n.Name+": "+strings.TrimSpace(line))
@@ -178,7 +180,7 @@
 		}
 	}
 	worst := time.Duration(0)
-	outcomes, excuses := map[stand.Outcome]int{}, map[string]int{}
+	outcomes, excuses := map[fake.Outcome]int{}, map[string]int{}
 	for _, x := range s.ledger.All() {
 		n := byNode[x.Node]
 		outcomes[x.Outcome]++
@@ -193,7 +195,7 @@
 			}
 		}
 		begun, ran := n.Processor.Begun()[x.ID]
-		for _, notice := range n.Notices() {
+		for _, notice := range n.Drains() {
 			if ran && x.Written.After(notice.At.Add(soakGrace+slackGrace)) && begun.After(notice.At) && begun.Before(notice.Ended) {
 				grace = append(grace, fmt.Sprintf("%s %016x: written %v after the notice, and run", x.Node, x.ID, x.Written.Sub(notice.At)))
 			}
@@ -207,7 +209,7 @@
 	s.Logf("seed %d: %d requests %v, unanswered %v, crossed %d, slowest answer %v", s.seed, len(s.ledger.All()), outcomes, excuses,
 		s.ledger.Crossed(), worst)
 	s.tellSeen()
-	if outcomes[stand.Served]*4 < len(s.ledger.All()) {
+	if outcomes[fake.Served]*4 < len(s.ledger.All()) {
 		s.Error("too little was served to tell anything")
 	}
 }
@@ -216,7 +218,7 @@
 func (s *soak) tellSeen() {
 	seen := map[string]int{}
 	for _, n := range s.nodes {
-		for line := range strings.Lines(n.Box.Log()) {
+		for line := range strings.Lines(n.Process.Log()) {
 			for _, what := range []string{
 				"time of day stepped", "stood still", "link lost", "not accepted", "bad reply", "next tier not reached",
 				"configuration not taken", "configuration read anew", "command repeated", "req without its answer", "to=draining",
--- a/cmd/frosthub/takeover_test.go
+++ b/cmd/frosthub/takeover_test.go
@@ -4,7 +4,9 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
+	"frosthub/internal/harness"
 	"math/rand/v2"
 	"os/exec"
 	"path/filepath"
@@ -22,10 +24,10 @@
 // fleetRig is boxes of one cluster, each with a processor of its own.
 type fleetRig struct {
 	t     *testing.T
-	boxes []*stand.Box
-	ps    []*stand.Processor
-	fc    []*stand.FastCGI
-	links [][]*stand.Link // from, to
+	boxes []*harness.Process
+	ps    []*fake.Processor
+	fc    []*fake.FastCGIClient
+	links [][]*faultproxy.Link // from, to
 
 	listens []string // for the other boxes
 	alone   []string // the files of boxes alone
@@ -53,12 +55,12 @@
 	t.Helper()
 	f := &fleetRig{t: t}
 	for range n {
-		at, err := stand.FreeAddress()
+		at, err := harness.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.listens = append(f.listens, at)
-		p, err := stand.NewProcessor(2, everyReq(work))
+		p, err := fake.NewProcessor(2, everyReq(work))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +68,7 @@
 		f.ps = append(f.ps, p)
 	}
 	for i := range n {
-		address, err := stand.FreeAddress()
+		address, err := harness.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,18 +81,18 @@
 		f.alone = append(f.alone, "figures file "+filepath.Join(dir, "figures")+"\nkeep dir "+store+"\nkeep handler file-claim by body\n")
 		f.links = append(f.links, nil)
 		for _, at := range f.listens {
-			link, err := stand.NewLink(at)
+			link, err := faultproxy.NewLink(at)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(link.Close)
 			f.links[i] = append(f.links[i], link)
 		}
-		f.boxes = append(f.boxes, &stand.Box{
+		f.boxes = append(f.boxes, &harness.Process{
 			Binary: binary, Dir: dir, Name: name, Listen: address, Processor: f.ps[i].Address(), StopMS: 800,
 			Conf: f.alone[i],
 		})
-		f.fc = append(f.fc, stand.NewFastCGI(address))
+		f.fc = append(f.fc, fake.NewFastCGIClient(address))
 		t.Cleanup(f.fc[i].Close)
 	}
 	return f
@@ -127,12 +129,12 @@
 }
 
 // asks has a load ask all boxes until the function is called that it returns.
-func (f *fleetRig) asks(load *stand.Claims, seed uint64) (stop func()) {
+func (f *fleetRig) asks(load *harness.ClaimLoad, seed uint64) (stop func()) {
 	ctx, cancel := context.WithCancel(f.t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		load.Run(ctx, seed, func(n uint64) stand.Asker { return f.fc[n>>40%uint64(len(f.fc))] })
+		load.Run(ctx, seed, func(n uint64) fake.Client { return f.fc[n>>40%uint64(len(f.fc))] })
 	}()
 	return func() {
 		cancel()
@@ -152,7 +154,7 @@
 }
 
 // judge holds what the callers of a load know against what ran, and gives the sums.
-func (f *fleetRig) judge(load *stand.Claims) stand.ClaimSums {
+func (f *fleetRig) judge(load *harness.ClaimLoad) harness.ClaimTotals {
 	f.t.Helper()
 	sums, wrong := load.Judge(f.effects())
 	for _, w := range wrong {
@@ -206,13 +208,13 @@
 	how, out, in := r.IntN(3), r.IntN(3) > 0, r.IntN(3) > 0 // a box cut off from the others, but not from its processor and edge nodes
 	for k := range f.boxes {
 		for _, l := range []struct {
-			l  *stand.Link
+			l  *faultproxy.Link
 			on bool
 		}{{f.links[i][k], out}, {f.links[k][i], in}} {
 			switch {
 			case !l.on || k == i:
 			case how == 0:
-				l.l.Cut()
+				l.l.Reset()
 			case how == 1:
 				l.l.Stall()
 			default:
@@ -230,8 +232,8 @@
 		}
 	}
 	for k := range f.boxes {
-		f.links[i][k].Mend()
-		f.links[k][i].Mend()
+		f.links[i][k].Heal()
+		f.links[k][i].Heal()
 	}
 	return [...]string{"cut off", "stalled", "slow links"}[how]
 }
@@ -264,15 +266,15 @@
 		t.Error(err, string(out))
 	}
 	t.Logf("%v: %+v; taken over in the last lives %d", kinds, sums, taken)
-	if sums.Served < 15*(*faults) || sums.Cut == 0 {
+	if sums.Served < 15*(*faults) || sums.Interrupted == 0 {
 		t.Error("too little was asked to tell anything")
 	}
 }
 
 // suffer has claims sent to all boxes while so many faults happen, and judges.
-func (f *fleetRig) suffer(faults int, seed uint64, cluster bool) (stand.ClaimSums, []string, map[string]int) {
+func (f *fleetRig) suffer(faults int, seed uint64, cluster bool) (harness.ClaimTotals, []string, map[string]int) {
 	r := rand.New(rand.NewPCG(seed, 12))
-	load := &stand.Claims{Handler: "file-claim", Callers: 30, Repeats: 2, Late: 0.3, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 30, Repeats: 2, Late: 0.3, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
 	stop := f.asks(load, seed)
 	kinds := map[string]int{}
 	for range faults {
@@ -311,7 +313,7 @@
 func TestRolled(t *testing.T) {
 	f := newFleetRig(t, 3, 25*time.Millisecond, true)
 	defer f.end()
-	load := &stand.Claims{Handler: "file-claim", Callers: 60, Repeats: 1, Pause: 5 * time.Millisecond, Patient: 3 * time.Second, CostMS: 25}
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 60, Repeats: 1, Pause: 5 * time.Millisecond, Timeout: 3 * time.Second, CostMS: 25}
 	stop := f.asks(load, 5)
 	handed := 0
 	for _, b := range f.boxes {
@@ -349,7 +351,7 @@
 		f.joins(i, before, nil)
 	}
 	f.start(before...)
-	load := &stand.Claims{Handler: "file-claim", Callers: 20, Repeats: 3, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Repeats: 3, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
 	stop := f.asks(load, 8)
 	logs := func(text string, boxes ...int) {
 		t.Helper()
@@ -365,7 +367,7 @@
 		t.Helper()
 		for _, i := range boxes {
 			f.joins(i, members, former)
-			if err := f.boxes[i].Reload(); err != nil {
+			if err := f.boxes[i].ReloadOperatorFile(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -423,13 +425,13 @@
 				}
 				for try := 0; try < 50 && answers[i][k] == ""; try++ { // refusals are asked again
 					time.Sleep(time.Duration(min(try, 1)) * 20 * time.Millisecond)
-					req := stand.Req{
+					req := fake.Request{
 						ID: uint64(1000*i + 100*k + try + 1), Handler: "file-claim", Caller: k, Start: time.Now().UnixMilli(),
 						Body: fmt.Sprint("claim ", i), CostMS: 10,
 					}
 					began := time.Now()
-					got, o := f.fc[(i+k)%5].Exchange(&req, 3*time.Second)
-					if o == stand.Served && got.Status == 200 {
+					got, o := f.fc[(i+k)%5].RoundTrip(&req, 3*time.Second)
+					if o == fake.Served && got.Status == 200 {
 						answers[i][k] = got.Body
 					}
 					if took := time.Since(began); took > time.Second {
@@ -456,7 +458,7 @@
 func TestZoneLost(t *testing.T) {
 	f := newFleetRig(t, 6, 6*time.Millisecond, true) // two boxes a zone
 	defer f.end()
-	load := &stand.Claims{Handler: "file-claim", Callers: 30, Repeats: 1, Pause: 10 * time.Millisecond, Patient: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 30, Repeats: 1, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
 	stop := f.asks(load, 11)
 	time.Sleep(700 * time.Millisecond)
 	for _, i := range []int{0, 3} {
@@ -471,7 +473,7 @@
 	stop()
 	sums := f.judge(load)
 	t.Logf("%+v", sums)
-	if sums.Served < 300 || sums.Doubted > 30 {
+	if sums.Served < 300 || sums.OutcomeUnknown > 30 {
 		t.Error("too little was served, or more is in doubt than was in hand")
 	}
 }
@@ -491,9 +493,9 @@
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	body := func(i int) string { return fmt.Sprintf("%s %d of round %d", handler, i, round) }
-	ask := func(box, i int, id uint64) (stand.Answer, stand.Outcome) {
-		req := stand.Req{ID: id, Handler: handler, Caller: i, Start: time.Now().UnixMilli(), Body: body(i), CostMS: 100}
-		return f.fc[box].Exchange(&req, 3*time.Second)
+	ask := func(box, i int, id uint64) (fake.Response, fake.Outcome) {
+		req := fake.Request{ID: id, Handler: handler, Caller: i, Start: time.Now().UnixMilli(), Body: body(i), CostMS: 100}
+		return f.fc[box].RoundTrip(&req, 3*time.Second)
 	}
 	begins := func() (n int) {
 		for body := range f.ps[0].Effects() {
@@ -537,7 +539,7 @@
 			ran, served := before[body(i)] > 0, false
 			for try := uint64(0); time.Since(killed) < 3*time.Second && !served; try++ {
 				got, o := ask(1+(i+int(try))%4, i, 5000+uint64(i)*100+try)
-				if served = o == stand.Served && got.Status == 200; !served {
+				if served = o == fake.Served && got.Status == 200; !served {
 					time.Sleep(50 * time.Millisecond)
 				}
 			}
@@ -609,10 +611,10 @@
 var clusterPairs = flag.Int("clusterpairs", 0, "measure boxes as a cluster beside boxes alone in so many pairs of runs")
 
 // retrying is an edge node that knows all boxes.
-func (f *fleetRig) retrying() *stand.Retrying {
-	a := &stand.Retrying{Tries: 4, Pause: 5 * time.Millisecond}
+func (f *fleetRig) retrying() *fake.RetryingClient {
+	a := &fake.RetryingClient{MaxAttempts: 4, Pause: 5 * time.Millisecond}
 	for _, x := range f.fc {
-		a.Boxes = append(a.Boxes, x)
+		a.Nodes = append(a.Nodes, x)
 	}
 	return a
 }
@@ -630,9 +632,9 @@
 }
 
 // mixed is what comes to a fleet by chance, each req its own.
-func mixed(rate float64, cost time.Duration, handlers ...string) stand.Stream {
-	return stand.Stream{
-		Rate: rate, Handlers: handlers, CostMS: cost.Seconds() * 1000, Target: time.Second, Patient: 2900 * time.Millisecond,
+func mixed(rate float64, cost time.Duration, handlers ...string) fake.OpenLoad {
+	return fake.OpenLoad{
+		Rate: rate, Handlers: handlers, CostMS: cost.Seconds() * 1000, Target: time.Second, Timeout: 2900 * time.Millisecond,
 		Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
 	}
 }
@@ -654,7 +656,7 @@
 				run := func(seed uint64, span time.Duration) float64 {
 					ctx, stop := context.WithTimeout(t.Context(), span)
 					defer stop()
-					return load.Run(ctx, seed, stand.NewTally(), func(uint64) stand.Asker { return f.retrying() })
+					return load.Run(ctx, seed, fake.NewTally(), func(uint64) fake.Client { return f.retrying() })
 				}
 				run(uint64(pair)+100, 3*time.Second)
 				if fault == "a slow box" {
@@ -709,8 +711,8 @@
 	var after []int
 	served := 0
 	for round := range 10 {
-		load := &stand.Claims{Handler: "file-claim", Callers: 40, Keys: *clusterClaims / 400, Patient: 2 * time.Second, CostMS: 1}
-		load.Run(t.Context(), uint64(round), func(n uint64) stand.Asker { return f.fc[n>>40%3] })
+		load := &harness.ClaimLoad{Handler: "file-claim", Callers: 40, Keys: *clusterClaims / 400, Timeout: 2 * time.Second, CostMS: 1}
+		load.Run(t.Context(), uint64(round), func(n uint64) fake.Client { return f.fc[n>>40%3] })
 		sums, wrong := load.Judge(f.effects())
 		for _, w := range wrong {
 			t.Error(w)
@@ -743,10 +745,10 @@
 				f := newFleetRig(t, 3, work, cluster)
 				h := hdrhistogram.New(1, 10_000_000, 3)
 				load := mixed(0.4*1500, work, c.handlers...)
-				load.Took = func(d time.Duration) { _ = h.RecordValue(d.Microseconds()) }
+				load.OnLatency = func(d time.Duration) { _ = h.RecordValue(d.Microseconds()) }
 				before := f.cpu()
 				ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
-				load.Run(ctx, 9, stand.NewTally(), func(uint64) stand.Asker { return f.retrying() })
+				load.Run(ctx, 9, fake.NewTally(), func(uint64) fake.Client { return f.retrying() })
 				stop()
 				cpu[i] = float64((f.cpu() - before).Microseconds()) / float64(h.TotalCount())
 				middle[i] = float64(h.ValueAtQuantile(50)) / 1000
--- a/failover/sim_test.go
+++ b/failover/sim_test.go
@@ -5,7 +5,7 @@
 	"flag"
 	"fmt"
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/harness"
 	"frosthub/recovery"
 	"math"
 	"math/rand/v2"
@@ -31,7 +31,7 @@
 	t    testing.TB
 	r    *rand.Rand
 	seed uint64
-	stand.Schedule
+	harness.EventQueue
 	boxes    []*box
 	cut      map[[2]int]bool
 	loss     float64
@@ -53,7 +53,7 @@
 	loses    bool // disks lose what they had confirmed, and their boxes are told it again
 	refills  int  // that came to their end
 	lost     int  // disks
-	history  []stand.Event
+	history  []harness.HistoryEvent
 	verdicts map[idempotency.Decision]int
 	askedAt  map[uint64]time.Duration
 }
@@ -411,7 +411,7 @@
 		if w.r.IntN(12) == 0 {
 			e.kind, e.result = idempotency.EntryFailed, nil
 		}
-		w.history = append(w.history, stand.Event{Key: string(o.Key[:]), Ran: true, Result: string(e.result), Asked: int64(w.Now), Heard: int64(w.Now)})
+		w.history = append(w.history, harness.HistoryEvent{Key: string(o.Key[:]), Ran: true, Result: string(e.result), Asked: int64(w.Now), Heard: int64(w.Now)})
 		life := x.life
 		w.After(w.span(20*time.Millisecond), func() {
 			if w.lives || x.up && x.life == life {
@@ -445,7 +445,7 @@
 // heard notes an answer for the history.
 func (w *world) heard(o Outcome, served bool) {
 	if at, ok := w.askedAt[o.ID]; ok && !w.keys[o.Key].replay {
-		w.history = append(w.history, stand.Event{Key: string(o.Key[:]), Served: served, Result: string(o.Result), Asked: int64(at), Heard: int64(w.Now)})
+		w.history = append(w.history, harness.HistoryEvent{Key: string(o.Key[:]), Served: served, Result: string(o.Result), Asked: int64(at), Heard: int64(w.Now)})
 	}
 }
 
@@ -606,7 +606,7 @@
 func newWorld(t testing.TB, seed uint64, n int, kind kind) *world {
 	r := rand.New(rand.NewPCG(seed, 5))
 	w := &world{
-		t: t, r: r, seed: seed, Schedule: stand.Schedule{Now: noon}, cut: map[[2]int]bool{}, keys: map[idempotency.Key]*truth{}, verdicts: map[idempotency.Decision]int{},
+		t: t, r: r, seed: seed, EventQueue: harness.EventQueue{Now: noon}, cut: map[[2]int]bool{}, keys: map[idempotency.Key]*truth{}, verdicts: map[idempotency.Decision]int{},
 		askedAt: map[uint64]time.Duration{}, answered: map[uint64]bool{},
 	}
 	w.loss, w.wrong = []float64{0, 0, 0.02, 0.1}[r.IntN(4)], []float64{0, 0.02, 0.3}[r.IntN(3)]
@@ -647,7 +647,7 @@
 	for _, x := range w.boxes {
 		w.found += x.b.Stats().FoundAtProcessor
 	}
-	if bad, ok := stand.Linear(w.history); !ok {
+	if bad, ok := harness.Linearizable(w.history); !ok {
 		w.broken("no order explains %x", bad)
 	}
 	return w
--- a/internal/stand/ajpserver.go
+++ b/internal/fake/ajp_server.go
@@ -1,4 +1,4 @@
-package stand
+package fake
 
 import (
 	"frosthub/internal/ajp"
@@ -13,16 +13,16 @@
 
 // The faults.
 const (
-	NoFault     Fault = iota
-	SlowTen           // it takes ten times as long
-	NeverSays         // it runs the call and never answers
-	ResetBefore       // the connection ends, nothing ran
-	ResetAfter        // it runs the call, and the connection ends
-	HalfAnswer        // it runs the call, and the connection ends in the middle of the answer
-	WrongLength       // it runs the call, and answers with a chunk longer than its packet
-	TurnsAway         // 503: it never ran
-	Fails             // 500
-	NoPong            // CPing is not answered, nor is anything else
+	NoFault         Fault = iota
+	TenTimesSlower        // it takes ten times as long
+	NeverAnswers          // it runs the call and never answers
+	ResetBefore           // the connection ends, nothing ran
+	ResetAfter            // it runs the call, and the connection ends
+	TruncatedAnswer       // it runs the call, and the connection ends in the middle of the answer
+	WrongLength           // it runs the call, and answers with a chunk longer than its packet
+	Rejects               // 503: it never ran
+	Fails                 // 500
+	NoPong                // CPing is not answered, nor is anything else
 )
 
 // AJPServer is a stand-in for a server of the next tier. It counts how often each call ran.
@@ -71,8 +71,8 @@
 // Address is where it listens, also while it is away.
 func (s *AJPServer) Address() string { return s.address }
 
-// Leave ends it, with all that is open; Return has it back at its address.
-func (s *AJPServer) Leave() {
+// Stop ends it, with all that is open; Return has it back at its address.
+func (s *AJPServer) Stop() {
 	_ = s.ln.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// Return has it listen again.
-func (s *AJPServer) Return() error { return s.open(s.address) }
+// Restart has it listen again.
+func (s *AJPServer) Restart() error { return s.open(s.address) }
 
 // SetFault has it behave so from now on.
 func (s *AJPServer) SetFault(f Fault) {
@@ -91,8 +91,8 @@
 	s.Fault = func(uint64) Fault { return f }
 }
 
-// Ran gives how often each call ran; Got how many came, Pings how many CPings did.
-func (s *AJPServer) Ran() map[uint64]int {
+// CallCounts gives how often each call ran; Got how many came, Pings how many CPings did.
+func (s *AJPServer) CallCounts() map[uint64]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[uint64]int, len(s.ran))
@@ -102,8 +102,8 @@
 	return out
 }
 
-// Got is how many calls came.
-func (s *AJPServer) Got() int {
+// Received is how many calls came.
+func (s *AJPServer) Received() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got
@@ -166,13 +166,13 @@
 	}
 	s.mu.Lock()
 	s.got++
-	runs := fault != ResetBefore && fault != TurnsAway && fault != NoPong
+	runs := fault != ResetBefore && fault != Rejects && fault != NoPong
 	if runs {
 		s.ran[id]++
 	}
 	s.mu.Unlock()
 	work := s.Work
-	if fault == SlowTen {
+	if fault == TenTimesSlower {
 		work *= 10
 	}
 	if runs {
@@ -182,16 +182,16 @@
 	answer := ajp.AppendHeaders(nil, 200, "OK", nil)
 	p.Done()
 	switch fault {
-	case NeverSays, NoPong:
+	case NeverAnswers, NoPong:
 		return true
 	case ResetBefore, ResetAfter:
 		return false
-	case HalfAnswer:
+	case TruncatedAnswer:
 		write(answer)
 		return false
 	case WrongLength:
 		return write(append(answer, 'A', 'B', 0, 4, 3, 0, 99, 'x'))
-	case TurnsAway:
+	case Rejects:
 		return write(ajp.AppendEnd(ajp.AppendHeaders(nil, 503, "No", nil), true))
 	case Fails:
 		return write(ajp.AppendEnd(ajp.AppendHeaders(nil, 500, "No", nil), true))
--- a/internal/stand/disk.go
+++ b/internal/fake/disk.go
@@ -1,4 +1,4 @@
-package stand
+package fake
 
 import (
 	"errors"
@@ -10,40 +10,42 @@
 	"sync"
 )
 
-// ErrPower is what a disk without power answers.
-var ErrPower = errors.New("the power is gone")
+// ErrPowerLost is what a disk without power answers.
+var ErrPowerLost = errors.New("the power is gone")
 
 // Disk is a folder that loses power after so many operations. What it then still has is drawn from a seed, within what a file
 // system may do: of what was not confirmed any sectors, any length, and of the changes of names as many as came first.
 type Disk struct {
-	Left int                           // operations until the power goes; under 0 it stays
-	Fail func(what, name string) error // an operation that is to fail; nil none
-	Slow func(what string, number int) // called before each
-	mu   sync.Mutex
-	done int
-	now  map[string]*inode // as the process sees it
-	safe map[string]*inode // as confirmed
-	ops  []func(names map[string]*inode)
+	PowerBudget int                           // operations until the power goes; under 0 it stays
+	Fail        func(what, name string) error // an operation that is to fail; nil none
+	Slow        func(what string, number int) // called before each
+	mu          sync.Mutex
+	done        int
+	now         map[string]*inode // as the process sees it
+	safe        map[string]*inode // as confirmed
+	ops         []func(names map[string]*inode)
 }
 
 type inode struct {
 	data, safe []byte // as the process sees it, as confirmed
 }
 
-const sector = 512
+const SectorSize = 512
 
 // NewDisk returns an empty one.
-func NewDisk() *Disk { return &Disk{Left: -1, now: map[string]*inode{}, safe: map[string]*inode{}} }
+func NewDisk() *Disk {
+	return &Disk{PowerBudget: -1, now: map[string]*inode{}, safe: map[string]*inode{}}
+}
 
-// Off has the power go now.
-func (d *Disk) Off() {
+// CutPower has the power go now.
+func (d *Disk) CutPower() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.Left = 0
+	d.PowerBudget = 0
 }
 
-// Done is how many operations it has seen.
-func (d *Disk) Done() int {
+// Operations is how many operations it has seen.
+func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.done
@@ -57,13 +59,13 @@
 		slow(what, d.done)
 		d.mu.Lock()
 	}
-	if d.Left == 0 {
-		return false, ErrPower
+	if d.PowerBudget == 0 {
+		return false, ErrPowerLost
 	}
-	if d.Left > 0 {
-		d.Left--
-		if d.Left == 0 {
-			return true, ErrPower
+	if d.PowerBudget > 0 {
+		d.PowerBudget--
+		if d.PowerBudget == 0 {
+			return true, ErrPowerLost
 		}
 	}
 	if d.Fail != nil {
@@ -157,8 +159,8 @@
 	return nil
 }
 
-// After is the disk as it is found when the power is back.
-func (d *Disk) After(r *rand.Rand) *Disk {
+// AfterPowerLoss is the disk as it is found when the power is back.
+func (d *Disk) AfterPowerLoss(r *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := NewDisk()
@@ -183,8 +185,8 @@
 	out := make([]byte, least+r.IntN(most-least+1))
 	copy(out, f.safe)
 	share := r.Float64() // of the sectors that got there
-	for at := 0; at < len(out) && at < len(f.data); at += sector {
-		if end := min(at+sector, len(out), len(f.data)); r.Float64() < share {
+	for at := 0; at < len(out) && at < len(f.data); at += SectorSize {
+		if end := min(at+SectorSize, len(out), len(f.data)); r.Float64() < share {
 			copy(out[at:end], f.data[at:end])
 		}
 	}
--- a/internal/stand/edge.go
+++ b/internal/fake/edge_load.go
@@ -1,4 +1,4 @@
-package stand
+package fake
 
 import (
 	"bufio"
@@ -20,9 +20,9 @@
 const (
 	Sent     Outcome = iota // written, and nothing has come of it
 	Served                  // answered with the result that the processor makes of it
-	Refused                 // answered: it never ran
+	Rejected                // answered: it never ran
 	Failed                  // any other answer
-	TakenOff                // taken back, and the box said so without an answer
+	Aborted                 // taken back, and the box said so without an answer
 	NotSent                 // not a whole req was written
 	Wrong                   // an answer that nobody may give: another result, a second answer
 )
@@ -75,13 +75,15 @@
 	return n
 }
 
-// Result is what the processor makes of a req.
-func Result(id uint64, body string) string { return fmt.Sprintf("result of %016x: %s", id, body) }
+// ProcessorResult is what the processor makes of a req.
+func ProcessorResult(id uint64, body string) string {
+	return fmt.Sprintf("result of %016x: %s", id, body)
+}
 
-// cgiAnswer reads an answer with fields as of CGI.
-func cgiAnswer(text string) Answer {
+// ParseCGIResponse reads an answer with fields as of CGI.
+func ParseCGIResponse(text string) Response {
 	head, body, _ := strings.Cut(text, "\r\n\r\n")
-	a := Answer{Fields: map[string]string{}, Body: body, Reuse: true}
+	a := Response{Fields: map[string]string{}, Body: body, Reuse: true}
 	for line := range strings.SplitSeq(head, "\r\n") {
 		name, value, _ := strings.Cut(line, ": ")
 		a.Fields[name] = value
@@ -93,7 +95,7 @@
 
 // OutcomeOf reads an answer with fields as of CGI.
 func OutcomeOf(text, result string) Outcome {
-	a := cgiAnswer(text)
+	a := ParseCGIResponse(text)
 	return outcomeOf(a.Status, a.Body, result)
 }
 
@@ -105,16 +107,16 @@
 	case status == 200:
 		return Wrong
 	case status == 429 || status == 503:
-		return Refused
+		return Rejected
 	}
 	return Failed
 }
 
-// Load is how an edge node asks.
-type Load struct {
+// EdgeLoad is how an edge node asks.
+type EdgeLoad struct {
 	Address  string
 	Conns    int           // connections; each is made anew when it ends
-	Every    time.Duration // between reqs of a connection, in the mean
+	Interval time.Duration // between reqs of a connection, in the mean
 	Slots    int           // reqs open on one, at most
 	Handlers []string
 	Abort    float64 // share of reqs taken back after a moment
@@ -127,7 +129,7 @@
 
 // Run asks until the context is done, then waits for what is open; reqs and their ends go to the tally. It returns
 // when no connection is left.
-func (l Load) Run(ctx context.Context, tally *Tally, seed uint64) {
+func (l EdgeLoad) Run(ctx context.Context, tally *Tally, seed uint64) {
 	var all sync.WaitGroup
 	for i := range l.Conns {
 		all.Go(func() {
@@ -148,7 +150,7 @@
 // lastAnswers is how long an edge node waits for what is open when it stops asking.
 const lastAnswers = 3 * time.Second
 
-func (l Load) connection(ctx context.Context, tally *Tally, r *rand.Rand) error {
+func (l EdgeLoad) connection(ctx context.Context, tally *Tally, r *rand.Rand) error {
 	c, err := net.Dial("tcp", l.Address)
 	if err != nil {
 		return err
@@ -161,24 +163,24 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = readFastCGI(bufio.NewReader(c), func(a fcgiAnswer) {
+		_ = ReadFastCGI(bufio.NewReader(c), func(a FastCGIResponse) {
 			mu.Lock()
 			defer mu.Unlock()
-			id, ok := open[a.slot]
+			id, ok := open[a.Slot]
 			if !ok {
 				return
 			}
-			delete(open, a.slot)
+			delete(open, a.Slot)
 			answered.Broadcast()
 			switch {
-			case a.bare && a.status == 2:
-				tally.Set(id, Refused)
-			case a.bare && a.status == 0:
-				tally.Set(id, TakenOff)
-			case a.bare:
+			case a.NoBody && a.ProtocolStatus == 2:
+				tally.Set(id, Rejected)
+			case a.NoBody && a.ProtocolStatus == 0:
+				tally.Set(id, Aborted)
+			case a.NoBody:
 				tally.Set(id, Failed)
 			default:
-				tally.Set(id, OutcomeOf(a.text, Result(id, l.Body)))
+				tally.Set(id, OutcomeOf(a.Text, ProcessorResult(id, l.Body)))
 			}
 		})
 		mu.Lock()
@@ -198,7 +200,7 @@
 			return l.finish(c, done)
 		case <-done:
 			return io.EOF
-		case <-time.After(time.Duration(r.ExpFloat64() * float64(l.Every))):
+		case <-time.After(time.Duration(r.ExpFloat64() * float64(l.Interval))):
 		}
 		mu.Lock()
 		_, used := open[slot]
@@ -207,7 +209,7 @@
 		if used || full {
 			continue
 		}
-		req := Req{
+		req := Request{
 			ID: r.Uint64() | 1, Handler: l.Handlers[r.IntN(len(l.Handlers))], Caller: r.IntN(max(1, l.Callers)),
 			Start: time.Now().UnixMilli(), CostMS: l.CostMS, Body: l.Body,
 		}
@@ -234,7 +236,7 @@
 		switch x := r.Float64(); {
 		case x < l.Abort:
 			time.Sleep(time.Duration(r.IntN(3)) * time.Millisecond)
-			_, _ = io.WriteString(c, Abort(slot))
+			_, _ = io.WriteString(c, FastCGIAbort(slot))
 		case x < l.Abort+l.Close:
 			return l.finish(c, done)
 		}
@@ -242,7 +244,7 @@
 }
 
 // finish ends a connection in good order: what the box has handed to the system still comes.
-func (l Load) finish(c net.Conn, done chan struct{}) error {
+func (l EdgeLoad) finish(c net.Conn, done chan struct{}) error {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
--- a/internal/stand/processor.go
+++ b/internal/fake/processor.go
@@ -1,4 +1,4 @@
-package stand
+package fake
 
 import (
 	"bufio"
@@ -305,7 +305,7 @@
 			if j.left > 0 || j.calls {
 				return false
 			}
-			p.complete(j, "ok", Result(j.id, j.body))
+			p.complete(j, "ok", ProcessorResult(j.id, j.body))
 			return true
 		})
 		n := float64(p.working())
--- a/internal/stand/tier.go
+++ b/internal/fake/upstream.go
@@ -1,4 +1,4 @@
-package stand
+package fake
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"sync"
 )
 
-// Tier is a stand-in for the proxy of the next tier: it runs each call at once, and its replies fail by chance.
-type Tier struct {
+// Upstream is a stand-in for the proxy of the next tier: it runs each call at once, and its replies fail by chance.
+type Upstream struct {
 	ln net.Listener
 
 	mu     sync.Mutex
@@ -21,32 +21,32 @@
 	ran    map[uint64]int // how often a call was run for a request
 }
 
-// NewTier listens on loopback until Close.
-func NewTier(seed uint64) (*Tier, error) {
+// NewUpstream listens on loopback until Close.
+func NewUpstream(seed uint64) (*Upstream, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	t := &Tier{ln: ln, random: rand.New(rand.NewPCG(seed, 3)), ran: map[uint64]int{}}
-	go acceptAll(ln, t.serve)
+	t := &Upstream{ln: ln, random: rand.New(rand.NewPCG(seed, 3)), ran: map[uint64]int{}}
+	go AcceptAll(ln, t.serve)
 	return t, nil
 }
 
 // Address is where it listens.
-func (t *Tier) Address() string { return t.ln.Addr().String() }
+func (t *Upstream) Address() string { return t.ln.Addr().String() }
 
 // Close ends the listening.
-func (t *Tier) Close() { _ = t.ln.Close() }
+func (t *Upstream) Close() { _ = t.ln.Close() }
 
-// Spoil has that share of the replies fail from now on.
-func (t *Tier) Spoil(share float64) {
+// SetFailureShare has that share of the replies fail from now on.
+func (t *Upstream) SetFailureShare(share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.spoilt = share
 }
 
-// Ran gives how often calls were run, by request.
-func (t *Tier) Ran() map[uint64]int {
+// CallCounts gives how often calls were run, by request.
+func (t *Upstream) CallCounts() map[uint64]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[uint64]int, len(t.ran))
@@ -56,7 +56,7 @@
 	return out
 }
 
-func (t *Tier) serve(c net.Conn) {
+func (t *Upstream) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -73,14 +73,14 @@
 			return
 		}
 		if !t.reply(c, w[1]) {
-			abort(c)
+			ResetConn(c)
 			return
 		}
 	}
 }
 
 // reply runs a call and answers it, and tells whether the connection stays.
-func (t *Tier) reply(c net.Conn, id string) bool {
+func (t *Upstream) reply(c net.Conn, id string) bool {
 	t.mu.Lock()
 	number, _ := strconv.ParseUint(id, 16, 64)
 	t.ran[number]++
--- a/internal/stand/link.go
+++ b/internal/faultproxy/link.go
@@ -1,6 +1,7 @@
-package stand
+package faultproxy
 
 import (
+	"frosthub/internal/fake"
 	"io"
 	"net"
 	"sync"
@@ -28,15 +29,15 @@
 	}
 	l := &Link{to: to, ln: ln, conns: map[net.Conn]bool{}}
 	l.wake = sync.NewCond(&l.mu)
-	go acceptAll(ln, l.carry)
+	go fake.AcceptAll(ln, l.carry)
 	return l, nil
 }
 
 // Address is where it listens.
 func (l *Link) Address() string { return l.ln.Addr().String() }
 
-// Cut ends what is open, in the middle of a message if one is on its way, and lets nothing through until it is mended.
-func (l *Link) Cut() {
+// Reset ends what is open, in the middle of a message if one is on its way, and lets nothing through until it is mended.
+func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = true
@@ -61,8 +62,8 @@
 	l.delay = d
 }
 
-// Mend ends all faults; what was stalled goes on.
-func (l *Link) Mend() {
+// Heal ends all faults; what was stalled goes on.
+func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut, l.stall, l.delay = false, false, 0
@@ -72,7 +73,7 @@
 // Close ends it.
 func (l *Link) Close() {
 	_ = l.ln.Close()
-	l.Cut()
+	l.Reset()
 }
 
 func (l *Link) carry(c net.Conn) {
@@ -117,14 +118,3 @@
 		}
 	}
 }
-
-// acceptAll hands each connection of a listener to serve, in a goroutine of its own, until it is closed.
-func acceptAll(ln net.Listener, serve func(net.Conn)) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		go serve(c)
-	}
-}
--- a/internal/stand/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,7 +1,8 @@
-package stand
+package faultproxy
 
 import (
 	"errors"
+	"frosthub/internal/fake"
 	"io"
 	"net"
 	"sync"
@@ -51,7 +52,7 @@
 	}
 	p := &Proxy{ln: ln, to: to, conns: map[string]*carried{}}
 	p.wake = sync.NewCond(&p.mu)
-	go acceptAll(ln, p.carry)
+	go fake.AcceptAll(ln, p.carry)
 	return p, nil
 }
 
@@ -81,19 +82,14 @@
 		if c.broken == "" && c.farEnded.IsZero() {
 			c.broken = brokenReset
 		}
-		abort(c.client)
-		abort(c.far)
+		fake.ResetConn(c.client)
+		fake.ResetConn(c.far)
 	}
 	p.wake.Broadcast()
 }
 
-// abort closes a connection with a reset.
-func abort(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0)
-		_ = tcp.Close()
-	}
-}
+// StopAccepting closes the listener; connections that are open go on.
+func (p *Proxy) StopAccepting() { _ = p.ln.Close() }
 
 // Close ends it.
 func (p *Proxy) Close() {
@@ -142,8 +138,8 @@
 			c.broken = brokenNoDial
 		}
 		p.mu.Unlock()
-		abort(client)
-		abort(far)
+		fake.ResetConn(client)
+		fake.ResetConn(far)
 		return
 	}
 	c.far = far
--- a/internal/stand/caller.go
+++ b/internal/harness/edge_node.go
@@ -1,8 +1,10 @@
-package stand
+package harness
 
 import (
 	"bufio"
 	"context"
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -10,21 +12,21 @@
 	"time"
 )
 
-// Caller is an edge node that keeps its connections and goes on asking on them until it sees their end, as one does that has not heard
+// EdgeNode is an edge node that keeps its connections and goes on asking on them until it sees their end, as one does that has not heard
 // of a drain yet. What it sees goes to a ledger.
-type Caller struct {
-	Node     string // whose requests they are, in the ledger
-	Address  string
-	Via      *Proxy // on the way there; nil: none
-	Conns    int
-	Every    time.Duration // between requests of a connection, in the mean
-	Slots    int           // requests open on one, at most
-	Handlers []string
-	CostMS   float64
-	Body     string
-	Pieces   float64                      // share of requests written in two pieces
-	Pause    time.Duration                // between those, at most
-	Excuse   func(began time.Time) string // why an end of a connection begun then is no fault of the node, empty if it is; nil: it is
+type EdgeNode struct {
+	Name      string // whose requests they are, in the ledger
+	Address   string
+	Proxy     *faultproxy.Proxy // on the way there; nil: none
+	Conns     int
+	Interval  time.Duration // between requests of a connection, in the mean
+	Slots     int           // requests open on one, at most
+	Handlers  []string
+	CostMS    float64
+	Body      string
+	Pieces    float64                      // share of requests written in two pieces
+	Pause     time.Duration                // between those, at most
+	ExcuseFor func(began time.Time) string // why an end of a connection begun then is no fault of the node, empty if it is; nil: it is
 }
 
 // lastRecord is the length of the record that ends a request, with its padding.
@@ -34,19 +36,19 @@
 const waitAnswers = 6 * time.Second
 
 // Run asks until the context is done, then waits for what is open.
-func (c Caller) Run(ctx context.Context, ledger *Ledger, seed uint64) {
+func (c EdgeNode) Run(ctx context.Context, ledger *ExchangeLog, seed uint64) {
 	var all sync.WaitGroup
 	for i := range c.Conns {
 		all.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			for ctx.Err() == nil {
 				address := c.Address
-				if c.Via != nil {
-					address = c.Via.Address()
+				if c.Proxy != nil {
+					address = c.Proxy.Address()
 				}
 				conn, err := net.DialTimeout("tcp", address, time.Second)
 				if err == nil {
-					(&call{Caller: c, ledger: ledger, conn: conn, open: map[uint16]written{}, began: time.Now()}).run(ctx, random)
+					(&call{EdgeNode: c, ledger: ledger, conn: conn, open: map[uint16]written{}, began: time.Now()}).run(ctx, random)
 					continue
 				}
 				select { // a refused connection proves that nothing ran
@@ -61,8 +63,8 @@
 
 // call is one connection of a caller.
 type call struct {
-	Caller
-	ledger *Ledger
+	EdgeNode
+	ledger *ExchangeLog
 	conn   net.Conn
 
 	mu   sync.Mutex
@@ -83,7 +85,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = readFastCGI(bufio.NewReader(c.conn), c.answer)
+		_ = fake.ReadFastCGI(bufio.NewReader(c.conn), c.answer)
 		c.end()
 	}()
 	defer func() { _ = c.conn.Close() }()
@@ -94,7 +96,7 @@
 			return
 		case <-ended:
 			return
-		case <-time.After(time.Duration(random.ExpFloat64() * float64(c.Every))):
+		case <-time.After(time.Duration(random.ExpFloat64() * float64(c.Interval))):
 		}
 		if c.full(slot) {
 			continue
@@ -116,7 +118,7 @@
 // write writes one request, and tells whether it was written whole.
 func (c *call) write(slot uint16, random *rand.Rand) bool {
 	id := random.Uint64() | 1
-	req := Req{ID: id, Handler: c.Handlers[random.IntN(len(c.Handlers))], Start: time.Now().UnixMilli(), CostMS: c.CostMS, Body: c.Body}
+	req := fake.Request{ID: id, Handler: c.Handlers[random.IntN(len(c.Handlers))], Start: time.Now().UnixMilli(), CostMS: c.CostMS, Body: c.Body}
 	text := req.FastCGI(slot)
 	c.sent += int64(len(text))
 	if random.Float64() < c.Pieces {
@@ -132,7 +134,7 @@
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		return false
 	}
-	c.ledger.Wrote(c.Node, id, req.Handler, time.Now())
+	c.ledger.Wrote(c.Name, id, req.Handler, time.Now())
 	if c.over.IsZero() {
 		c.open[slot] = written{id, c.sent}
 	} else { // written after the end, which was not seen yet: it crossed it
@@ -141,20 +143,20 @@
 	return true
 }
 
-func (c *call) answer(a fcgiAnswer) {
+func (c *call) answer(a fake.FastCGIResponse) {
 	c.mu.Lock()
-	w, ok := c.open[a.slot]
-	delete(c.open, a.slot)
+	w, ok := c.open[a.Slot]
+	delete(c.open, a.Slot)
 	c.mu.Unlock()
 	if !ok {
 		return // refused before it was whole
 	}
-	outcome := Failed
+	outcome := fake.Failed
 	switch {
-	case a.bare && a.status == 2:
-		outcome = Refused
-	case !a.bare:
-		outcome = OutcomeOf(a.text, Result(w.id, c.Body))
+	case a.NoBody && a.ProtocolStatus == 2:
+		outcome = fake.Rejected
+	case !a.NoBody:
+		outcome = fake.OutcomeOf(a.Text, fake.ProcessorResult(w.id, c.Body))
 	}
 	c.ledger.Answered(w.id, outcome, time.Now())
 }
@@ -172,13 +174,13 @@
 // unanswered enters a request whose connection ended without its answer, by what the node had of it and when the node ended.
 func (c *call) unanswered(w written) {
 	ended, excuse := c.over, ""
-	if c.Excuse != nil {
-		excuse = c.Excuse(c.began)
+	if c.ExcuseFor != nil {
+		excuse = c.ExcuseFor(c.began)
 	}
-	if c.Via != nil {
+	if c.Proxy != nil {
 		client := c.conn.LocalAddr().String()
-		at, had := c.Via.Handed(client, w.bytes)
-		farEnded, broken := c.Via.Ended(client)
+		at, had := c.Proxy.Handed(client, w.bytes)
+		farEnded, broken := c.Proxy.Ended(client)
 		switch {
 		case broken != "":
 			excuse = broken
--- a/internal/stand/schedule.go
+++ b/internal/harness/event_queue.go
@@ -1,12 +1,12 @@
-package stand
+package harness
 
 import (
 	"container/heap"
 	"time"
 )
 
-// Schedule is the time of a simulation, and what happens in it: in the order of its moments, and of one moment in that in which it was asked for.
-type Schedule struct {
+// EventQueue is the time of a simulation, and what happens in it: in the order of its moments, and of one moment in that in which it was asked for.
+type EventQueue struct {
 	Now   time.Duration
 	queue happenings
 	seq   int
@@ -29,13 +29,13 @@
 func (h *happenings) Pop() any     { old := *h; x := old[len(old)-1]; *h = old[:len(old)-1]; return x }
 
 // After has something happen later.
-func (s *Schedule) After(d time.Duration, do func()) {
+func (s *EventQueue) After(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, happening{s.Now + d, s.seq, do})
 }
 
 // Next has what comes next happen, if that is by then, and tells whether it did.
-func (s *Schedule) Next(by time.Duration) bool {
+func (s *EventQueue) Next(by time.Duration) bool {
 	if len(s.queue) == 0 || s.queue[0].at > by {
 		return false
 	}
@@ -46,4 +46,4 @@
 }
 
 // Count is how much has been asked for so far.
-func (s *Schedule) Count() int { return s.seq }
+func (s *EventQueue) Count() int { return s.seq }
--- a/internal/stand/ledger.go
+++ b/internal/harness/exchange_log.go
@@ -1,7 +1,8 @@
-package stand
+package harness
 
 import (
 	"fmt"
+	"frosthub/internal/fake"
 	"sync"
 	"time"
 )
@@ -18,30 +19,30 @@
 	Written  time.Time // the last byte; zero: not written whole
 	Answered time.Time // the final answer was read whole; zero: none
 	Ended    time.Time // its connection ended without one; zero: it did not
-	Outcome  Outcome
+	Outcome  fake.Outcome
 	Excused  string // why no answer is owed: a fault on the way, the edge node's own end, a node that was killed
 }
 
-// Ledger is what edge nodes saw of all their requests. It is the judge of the rule on lost requests: unlike a node's own book it
+// ExchangeLog is what edge nodes saw of all their requests. It is the judge of the rule on lost requests: unlike a node's own book it
 // knows of requests that the node never entered anywhere.
-type Ledger struct {
+type ExchangeLog struct {
 	mu  sync.Mutex
 	all map[uint64]*Exchange
 	bad []string // answers that nobody may give
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{all: map[uint64]*Exchange{}} }
+// NewExchangeLog returns an empty ledger.
+func NewExchangeLog() *ExchangeLog { return &ExchangeLog{all: map[uint64]*Exchange{}} }
 
 // Wrote enters a request whose last byte was written.
-func (l *Ledger) Wrote(node string, id uint64, handler string, at time.Time) {
+func (l *ExchangeLog) Wrote(node string, id uint64, handler string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all[id] = &Exchange{ID: id, Handler: handler, Node: node, Written: at, Outcome: Sent}
+	l.all[id] = &Exchange{ID: id, Handler: handler, Node: node, Written: at, Outcome: fake.Sent}
 }
 
 // Handed enters when the node had a request that something carried to it.
-func (l *Ledger) Handed(id uint64, at time.Time) {
+func (l *ExchangeLog) Handed(id uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if x := l.all[id]; x != nil {
@@ -50,7 +51,7 @@
 }
 
 // Answered enters a final answer; a second one breaks the rule on duplicates.
-func (l *Ledger) Answered(id uint64, o Outcome, at time.Time) {
+func (l *ExchangeLog) Answered(id uint64, o fake.Outcome, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	x := l.all[id]
@@ -65,7 +66,7 @@
 }
 
 // Ended enters that a request's connection ended without its answer; excuse is empty where the node ended it.
-func (l *Ledger) Ended(id uint64, at time.Time, excuse string) {
+func (l *ExchangeLog) Ended(id uint64, at time.Time, excuse string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if x := l.all[id]; x != nil && x.Answered.IsZero() {
@@ -74,7 +75,7 @@
 }
 
 // All gives a copy of each exchange.
-func (l *Ledger) All() []Exchange {
+func (l *ExchangeLog) All() []Exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Exchange, 0, len(l.all))
@@ -86,13 +87,13 @@
 
 // Lost tells, a line each, which requests broke the rules on lost requests and on duplicates: those whose connection the node ended
 // without an answer and not within the window of a crossing, and answers that nobody may give. What was answered wrongly counts as well.
-func (l *Ledger) Lost() []string {
+func (l *ExchangeLog) Lost() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := append([]string(nil), l.bad...)
 	for _, x := range l.all {
 		switch {
-		case x.Outcome == Wrong:
+		case x.Outcome == fake.Wrong:
 			out = append(out, fmt.Sprintf("%s %016x: a result that no run made", x.Node, x.ID))
 		case !x.Answered.IsZero() || x.Excused != "":
 		case x.Ended.IsZero():
@@ -106,7 +107,7 @@
 }
 
 // Crossed is how many requests crossed the orderly end of their connection.
-func (l *Ledger) Crossed() (n int) {
+func (l *ExchangeLog) Crossed() (n int) {
 	for _, x := range l.All() {
 		if x.Answered.IsZero() && x.Excused == "" && !x.Ended.IsZero() && x.Ended.Sub(x.Written) <= CrossingWindow {
 			n++
--- a/internal/stand/plan.go
+++ b/internal/harness/fault_plan.go
@@ -1,4 +1,4 @@
-package stand
+package harness
 
 import (
 	"fmt"
@@ -12,19 +12,19 @@
 
 // The kinds.
 const (
-	FaultDrain     FaultKind = iota // SIGTERM, and a new process after its end
-	FaultKill                       // SIGKILL, and a new process
-	FaultPause                      // SIGSTOP for a while
-	FaultClock                      // its time of day is wrong for a while
-	FaultCall                       // a call of the system fails for a while
-	FaultFiles                      // it runs out of descriptors for a while
-	FaultLinkReset                  // its link to the processor breaks
-	FaultLinkStall                  // and carries nothing for a while
-	FaultEdgeReset                  // connections of edge nodes break
-	FaultEdgeDelay                  // and are slow for a while
-	FaultEdgeStall                  // and carry nothing for a while
-	FaultTier                       // replies of the next tier fail for a while
-	FaultMove                       // a new configuration: processor and next tier are elsewhere
+	FaultDrain       FaultKind = iota // SIGTERM, and a new process after its end
+	FaultKill                         // SIGKILL, and a new process
+	FaultPause                        // SIGSTOP for a while
+	FaultClock                        // its time of day is wrong for a while
+	FaultSyscall                      // a call of the system fails for a while
+	FaultDescriptors                  // it runs out of descriptors for a while
+	FaultLinkReset                    // its link to the processor breaks
+	FaultLinkStall                    // and carries nothing for a while
+	FaultEdgeReset                    // connections of edge nodes break
+	FaultEdgeDelay                    // and are slow for a while
+	FaultEdgeStall                    // and carry nothing for a while
+	FaultUpstream                     // replies of the next tier fail for a while
+	FaultReconfigure                  // a new configuration: processor and next tier are elsewhere
 	faultKinds
 )
 
@@ -36,8 +36,8 @@
 	}[k]
 }
 
-// NodeFault is one of a plan.
-type NodeFault struct {
+// PlannedFault is one of a plan.
+type PlannedFault struct {
 	At    time.Duration // since the start of the play
 	For   time.Duration // until it is over; 0 for one that is a moment
 	Node  int
@@ -47,29 +47,29 @@
 }
 
 // String tells of it in one line.
-func (f NodeFault) String() string {
+func (f PlannedFault) String() string {
 	return fmt.Sprintf("%v +%v node %d %v %v%s", f.At, f.For, f.Node, f.Kind, f.Clock, f.Call)
 }
 
-// Plan gives the faults of a play by its seed: so many a node, spread over its length, so that they overlap.
-func Plan(seed uint64, nodes int, length time.Duration, each int) []NodeFault {
+// PlanFaults gives the faults of a play by its seed: so many a node, spread over its length, so that they overlap.
+func PlanFaults(seed uint64, nodes int, length time.Duration, each int) []PlannedFault {
 	r := rand.New(rand.NewPCG(seed, 35))
 	calls := []string{"write ENOBUFS", "write ENOMEM", "accept EMFILE", "accept ENOMEM", "connect ENOBUFS", "send ENOBUFS", "read EIO"}
 	clocks := []time.Duration{-time.Hour, -2 * time.Second, -300 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second, time.Hour}
-	var plan []NodeFault
+	var plan []PlannedFault
 	for node := range nodes {
 		for range each {
-			f := NodeFault{At: time.Duration(r.Float64() * float64(length)), Node: node, Kind: FaultKind(r.IntN(int(faultKinds)))}
+			f := PlannedFault{At: time.Duration(r.Float64() * float64(length)), Node: node, Kind: FaultKind(r.IntN(int(faultKinds)))}
 			if r.Float64() < 0.25 { // the faults that the rules are about come most
 				f.Kind = FaultDrain
 			}
 			f.For = time.Duration((0.05 + r.Float64()) * float64(time.Second))
 			switch f.Kind {
-			case FaultDrain, FaultKill, FaultLinkReset, FaultEdgeReset, FaultMove:
+			case FaultDrain, FaultKill, FaultLinkReset, FaultEdgeReset, FaultReconfigure:
 				f.For = 0
 			case FaultClock:
 				f.Clock = clocks[r.IntN(len(clocks))]
-			case FaultCall:
+			case FaultSyscall:
 				f.Call = calls[r.IntN(len(calls))]
 			case FaultEdgeDelay:
 				f.For *= 2
@@ -79,6 +79,6 @@
 			plan = append(plan, f)
 		}
 	}
-	slices.SortStableFunc(plan, func(x, y NodeFault) int { return int(x.At - y.At) })
+	slices.SortStableFunc(plan, func(x, y PlannedFault) int { return int(x.At - y.At) })
 	return plan
 }
--- a/internal/stand/history.go
+++ b/internal/harness/history.go
@@ -1,4 +1,4 @@
-package stand
+package harness
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Event is what somebody saw of a key: a run that began, or an answer between asking and hearing it. Times are of one clock.
-type Event struct {
+// HistoryEvent is what somebody saw of a key: a run that began, or an answer between asking and hearing it. Times are of one clock.
+type HistoryEvent struct {
 	Key          string
 	Ran          bool
 	Served       bool // else errored
@@ -23,7 +23,7 @@
 }
 
 // step tells whether an event may follow, and what then is so: one run; answers are its result, and none is an error after the first.
-func (s keyState) step(e Event) (bool, keyState) {
+func (s keyState) step(e HistoryEvent) (bool, keyState) {
 	switch {
 	case e.Ran:
 		return !s.ran, keyState{ran: true, result: e.Result}
@@ -33,8 +33,8 @@
 	return !s.served, s
 }
 
-// Linear tells whether each key's events can have happened one after the other, each within its time, and names a key for which not.
-func Linear(events []Event) (bad string, ok bool) {
+// Linearizable tells whether each key's events can have happened one after the other, each within its time, and names a key for which not.
+func Linearizable(events []HistoryEvent) (bad string, ok bool) {
 	keys := map[string][]porcupine.Operation{}
 	for i, e := range events {
 		keys[e.Key] = append(keys[e.Key], porcupine.Operation{ClientId: i, Input: e, Call: e.Asked, Return: e.Heard})
@@ -42,7 +42,7 @@
 	model := porcupine.Model{
 		Init: func() any { return keyState{} },
 		Step: func(state, input, _ any) (bool, any) {
-			ok, next := state.(keyState).step(input.(Event))
+			ok, next := state.(keyState).step(input.(HistoryEvent))
 			return ok, next
 		},
 	}
--- a/internal/stand/node.go
+++ b/internal/harness/node.go
@@ -1,8 +1,10 @@
-package stand
+package harness
 
 import (
 	"errors"
 	"fmt"
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
 	"os"
 	"strings"
 	"sync"
@@ -16,29 +18,29 @@
 // and address whenever it ends.
 type Node struct {
 	Name      string
-	Box       *Box
-	Processor *Processor
-	Tier      *Tier
-	Edges     *Proxy // the way of edge nodes that fails
-	link      *Proxy // to the processor
-	calls     *Proxy // to the next tier
+	Process   *Process
+	Processor *fake.Processor
+	Upstream  *fake.Upstream
+	EdgeProxy *faultproxy.Proxy // the way of edge nodes that fails
+	link      *faultproxy.Proxy // to the processor
+	calls     *faultproxy.Proxy // to the next tier
 	KillAfter time.Duration
 
 	life sync.Mutex // held while the process starts, ends or moves
 
-	mu       sync.Mutex
-	faults   map[string]bool // lines for the process
-	notified []Notice
-	killed   []time.Time
-	pauses   []Span
-	troubles []string // what broke a rule by itself: a process that did not end in time, or not well
+	mu         sync.Mutex
+	faults     map[string]bool // lines for the process
+	notified   []Drain
+	killed     []time.Time
+	pauses     []Span
+	violations []string // what broke a rule by itself: a process that did not end in time, or not well
 }
 
 // Span is a time from one moment to another; a zero To has not come.
 type Span struct{ From, To time.Time }
 
-// Notice is a drain of a node's process.
-type Notice struct {
+// Drain is a drain of a node's process.
+type Drain struct {
 	At    time.Time
 	Ended time.Time
 }
@@ -47,18 +49,18 @@
 func NewNode(name, binary, dir string, cores float64, work func(uint64, string) time.Duration, seed uint64) (*Node, error) {
 	n := &Node{Name: name, faults: map[string]bool{}}
 	var err error
-	if n.Processor, err = NewProcessor(cores, work); err != nil {
+	if n.Processor, err = fake.NewProcessor(cores, work); err != nil {
 		return nil, err
 	}
-	if n.Tier, err = NewTier(seed); err != nil {
+	if n.Upstream, err = fake.NewUpstream(seed); err != nil {
 		return nil, err
 	}
 	listen, err := FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	n.Box = &Box{Binary: binary, Dir: dir, Name: name, Listen: listen, ProcCores: int(cores)}
-	if n.Edges, err = NewProxy(listen); err != nil {
+	n.Process = &Process{Binary: binary, Dir: dir, Name: name, Listen: listen, ProcessorCores: int(cores)}
+	if n.EdgeProxy, err = faultproxy.NewProxy(listen); err != nil {
 		return nil, err
 	}
 	return n, n.ways()
@@ -66,13 +68,13 @@
 
 // ways lays new ways to the processor and the next tier. Old ones are closed by who is told to.
 func (n *Node) ways() (err error) {
-	if n.link, err = NewProxy(n.Processor.Address()); err != nil {
+	if n.link, err = faultproxy.NewProxy(n.Processor.Address()); err != nil {
 		return err
 	}
-	if n.calls, err = NewProxy(n.Tier.Address()); err != nil {
+	if n.calls, err = faultproxy.NewProxy(n.Upstream.Address()); err != nil {
 		return err
 	}
-	n.Box.Processor, n.Box.NextTier = n.link.Address(), n.calls.Address()
+	n.Process.Processor, n.Process.Upstream = n.link.Address(), n.calls.Address()
 	return nil
 }
 
@@ -80,11 +82,11 @@
 func (n *Node) Close() {
 	n.life.Lock()
 	defer n.life.Unlock()
-	_ = n.Box.Signal(syscall.SIGCONT)
-	_ = n.Box.Kill()
+	_ = n.Process.Signal(syscall.SIGCONT)
+	_ = n.Process.Kill()
 	n.Processor.Close()
-	n.Tier.Close()
-	n.Edges.Close()
+	n.Upstream.Close()
+	n.EdgeProxy.Close()
 	n.link.Close()
 	n.calls.Close()
 }
@@ -93,27 +95,27 @@
 func (n *Node) Start() error {
 	n.life.Lock()
 	defer n.life.Unlock()
-	return n.Box.Start()
+	return n.Process.Start()
 }
 
-func (n *Node) trouble(format string, args ...any) {
+func (n *Node) addViolation(format string, args ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.troubles = append(n.troubles, n.Name+": "+fmt.Sprintf(format, args...))
+	n.violations = append(n.violations, n.Name+": "+fmt.Sprintf(format, args...))
 }
 
-// Troubles tells what broke a rule by itself.
-func (n *Node) Troubles() []string {
+// Violations tells what broke a rule by itself.
+func (n *Node) Violations() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]string(nil), n.troubles...)
+	return append([]string(nil), n.violations...)
 }
 
-// Notices gives its drains.
-func (n *Node) Notices() []Notice {
+// Drains gives its drains.
+func (n *Node) Drains() []Drain {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]Notice(nil), n.notified...)
+	return append([]Drain(nil), n.notified...)
 }
 
 // KilledSince tells whether its process was killed since then: what it held is nobody's duty.
@@ -151,24 +153,24 @@
 	n.life.Lock()
 	defer n.life.Unlock()
 	at := time.Now()
-	if err := n.Box.Signal(syscall.SIGTERM); err != nil {
-		n.trouble("it was gone before its notice: %v; %s", err, last(n.Box.Log()))
+	if err := n.Process.Signal(syscall.SIGTERM); err != nil {
+		n.addViolation("it was gone before its notice: %v; %s", err, last(n.Process.Log()))
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- n.Box.Wait() }()
+	go func() { ended <- n.Process.Wait() }()
 	var err error
 	select {
 	case err = <-ended:
 	case <-time.After(n.KillAfter + n.Paused(at, at.Add(n.KillAfter))):
-		n.trouble("killed %v after its notice; %s", n.KillAfter, last(n.Box.Log()))
-		_ = n.Box.Signal(syscall.SIGKILL)
+		n.addViolation("killed %v after its notice; %s", n.KillAfter, last(n.Process.Log()))
+		_ = n.Process.Signal(syscall.SIGKILL)
 		<-ended
 	}
 	if err != nil {
-		n.trouble("it ended badly: %v; %s", err, last(n.Box.Log()))
+		n.addViolation("it ended badly: %v; %s", err, last(n.Process.Log()))
 	}
 	n.mu.Lock()
-	n.notified = append(n.notified, Notice{at, time.Now()})
+	n.notified = append(n.notified, Drain{at, time.Now()})
 	n.mu.Unlock()
 	if next {
 		n.again()
@@ -182,15 +184,15 @@
 	n.mu.Lock()
 	n.killed = append(n.killed, time.Now())
 	n.mu.Unlock()
-	if err := n.Box.Kill(); err != nil {
-		n.trouble("not killed: %v", err)
+	if err := n.Process.Kill(); err != nil {
+		n.addViolation("not killed: %v", err)
 	}
 	n.again()
 }
 
 func (n *Node) again() {
-	if err := n.Box.Start(); err != nil {
-		n.trouble("it does not start: %v", err)
+	if err := n.Process.Start(); err != nil {
+		n.addViolation("it does not start: %v", err)
 	}
 }
 
@@ -205,9 +207,9 @@
 	n.pauses = append(n.pauses, Span{From: time.Now()})
 	i := len(n.pauses) - 1
 	n.mu.Unlock()
-	_ = n.Box.Signal(syscall.SIGSTOP)
+	_ = n.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
-	_ = n.Box.Signal(syscall.SIGCONT)
+	_ = n.Process.Signal(syscall.SIGCONT)
 	n.mu.Lock()
 	n.pauses[i].To = time.Now()
 	n.mu.Unlock()
@@ -225,7 +227,7 @@
 		for l := range n.faults {
 			lines = append(lines, l)
 		}
-		_ = n.Box.Faults(lines...)
+		_ = n.Process.InjectFaults(lines...)
 	}
 	set(true)
 	time.Sleep(d)
@@ -235,7 +237,7 @@
 // files has the process run out of descriptors for a while.
 func (n *Node) files(d time.Duration) {
 	n.life.Lock()
-	pid := n.Box.PID()
+	pid := n.Process.PID()
 	n.life.Unlock()
 	var before unix.Rlimit
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -254,21 +256,21 @@
 	link, calls := n.link, n.calls
 	err := n.ways()
 	if err == nil {
-		err = n.Box.Move()
+		err = n.Process.ReloadConfig()
 	}
 	n.life.Unlock()
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
-		n.trouble("not moved: %v", err)
+		n.addViolation("not moved: %v", err)
 	}
-	_ = link.ln.Close()
-	_ = calls.ln.Close()
+	link.StopAccepting()
+	calls.StopAccepting()
 	time.Sleep(1500 * time.Millisecond)
 	link.Close()
 	calls.Close()
 }
 
-// Suffer has a fault happen to the node, and returns when it is over.
-func (n *Node) Suffer(f NodeFault) {
+// Inject has a fault happen to the node, and returns when it is over.
+func (n *Node) Inject(f PlannedFault) {
 	n.life.Lock()
 	link := n.link
 	n.life.Unlock()
@@ -281,9 +283,9 @@
 		n.Pause(f.For)
 	case FaultClock:
 		n.fail("clock "+f.Clock.String(), f.For)
-	case FaultCall:
+	case FaultSyscall:
 		n.fail(f.Call, f.For)
-	case FaultFiles:
+	case FaultDescriptors:
 		n.files(f.For)
 	case FaultLinkReset:
 		link.Reset()
@@ -292,20 +294,20 @@
 		time.Sleep(f.For)
 		link.Stall(false)
 	case FaultEdgeReset:
-		n.Edges.Reset()
+		n.EdgeProxy.Reset()
 	case FaultEdgeDelay:
-		n.Edges.Delay(f.For / 20)
+		n.EdgeProxy.Delay(f.For / 20)
 		time.Sleep(f.For)
-		n.Edges.Delay(0)
+		n.EdgeProxy.Delay(0)
 	case FaultEdgeStall:
-		n.Edges.Stall(true)
+		n.EdgeProxy.Stall(true)
 		time.Sleep(f.For)
-		n.Edges.Stall(false)
-	case FaultTier:
-		n.Tier.Spoil(0.3)
+		n.EdgeProxy.Stall(false)
+	case FaultUpstream:
+		n.Upstream.SetFailureShare(0.3)
 		time.Sleep(f.For)
-		n.Tier.Spoil(0)
-	case FaultMove:
+		n.Upstream.SetFailureShare(0)
+	case FaultReconfigure:
 		n.move()
 	}
 }
--- a/internal/stand/power.go
+++ b/internal/harness/power_loss.go
@@ -1,7 +1,8 @@
-package stand
+package harness
 
 import (
 	"errors"
+	"frosthub/internal/fake"
 	"io/fs"
 	"math/rand/v2"
 	"os"
@@ -53,7 +54,7 @@
 	}
 	data = data[:durable+r.Int64N(int64(len(data))-durable+1)]
 	for from := durable; from < int64(len(data)); { // each sector beyond was written or not
-		to := min((from/sector+1)*sector, int64(len(data)))
+		to := min((from/fake.SectorSize+1)*fake.SectorSize, int64(len(data)))
 		if r.IntN(3) == 0 {
 			clear(data[from:to])
 		}
--- a/internal/stand/box.go
+++ b/internal/harness/process.go
@@ -1,4 +1,4 @@
-package stand
+package harness
 
 import (
 	"bytes"
@@ -18,23 +18,23 @@
 	"time"
 )
 
-// Box is the process of one backend, in a folder of its own.
-type Box struct {
-	Binary, Dir string
-	Name        string // n1 if empty
-	Listen      string
-	Processor   string
-	NextTier    string
-	StopMS      int
-	Conf        string // lines of the operator's file; empty: none
-	Cores       float64
-	Sockets     int           // 1024 if 0
-	ProcCores   int           // of the processor, as the settings tell them; 2 if 0
-	Plain       bool          // an earlier version, which knows no commands
-	Gate        string        // read as its configuration in place of the file that is written; empty: that
-	Clock       time.Duration // by how much its time of day is wrong, where it is built with the tag powerloss or faults
-	GraceMS     int           // 300 if 0
-	MemoryMB    int           // 192 if 0
+// Process is the process of one backend, in a folder of its own.
+type Process struct {
+	Binary, Dir     string
+	Name            string // n1 if empty
+	Listen          string
+	Processor       string
+	Upstream        string
+	StopMS          int
+	Conf            string // lines of the operator's file; empty: none
+	Cores           float64
+	Sockets         int           // 1024 if 0
+	ProcessorCores  int           // of the processor, as the settings tell them; 2 if 0
+	WithoutCommands bool          // an earlier version, which knows no commands
+	ConfigPipe      string        // read as its configuration in place of the file that is written; empty: that
+	ClockOffset     time.Duration // by how much its time of day is wrong, where it is built with the tag powerloss or faults
+	GraceMS         int           // 300 if 0
+	MemoryMB        int           // 192 if 0
 
 	cmd *exec.Cmd
 	log lockedBuffer
@@ -52,7 +52,7 @@
 }
 
 // Log is what the box has logged so far.
-func (b *Box) Log() string {
+func (b *Process) Log() string {
 	b.log.mu.Lock()
 	defer b.log.mu.Unlock()
 	return b.log.b.String()
@@ -85,7 +85,7 @@
 }
 
 // Config is the platform's configuration of it.
-func (b *Box) Config() ([]byte, error) {
+func (b *Process) Config() ([]byte, error) {
 	type m = map[string]any
 	handler := func(name, repeats string, value int) m {
 		return m{"name": name, "credit": value, "giveUpUs": 3_000_000, "goalTimeUs": 1_000_000, "idempotency": repeats}
@@ -94,7 +94,7 @@
 		"servers": 1, "tickUs": 1000,
 		"classes": []m{handler("status", "retryable", 1), handler("field-update", "retryable", 2), handler("file-claim", "fragile", 3)},
 		"familyInfo": m{
-			"cores": cmp.Or(b.ProcCores, 2), "downstream": "tier", "halt": "discard", "keyKb": 10, "memoryKb": 100000, "runFactor": 8,
+			"cores": cmp.Or(b.ProcessorCores, 2), "downstream": "tier", "halt": "discard", "keyKb": 10, "memoryKb": 100000, "runFactor": 8,
 			"senders": 2, "shareForUs": 800_000, "ownStats": []string{"cpu_busy", "runnable", "mem_used", "sockets"},
 			"signal": "allowance", "tellsGone": true,
 		},
@@ -106,14 +106,14 @@
 		cores = 1
 	}
 	return json.Marshal(m{
-		"name": cmp.Or(b.Name, "n1"), "listen": b.Listen, "processor": b.Processor, "backend": b.NextTier,
+		"name": cmp.Or(b.Name, "n1"), "listen": b.Listen, "processor": b.Processor, "backend": b.Upstream,
 		"seed": "8c1f30d27a5be964", "stop_ms": b.StopMS, "limits": m{"cores": cores, "memory_mb": cmp.Or(b.MemoryMB, 192), "sockets": cmp.Or(b.Sockets, 1024)},
 		"settings": settings,
 	})
 }
 
 // Start starts the process, and returns once it accepts connections.
-func (b *Box) Start() error {
+func (b *Process) Start() error {
 	if err := b.Launch(); err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 }
 
 // Launch starts the process, and does not wait for it.
-func (b *Box) Launch() error {
+func (b *Process) Launch() error {
 	text, err := b.Config()
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		return err
 	}
 	args := []string{"serve"}
-	if b.Plain {
+	if b.WithoutCommands {
 		args = nil
 	}
 	if b.Conf != "" {
@@ -151,21 +151,21 @@
 		args = append(args, "--conf", conf)
 	}
 	b.cmd = exec.Command(b.Binary, args...)
-	b.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+cmp.Or(b.Gate, config), "FROSTHUB_CLOCK="+b.Clock.String(), "FROSTHUB_FAULTS="+b.faultPath())
+	b.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+cmp.Or(b.ConfigPipe, config), "FROSTHUB_CLOCK="+b.ClockOffset.String(), "FROSTHUB_FAULTS="+b.faultPath())
 	b.cmd.Stderr = &b.log
 	return b.cmd.Start()
 }
 
-func (b *Box) configPath() string { return filepath.Join(b.Dir, "config.json") }
-func (b *Box) faultPath() string  { return filepath.Join(b.Dir, "faults") }
+func (b *Process) configPath() string { return filepath.Join(b.Dir, "config.json") }
+func (b *Process) faultPath() string  { return filepath.Join(b.Dir, "faults") }
 
-// Faults tells a box that is built with the tag faults what fails from now on: lines such as "clock 2s" and "write ENOBUFS".
-func (b *Box) Faults(lines ...string) error {
+// InjectFaults tells a box that is built with the tag faults what fails from now on: lines such as "clock 2s" and "write ENOBUFS".
+func (b *Process) InjectFaults(lines ...string) error {
 	return replaceFile(b.faultPath(), strings.Join(lines, "\n"))
 }
 
-// Move has it read its configuration anew, as it is now.
-func (b *Box) Move() error {
+// ReloadConfig has it read its configuration anew, as it is now.
+func (b *Process) ReloadConfig() error {
 	text, err := b.Config()
 	if err == nil {
 		err = replaceFile(b.configPath(), string(text))
@@ -185,8 +185,8 @@
 	return os.Rename(next, path)
 }
 
-// Reload has it read its operator's file anew, as it is now.
-func (b *Box) Reload() error {
+// ReloadOperatorFile has it read its operator's file anew, as it is now.
+func (b *Process) ReloadOperatorFile() error {
 	if err := os.WriteFile(filepath.Join(b.Dir, "frosthub.conf"), []byte(b.Conf), 0o600); err != nil {
 		return err
 	}
@@ -194,13 +194,13 @@
 }
 
 // PID is the number of its process.
-func (b *Box) PID() int { return b.cmd.Process.Pid }
+func (b *Process) PID() int { return b.cmd.Process.Pid }
 
 // Signal sends it one.
-func (b *Box) Signal(s os.Signal) error { return b.cmd.Process.Signal(s) }
+func (b *Process) Signal(s os.Signal) error { return b.cmd.Process.Signal(s) }
 
 // Kill ends it at once, with no notice.
-func (b *Box) Kill() error {
+func (b *Process) Kill() error {
 	if err := b.cmd.Process.Kill(); err != nil {
 		return err
 	}
@@ -212,10 +212,10 @@
 }
 
 // Wait waits for its end.
-func (b *Box) Wait() error { return b.cmd.Wait() }
+func (b *Process) Wait() error { return b.cmd.Wait() }
 
 // Drain gives it the notice to leave and waits for its end.
-func (b *Box) Drain() error {
+func (b *Process) Drain() error {
 	if err := b.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 }
 
 // CPU is the time on cores that the process has taken so far.
-func (b *Box) CPU() (time.Duration, error) {
+func (b *Process) CPU() (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", b.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
@@ -245,12 +245,12 @@
 }
 
 // Resident is the memory that the process holds now, in kilobytes.
-func (b *Box) Resident() (kb int, err error) { return b.status("VmRSS:") }
+func (b *Process) Resident() (kb int, err error) { return b.status("VmRSS:") }
 
-// Peak is the most memory that the running process has held, in kilobytes; unlike what is told of ended ones, nothing of who started it counts.
-func (b *Box) Peak() (kb int, err error) { return b.status("VmHWM:") }
+// PeakResident is the most memory that the running process has held, in kilobytes; unlike what is told of ended ones, nothing of who started it counts.
+func (b *Process) PeakResident() (kb int, err error) { return b.status("VmHWM:") }
 
-func (b *Box) status(name string) (kb int, err error) {
+func (b *Process) status(name string) (kb int, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.cmd.Process.Pid))
 	if err == nil {
 		_, rest, _ := strings.Cut(string(text), name)
@@ -259,8 +259,8 @@
 	return kb, err
 }
 
-// Memory is the most memory that the ended process held, in kilobytes.
-func (b *Box) Memory() int64 {
+// MaxResident is the most memory that the ended process held, in kilobytes.
+func (b *Process) MaxResident() int64 {
 	if u, ok := b.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		return u.Maxrss
 	}
--- a/internal/wal/crash_test.go
+++ b/internal/wal/crash_test.go
@@ -7,7 +7,7 @@
 	"flag"
 	"fmt"
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
 	"frosthub/internal/wal"
 	"math/rand/v2"
 	"testing"
@@ -33,7 +33,7 @@
 type lab struct {
 	t    *testing.T
 	r    *rand.Rand
-	disk *stand.Disk
+	disk *fake.Disk
 	now  time.Duration
 	note string
 
@@ -53,7 +53,7 @@
 
 func newLab(t *testing.T, seed uint64, note string) *lab {
 	l := &lab{
-		t: t, r: rand.New(rand.NewPCG(seed, 3)), disk: stand.NewDisk(), now: noon, note: note, keyOf: map[uint64]int{},
+		t: t, r: rand.New(rand.NewPCG(seed, 3)), disk: fake.NewDisk(), now: noon, note: note, keyOf: map[uint64]int{},
 		effects: map[int]int{}, answers: map[int][]byte{}, first: map[int]time.Duration{},
 	}
 	if err := wal.Init(l.disk, "n1", noon, seed); err != nil {
@@ -71,7 +71,7 @@
 func (l *lab) start() bool {
 	l.s, l.running, l.keyOf = idempotency.New(small), nil, map[uint64]int{}
 	w, found, err := wal.Open(l.disk, "n1", l.s, l.now, nil)
-	if err != nil && !errors.Is(err, stand.ErrPower) {
+	if err != nil && !errors.Is(err, fake.ErrPowerLost) {
 		l.fatal("reading: %v", err)
 	}
 	if !found.Complete() {
@@ -84,7 +84,7 @@
 func (l *lab) commit() bool {
 	seq, err := l.w.Commit(l.s.TakeEntries())
 	if err != nil {
-		if !errors.Is(err, stand.ErrPower) {
+		if !errors.Is(err, fake.ErrPowerLost) {
 			l.fatal("%v", err)
 		}
 		return false
@@ -171,9 +171,9 @@
 			up = l.step()
 		}
 		for !up {
-			l.disk = l.disk.After(l.r)
+			l.disk = l.disk.AfterPowerLoss(l.r)
 			if l.r.IntN(3) == 0 {
-				l.disk.Left = 1 + l.r.IntN(6) // again, while it comes back
+				l.disk.PowerBudget = 1 + l.r.IntN(6) // again, while it comes back
 			}
 			l.now += time.Duration(l.r.IntN(5)-1) * time.Second
 			up = l.start()
@@ -186,14 +186,14 @@
 	const steps = 700
 	whole := newLab(t, 1, "no cut")
 	whole.play(steps)
-	ops := whole.disk.Done()
+	ops := whole.disk.Operations()
 	if whole.keys < 100 || ops < 300 || whole.offered[idempotency.ResultExpired] == 0 || whole.offered[idempotency.Replay] == 0 {
 		t.Fatal("the script shows too little: ", whole.keys, ops, whole.offered)
 	}
 	doubts := 0
 	for cut := 1; cut <= ops; cut++ {
 		l := newLab(t, 1, fmt.Sprint("cut at operation ", cut))
-		l.disk.Left = cut
+		l.disk.PowerBudget = cut
 		l.play(steps)
 		doubts += l.doubted
 	}
@@ -208,7 +208,7 @@
 	lost, doubts := 0, 0
 	for seed := range uint64(*cuts) {
 		l := newLab(t, seed+2, fmt.Sprint("seed ", seed+2))
-		l.disk.Left = 1 + l.r.IntN(60)
+		l.disk.PowerBudget = 1 + l.r.IntN(60)
 		up := l.start()
 		for range 300 {
 			if up {
@@ -216,8 +216,8 @@
 			}
 			for !up {
 				lost++
-				l.disk = l.disk.After(l.r)
-				l.disk.Left = 1 + l.r.IntN(90)
+				l.disk = l.disk.AfterPowerLoss(l.r)
+				l.disk.PowerBudget = 1 + l.r.IntN(90)
 				up = l.start()
 			}
 		}
--- a/internal/wal/read_test.go
+++ b/internal/wal/read_test.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 	"frosthub/idempotency"
+	"frosthub/internal/fake"
 	"frosthub/internal/filelock"
-	"frosthub/internal/stand"
 	"frosthub/internal/wal"
 	"os"
 	"path/filepath"
@@ -16,8 +16,8 @@
 )
 
 // filled is a disk with the records of a few dozen claims in several segments, some of which are prints.
-func filled(t testing.TB) *stand.Disk {
-	d := stand.NewDisk()
+func filled(t testing.TB) *fake.Disk {
+	d := fake.NewDisk()
 	if err := wal.Init(d, "n1", noon, 7); err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	if len(logs) < 3 || len(prints) < 1 {
 		t.Fatal("too few segments: ", logs, prints)
 	}
-	change := func(name string, f func(b []byte) []byte) func(d *stand.Disk) {
-		return func(d *stand.Disk) {
+	change := func(name string, f func(b []byte) []byte) func(d *fake.Disk) {
+		return func(d *fake.Disk) {
 			b, err := d.Read(name)
 			if err != nil {
 				t.Fatal(err)
@@ -82,8 +82,8 @@
 	flip := func(n int) func(b []byte) []byte {
 		return func(b []byte) []byte { b[n] ^= 0x10; return b }
 	}
-	gone := func(name string) func(d *stand.Disk) {
-		return func(d *stand.Disk) {
+	gone := func(name string) func(d *fake.Disk) {
+		return func(d *fake.Disk) {
 			if err := errors.Join(d.Remove(name), d.Sync()); err != nil {
 				t.Fatal(err)
 			}
@@ -92,7 +92,7 @@
 	last := logs[len(logs)-1]
 	for _, c := range []struct {
 		name string
-		do   func(d *stand.Disk)
+		do   func(d *fake.Disk)
 	}{
 		{"a bit of a frame's head", change(logs[0], flip(140))},
 		{"a bit of a record", change(logs[1], flip(70))},
@@ -106,7 +106,7 @@
 			}
 			return b
 		})},
-		{"another's segment", func(d *stand.Disk) {
+		{"another's segment", func(d *fake.Disk) {
 			b, _ := d.Read(logs[0])
 			d.Put(logs[1], b)
 		}},
--- a/lab/outage/sim.go
+++ b/lab/outage/sim.go
@@ -4,7 +4,7 @@
 
 import (
 	"container/heap"
-	"frosthub/internal/stand"
+	"frosthub/internal/harness"
 	"frosthub/overload"
 	"frosthub/recovery"
 	"math/rand/v2"
@@ -99,7 +99,7 @@
 type fleet struct {
 	config
 	r *rand.Rand
-	stand.Schedule
+	harness.EventQueue
 	boxes  []*box
 	ids    uint64
 	served [][]float64 // by handler and bucket
