--- a/backend/backend.go
+++ b/backend/backend.go
@@ -15,7 +15,6 @@
 	"frosthub/lifecycle"
 	"frosthub/overload"
 	"log/slog"
-	"maps"
 	"math"
 	"slices"
 	"sync/atomic"
@@ -24,18 +23,17 @@
 )
 
 const (
-	gaugeWait      = 10 * time.Millisecond  // for the gauges, then the last ones must do: short of a look
-	tidyEvery      = 100 * time.Millisecond // between looks at idle connections
-	outShare       = 0.2                    // of the memory limit, for answers that edge nodes leave
-	spare          = 16                     // descriptors kept for the processor, calls, reports and the runtime
-	crowdedAt      = 0.8                    // part of the connections from which idle ones are closed early
-	timeoutMissing = 10 * time.Second       // of a handler's clients where none is told: as the module takes it
-	lingerShare    = 0.0625                 // of the connections, for those that are ended and wait for the peer's close
-	inShare        = 0.125                  // of the memory limit, for what is read and not yet handled of all
-	stallTold      = 100 * time.Millisecond // past the time at which the owner was to wake: longer than a busy machine keeps a thread
-	listenFor      = 5 * time.Second        // tries to listen at the start: a process before this one may be ending
-	listenAgain    = 50 * time.Millisecond  // between them
-	startSpan      = time.Hour              // how far back a processor may have started: times stay positive
+	gaugeWait   = 10 * time.Millisecond  // for the gauges, then the last ones must do: short of a look
+	tidyEvery   = 100 * time.Millisecond // between looks at idle connections
+	outShare    = 0.2                    // of the memory limit, for answers that edge nodes leave
+	spare       = 16                     // descriptors kept for the processor, calls, reports and the runtime
+	crowdedAt   = 0.8                    // part of the connections from which idle ones are closed early
+	lingerShare = 0.0625                 // of the connections, for those that are ended and wait for the peer's close
+	inShare     = 0.125                  // of the memory limit, for what is read and not yet handled of all
+	stallTold   = 100 * time.Millisecond // past the time at which the owner was to wake: longer than a busy machine keeps a thread
+	listenFor   = 5 * time.Second        // tries to listen at the start: a process before this one may be ending
+	listenAgain = 50 * time.Millisecond  // between them
+	startSpan   = time.Hour              // how far back a processor may have started: times stay positive
 )
 
 // Backend is one backend. Make it with New.
@@ -113,36 +111,21 @@
 		requests: map[uint64]*request{}, logLimits: map[string]*logthrottle.Limiter{}, healthy: true,
 		ownerCalls: make(chan func()), done: make(chan struct{}),
 	}
-	part, _ := cfg.Settings["backend"].(map[string]any)
-	b.canCancel = part["halt"] != nil && part["halt"] != "off"
-	rules, _ := b.cfg.Settings["rules"].(map[string]any)
-	b.grace, _ = rules["drain_grace"].(time.Duration)
-	limits, _ := b.cfg.Settings["limits"].(map[string]any)
-	if advice, _ := limits["retry_after"].(bool); advice {
-		b.drainRetryAfter, _ = limits["max_retry_after"].(time.Duration)
+	b.canCancel = cfg.Settings.Backend.Cancellation != overload.CancelOff
+	b.grace = cfg.Settings.Rules.DrainGrace
+	if limits := cfg.Settings.Limits; limits.RetryAfter {
+		b.drainRetryAfter = limits.MaxRetryAfter.Or(0)
 	}
-	b.cfg.Settings = b.guard.init(b)
+	b.cfg.Settings.Handlers = b.guard.init(b)
 	b.fit()
-	list, _ := b.cfg.Settings["handlers"].([]any)
-	for _, v := range list {
-		m, _ := v.(map[string]any)
-		name, _ := m["name"].(string)
-		timeout, ok := m["client_timeout"].(time.Duration)
-		if !ok {
-			timeout = timeoutMissing
-		}
-		value, _ := m["value"].(float64)
-		window, _ := m["window"].(time.Duration)
+	for _, h := range b.cfg.Settings.Handlers {
 		b.handlers = append(b.handlers, handler{
-			name: name, replayable: m["repeats"] == "replayable",
-			uniqued: m["repeats"] == "uniqued", window: window, timeout: timeout, value: value,
+			name: h.Name, replayable: h.Idempotency == overload.Replayable, uniqued: h.Idempotency == overload.Deduplicated,
+			window: h.Window, timeout: h.ClientTimeout.Or(overload.DefaultClientTimeout), value: h.Value.Or(0),
 		})
 	}
-	customers, _ := b.cfg.Settings["customers"].([]any)
-	for _, v := range customers {
-		m, _ := v.(map[string]any)
-		name, _ := m["name"].(string)
-		b.customers = append(b.customers, name)
+	for _, customer := range b.cfg.Settings.Customers {
+		b.customers = append(b.customers, customer.Name)
 	}
 	b.cluster.init(b)
 	b.frontend.init(b)
@@ -159,13 +142,11 @@
 // fit makes the settings those of this backend alone, and of what its protocols can say: the processor has no word by
 // which a run goes on without its call, so none of that is worth anything here.
 func (b *Backend) fit() {
-	settings := maps.Clone(b.cfg.Settings)
-	if part, ok := settings["backend"].(map[string]any); ok {
-		part = maps.Clone(part)
-		delete(part, "handler_skip_value")
-		settings["backend"] = part
+	handlers := slices.Clone(b.cfg.Settings.Handlers)
+	for i := range handlers {
+		handlers[i].SkipValue = 0
 	}
-	b.cfg.Settings = settings
+	b.cfg.Settings.Handlers = handlers
 }
 
 // handlerOf is the handler of that name, -1 if there is none.
@@ -421,11 +402,9 @@
 
 // processorUp makes the controller once the processor is up.
 func (b *Backend) processorUp(cold bool, started time.Duration) {
-	s := b.cfg.Settings
-	if part, ok := s["backend"].(map[string]any); ok {
-		part["cold"] = cold
-	}
-	b.controller = overload.New(b.cfg.Seed, s, started)
+	settings := b.cfg.Settings
+	settings.Backend.Cold = cold
+	b.controller = overload.New(b.cfg.Seed, settings, started)
 	b.log.Info("processor is up", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
 	b.timerEvent() // the first reply has the health, the signal and the first wake
 }
--- a/backend/config.go
+++ b/backend/config.go
@@ -7,6 +7,7 @@
 	"frosthub/internal/faultinject"
 	"frosthub/internal/settings"
 	"frosthub/lifecycle"
+	"frosthub/overload"
 	"math"
 	"os"
 	"runtime"
@@ -27,7 +28,7 @@
 	Seed         uint64
 	StopTimeout  time.Duration // from the notice to leave until the process is ended
 	Limits       Limits
-	Settings     map[string]any   // in the module's names
+	Settings     overload.Settings
 	Accounting   AccountingConfig // of the operator, as what follows
 	AJP          AJPConfig
 	AJPUpstream  AJPUpstreamConfig // instead of NextTier
@@ -71,11 +72,8 @@
 
 // longestTimeout is the longest client timeout of all handlers, 0 if none is told.
 func (c *Config) longestTimeout() (longest time.Duration) {
-	list, _ := c.Settings["handlers"].([]any)
-	for _, v := range list {
-		m, _ := v.(map[string]any)
-		timeout, _ := m["client_timeout"].(time.Duration)
-		longest = max(longest, timeout)
+	for i := range c.Settings.Handlers {
+		longest = max(longest, c.Settings.Handlers[i].ClientTimeout.Or(0))
 	}
 	return longest
 }
@@ -110,7 +108,7 @@
 		Name: in.Name, Listen: in.Listen, Processor: in.Processor, ControlPlane: in.Control, Upstream: in.Backend,
 		StopTimeout: time.Duration(in.StopMS * float64(time.Millisecond)),
 		Limits:      Limits{Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets},
-		Settings:    settings.Map(v),
+		Settings:    settings.Decode(v),
 	}
 	if in.Seed != "" {
 		if c.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -1,6 +1,7 @@
 package backend
 
 import (
+	"frosthub/overload"
 	"strings"
 	"testing"
 	"time"
@@ -16,7 +17,7 @@
 	want := Config{
 		Name: "n3", Listen: "127.0.0.1:4100", Processor: "127.0.0.1:6100", Seed: 255,
 		StopTimeout: 3200500 * time.Microsecond, Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 64},
-		Settings: map[string]any{"batch_every": time.Millisecond, "later": []any{nil}},
+		Settings: overload.Settings{BatchInterval: time.Millisecond},
 	}
 	if diff := cmp.Diff(want, c); diff != "" || err != nil {
 		t.Error(diff, err)
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -13,7 +13,6 @@
 	"frosthub/internal/wal"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"maps"
 	"os"
 	"path/filepath"
 	"slices"
@@ -132,31 +131,27 @@
 	LoadingMS      int64             `json:"reading_ms"`
 }
 
-// init finds out what is guarded, and gives the settings with those handlers as uniqued: the module then lets their repeats join,
-// and has a run go on when its caller is gone, as its answer is for whoever repeats it.
-func (k *idempotencyGuard) init(b *Backend) map[string]any {
+// init finds out what is guarded, and returns the handlers' settings with those handlers as deduplicated: the controller then lets
+// their repeats join, and has a run go on when its caller is gone, as its answer is for whoever repeats it.
+func (k *idempotencyGuard) init(b *Backend) []overload.Handler {
 	k.backend = b
 	cfg := &b.cfg.Idempotency
+	handlers := b.cfg.Settings.Handlers
 	if cfg.Dir == "" {
-		return b.cfg.Settings
+		return handlers
 	}
 	cfg.SetDefaults(b.cfg.Limits.MemoryMB)
-	settings := maps.Clone(b.cfg.Settings)
-	list, _ := settings["handlers"].([]any)
-	list = slices.Clone(list)
-	for i, v := range list {
-		m, _ := v.(map[string]any)
-		name, _ := m["name"].(string)
-		parts := cfg.Handlers[name]
+	handlers = slices.Clone(handlers)
+	for i := range handlers {
+		h := &handlers[i]
+		parts := cfg.Handlers[h.Name]
 		k.parts = append(k.parts, parts)
 		if parts != nil {
-			m = maps.Clone(m)
-			m["repeats"], m["window"] = "uniqued", time.Duration(0)
-			list[i] = m
+			h.Idempotency = overload.Deduplicated
+			h.Window = 0
 		}
 	}
-	settings["handlers"] = list
-	return settings
+	return handlers
 }
 
 func (k *idempotencyGuard) enabled() bool { return k.parts != nil }
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -50,8 +50,7 @@
 
 func (k *resultCache) init(b *Backend) {
 	k.backend, k.entries, k.byID = b, map[cacheKey]*cacheEntry{}, map[uint64]*cacheEntry{}
-	part, _ := b.cfg.Settings["backend"].(map[string]any)
-	k.shareFor, _ = part["share_for"].(time.Duration)
+	k.shareFor = b.cfg.Settings.Backend.ReuseFor
 }
 
 func (k *resultCache) subjectOf(r *request, object, owner, once string) cacheKey {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,84 +1,203 @@
-// Package settings turns the settings that an instance is given, as JSON, into the module's plain map.
+// Package settings decodes the platform's JSON settings of a server into overload.Settings. The platform's names,
+// words and units end here. Nothing in the settings is an error: names that aren't known are skipped, and what is
+// missing or has another type keeps the default of its field.
 package settings
 
 import (
+	"frosthub/overload"
 	"math"
-	"strings"
 	"time"
 
 	"github.com/valyala/fastjson"
 )
 
-// names maps the wire's names of settings to the module's. A name that is not here keeps its own.
-var names = map[string]string{
-	"classes": "handlers", "credit": "value", "giveUpUs": "client_timeout", "goalTimeUs": "response_target",
-	"idempotency": "repeats", "lateShare": "late_share", "windowUs": "window", "tenants": "customers",
-	"quotaPerS": "quota_per_s", "familyInfo": "backend", "invariants": "rules", "callsOut": "calls_share",
-	"callsOverUs": "calls_over", "classCalls": "handler_calls", "classSkipWorth": "handler_skip_value",
-	"fullChecks": "full_checks", "downstream": "below", "lingerUs": "linger", "keyKb": "key_size",
-	"memoryKb": "memory", "ownStats": "gauges", "runFactor": "run_factor", "senders": "callers",
-	"shareForUs": "share_for", "tellsGone": "tells_gone", "listFollows": "list_follows",
-	"answerSlackUs": "answer_slack", "coldFrom": "cold_from", "coldUs": "cold_for",
-	"drainGraceUs": "drain_grace", "fallMultiple": "fall_multiple", "fallUs": "fall_over",
-	"maxRetryAfterUs": "max_retry_after", "retryAfter": "retry_after", "overShareWorth": "over_share_value",
-	"tickUs": "batch_every", "passesDeadline": "tells_left", "heardForUs": "heard_for",
-	"objectiveMix": "goal", "worstClass": "worst_handler",
-}
-
-// words maps the wire's words for values to the module's.
-var words = map[string]string{
-	"retryable": "replayable", "dedup": "uniqued", "fragile": "non-replayable",
-	"discard": "drop", "freeze": "pause", "one_for_all": "shared",
-	"cpu_busy": "busy", "mem_used": "memory",
-}
-
-// Map turns the wire's settings into a plain map in the module's names, times as durations.
-func Map(v *fastjson.Value) map[string]any {
-	out := map[string]any{}
-	o, err := v.Object()
-	if err != nil {
-		return out
+var idempotencyWords = map[string]overload.Idempotency{
+	"retryable": overload.Replayable,
+	"dedup":     overload.Deduplicated,
+	"fragile":   overload.NonReplayable,
+}
+
+var downstreamWords = map[string]overload.Downstream{
+	"tier":        overload.DownstreamTier,
+	"one_for_all": overload.DownstreamShared,
+}
+
+var gaugeWords = map[string]overload.Gauge{
+	"cpu_busy": overload.GaugeBusy,
+	"runnable": overload.GaugeRunnable,
+}
+
+// cancellation decodes "halt". Each word but "off" says that runs can be stopped in some way.
+func cancellation(word string, found bool) overload.Cancellation {
+	switch {
+	case !found || word == "off":
+		return overload.CancelOff
+	case word == "freeze":
+		return overload.CancelPause
 	}
-	o.Visit(func(k []byte, v *fastjson.Value) {
-		name := string(k)
-		value := plain(v)
-		if f, ok := value.(float64); ok && strings.HasSuffix(name, "Us") {
-			value = Micros(f)
-		}
-		if n, ok := names[name]; ok {
-			name = n
-		}
-		out[name] = value
-	})
-	return out
-}
-
-func plain(v *fastjson.Value) any {
-	switch v.Type() {
-	case fastjson.TypeObject:
-		return Map(v)
-	case fastjson.TypeArray:
-		items := v.GetArray()
-		out := make([]any, len(items))
-		for i, item := range items {
-			out[i] = plain(item)
+	return overload.CancelDrop
+}
+
+// signalMeaning decodes "signal". Each word but "off" asks for a signal, of the plain meaning if it isn't known.
+func signalMeaning(word string, found bool) overload.SignalMeaning {
+	switch {
+	case !found || word == "off":
+		return overload.SignalOff
+	case word == "floor":
+		return overload.SignalFloor
+	case word == "allowance":
+		return overload.SignalAllowance
+	}
+	return overload.SignalWeight
+}
+
+// Decode returns the settings that stand in a JSON value. A value that isn't an object, or nil, has none.
+func Decode(v *fastjson.Value) overload.Settings {
+	top := objectOf(v)
+	backend := objectOf(top["familyInfo"])
+	return overload.Settings{
+		BatchInterval: top.micros("tickUs").Value,
+		Tier:          top.number("tier").Value,
+		Servers:       top.number("servers").Value,
+		Backend:       decodeBackend(backend),
+		Rules:         decodeRules(objectOf(top["invariants"])),
+		Limits:        decodeLimits(objectOf(top["limits"])),
+		Handlers:      decodeHandlers(top.array("classes"), backend.array("classSkipWorth")),
+		Customers:     decodeCustomers(top.array("tenants")),
+	}
+}
+
+func decodeBackend(o object) overload.Backend {
+	return overload.Backend{
+		Cores:           o.number("cores").Value,
+		MemoryKB:        o.number("memoryKb"),
+		RunMemoryFactor: o.number("runFactor").Value,
+		KeySizeKB:       o.number("keyKb").Value,
+		Cold:            o.bool("cold"),
+		Cancellation:    cancellation(o.word("halt")),
+		Signal:          signalMeaning(o.word("signal")),
+		Downstream:      downstreamWords[o.text("downstream")],
+		CallShare:       o.number("callsOut").Value,
+		CallShareWindow: o.micros("callsOverUs"),
+		CallLinger:      o.micros("lingerUs").Value,
+		ReuseFor:        o.micros("shareForUs").Value,
+		EdgeNodes:       o.number("senders").Value,
+		Gauges:          decodeGauges(o.array("ownStats")),
+	}
+}
+
+func decodeRules(o object) overload.Rules {
+	return overload.Rules{
+		CollapseFactor: o.number("fallMultiple"),
+		ColdCapacity:   o.number("coldFrom"),
+		WarmUpTime:     o.micros("coldUs").Value,
+		DrainGrace:     o.micros("drainGraceUs").Value,
+	}
+}
+
+func decodeLimits(o object) overload.Limits {
+	return overload.Limits{
+		RetryAfter:    o.bool("retryAfter"),
+		MaxRetryAfter: o.micros("maxRetryAfterUs"),
+	}
+}
+
+// decodeHandlers decodes the handlers, an entry for each item whatever it is, as requests name them by their index.
+func decodeHandlers(items, skipValues []*fastjson.Value) []overload.Handler {
+	var handlers []overload.Handler
+	for i, item := range items {
+		o := objectOf(item)
+		h := overload.Handler{
+			Name:           o.text("name"),
+			ClientTimeout:  o.micros("giveUpUs"),
+			ResponseTarget: o.micros("goalTimeUs"),
+			Value:          o.number("credit"),
+			LateValue:      o.number("lateShare").Value,
+			Idempotency:    idempotencyWords[o.text("idempotency")],
+			Window:         o.micros("windowUs").Value,
 		}
-		return out
-	case fastjson.TypeString:
-		s := string(v.GetStringBytes())
-		if w, ok := words[s]; ok {
-			return w
+		if i < len(skipValues) {
+			h.SkipValue = number(skipValues[i]).Value
 		}
-		return s
-	case fastjson.TypeNumber:
-		return v.GetFloat64()
-	case fastjson.TypeTrue, fastjson.TypeFalse:
-		return v.GetBool()
+		handlers = append(handlers, h)
+	}
+	return handlers
+}
+
+func decodeCustomers(items []*fastjson.Value) []overload.Customer {
+	var customers []overload.Customer
+	for _, item := range items {
+		o := objectOf(item)
+		customers = append(customers, overload.Customer{
+			Name:           o.text("name"),
+			QuotaPerSecond: o.number("quotaPerS").Value,
+		})
+	}
+	return customers
+}
+
+func decodeGauges(items []*fastjson.Value) []overload.Gauge {
+	var gauges []overload.Gauge
+	for _, item := range items {
+		word, _ := text(item)
+		gauges = append(gauges, gaugeWords[word])
+	}
+	return gauges
+}
+
+// object is a JSON object by the names of its members. Of members with the same name the last one counts.
+type object map[string]*fastjson.Value
+
+// objectOf returns the members of a JSON object, none if v is something else or nil.
+func objectOf(v *fastjson.Value) object {
+	if v == nil || v.Type() != fastjson.TypeObject {
+		return nil
+	}
+	members := object{}
+	v.GetObject().Visit(func(name []byte, member *fastjson.Value) { members[string(name)] = member })
+	return members
+}
+
+func (o object) number(name string) overload.Optional[float64] { return number(o[name]) }
+
+// micros is a time that is given in microseconds.
+func (o object) micros(name string) overload.Optional[time.Duration] {
+	n := number(o[name])
+	if !n.Set {
+		return overload.Optional[time.Duration]{}
+	}
+	return overload.Some(Micros(n.Value))
+}
+
+func (o object) bool(name string) bool {
+	v := o[name]
+	return v != nil && v.Type() == fastjson.TypeTrue
+}
+
+func (o object) word(name string) (word string, found bool) { return text(o[name]) }
+
+func (o object) text(name string) string {
+	word, _ := text(o[name])
+	return word
+}
+
+func (o object) array(name string) []*fastjson.Value { return o[name].GetArray() }
+
+func number(v *fastjson.Value) overload.Optional[float64] {
+	if v == nil || v.Type() != fastjson.TypeNumber {
+		return overload.Optional[float64]{}
+	}
+	return overload.Some(v.GetFloat64())
+}
+
+func text(v *fastjson.Value) (word string, found bool) {
+	if v == nil || v.Type() != fastjson.TypeString {
+		return "", false
 	}
-	return nil
+	return string(v.GetStringBytes()), true
 }
 
-// Micros is a wire time as a duration; one too long for a duration is the longest.
+// Micros returns a number of microseconds as a duration. One too long for a duration is the longest.
 func Micros(us float64) time.Duration {
 	if us >= math.MaxInt64/1000 {
 		return math.MaxInt64
--- a/internal/simproto/simwire.go
+++ b/internal/simproto/simwire.go
@@ -104,7 +104,7 @@
 		in = &instance{id: who}
 		h.live[who] = in
 		seed := v.GetUint64("rngSeed")
-		env := settings.Map(v.Get("env"))
+		env := settings.Decode(v.Get("env"))
 		h.guard(in, func() { in.ctl = overload.New(seed, env, h.now) })
 		h.queue(in)
 		return nil
--- a/lab/outage/sim.go
+++ b/lab/outage/sim.go
@@ -111,26 +111,27 @@
 	return time.Duration(f.r.Int64N(int64(most) + 1))
 }
 
-func settings() map[string]any {
-	var list []any
+func settings() overload.Settings {
+	var list []overload.Handler
 	for _, h := range handlers {
-		repeats := "replayable"
+		repeats := overload.Replayable
 		if h.guarded {
-			repeats = "uniqued"
+			repeats = overload.Deduplicated
 		}
-		list = append(list, map[string]any{
-			"repeats": repeats, "value": h.worth, "response_target": time.Second, "client_timeout": timeout,
-			"window": time.Duration(0),
+		list = append(list, overload.Handler{
+			Idempotency: repeats, Value: overload.Some(h.worth), ResponseTarget: overload.Some(time.Second),
+			ClientTimeout: overload.Some(timeout),
 		})
 	}
-	return map[string]any{
-		"batch_every": time.Millisecond, "handlers": list,
-		"backend": map[string]any{
-			"cores": cores, "memory": 100000.0, "run_factor": 4.0, "key_size": 10.0, "halt": "drop", "signal": "off",
-			"gauges": []any{"busy", "runnable"},
+	return overload.Settings{
+		BatchInterval: time.Millisecond,
+		Handlers:      list,
+		Backend: overload.Backend{
+			Cores: cores, MemoryKB: overload.Some(100000.0), RunMemoryFactor: 4, KeySizeKB: 10,
+			Cancellation: overload.CancelDrop, Gauges: []overload.Gauge{overload.GaugeBusy, overload.GaugeRunnable},
 		},
-		"rules":  map[string]any{"fall_multiple": 8.0, "drain_grace": time.Second},
-		"limits": map[string]any{"retry_after": true, "max_retry_after": time.Second},
+		Rules:  overload.Rules{CollapseFactor: overload.Some(8.0), DrainGrace: time.Second},
+		Limits: overload.Limits{RetryAfter: true, MaxRetryAfter: overload.Some(time.Second)},
 	}
 }
 
--- a/overload/overload.go
+++ b/overload/overload.go
@@ -21,67 +21,68 @@
 
 const (
 	// The design's values.
-	tick          = 100 * time.Millisecond // between observations; the design's
-	look          = 25 * time.Millisecond  // between looks at due times: short of any slack, four a tick
-	breaches      = 3                      // ticks in a row over a threshold before duress; the design's
-	busyLimit     = 0.9                    // busy share of the cores that counts as a breach; the design's
-	memLimit      = 0.7                    // share of memory held by reqs that counts as a breach; the design's
-	memEach       = 0.005                  // share of memory from which one req is heavy; the design's
-	memAll        = 0.05                   // share that all running reqs hold before memory counts; the design's
-	memOver       = 2.0                    // times the average of completed reqs; the design's
-	memWindow     = 100                    // completed reqs in that average; the design's
-	dropRatio     = 0.1                    // drops for each done req; the design's
-	dropRate      = 0.003                  // drops for each millisecond; the design's
-	dropBurst     = 10.0                   // drops in a tick, and what either budget can save; the design's
-	elapsedShare  = 0.5                    // of the client timeout: past where response targets stand
-	cpuShare      = 0.35                   // of the client timeout: work this long rarely ends in time
-	capGrow       = 0.25                   // part of the cap added a tick while cores are free: x10 in a second
-	capSmooth     = 0.1                    // weight of one tick's latency ratio: a second to follow a change
-	capWanting    = 1.25                   // reqs wanting each core that still do not slow one another much
-	capTolerance  = 1.5                    // recent over base latency that is still no reason to shrink
-	baseForget    = 1.0005                 // growth of base latency a tick: 30% a minute, outlives a trouble
-	minSamples    = 4                      // runs in the window before a latency is believed
-	bucket        = 500 * time.Millisecond // width of a bucket; ten make the window of 5 s
-	finishBy      = 0.85                   // share of the target at which work admitted should be done
-	overShare     = 0.4                    // the same share for a customer over its share
-	stillFinish   = 0.9                    // part of the expected time that a run takes at least
-	startHold     = 4.0                    // held reqs a core before any run has been timed
-	shareSlack    = 1.25                   // customers' shares are for the fleet; so much spread is normal
-	shareBurst    = 2.0                    // seconds of a customer's share that may come at once
-	memHold       = 0.93                   // of memory that decisions may fill; the rest is for reqs being read
-	crowdSafe     = 0.85                   // of the crowd on the cores that the server survives
-	callSafe      = 0.9                    // of this server's share of the calls that the dependency survives
-	callsEach     = 4.0                    // calls in hand a core: slow ones bind no more memory than this
-	callNew       = 0.05                   // weight of one call in the usual time of calls: some twenty count
-	callSlow      = 4.0                    // times the least time of calls from which fewer are made
-	callDown      = 0.9                    // factor a tick on calls in hand then: halved in less than a second
-	callLeast     = 200 * time.Millisecond // least time-out worth a call to a shared dependency
-	stuckAfter    = 2 * time.Second        // no progress of running work for this long: it hangs
-	stayShare     = 0.8                    // of the grace after the notice in which newcomers are still wanted
-	stopAgain     = 500 * time.Millisecond // a stop without effect is asked for again
-	minRetryAfter = 100 * time.Millisecond // less is no advice
-	patiencePace  = 0.1                    // weight of one given-up try in a caller's patience: ten settle it
-	lateNew       = 0.1                    // weight of one arrival's time unread: some ten arrivals count
-	fade          = 0.98                   // of that and of an edge node's arrivals kept a tick: 5 s count
-	spanTicks     = 50.0                   // ticks that count in that fade
-	forgotten     = 0.01                   // of one arrival: an edge node seen so long ago is let go
-	signalPace    = 0.2                    // relative change of the wanted load a tick for a unit of pressure
-	signalDown    = 0.93                   // least factor a tick: halved in a second, as long as it is kept
-	signalUp      = 1.05                   // greatest factor a tick: slower up than down
-	signalMin     = 0.05                   // least load wanted: some must come, or recovery is not seen
-	signalStep    = 0.05                   // relative change below which the signal stays as it is
-	pressed       = 0.45                   // share of the time allowed for waiting from which load is too much
-	hintTrust     = 0.5                    // part of a told cost that is believed: told costs are rough
-	valueTilt     = 0.5                    // exponent of value in a line's weight: 0 none, 1 full
-	full          = 0.97                   // wanted load under which a try elsewhere likely only costs a read
-	bearable      = 10 * time.Second       // client timeout where none is told
-	tableRoom     = 16.0                   // connections a core: with more the table is felt
-	seldom        = 5 * time.Second        // an edge node back only after this had better connect anew
-	keepShort     = 200 * time.Millisecond // idle time then: a walk or a burst still finds it open
-	refusedNew    = 0.02                   // weight of one req in the share refused: some fifty count
-	flooded       = 0.8                    // share refused from which connections cost more than what is served
-	ebbed         = 0.5                    // and under which the flood is over
-	lapseFor      = 2 * time.Second        // a never-run forerunner is known this long: longer than any batch
+	tick                   = 100 * time.Millisecond // between observations; the design's
+	look                   = 25 * time.Millisecond  // between looks at due times: short of any slack, four a tick
+	breaches               = 3                      // ticks in a row over a threshold before duress; the design's
+	busyLimit              = 0.9                    // busy share of the cores that counts as a breach; the design's
+	memLimit               = 0.7                    // share of memory held by reqs that counts as a breach; the design's
+	memEach                = 0.005                  // share of memory from which one req is heavy; the design's
+	memAll                 = 0.05                   // share that all running reqs hold before memory counts; the design's
+	memOver                = 2.0                    // times the average of completed reqs; the design's
+	memWindow              = 100                    // completed reqs in that average; the design's
+	dropRatio              = 0.1                    // drops for each done req; the design's
+	dropRate               = 0.003                  // drops for each millisecond; the design's
+	dropBurst              = 10.0                   // drops in a tick, and what either budget can save; the design's
+	elapsedShare           = 0.5                    // of the client timeout: past where response targets stand
+	cpuShare               = 0.35                   // of the client timeout: work this long rarely ends in time
+	capGrow                = 0.25                   // part of the cap added a tick while cores are free: x10 in a second
+	capSmooth              = 0.1                    // weight of one tick's latency ratio: a second to follow a change
+	capWanting             = 1.25                   // reqs wanting each core that still do not slow one another much
+	capTolerance           = 1.5                    // recent over base latency that is still no reason to shrink
+	baseForget             = 1.0005                 // growth of base latency a tick: 30% a minute, outlives a trouble
+	minSamples             = 4                      // runs in the window before a latency is believed
+	bucket                 = 500 * time.Millisecond // width of a bucket; ten make the window of 5 s
+	finishBy               = 0.85                   // share of the target at which work admitted should be done
+	overShare              = 0.4                    // the same share for a customer over its share
+	stillFinish            = 0.9                    // part of the expected time that a run takes at least
+	startHold              = 4.0                    // held reqs a core before any run has been timed
+	shareSlack             = 1.25                   // customers' shares are for the fleet; so much spread is normal
+	shareBurst             = 2.0                    // seconds of a customer's share that may come at once
+	memHold                = 0.93                   // of memory that decisions may fill; the rest is for reqs being read
+	crowdSafe              = 0.85                   // of the crowd on the cores that the server survives
+	callSafe               = 0.9                    // of this server's share of the calls that the dependency survives
+	callsEach              = 4.0                    // calls in hand a core: slow ones bind no more memory than this
+	callNew                = 0.05                   // weight of one call in the usual time of calls: some twenty count
+	callSlow               = 4.0                    // times the least time of calls from which fewer are made
+	callDown               = 0.9                    // factor a tick on calls in hand then: halved in less than a second
+	callLeast              = 200 * time.Millisecond // least time-out worth a call to a shared dependency
+	stuckAfter             = 2 * time.Second        // no progress of running work for this long: it hangs
+	stayShare              = 0.8                    // of the grace after the notice in which newcomers are still wanted
+	stopAgain              = 500 * time.Millisecond // a stop without effect is asked for again
+	minRetryAfter          = 100 * time.Millisecond // less is no advice
+	patiencePace           = 0.1                    // weight of one given-up try in a caller's patience: ten settle it
+	lateNew                = 0.1                    // weight of one arrival's time unread: some ten arrivals count
+	fade                   = 0.98                   // of that and of an edge node's arrivals kept a tick: 5 s count
+	spanTicks              = 50.0                   // ticks that count in that fade
+	forgotten              = 0.01                   // of one arrival: an edge node seen so long ago is let go
+	signalPace             = 0.2                    // relative change of the wanted load a tick for a unit of pressure
+	signalDown             = 0.93                   // least factor a tick: halved in a second, as long as it is kept
+	signalUp               = 1.05                   // greatest factor a tick: slower up than down
+	signalMin              = 0.05                   // least load wanted: some must come, or recovery is not seen
+	signalStep             = 0.05                   // relative change below which the signal stays as it is
+	pressed                = 0.45                   // share of the time allowed for waiting from which load is too much
+	hintTrust              = 0.5                    // part of a told cost that is believed: told costs are rough
+	valueTilt              = 0.5                    // exponent of value in a line's weight: 0 none, 1 full
+	full                   = 0.97                   // wanted load under which a try elsewhere likely only costs a read
+	defaultMaxRetryAfter   = time.Second            // where the settings have none
+	defaultCallShareWindow = 5 * time.Second        // where the settings have none
+	tableRoom              = 16.0                   // connections a core: with more the table is felt
+	seldom                 = 5 * time.Second        // an edge node back only after this had better connect anew
+	keepShort              = 200 * time.Millisecond // idle time then: a walk or a burst still finds it open
+	refusedNew             = 0.02                   // weight of one req in the share refused: some fifty count
+	flooded                = 0.8                    // share refused from which connections cost more than what is served
+	ebbed                  = 0.5                    // and under which the flood is over
+	lapseFor               = 2 * time.Second        // a never-run forerunner is known this long: longer than any batch
 )
 
 type place uint8
@@ -157,7 +158,8 @@
 	coldFor, grace, linger, callsOver, maxRetry time.Duration
 	started, batch, shareFor, left, stop        time.Duration // left is the notice, stop when the process stops
 	canStop, cold, retryAdvice, leaving         bool
-	below, signal                               string
+	below                                       Downstream
+	signal                                      SignalMeaning
 	gBusy, gRunnable                            int
 
 	mem, cap, turn, open, sent   float64
@@ -179,46 +181,30 @@
 }
 
 // New returns the controller of a server that has just come up.
-func New(seed uint64, settings map[string]any, now time.Duration) *Controller {
-	b, rules := get[map[string]any](settings, "backend", nil), get[map[string]any](settings, "rules", nil)
+func New(seed uint64, settings Settings, now time.Duration) *Controller {
+	b, rules, limits := &settings.Backend, &settings.Rules, &settings.Limits
 	c := &Controller{
 		reqs: map[uint64]*req{}, lapsed: map[uint64]time.Duration{}, from: map[int]edge{},
 		started: now, progress: now, lastTick: now, inHandAt: now, stop: math.MaxInt64, open: 1,
 	}
 	c.chance.seed(seed)
-	c.cores, c.memory = math.Max(1, get(b, "cores", 1.0)), get(b, "memory", math.Inf(1))
-	c.runFactor, c.keySize = math.Max(1, get(b, "run_factor", 1.0)), get(b, "key_size", 0.0)
-	c.canStop, c.batch = get(b, "halt", "off") != "off", get(settings, "batch_every", time.Duration(0))
-	c.below, c.signal, c.tier = get(b, "below", "off"), get(b, "signal", "off"), get(settings, "tier", 0.0)
-	c.share, c.callsOver = get(b, "calls_share", 0.0), get(b, "calls_over", 5*time.Second)
-	c.linger, c.shareFor = get(b, "linger", time.Duration(0)), get(b, "share_for", time.Duration(0))
-	c.cold, c.edges, c.spread = get(b, "cold", false), get(b, "callers", 0.0), get(b, "callers", 0.0)
-	c.fall, c.coldFrom = get(rules, "fall_multiple", math.Inf(1)), get(rules, "cold_from", 1.0)
-	c.coldFor, c.grace = get(rules, "cold_for", time.Duration(0)), get(rules, "drain_grace", time.Duration(0))
-	limits := get[map[string]any](settings, "limits", nil)
-	c.retryAdvice, c.maxRetry = get(limits, "retry_after", false), get(limits, "max_retry_after", time.Second)
-	gauges := get[[]any](b, "gauges", nil)
-	c.gBusy, c.gRunnable = slices.Index(gauges, any("busy")), slices.Index(gauges, any("runnable"))
-	skips := get[[]any](b, "handler_skip_value", nil)
-	for i, v := range get[[]any](settings, "handlers", nil) {
-		m, _ := v.(map[string]any)
-		h := &handler{
-			timeout: get(m, "client_timeout", bearable), window: get(m, "window", time.Duration(0)),
-			value: math.Max(0.01, get(m, "value", 1.0)), late: get(m, "late_share", 0.0),
-		}
-		h.target = min(get(m, "response_target", h.timeout), h.timeout)
-		// Who calls a tier below has the target for itself and its calls: an answer in the last moment is late.
-		h.target = time.Duration(float64(h.target) / (1 + math.Max(0, c.tier)))
-		h.uniqued, h.once = get(m, "repeats", "") == "uniqued", get(m, "repeats", "") == "non-replayable"
-		if i < len(skips) {
-			h.skip, _ = skips[i].(float64)
-		}
-		c.handlers = append(c.handlers, h)
-	}
-	servers := math.Max(1, get(settings, "servers", 1.0))
-	for _, v := range get[[]any](settings, "customers", nil) {
-		m, _ := v.(map[string]any)
-		rate := get(m, "quota_per_s", 0.0) / servers * shareSlack
+	c.cores, c.memory = math.Max(1, b.Cores), b.MemoryKB.Or(math.Inf(1))
+	c.runFactor, c.keySize = math.Max(1, b.RunMemoryFactor), b.KeySizeKB
+	c.canStop, c.batch = b.Cancellation != CancelOff, settings.BatchInterval
+	c.below, c.signal, c.tier = b.Downstream, b.Signal, settings.Tier
+	c.share, c.callsOver = b.CallShare, b.CallShareWindow.Or(defaultCallShareWindow)
+	c.linger, c.shareFor = b.CallLinger, b.ReuseFor
+	c.cold, c.edges, c.spread = b.Cold, b.EdgeNodes, b.EdgeNodes
+	c.fall, c.coldFrom = rules.CollapseFactor.Or(math.Inf(1)), rules.ColdCapacity.Or(1)
+	c.coldFor, c.grace = rules.WarmUpTime, rules.DrainGrace
+	c.retryAdvice, c.maxRetry = limits.RetryAfter, limits.MaxRetryAfter.Or(defaultMaxRetryAfter)
+	c.gBusy, c.gRunnable = slices.Index(b.Gauges, GaugeBusy), slices.Index(b.Gauges, GaugeRunnable)
+	for i := range settings.Handlers {
+		c.handlers = append(c.handlers, newHandler(&settings.Handlers[i], settings.Tier))
+	}
+	servers := math.Max(1, settings.Servers)
+	for _, u := range settings.Customers {
+		rate := u.QuotaPerSecond / servers * shareSlack
 		c.customers = append(c.customers, &customer{rate: rate, tokens: rate * shareBurst, filled: now})
 	}
 	c.cap, c.callCap = c.cores, c.cores*callsEach
@@ -226,6 +212,18 @@
 	return c
 }
 
+func newHandler(s *Handler, tier float64) *handler {
+	h := &handler{
+		timeout: s.ClientTimeout.Or(DefaultClientTimeout), window: s.Window,
+		value: math.Max(0.01, s.Value.Or(1)), late: s.LateValue, skip: s.SkipValue,
+		uniqued: s.Idempotency == Deduplicated, once: s.Idempotency == NonReplayable,
+	}
+	h.target = min(s.ResponseTarget.Or(h.timeout), h.timeout)
+	// Who calls a tier below has the target for itself and its calls: an answer in the last moment is late.
+	h.target = time.Duration(float64(h.target) / (1 + math.Max(0, tier)))
+	return h
+}
+
 // Handle takes the events since the last call and returns the actions that follow.
 func (c *Controller) Handle(now time.Duration, events []Event) []Action {
 	for i := range events {
@@ -444,7 +442,7 @@
 func (c *Controller) arrive(now time.Duration, e *Event) {
 	e.Handler = max(e.Handler, 0)
 	for e.Handler >= len(c.handlers) { // unknown to the settings: bear it, as work that must not run twice
-		c.handlers = append(c.handlers, &handler{timeout: bearable, target: bearable, value: 1, once: true})
+		c.handlers = append(c.handlers, &handler{timeout: DefaultClientTimeout, target: DefaultClientTimeout, value: 1, once: true})
 	}
 	h := c.handlers[e.Handler]
 	r := &req{id: e.ID, h: h, arrived: now - e.Delay, read: now, size: e.Size, scale: 1}
@@ -631,9 +629,9 @@
 		open = 0
 	}
 	switch c.signal {
-	case "floor":
+	case SignalFloor:
 		return 1 - open
-	case "allowance":
+	case SignalAllowance:
 		// This server's room over the edge nodes. Split evenly it starves the busiest while cores are free, and
 		// no work is held that would tell. Harm: edge nodes that all turn busy at once find too much room.
 		return open * math.Max(1, (c.cap+c.cores)/math.Max(1, c.spread))
@@ -828,7 +826,7 @@
 	if hand > math.Min(callsEach*c.cores, c.crowd(now)) {
 		return 0
 	}
-	if c.below != "shared" || c.share <= 0 {
+	if c.below != DownstreamShared || c.share <= 0 {
 		return math.MaxInt64
 	}
 	c.tally(now)
@@ -956,7 +954,7 @@
 		c.told, c.health = true, good
 		out = append(out, Action{Kind: Health, Healthy: c.health, Shallow: true})
 	}
-	if c.signal != "off" {
+	if c.signal != SignalOff {
 		if v := c.wantedSignal(); c.sent != v && (v == 0 || math.Abs(v-c.sent) > signalStep*c.sent || c.open == 1) {
 			c.sent = v
 			out = append(out, Action{Kind: Signal, Value: v})
@@ -974,7 +972,7 @@
 	return out
 }
 
-// ---- measures, chance, settings ----
+// ---- measures, chance ----
 
 // ring keeps sums over the last ten buckets of time.
 type ring struct {
@@ -1021,11 +1019,3 @@
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// get picks a setting; one that is missing or of another type is the given one.
-func get[T any](m map[string]any, k string, missing T) T {
-	if v, ok := m[k].(T); ok {
-		return v
-	}
-	return missing
-}
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -13,23 +13,24 @@
 // Lines that begin with a time are events, those under them the decisions; # starts a comment.
 func TestTraces(t *testing.T) { golden.Files(t, 1, play) }
 
-// standard settings: three handlers, one of each kind; a trace's own settings go over them.
-func standard() map[string]any {
-	handler := func(repeats string, value float64) any {
-		return map[string]any{
-			"repeats": repeats, "value": value, "response_target": time.Second,
-			"client_timeout": 2 * time.Second, "window": 5 * time.Second,
+// standardSettings have three handlers, one of each kind; a trace's own settings go over them.
+func standardSettings() Settings {
+	handler := func(repeats Idempotency) Handler {
+		return Handler{
+			Idempotency: repeats, Value: Some(1.0), ResponseTarget: Some(time.Second),
+			ClientTimeout: Some(2 * time.Second), Window: 5 * time.Second,
 		}
 	}
-	return map[string]any{
-		"batch_every": time.Millisecond,
-		"handlers":    []any{handler("replayable", 1), handler("uniqued", 1), handler("non-replayable", 1)},
-		"backend": map[string]any{
-			"cores": 2.0, "memory": 1000.0, "run_factor": 4.0, "key_size": 10.0,
-			"halt": "drop", "below": "tier", "signal": "off", "gauges": []any{"busy", "runnable"},
+	return Settings{
+		BatchInterval: time.Millisecond,
+		Handlers:      []Handler{handler(Replayable), handler(Deduplicated), handler(NonReplayable)},
+		Backend: Backend{
+			Cores: 2, MemoryKB: Some(1000.0), RunMemoryFactor: 4, KeySizeKB: 10,
+			Cancellation: CancelDrop, Downstream: DownstreamTier, Signal: SignalOff,
+			Gauges: []Gauge{GaugeBusy, GaugeRunnable},
 		},
-		"rules":  map[string]any{"fall_multiple": 8.0, "drain_grace": time.Second, "cold_for": 10 * time.Second},
-		"limits": map[string]any{"retry_after": true, "max_retry_after": time.Second},
+		Rules:  Rules{CollapseFactor: Some(8.0), DrainGrace: time.Second, WarmUpTime: 10 * time.Second},
+		Limits: Limits{RetryAfter: true, MaxRetryAfter: Some(time.Second)},
 	}
 }
 
@@ -39,7 +40,7 @@
 	var c *Controller
 	var events []Event
 	var now time.Duration
-	settings := standard()
+	settings := standardSettings()
 	flush := func() {
 		if c == nil || len(events) == 0 {
 			return
@@ -66,11 +67,7 @@
 			continue // a decision: it is made anew
 		}
 		if len(words) > 0 && words[0] == "set" {
-			section, nested := settings[words[1]].(map[string]any)
-			if !nested {
-				section = settings
-			}
-			section[words[2]] = value(words[3])
+			change(t, &settings, words[1]+" "+words[2], words[3])
 		} else if len(words) > 0 {
 			at, err := time.ParseDuration(words[0])
 			if err != nil {
@@ -97,24 +94,92 @@
 	return out.String()
 }
 
-func value(s string) any {
-	if strings.Contains(s, ",") {
-		var all []any
-		for _, part := range strings.Split(s, ",") {
-			all = append(all, value(part))
+// change makes one change to the settings, as a trace's set line has it. The value "none" stands for one that is missing.
+func change(t *testing.T, s *Settings, name, value string) {
+	t.Helper()
+	missing := value == "none"
+	number, notNumber := strconv.ParseFloat(value, 64)
+	span, notSpan := time.ParseDuration(value)
+	valid := missing || notNumber == nil // most are numbers
+	switch name {
+	case "top servers":
+		s.Servers = number
+	case "top tier", "all tier":
+		s.Tier = number
+	case "top customers":
+		s.Customers = nil
+		valid = missing
+	case "backend cores":
+		s.Backend.Cores = number
+	case "backend memory":
+		s.Backend.MemoryKB = Optional[float64]{Value: number, Set: !missing}
+	case "backend run_factor":
+		s.Backend.RunMemoryFactor = number
+	case "backend callers":
+		s.Backend.EdgeNodes = number
+	case "backend calls_share":
+		s.Backend.CallShare = number
+	case "backend calls_over":
+		s.Backend.CallShareWindow = Some(span)
+		valid = notSpan == nil
+	case "backend linger":
+		s.Backend.CallLinger = span
+		valid = notSpan == nil
+	case "backend share_for":
+		s.Backend.ReuseFor = span
+		valid = notSpan == nil
+	case "backend gauges":
+		s.Backend.Gauges = nil
+		valid = missing
+	case "backend cold":
+		s.Backend.Cold, valid = parseBool(value)
+	case "backend halt":
+		s.Backend.Cancellation, valid = byName(value, CancelPause)
+	case "backend below":
+		s.Backend.Downstream, valid = byName(value, DownstreamShared)
+	case "backend signal":
+		s.Backend.Signal, valid = byName(value, SignalAllowance)
+	case "backend handler_skip_value":
+		for i, part := range strings.Split(value, ",") {
+			s.Handlers[i].SkipValue, notNumber = strconv.ParseFloat(part, 64)
+			valid = notNumber == nil && (i == 0 || valid)
 		}
-		return all
-	}
-	if d, err := time.ParseDuration(s); err == nil && s != "0" {
-		return d
+	case "rules fall_multiple":
+		s.Rules.CollapseFactor = Optional[float64]{Value: number, Set: !missing}
+	case "rules cold_from":
+		s.Rules.ColdCapacity = Optional[float64]{Value: number, Set: !missing}
+	case "rules cold_for":
+		s.Rules.WarmUpTime = span
+		valid = missing || notSpan == nil
+	case "limits retry_after":
+		s.Limits.RetryAfter, valid = parseBool(value)
+	case "limits max_retry_after":
+		s.Limits.MaxRetryAfter = Optional[time.Duration]{Value: span, Set: !missing}
+		valid = missing || notSpan == nil
+	default:
+		t.Fatal("unknown setting", name)
 	}
-	if f, err := strconv.ParseFloat(s, 64); err == nil {
-		return f
+	if !valid {
+		t.Fatal("not a value of", name, value)
 	}
-	if b, err := strconv.ParseBool(s); err == nil {
-		return b
+}
+
+func parseBool(value string) (truth, valid bool) {
+	truth, err := strconv.ParseBool(value)
+	return truth, err == nil
+}
+
+// byName finds the value of an enum, of which last is the last one, by its name.
+func byName[E interface {
+	~uint8
+	String() string
+}](name string, last E) (value E, valid bool) {
+	for e := E(0); e <= last; e++ {
+		if e.String() == name {
+			return e, true
+		}
 	}
-	return s
+	return 0, false
 }
 
 var eventNames = map[string]EventKind{
@@ -207,10 +272,10 @@
 // numbers last or are new every two seconds.
 func TestRenamed(t *testing.T) {
 	signal := func(renamed bool) (last float64) {
-		settings := standard()
-		for k, v := range map[string]any{"signal": "allowance", "callers": 8.0, "cores": 16.0} {
-			settings["backend"].(map[string]any)[k] = v
-		}
+		settings := standardSettings()
+		settings.Backend.Signal = SignalAllowance
+		settings.Backend.EdgeNodes = 8
+		settings.Backend.Cores = 16
 		c := New(1, settings, 0)
 		for i := range 3000 {
 			now, id, number := time.Duration(i)*10*time.Millisecond, uint64(i+1), (i*7%12+1)/2 // 1 to 6 where i is odd
@@ -239,7 +304,7 @@
 
 // TestKept: of reqs, callers and keys that are always new nothing stays longer than it counts.
 func TestKept(t *testing.T) {
-	c := New(1, standard(), 0)
+	c := New(1, standardSettings(), 0)
 	for i := range 100000 {
 		now, id := time.Duration(i)*time.Millisecond, uint64(i+1)
 		events := []Event{
