--- a/internal/fake/clients.go
+++ b/internal/fake/clients.go
@@ -122,7 +122,7 @@
 // AJPClient asks over as many connections as there are reqs at a time, and keeps them.
 type AJPClient struct {
 	Secret    string
-	MaxPacket int // ajp.PacketUsual if 0
+	MaxPacket int // ajp.DefaultPacketSize if 0
 
 	address string
 	mu      sync.Mutex
@@ -166,13 +166,13 @@
 	}
 	most := a.MaxPacket
 	if most == 0 {
-		most = ajp.PacketUsual
+		most = ajp.DefaultPacketSize
 	}
-	f := ajp.Forward{Path: "/invoke/" + r.Handler, Secret: a.Secret, Body: []byte(r.Body)}
-	r.fields(func(name, value string) { f.Fields = append(f.Fields, ajp.Field{Name: name, Value: value}) })
+	f := ajp.ForwardRequest{Path: "/invoke/" + r.Handler, Secret: a.Secret, Body: []byte(r.Body)}
+	r.fields(func(name, value string) { f.Headers = append(f.Headers, ajp.Header{Name: name, Value: value}) })
 	_ = c.SetDeadline(time.Now().Add(patient))
 	p := ajp.NewClient(most)
-	p.Waiting = true
+	p.AwaitingResponse = true
 	if _, err := c.Write(ajp.AppendForward(nil, &f, most)); err != nil {
 		_ = c.Close()
 		return Response{}, NotSent
@@ -183,11 +183,11 @@
 	for !done {
 		n, err := c.Read(buf)
 		if n > 0 {
-			if p.Feed(buf[:n], func(x ajp.Answer) {
-				if x.Kind == ajp.Whole {
+			if p.Feed(buf[:n], func(x ajp.Reply) {
+				if x.Kind == ajp.Response {
 					done = true
 					got = Response{Status: x.Status, Body: string(x.Body), Reuse: x.Reuse, Fields: map[string]string{}}
-					x.Fields.Each(func(name, value []byte) { got.Fields[string(name)] = string(value) })
+					x.Headers.Each(func(name, value []byte) { got.Fields[string(name)] = string(value) })
 				}
 			}) != nil {
 				_ = c.Close()
