--- a/accounting/life.go
+++ b/accounting/life.go
@@ -23,16 +23,17 @@
 	return [...]string{"runs", "left", "killed", "rebooted"}[min(e, Rebooted)]
 }
 
-// Incarnation is one process: its number, when it was, and its figures.
+// Incarnation is one process of a node: its number, when it ran, how it ended, and what became of the requests it
+// received. Times are spans since the start of 1970. The JSON keys are read by scripts: they stay as they are.
 type Incarnation struct {
 	Counts
-	Number       uint64
-	Boot         time.Duration // of the machine, by its clock
-	Started      time.Duration
-	LastEntry    time.Duration // the last op
-	Ending       Ending
-	Uncertain    int64    // reqs whose answer may have been handed over or not
-	UncertainIDs []uint64 // their ids
+	Number       uint64        `json:"Number"`
+	Boot         time.Duration `json:"Boot"` // when the machine started, by its clock
+	Started      time.Duration `json:"Started"`
+	LastEntry    time.Duration `json:"Last"`
+	Ending       Ending        `json:"Ending"`
+	Uncertain    int64         `json:"Doubted"` // requests whose response may have been delivered or not
+	UncertainIDs []uint64      `json:"Doubt"`   // the ids of the first uncertainMax of them
 }
 
 type lives struct {
