--- a/accounting/op.go
+++ b/accounting/entry.go
@@ -35,26 +35,26 @@
 	Customer CustomerName // OpOpen
 }
 
-// nameMost is the longest name kept as it is: with it an op has 64 bytes.
-const nameMost = 24
+// maxNameLength is the longest name kept as it is: with it an op has 64 bytes.
+const maxNameLength = 24
 
 // CustomerName is a customer's name, comparable and without a pointer. A longer one is cut, and told apart by a hash.
 type CustomerName struct {
 	length uint8
-	bytes  [nameMost]byte
+	bytes  [maxNameLength]byte
 }
 
 // NewCustomerName makes a name.
 func NewCustomerName(b []byte) CustomerName {
 	var n CustomerName
-	if len(b) <= nameMost {
+	if len(b) <= maxNameLength {
 		n.length = uint8(copy(n.bytes[:], b))
 		return n
 	}
-	const kept = nameMost - 9
+	const kept = maxNameLength - 9
 	copy(n.bytes[:kept], b)
 	n.bytes[kept] = '~'
-	h := strconv.AppendUint(n.bytes[kept+1:kept+1:nameMost], xxhash.Sum64(b)>>32|1<<31, 16)
+	h := strconv.AppendUint(n.bytes[kept+1:kept+1:maxNameLength], xxhash.Sum64(b)>>32|1<<31, 16)
 	n.length = uint8(kept + 1 + len(h))
 	return n
 }
@@ -98,7 +98,7 @@
 		Seq: le.Uint64(b), At: time.Duration(le.Uint64(b[8:])), ID: le.Uint64(b[16:]), Slot: le.Uint32(b[24:]),
 		Kind: EntryKind(b[28]), Reason: Reason(b[29]), Front: Frontend(b[30]), Handler: le.Uint16(b[32:]),
 	}
-	o.Customer.length = min(b[31], nameMost)
+	o.Customer.length = min(b[31], maxNameLength)
 	copy(o.Customer.bytes[:], b[34:58])
 	return o.Seq > 0
 }
--- a/accounting/life.go
+++ b/accounting/incarnation.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	livesMost = 64   // lives told one by one; earlier ones are summed
-	doubtMost = 1024 // ids in doubt that are listed of a life; more are counted
+	maxIncarnations = 64   // lives told one by one; earlier ones are summed
+	maxUncertainIDs = 1024 // ids in doubt that are listed of a life; more are counted
 )
 
 // Ending tells how a life ended.
@@ -36,34 +36,34 @@
 	UncertainIDs []uint64      `json:"Doubt"`   // the ids of the first uncertainMax of them
 }
 
-type lives struct {
-	list    []Incarnation
-	earlier Counts // of those no longer told one by one
-	before  uint64 // how many those are
+type incarnationList struct {
+	list         []Incarnation
+	earlier      Counts // of those no longer told one by one
+	earlierCount uint64 // how many those are
 }
 
-// now is the figures of the present life.
-func (l *lives) now() *Counts {
+// current is the figures of the present life.
+func (l *incarnationList) current() *Counts {
 	if len(l.list) == 0 {
-		l.list = append(l.list, Incarnation{Number: l.before + 1})
+		l.list = append(l.list, Incarnation{Number: l.earlierCount + 1})
 	}
 	return &l.list[len(l.list)-1].Counts
 }
 
-func (l *lives) seen(at time.Duration) {
-	l.now()
+func (l *incarnationList) touch(at time.Duration) {
+	l.current()
 	l.list[len(l.list)-1].LastEntry = at
 }
 
 // Incarnations are those told one by one, the present one last, and the figures and number of all earlier ones.
 func (b *Ledger) Incarnations() (list []Incarnation, earlier Counts, before uint64) {
-	return b.lives.list, b.lives.earlier, b.lives.before
+	return b.incarnations.list, b.incarnations.earlier, b.incarnations.earlierCount
 }
 
 // StartIncarnation opens a new life. What the last one left open stays on its account: as in doubt where its answer was being handed
 // over, else as cut.
 func (b *Ledger) StartIncarnation(at, boot time.Duration) {
-	l := &b.lives
+	l := &b.incarnations
 	if n := len(l.list); n > 0 && l.list[n-1].Ending == Running {
 		how := Killed
 		if l.list[n-1].Rebooted(boot) {
@@ -71,42 +71,42 @@
 		}
 		b.CloseAll(OpenAtKill, how)
 	}
-	number := l.before + uint64(len(l.list)) + 1
-	if len(l.list) >= livesMost {
+	number := l.earlierCount + uint64(len(l.list)) + 1
+	if len(l.list) >= maxIncarnations {
 		l.earlier = l.earlier.Plus(l.list[0].Counts)
-		l.before++
+		l.earlierCount++
 		l.list = append(l.list[:0], l.list[1:]...)
 	}
 	l.list = append(l.list, Incarnation{Number: number, Boot: boot, Started: at, LastEntry: at})
 }
 
-// bootSlack is how far the time of one boot may seem to move: it is worked out from a clock that is set at times.
-const bootSlack = time.Minute
+// bootTolerance is how far the time of one boot may seem to move: it is worked out from a clock that is set at times.
+const bootTolerance = time.Minute
 
 // Rebooted tells whether the machine, which started at boot, has done so since the life.
 func (l *Incarnation) Rebooted(boot time.Duration) bool {
 	apart := boot - l.Boot
-	return apart > bootSlack || apart < -bootSlack
+	return apart > bootTolerance || apart < -bootTolerance
 }
 
 // CloseAll closes all that is open, at the end of a life.
 func (b *Ledger) CloseAll(why Reason, how Ending) {
-	b.lives.now()
-	life := &b.lives.list[len(b.lives.list)-1]
-	for slot := range b.entries {
-		e := &b.entries[slot]
+	b.incarnations.current()
+	life := &b.incarnations.list[len(b.incarnations.list)-1]
+	for slot := range b.requests {
+		e := &b.requests[slot]
 		reason := why
 		switch {
-		case e.state == free:
+		case e.state == slotFree:
 			continue
-		case e.state == answering && b.flushing:
+		case e.state == answered && b.flushing:
 			reason = DeliveryUnknown
 			life.Uncertain++
-			if len(life.UncertainIDs) < doubtMost {
+			if len(life.UncertainIDs) < maxUncertainIDs {
 				life.UncertainIDs = append(life.UncertainIDs, e.id)
 			}
 		}
-		b.do(Entry{Kind: EntryClose, At: life.LastEntry, Slot: uint32(slot), Reason: reason})
+		b.commit(Entry{Kind: EntryClose, At: life.LastEntry, Slot: uint32(slot), Reason: reason})
 	}
 	b.Flush(life.LastEntry, false)
 	life.Ending = how
--- a/accounting/book_test.go
+++ b/accounting/ledger_test.go
@@ -16,7 +16,7 @@
 
 var testConfig = Config{Handlers: []string{"status", "file-claim"}, MaxCustomers: 3, MaxPeriods: 4, PeriodLength: time.Second}
 
-func newBook(t testing.TB, cfg Config) *Ledger {
+func newLedger(t testing.TB, cfg Config) *Ledger {
 	t.Helper()
 	b, err := New(cfg)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return b
 }
 
-// again has a book from a snapshot.
-func again(b *Ledger) (*Ledger, error) {
+// restoreCopy has a book from a snapshot.
+func restoreCopy(b *Ledger) (*Ledger, error) {
 	return Restore(b.AppendSnapshot(nil), func(n uint64) []byte { return b.PeriodData(n) })
 }
 
@@ -62,7 +62,7 @@
 		periods := map[uint64][]byte{}
 		wrong := int64(0)
 		closed := func(k Ticket, why Reason) {
-			m.figures.closed(why)
+			m.figures.addClosed(why)
 			m.cells[m.key(of[k][0], Frontend(of[k][1]), why)]++
 			open = slices.DeleteFunc(open, func(o Ticket) bool { return o == k })
 			ended = append(ended, k)
@@ -73,10 +73,10 @@
 			switch step := rapid.IntRange(0, 9).Draw(t, "step"); {
 			case step < 4 || len(open) == 0 && step < 8:
 				id, h := rapid.Uint64().Draw(t, "id"), uint16(rapid.IntRange(0, 2).Draw(t, "handler"))
-				f := Frontend(rapid.IntRange(0, fronts-1).Draw(t, "front"))
+				f := Frontend(rapid.IntRange(0, frontendCount-1).Draw(t, "front"))
 				k := b.Open(at, id, h, f, NewCustomerName([]byte(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "who"))))
 				m.ids[k], of[k] = id, [2]uint16{h, uint16(f)}
-				m.figures.opened()
+				m.figures.addOpened()
 				m.cells[m.key(h, f, None)]++
 				open = append(open, k)
 			case step < 6:
@@ -128,12 +128,12 @@
 				have(k, m.ids[k])
 			}
 		})
-		told := int64(len(b.known))
+		told := int64(len(b.knownGaps))
 		if b.Total() != m.figures || b.Mismatches() > wrong || wrong > 0 && told == 0 {
-			t.Fatalf("%+v, not %+v; %d differences, %d not allowed: %v", b.Total(), m.figures, b.Mismatches(), wrong, b.known)
+			t.Fatalf("%+v, not %+v; %d differences, %d not allowed: %v", b.Total(), m.figures, b.Mismatches(), wrong, b.knownGaps)
 		}
 		for i, n := range b.cells {
-			if k := m.key(uint16(i/reasons/fronts), Frontend(i/reasons%fronts), Reason(i%reasons)); n != m.cells[k] {
+			if k := m.key(uint16(i/reasonCount/frontendCount), Frontend(i/reasonCount%frontendCount), Reason(i%reasonCount)); n != m.cells[k] {
 				t.Fatalf("cell %s: %d, not %d", k, n, m.cells[k])
 			}
 		}
@@ -150,7 +150,7 @@
 		if diff := cmp.Diff(b.AppendSnapshot(nil), c.AppendSnapshot(nil)); diff != "" {
 			t.Fatal("not the same book from its snapshot and ops: ", diff)
 		}
-		if _, err := again(c); err != nil {
+		if _, err := restoreCopy(c); err != nil {
 			t.Fatal(err)
 		}
 		n, err := c.Restart(Config{Handlers: []string{"file-claim", "new"}, MaxCustomers: 2, MaxPeriods: 3, PeriodLength: 2 * time.Second},
@@ -161,9 +161,9 @@
 		n.Audit(at)
 		if f := n.Total(); f.Open != 0 || f.Received != m.figures.Received || f.Served != m.figures.Served || f.Received != f.Sum() ||
 			len(n.TakeMismatches()) > 0 {
-			t.Fatalf("a new life: %+v of %+v, %v", f, m.figures, n.known)
+			t.Fatalf("a new life: %+v of %+v, %v", f, m.figures, n.knownGaps)
 		}
-		if _, err := again(n); err != nil {
+		if _, err := restoreCopy(n); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -173,14 +173,14 @@
 func TestDifferences(t *testing.T) {
 	for name, spoil := range map[string]func(b *Ledger){
 		"total":    func(b *Ledger) { b.total.Received++ },
-		"row":      func(b *Ledger) { b.rows[row(1, FastCGI)].Served++ },
-		"cell":     func(b *Ledger) { b.cells[row(1, FastCGI)*reasons+int(Shed)]++ },
+		"row":      func(b *Ledger) { b.rows[rowIndex(1, FastCGI)].Served++ },
+		"cell":     func(b *Ledger) { b.cells[rowIndex(1, FastCGI)*reasonCount+int(Shed)]++ },
 		"customer": func(b *Ledger) { b.customers.list[1].Failed-- },
-		"life":     func(b *Ledger) { b.lives.list[0].Rejected++ },
-		"period":   func(b *Ledger) { b.periods.kept[3]++ },
-		"place":    func(b *Ledger) { b.unused = append(b.unused, 7) },
+		"life":     func(b *Ledger) { b.incarnations.list[0].Rejected++ },
+		"period":   func(b *Ledger) { b.periods.retained[3]++ },
+		"place":    func(b *Ledger) { b.freeSlots = append(b.freeSlots, 7) },
 	} {
-		b := newBook(t, testConfig)
+		b := newLedger(t, testConfig)
 		k := b.Open(time.Hour, 7, b.Handler("status"), FastCGI, NewCustomerName([]byte("a")))
 		b.Audit(time.Hour)
 		if b.Mismatches() != 0 {
@@ -209,7 +209,7 @@
 func TestPeriods(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxPeriods = 5
-	b := newBook(t, cfg)
+	b := newLedger(t, cfg)
 	at := 5 * time.Hour
 	for i, step := range []time.Duration{0, 500, 600, -200, -3600_000, 10, 900, 7200_000, 10, 5000} {
 		at += step * time.Millisecond
@@ -221,25 +221,25 @@
 	var got []string
 	first, next := b.Periods()
 	for ; first < next; first++ {
-		start, span, cells, err := splitPeriod(b.PeriodData(first))
+		start, span, cells, err := decodePeriod(b.PeriodData(first))
 		sums := make([]int64, len(b.cells))
 		if err != nil || addCells(sums, cells) != nil {
 			t.Fatal(err)
 		}
-		got = append(got, fmt.Sprint(first, ": ", start, " for ", span, ": ", sums[row(1, FastCGI)*reasons]))
+		got = append(got, fmt.Sprint(first, ": ", start, " for ", span, ": ", sums[rowIndex(1, FastCGI)*reasonCount]))
 	}
 	want := []string{"0: 5h0m0s for 1s: 2", "1: 5h0m1s for 1s: 2", "2: 4h0m0s for 1s: 2", "3: 4h0m1s for 1s: 1", "4: 6h0m1s for 1s: 2"}
 	if diff := cmp.Diff(want, got); diff != "" || b.Total().Received != 10 {
 		t.Error(diff, b.Total())
 	}
 	if len(b.TakeMismatches()) > 0 {
-		t.Error(b.known)
+		t.Error(b.knownGaps)
 	}
 }
 
 // TestCustomers: who comes often keeps a place although ever new ones come, and memory does not grow.
 func TestCustomers(t *testing.T) {
-	b := newBook(t, testConfig)
+	b := newLedger(t, testConfig)
 	heavy := NewCustomerName([]byte("a co-operative whose name is far too long for an op"))
 	for i := range 10_000 {
 		name := NewCustomerName(fmt.Appendf(nil, "farmer-%d", i))
@@ -248,7 +248,7 @@
 		}
 		k := b.Open(time.Hour, uint64(i), 1, FastCGI, name)
 		b.Close(time.Hour, k, Shed)
-		b.ops = b.ops[:0]
+		b.pending = b.pending[:0]
 	}
 	b.Audit(time.Hour)
 	i := b.customers.byName[heavy]
@@ -256,13 +256,13 @@
 		t.Errorf("%v %+v", i, b.customers.list)
 	}
 	if len(b.TakeMismatches()) > 0 {
-		t.Error(b.known)
+		t.Error(b.knownGaps)
 	}
 }
 
 // TestNoAllocations: a transition costs no memory.
 func TestNoAllocations(t *testing.T) {
-	b := newBook(t, testConfig)
+	b := newLedger(t, testConfig)
 	i := uint64(0)
 	once := func() {
 		i++
@@ -281,7 +281,7 @@
 
 // FuzzRestore: a snapshot of any bytes is read or refused, and what is read is sound.
 func FuzzRestore(f *testing.F) {
-	b := newBook(f, testConfig)
+	b := newLedger(f, testConfig)
 	for i := range 12 {
 		k := b.Open(time.Hour+time.Duration(i)*time.Second, uint64(i), uint16(i%3), Frontend(i%2), NewCustomerName([]byte{byte(i)}))
 		if i%4 > 0 {
@@ -298,7 +298,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := again(b); err != nil {
+		if _, err := restoreCopy(b); err != nil {
 			t.Error("what was read is not read again: ", err)
 		}
 		if _, err := b.Restart(testConfig, time.Hour, time.Hour); err != nil {
@@ -312,7 +312,7 @@
 }
 
 func BenchmarkTransitions(b *testing.B) {
-	book := newBook(b, testConfig)
+	book := newLedger(b, testConfig)
 	name := NewCustomerName([]byte("4"))
 	b.ReportAllocs()
 	for i := range b.N {
--- a/accounting/reason.go
+++ b/accounting/reason.go
@@ -54,7 +54,7 @@
 	HistoryLost      Reason = 37
 	ResultNotDurable Reason = 38
 
-	reasons = 39 // of a row of cells
+	reasonCount = 39 // of a row of cells
 )
 
 // ReasonInfo is a reason's figure, its word in reports, and what it says.
@@ -65,7 +65,7 @@
 }
 
 // ReasonTable has an entry for each reason in use; the others have no word.
-var ReasonTable = [reasons]ReasonInfo{
+var ReasonTable = [reasonCount]ReasonInfo{
 	Completed:        {Served, "ran", "the result of its own run"},
 	Replayed:         {Served, "repeated", "the result of the req that it repeats"},
 	Shed:             {Rejected, "shed", "turned away by the overload controller"},
@@ -140,7 +140,7 @@
 	AJP
 	FailedOver // from another box: nobody waits on a connection, the answer is for whoever asks again
 
-	fronts = 3
+	frontendCount = 3
 )
 
 // String is the front's word.
@@ -187,14 +187,14 @@
 	}
 }
 
-// closed counts a req that was open.
-func (f *Counts) closed(why Reason) {
+// addClosed counts a req that was open.
+func (f *Counts) addClosed(why Reason) {
 	f.Add(why, 1)
 	f.Open--
 }
 
-// opened counts a req that was taken.
-func (f *Counts) opened() {
+// addOpened counts a req that was taken.
+func (f *Counts) addOpened() {
 	f.Received++
 	f.Open++
 }
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -45,7 +45,7 @@
 func (b *Ledger) Report(periods bool) Report {
 	list, earlier, before := b.Incarnations()
 	out := Report{
-		Total: b.total, Mismatches: b.differs, Rows: b.rowsOf(b.cells), Incarnations: slices.Clone(list), Earlier: earlier,
+		Total: b.total, Mismatches: b.mismatches, Rows: b.reportRows(b.cells), Incarnations: slices.Clone(list), Earlier: earlier,
 		EarlierIncarnations: before,
 	}
 	for _, c := range b.customers.list {
@@ -54,29 +54,29 @@
 		}
 	}
 	slices.SortStableFunc(out.Customers, func(x, y Customer) int { return cmp.Compare(y.Figures.Received, x.Figures.Received) })
-	if p := &b.periods; periods && p.most > 0 {
+	if p := &b.periods; periods && p.capacity > 0 {
 		cells := make([]int64, len(b.cells))
 		for n := p.first; n < p.next; n++ {
-			start, span, data, err := splitPeriod(b.PeriodData(n))
+			start, span, data, err := decodePeriod(b.PeriodData(n))
 			clear(cells)
 			if err != nil || addCells(cells, data) != nil {
 				continue // proved when it was read: not reached
 			}
-			out.Periods = append(out.Periods, Period{start, span, b.rowsOf(cells)})
+			out.Periods = append(out.Periods, Period{start, span, b.reportRows(cells)})
 		}
 		if p.start != 0 {
-			out.Periods = append(out.Periods, Period{p.start, time.Duration(p.every), b.rowsOf(p.present)})
+			out.Periods = append(out.Periods, Period{p.start, time.Duration(p.length), b.reportRows(p.current)})
 		}
 	}
 	return out
 }
 
-func (b *Ledger) rowsOf(cells []int64) []Row {
+func (b *Ledger) reportRows(cells []int64) []Row {
 	var out []Row
 	for i := range b.rows {
-		row := Row{Handler: b.handlers[i/fronts], Front: Frontend(i % fronts).String(), Reasons: map[string]int64{}}
+		row := Row{Handler: b.handlers[i/frontendCount], Front: Frontend(i % frontendCount).String(), Reasons: map[string]int64{}}
 		any := false
-		for why, n := range cells[i*reasons : (i+1)*reasons] {
+		for why, n := range cells[i*reasonCount : (i+1)*reasonCount] {
 			if n == 0 {
 				continue
 			}
@@ -96,11 +96,11 @@
 
 // OpenIDs lists the ids of the open reqs: those whose answer was being handed to the system, and all others.
 func (b *Ledger) OpenIDs() (doubted, others []uint64) {
-	for i := range b.entries {
-		switch e := &b.entries[i]; {
-		case e.state == answering && b.flushing:
+	for i := range b.requests {
+		switch e := &b.requests[i]; {
+		case e.state == answered && b.flushing:
 			doubted = append(doubted, e.id)
-		case e.state != free:
+		case e.state != slotFree:
 			others = append(others, e.id)
 		}
 	}
--- a/arrival/arrival_test.go
+++ b/arrival/arrival_test.go
@@ -74,7 +74,7 @@
 		if got := n.QueueDelay(n.stamped(10*ms), true); got > 10*ms {
 			t.Errorf("stepped by %v, after a stranger's: %v", off, got)
 		}
-		if got := n.QueueDelay(n.stamped(20*time.Second), true); got > time.Second+20*ms+promptly {
+		if got := n.QueueDelay(n.stamped(20*time.Second), true); got > time.Second+20*ms+maxPromptDelay {
 			t.Errorf("stepped by %v, older than can be: %v", off, got)
 		}
 	}
@@ -84,10 +84,10 @@
 func TestWrongFromTheStart(t *testing.T) {
 	n := &node{mono: time.Hour, off: time.Minute}
 	for range 5 { // so many reqs are refused as older than their client timeout: they never ran
-		n.run(doubtFor / 4)
+		n.run(suspicionTime / 4)
 		n.QueueDelay(n.stamped(5*ms), true)
 	}
-	if got := n.QueueDelay(n.stamped(5*ms), true); got > promptly {
+	if got := n.QueueDelay(n.stamped(5*ms), true); got > maxPromptDelay {
 		t.Error("still believed:", got)
 	}
 }
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	magic          = "FROSTFIG"
-	newMark        = ".new-" // in the name of a file that holds no book yet
-	lockMark       = ".lock" // after the name of one: its lock
-	version        = 1
-	headLen        = 4096
-	snapHead       = 16       // length, checksum and room
-	periodHead     = 16       // number, length, checksum
-	sparePer       = 8        // places of periods beyond those kept: what an older snapshot needs is not written over
-	openSpare      = 4096     // open reqs that a snapshot has room for beyond those of now
-	fileMost       = 1 << 30  // bytes of a file that is read: far beyond any that is written
-	DefaultEntries = 8192     // ops in the ring where nothing is said: half a megabyte
-	MinEntries     = 256      // below it the book would be written down more often than the ops
-	opsMost        = 1 << 20  // 64 MB
-	snapMost       = 64 << 20 // bytes of a snapshot
+	magic              = "FROSTFIG"
+	unpublishedMark    = ".new-" // in the name of a file that holds no book yet
+	lockSuffix         = ".lock" // after the name of one: its lock
+	formatVersion      = 1
+	headerSize         = 4096
+	snapshotHeaderSize = 16       // length, checksum and room
+	periodHeaderSize   = 16       // number, length, checksum
+	sparePeriods       = 8        // places of periods beyond those kept: what an older snapshot needs is not written over
+	spareOpenRequests  = 4096     // open reqs that a snapshot has room for beyond those of now
+	maxFileSize        = 1 << 30  // bytes of a file that is read: far beyond any that is written
+	DefaultEntries     = 8192     // ops in the ring where nothing is said: half a megabyte
+	MinEntries         = 256      // below it the book would be written down more often than the ops
+	maxEntries         = 1 << 20  // 64 MB
+	maxSnapshotSize    = 64 << 20 // bytes of a snapshot
 )
 
 // Errors of files.
@@ -47,55 +47,59 @@
 
 // layout is where the parts of a file stand.
 type layout struct {
-	ops, snap, period, places int // how many ops; room of a snapshot, of a period; how many periods
+	entries, snapshotSize, periodSize, periodSlots int // how many ops; room of a snapshot, of a period; how many periods
 }
 
-func (l layout) opAt(seq uint64) int { return headLen + int(seq%uint64(l.ops))*accounting.EntrySize }
-func (l layout) snapAt(i int) int    { return headLen + l.ops*accounting.EntrySize + i*l.snap }
-func (l layout) periodAt(n uint64) int {
-	return l.snapAt(2) + int(n%uint64(max(1, l.places)))*l.period
+func (l layout) entryOffset(seq uint64) int {
+	return headerSize + int(seq%uint64(l.entries))*accounting.EntrySize
 }
-func (l layout) size() int { return l.snapAt(2) + l.places*l.period }
+func (l layout) snapshotOffset(i int) int {
+	return headerSize + l.entries*accounting.EntrySize + i*l.snapshotSize
+}
+func (l layout) periodOffset(n uint64) int {
+	return l.snapshotOffset(2) + int(n%uint64(max(1, l.periodSlots)))*l.periodSize
+}
+func (l layout) size() int { return l.snapshotOffset(2) + l.periodSlots*l.periodSize }
 
-func (l layout) sound() bool {
-	return l.ops >= MinEntries && l.ops <= opsMost && l.snap > snapHead && l.snap <= snapMost && l.period >= 0 &&
-		l.period <= snapMost && l.places >= 0 && l.places <= 1<<16 && l.size() <= fileMost
+func (l layout) valid() bool {
+	return l.entries >= MinEntries && l.entries <= maxEntries && l.snapshotSize > snapshotHeaderSize && l.snapshotSize <= maxSnapshotSize && l.periodSize >= 0 &&
+		l.periodSize <= maxSnapshotSize && l.periodSlots >= 0 && l.periodSlots <= 1<<16 && l.size() <= maxFileSize
 }
 
-// layoutOf is the one for such a book.
-func layoutOf(b *accounting.Ledger, ops, periods int) layout {
+// layoutFor is the one for such a book.
+func layoutFor(b *accounting.Ledger, ops, periods int) layout {
 	const page = 4096
 	up := func(n int) int { return (n + page - 1) / page * page }
-	l := layout{ops: ops, snap: up(snapHead + b.SnapshotSize(int(b.Total().Open)+openSpare))}
+	l := layout{entries: ops, snapshotSize: up(snapshotHeaderSize + b.SnapshotSize(int(b.Total().Open)+spareOpenRequests))}
 	if periods > 0 {
-		l.period, l.places = periodHead+b.PeriodSize(), periods+sparePer
+		l.periodSize, l.periodSlots = periodHeaderSize+b.PeriodSize(), periods+sparePeriods
 	}
 	return l
 }
 
-func (l layout) put(b []byte) {
+func (l layout) encode(b []byte) {
 	le := binary.LittleEndian
 	copy(b, magic)
-	for i, v := range [...]int{version, l.ops, l.snap, l.period, l.places} {
+	for i, v := range [...]int{formatVersion, l.entries, l.snapshotSize, l.periodSize, l.periodSlots} {
 		le.PutUint32(b[8+4*i:], uint32(v))
 	}
 	le.PutUint32(b[28:], accounting.Checksum(b[:28]))
 }
 
-func (l *layout) get(b []byte) error {
+func (l *layout) decode(b []byte) error {
 	le := binary.LittleEndian
 	switch {
 	case len(b) < 12 || string(b[:8]) != magic:
 		return ErrNotStatsFile
-	case le.Uint32(b[8:]) != version:
-		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, le.Uint32(b[8:]), version)
-	case len(b) < headLen || le.Uint32(b[28:]) != accounting.Checksum(b[:28]):
+	case le.Uint32(b[8:]) != formatVersion:
+		return fmt.Errorf("%w: %d, this program reads %d", ErrVersion, le.Uint32(b[8:]), formatVersion)
+	case len(b) < headerSize || le.Uint32(b[28:]) != accounting.Checksum(b[:28]):
 		return fmt.Errorf("%w: its header", ErrDamaged)
 	}
-	for i, v := range [...]*int{&l.ops, &l.snap, &l.period, &l.places} {
+	for i, v := range [...]*int{&l.entries, &l.snapshotSize, &l.periodSize, &l.periodSlots} {
 		*v = int(le.Uint32(b[12+4*i:]))
 	}
-	if !l.sound() || len(b) != l.size() {
+	if !l.valid() || len(b) != l.size() {
 		return fmt.Errorf("%w: %d bytes, not as its header says", ErrDamaged, len(b))
 	}
 	return nil
@@ -104,23 +108,23 @@
 // Read has the book that the bytes of a file hold: its newest whole snapshot, and the ops that followed it.
 func Read(data []byte) (*accounting.Ledger, error) {
 	var l layout
-	if err := l.get(data); err != nil {
+	if err := l.decode(data); err != nil {
 		return nil, err
 	}
 	le := binary.LittleEndian
 	var book *accounting.Ledger
 	var why error
 	for i := range 2 {
-		at := l.snapAt(i)
+		at := l.snapshotOffset(i)
 		n := le.Uint64(data[at:])
 		if n == 0 {
 			continue // not written yet
 		}
-		if n > uint64(l.snap-snapHead) || le.Uint32(data[at+8:]) != accounting.Checksum(data[at+snapHead:at+snapHead+int(n)]) {
+		if n > uint64(l.snapshotSize-snapshotHeaderSize) || le.Uint32(data[at+8:]) != accounting.Checksum(data[at+snapshotHeaderSize:at+snapshotHeaderSize+int(n)]) {
 			why = fmt.Errorf("%w: a snapshot", ErrDamaged)
 			continue // being written when the process ended
 		}
-		b, err := accounting.Restore(data[at+snapHead:at+snapHead+int(n)], func(n uint64) []byte { return periodIn(data, l, n) })
+		b, err := accounting.Restore(data[at+snapshotHeaderSize:at+snapshotHeaderSize+int(n)], func(n uint64) []byte { return readPeriod(data, l, n) })
 		if err != nil {
 			why = fmt.Errorf("%w: %w", ErrDamaged, err)
 			continue
@@ -137,7 +141,7 @@
 	}
 	for {
 		var op accounting.Entry
-		at := l.opAt(book.Seq() + 1)
+		at := l.entryOffset(book.Seq() + 1)
 		if !op.Get(data[at:at+accounting.EntrySize]) || op.Seq != book.Seq()+1 {
 			break
 		}
@@ -146,9 +150,9 @@
 		}
 	}
 	book.EndReplay()
-	for k := range l.ops {
+	for k := range l.entries {
 		var op accounting.Entry
-		at := headLen + k*accounting.EntrySize
+		at := headerSize + k*accounting.EntrySize
 		if op.Get(data[at:at+accounting.EntrySize]) && op.Seq > book.Seq() {
 			return book, fmt.Errorf("%w: ops after %d are missing", ErrDamaged, book.Seq())
 		}
@@ -156,30 +160,30 @@
 	return book, nil
 }
 
-func periodIn(data []byte, l layout, number uint64) []byte {
-	if l.places == 0 {
+func readPeriod(data []byte, l layout, number uint64) []byte {
+	if l.periodSlots == 0 {
 		return nil
 	}
 	le := binary.LittleEndian
-	p := data[l.periodAt(number):][:l.period]
+	p := data[l.periodOffset(number):][:l.periodSize]
 	n := int(le.Uint32(p[8:]))
-	if le.Uint64(p) != number || n > l.period-periodHead || le.Uint32(p[12:]) != accounting.Checksum(p[periodHead:periodHead+n]) {
+	if le.Uint64(p) != number || n > l.periodSize-periodHeaderSize || le.Uint32(p[12:]) != accounting.Checksum(p[periodHeaderSize:periodHeaderSize+n]) {
 		return nil
 	}
-	return p[periodHead : periodHead+n]
+	return p[periodHeaderSize : periodHeaderSize+n]
 }
 
 // RecentEntries gives the ops that a file still holds, in order.
 func RecentEntries(data []byte) ([]accounting.Entry, error) {
 	var l layout
-	if err := l.get(data); err != nil {
+	if err := l.decode(data); err != nil {
 		return nil, err
 	}
 	last := uint64(0)
 	bySeq := map[uint64]accounting.Entry{}
-	for k := range l.ops {
+	for k := range l.entries {
 		var op accounting.Entry
-		at := headLen + k*accounting.EntrySize
+		at := headerSize + k*accounting.EntrySize
 		if op.Get(data[at : at+accounting.EntrySize]) {
 			bySeq[op.Seq] = op
 			last = max(last, op.Seq)
@@ -214,22 +218,22 @@
 // file is one that is written to.
 type file struct {
 	layout
-	path string
-	tmp  string // its name before it holds a book
-	data []byte
-	info os.FileInfo
-	snap int    // the area that the next snapshot goes to
-	at   uint64 // the op of the last snapshot
-	next uint64 // the first period that is not written
-	buf  []byte
+	path         string
+	tempPath     string // its name before it holds a book
+	data         []byte
+	info         os.FileInfo
+	nextSnapshot int    // the area that the next snapshot goes to
+	snapshotSeq  uint64 // the op of the last snapshot
+	nextPeriod   uint64 // the first period that is not written
+	snapshot     []byte
 }
 
-// otherDisk takes room in place of the system's: tests have disks that are full or slow.
-var otherDisk atomic.Pointer[func() error]
+// allocateOverride takes room in place of the system's: tests have disks that are full or slow.
+var allocateOverride atomic.Pointer[func() error]
 
 // allocate takes room on the disk.
 func allocate(fd int, size int64) error {
-	if other := otherDisk.Load(); other != nil {
+	if other := allocateOverride.Load(); other != nil {
 		return (*other)()
 	}
 	return unix.Fallocate(fd, 0, 0, size)
@@ -238,10 +242,10 @@
 // create makes a file with room for such a book, under a name of its own until publish; nothing is in it yet.
 // The room is taken on the disk at once: a full one is an error here and not a fault later.
 func create(path string, l layout) (f *file, err error) {
-	if !l.sound() {
+	if !l.valid() {
 		return nil, ErrTooSmall
 	}
-	tmp, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+newMark+"*")
+	tmp, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+unpublishedMark+"*")
 	if err != nil {
 		return nil, err
 	}
@@ -258,8 +262,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("mapping it: %w", err)
 	}
-	f = &file{layout: l, path: path, tmp: tmp.Name(), data: data}
-	l.put(data)
+	f = &file{layout: l, path: path, tempPath: tmp.Name(), data: data}
+	l.encode(data)
 	if f.info, err = tmp.Stat(); err == nil {
 		err = tmp.Chmod(0o640)
 	}
@@ -275,12 +279,12 @@
 	if err := unix.Msync(f.data, unix.MS_SYNC); err != nil {
 		return err
 	}
-	return os.Rename(f.tmp, f.path)
+	return os.Rename(f.tempPath, f.path)
 }
 
-// removeLeft removes what an earlier life did not get to publish. The lock is held.
-func removeLeft(path string) {
-	names, _ := filepath.Glob(path + newMark + "*") // only a bad pattern is an error
+// removeUnpublished removes what an earlier life did not get to publish. The lock is held.
+func removeUnpublished(path string) {
+	names, _ := filepath.Glob(path + unpublishedMark + "*") // only a bad pattern is an error
 	for _, name := range names {
 		_ = os.Remove(name)
 	}
@@ -293,8 +297,8 @@
 	}
 }
 
-// guarded calls do with faults of the map as errors: a file that was cut short, a disk that fails.
-func guarded(do func() error) (err error) {
+// catchFaults calls do with faults of the map as errors: a file that was cut short, a disk that fails.
+func catchFaults(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -311,68 +315,68 @@
 func (f *file) append(b *accounting.Ledger) error {
 	many := false
 	b.TakeEntries(func(ops []accounting.Entry) {
-		if many = len(ops) > f.ops/4; many {
+		if many = len(ops) > f.entries/4; many {
 			return // they would write over what the last snapshot needs; the next one holds them all at once
 		}
 		for i := range ops {
-			ops[i].Put(f.data[f.opAt(ops[i].Seq):][:accounting.EntrySize])
+			ops[i].Put(f.data[f.entryOffset(ops[i].Seq):][:accounting.EntrySize])
 		}
 	})
-	if f.putPeriods(b) || many || b.Seq()-f.at > uint64(f.ops/4) {
-		return f.checkpoint(b)
+	if f.writePeriods(b) || many || b.Seq()-f.snapshotSeq > uint64(f.entries/4) {
+		return f.writeSnapshot(b)
 	}
 	return nil
 }
 
-// putPeriods writes the closed periods that are not written, and tells whether there were any.
-func (f *file) putPeriods(b *accounting.Ledger) bool {
+// writePeriods writes the closed periods that are not written, and tells whether there were any.
+func (f *file) writePeriods(b *accounting.Ledger) bool {
 	first, next := b.Periods()
-	if f.places == 0 || next <= f.next {
+	if f.periodSlots == 0 || next <= f.nextPeriod {
 		return false
 	}
-	for n := max(first, f.next); n < next; n++ {
-		f.putPeriod(n, b.PeriodData(n))
+	for n := max(first, f.nextPeriod); n < next; n++ {
+		f.writePeriod(n, b.PeriodData(n))
 	}
-	f.next = next
+	f.nextPeriod = next
 	return true
 }
 
-func (f *file) putPeriod(number uint64, data []byte) {
+func (f *file) writePeriod(number uint64, data []byte) {
 	le := binary.LittleEndian
-	p := f.data[f.periodAt(number):][:f.period]
-	copy(p[periodHead:], data)
+	p := f.data[f.periodOffset(number):][:f.periodSize]
+	copy(p[periodHeaderSize:], data)
 	le.PutUint64(p, number)
 	le.PutUint32(p[8:], uint32(len(data)))
 	le.PutUint32(p[12:], accounting.Checksum(data))
 }
 
-// checkpoint writes the book down in the older of the two areas.
-func (f *file) checkpoint(b *accounting.Ledger) error {
-	f.buf = b.AppendSnapshot(f.buf[:0])
-	if len(f.buf) > f.layout.snap-snapHead {
+// writeSnapshot writes the book down in the older of the two areas.
+func (f *file) writeSnapshot(b *accounting.Ledger) error {
+	f.snapshot = b.AppendSnapshot(f.snapshot[:0])
+	if len(f.snapshot) > f.layout.snapshotSize-snapshotHeaderSize {
 		return ErrTooSmall
 	}
 	le := binary.LittleEndian
-	p := f.data[f.snapAt(f.snap):][:f.layout.snap]
-	le.PutUint64(p, uint64(len(f.buf)))
-	le.PutUint32(p[8:], accounting.Checksum(f.buf))
-	copy(p[snapHead:], f.buf)
-	f.snap, f.at = 1-f.snap, b.Seq()
+	p := f.data[f.snapshotOffset(f.nextSnapshot):][:f.layout.snapshotSize]
+	le.PutUint64(p, uint64(len(f.snapshot)))
+	le.PutUint32(p[8:], accounting.Checksum(f.snapshot))
+	copy(p[snapshotHeaderSize:], f.snapshot)
+	f.nextSnapshot, f.snapshotSeq = 1-f.nextSnapshot, b.Seq()
 	return nil
 }
 
-// start writes a book into a new file: all its closed periods and a snapshot. Ops since the last drain are in it.
-func (f *file) start(b *accounting.Ledger) error {
+// initialize writes a book into a new file: all its closed periods and a snapshot. Ops since the last drain are in it.
+func (f *file) initialize(b *accounting.Ledger) error {
 	b.TakeEntries(func([]accounting.Entry) {})
-	f.putPeriods(b)
-	return f.checkpoint(b)
+	f.writePeriods(b)
+	return f.writeSnapshot(b)
 }
 
-// same tells whether the file still stands under its name.
-func (f *file) same() bool {
+// inPlace tells whether the file still stands under its name.
+func (f *file) inPlace() bool {
 	info, err := os.Stat(f.path)
 	return err == nil && os.SameFile(info, f.info)
 }
 
 // Locked tells whether a process records in that file.
-func Locked(path string) bool { return filelock.IsLocked(path + lockMark) }
+func Locked(path string) bool { return filelock.IsLocked(path + lockSuffix) }
--- a/internal/statsfile/format_test.go
+++ b/internal/statsfile/format_test.go
@@ -82,12 +82,12 @@
 func TestStoredFileEncoding(t *testing.T) {
 	data := storedFile(t)
 	var stored layout
-	if err := stored.get(data); err != nil {
+	if err := stored.decode(data); err != nil {
 		t.Fatal(err)
 	}
-	header := make([]byte, headLen)
-	stored.put(header)
-	if !bytes.Equal(header, data[:headLen]) {
+	header := make([]byte, headerSize)
+	stored.encode(header)
+	if !bytes.Equal(header, data[:headerSize]) {
 		t.Error("the header is encoded differently")
 	}
 	entries, err := RecentEntries(data)
@@ -100,16 +100,16 @@
 	for i := range entries {
 		var encoded [accounting.EntrySize]byte
 		entries[i].Put(encoded[:])
-		offset := stored.opAt(entries[i].Seq)
+		offset := stored.entryOffset(entries[i].Seq)
 		if !bytes.Equal(encoded[:], data[offset:offset+accounting.EntrySize]) {
 			t.Errorf("entry %d is encoded differently", entries[i].Seq)
 		}
 	}
 	for area := range 2 {
-		offset := stored.snapAt(area)
+		offset := stored.snapshotOffset(area)
 		length := int(binary.LittleEndian.Uint64(data[offset:]))
-		snapshot := data[offset+snapHead : offset+snapHead+length]
-		ledger, err := accounting.Restore(snapshot, func(number uint64) []byte { return periodIn(data, stored, number) })
+		snapshot := data[offset+snapshotHeaderSize : offset+snapshotHeaderSize+length]
+		ledger, err := accounting.Restore(snapshot, func(number uint64) []byte { return readPeriod(data, stored, number) })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	lookEvery  = 10 * time.Second // between looks whether the file is still there
-	retryEvery = 5 * time.Second  // between tries to make one anew after trouble
+	checkInterval = 10 * time.Second // between looks whether the file is still there
+	retryInterval = 5 * time.Second  // between tries to make one anew after trouble
 )
 
 // Recorder keeps a book in a file. Its methods belong to the owner of the book; none but Open waits for a disk. When the
 // file fails, the book goes on in memory, the trouble is told, and a new file is made in the background.
 type Recorder struct {
 	path    string
-	ops     int
+	entries int
 	log     *slog.Logger
 	periods int
 
-	file   *file
-	lock   *os.File
-	busy   bool     // something runs in the background
-	news   chan any // its result: *file, error, or nil for a file that is where it was
-	nextAt time.Duration
-	off    bool // for the rest of this life
+	file        *file
+	lock        *os.File
+	taskRunning bool     // something runs in the background
+	taskDone    chan any // its result: *file, error, or nil for a file that is where it was
+	nextTask    time.Duration
+	disabled    bool // for the rest of this life
 }
 
 // NewRecorder prepares one for a file with a ring of so many ops, OpsUsual if 0.
@@ -39,11 +39,11 @@
 	if ops == 0 {
 		ops = DefaultEntries
 	}
-	return &Recorder{path: path, ops: min(max(ops, MinEntries), opsMost), log: log, news: make(chan any, 1)}
+	return &Recorder{path: path, entries: min(max(ops, MinEntries), maxEntries), log: log, taskDone: make(chan any, 1)}
 }
 
-// opened is what opening a file brings.
-type opened struct {
+// openResult is what opening a file brings.
+type openResult struct {
 	book *accounting.Ledger
 	file *file
 	lock *os.File
@@ -55,8 +55,8 @@
 // disk that does not answer within the time given costs the record of this life.
 func (r *Recorder) Open(fresh *accounting.Ledger, cfg accounting.Config, at, patient time.Duration) *accounting.Ledger {
 	r.periods = cfg.MaxPeriods
-	done := make(chan opened, 1)
-	go func() { done <- openFile(r.path, r.ops, fresh, cfg, at) }()
+	done := make(chan openResult, 1)
+	go func() { done <- openFile(r.path, r.entries, fresh, cfg, at) }()
 	timer := time.NewTimer(patient)
 	defer timer.Stop()
 	select {
@@ -64,9 +64,9 @@
 		for _, err := range o.errs {
 			r.log.Error("figures file", "file", r.path, "why", err, "kept_as", o.kept)
 		}
-		r.file, r.lock, r.off = o.file, o.lock, o.lock == nil
+		r.file, r.lock, r.disabled = o.file, o.lock, o.lock == nil
 		if o.book == nil {
-			fresh.StartIncarnation(at, boot())
+			fresh.StartIncarnation(at, bootTime())
 			o.book = fresh
 		}
 		o.book.RecordEntries(r.file != nil)
@@ -76,38 +76,38 @@
 		return o.book
 	case <-timer.C:
 		r.log.Error("figures file", "file", r.path, "why", "the disk does not answer: this life is not recorded")
-		r.off = true
+		r.disabled = true
 		own, err := accounting.New(cfg) // the other is in the hands of what still waits for the disk
 		if err != nil {
 			return fresh // not reached: the same made the other
 		}
-		own.StartIncarnation(at, boot())
+		own.StartIncarnation(at, bootTime())
 		return own
 	}
 }
 
 // openFile takes the lock, reads what is there, and puts a new file in its place.
-func openFile(path string, ops int, fresh *accounting.Ledger, cfg accounting.Config, at time.Duration) (o opened) {
+func openFile(path string, ops int, fresh *accounting.Ledger, cfg accounting.Config, at time.Duration) (o openResult) {
 	fail := func(err error) { o.errs = append(o.errs, err) }
-	lock, err := filelock.Acquire(path + lockMark)
+	lock, err := filelock.Acquire(path + lockSuffix)
 	if err != nil {
 		fail(err)
 		return o
 	}
 	o.lock = lock
-	data, err := readAll(path)
+	data, err := readRegularFile(path)
 	if err == nil {
 		o.book, err = Read(data)
 		if err != nil && o.book != nil && rebooted(o.book) {
 			err = nil // a machine that went down keeps what was on its disk
 		}
 		if err == nil {
-			o.book, err = o.book.Restart(cfg, at, boot())
+			o.book, err = o.book.Restart(cfg, at, bootTime())
 		}
 		if err != nil {
 			o.book = nil
 			fail(err)
-			if o.kept, err = aside(path); err != nil {
+			if o.kept, err = keepAside(path); err != nil {
 				fail(fmt.Errorf("keeping it aside: %w", err))
 				return o
 			}
@@ -117,13 +117,13 @@
 		return o
 	}
 	if o.book == nil {
-		fresh.StartIncarnation(at, boot())
+		fresh.StartIncarnation(at, bootTime())
 		o.book = fresh
 	}
-	removeLeft(path)
-	f, err := create(path, layoutOf(o.book, ops, cfg.MaxPeriods))
+	removeUnpublished(path)
+	f, err := create(path, layoutFor(o.book, ops, cfg.MaxPeriods))
 	if err == nil {
-		if err = guarded(func() error { return f.start(o.book) }); err == nil {
+		if err = catchFaults(func() error { return f.initialize(o.book) }); err == nil {
 			err = f.publish()
 		}
 	}
@@ -135,19 +135,19 @@
 	return o
 }
 
-func readAll(path string) ([]byte, error) {
+func readRegularFile(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > fileMost {
+	if !info.Mode().IsRegular() || info.Size() > maxFileSize {
 		return nil, ErrNotStatsFile
 	}
 	return os.ReadFile(path)
 }
 
-// aside renames a file that can't be read so that nothing of it is lost.
-func aside(path string) (string, error) {
+// keepAside renames a file that can't be read so that nothing of it is lost.
+func keepAside(path string) (string, error) {
 	for i := 1; ; i++ {
 		to := fmt.Sprintf("%s.bad-%d", path, i)
 		if _, err := os.Lstat(to); errors.Is(err, fs.ErrNotExist) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// boot is when the machine started, by its clock.
-func boot() time.Duration {
+// bootTime is when the machine started, by its clock.
+func bootTime() time.Duration {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
 		return 0
@@ -169,7 +169,7 @@
 
 func rebooted(b *accounting.Ledger) bool {
 	list, _, _ := b.Incarnations()
-	return len(list) > 0 && list[len(list)-1].Rebooted(boot())
+	return len(list) > 0 && list[len(list)-1].Rebooted(bootTime())
 }
 
 // Recording tells whether the book is being recorded.
@@ -177,65 +177,65 @@
 
 // Append records what has happened since the last call.
 func (r *Recorder) Append(b *accounting.Ledger, now time.Duration) {
-	if r.off {
+	if r.disabled {
 		return
 	}
-	if r.busy {
+	if r.taskRunning {
 		select {
-		case n := <-r.news:
-			r.busy = false
-			r.heard(b, n, now)
+		case n := <-r.taskDone:
+			r.taskRunning = false
+			r.finishTask(b, n, now)
 		default:
 		}
 	}
 	if r.file != nil && b.HasPendingEntries() {
-		if err := guarded(func() error { return r.file.append(b) }); err != nil {
-			r.lost(b, err, now)
+		if err := catchFaults(func() error { return r.file.append(b) }); err != nil {
+			r.abandonFile(b, err, now)
 		}
 	}
-	if r.busy || now < r.nextAt && now > r.nextAt-2*lookEvery {
+	if r.taskRunning || now < r.nextTask && now > r.nextTask-2*checkInterval {
 		return
 	}
-	r.busy = true
+	r.taskRunning = true
 	if f := r.file; f != nil {
-		r.nextAt = now + lookEvery
+		r.nextTask = now + checkInterval
 		go func() {
-			if f.same() {
-				r.news <- nil
+			if f.inPlace() {
+				r.taskDone <- nil
 			} else {
-				r.news <- ErrReplaced
+				r.taskDone <- ErrReplaced
 			}
 		}()
 		return
 	}
-	r.nextAt = now + retryEvery
-	path, l := r.path, layoutOf(b, r.ops, r.periods)
+	r.nextTask = now + retryInterval
+	path, l := r.path, layoutFor(b, r.entries, r.periods)
 	go func() {
-		removeLeft(path)
+		removeUnpublished(path)
 		f, err := create(path, l)
 		if err != nil {
-			r.news <- err
+			r.taskDone <- err
 			return
 		}
-		r.news <- f
+		r.taskDone <- f
 	}()
 }
 
-// heard follows what the background has done.
-func (r *Recorder) heard(b *accounting.Ledger, news any, now time.Duration) {
+// finishTask follows what the background has done.
+func (r *Recorder) finishTask(b *accounting.Ledger, news any, now time.Duration) {
 	switch n := news.(type) {
 	case *file:
-		err := guarded(func() error { return n.start(b) })
+		err := catchFaults(func() error { return n.initialize(b) })
 		if err == nil {
 			r.file = n
 			b.RecordEntries(true)
-			r.busy, r.nextAt = true, now+lookEvery
+			r.taskRunning, r.nextTask = true, now+checkInterval
 			go func() { // its name is given off the owner
 				if err := n.publish(); err != nil {
-					r.news <- err
+					r.taskDone <- err
 					return
 				}
-				r.news <- nil
+				r.taskDone <- nil
 				r.log.Info("figures file", "file", n.path, "made", "anew")
 			}()
 			return
@@ -244,19 +244,19 @@
 		r.log.Error("figures file", "file", r.path, "why", err)
 	case error:
 		if r.file != nil {
-			r.lost(b, n, now)
+			r.abandonFile(b, n, now)
 			return
 		}
-		r.log.Error("figures file", "file", r.path, "why", n, "again_in", retryEvery)
+		r.log.Error("figures file", "file", r.path, "why", n, "again_in", retryInterval)
 	}
 }
 
-// lost goes on in memory.
-func (r *Recorder) lost(b *accounting.Ledger, err error, now time.Duration) {
-	r.log.Error("figures file", "file", r.path, "why", err, "again_in", retryEvery)
+// abandonFile goes on in memory.
+func (r *Recorder) abandonFile(b *accounting.Ledger, err error, now time.Duration) {
+	r.log.Error("figures file", "file", r.path, "why", err, "again_in", retryInterval)
 	r.file.unmap()
 	r.file = nil
-	r.nextAt = now + retryEvery
+	r.nextTask = now + retryInterval
 	b.RecordEntries(false)
 }
 
@@ -268,17 +268,17 @@
 	if r.lock != nil {
 		_ = r.lock.Close()
 	}
-	r.file, r.lock, r.off = nil, nil, true
+	r.file, r.lock, r.disabled = nil, nil, true
 }
 
 // Close writes the settled book down and lets go of the file.
 func (r *Recorder) Close(b *accounting.Ledger, now time.Duration) {
 	if r.file != nil {
-		if err := guarded(func() error {
+		if err := catchFaults(func() error {
 			if err := r.file.append(b); err != nil {
 				return err
 			}
-			return r.file.checkpoint(b)
+			return r.file.writeSnapshot(b)
 		}); err != nil {
 			r.log.Error("figures file", "file", r.path, "why", err)
 		}
--- a/internal/statsfile/figures_test.go
+++ b/internal/statsfile/statsfile_test.go
@@ -21,8 +21,8 @@
 
 const noon = 500_000 * time.Hour
 
-// recorded has a book and a recorder on a file.
-func recorded(t testing.TB, path string) (*accounting.Ledger, *Recorder, *bytes.Buffer) {
+// openLedger has a book and a recorder on a file.
+func openLedger(t testing.TB, path string) (*accounting.Ledger, *Recorder, *bytes.Buffer) {
 	t.Helper()
 	var log bytes.Buffer
 	r := NewRecorder(path, MinEntries, slog.New(slog.NewTextHandler(&log, nil)))
@@ -57,7 +57,7 @@
 // its changes, and a new life goes on from it with figures that add up.
 func TestCuts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
-	b, r, _ := recorded(t, path)
+	b, r, _ := openLedger(t, path)
 	defer r.Close(b, noon)
 	var open []accounting.Ticket
 	var wants [][]byte // the snapshots after each op
@@ -95,7 +95,7 @@
 				continue
 			}
 			image[at] = after[at]
-			if at%3 > 0 && at > r.file.snapAt(0) {
+			if at%3 > 0 && at > r.file.snapshotOffset(0) {
 				continue
 			}
 			cuts++
@@ -145,9 +145,9 @@
 	say := func(b *accounting.Ledger) {
 		list, _, _ := b.Incarnations()
 		l := list[len(list)-1]
-		got = append(got, strings.Join([]string{l.Ending.String(), figuresText(l.Counts), figuresText(b.Total())}, ", "))
+		got = append(got, strings.Join([]string{l.Ending.String(), countsText(l.Counts), countsText(b.Total())}, ", "))
 	}
-	b, r, _ := recorded(t, path)
+	b, r, _ := openLedger(t, path)
 	k := b.Open(noon, 1, b.Handler("file-claim"), accounting.FastCGI, accounting.CustomerName{})
 	b.Answer(noon, k, accounting.Completed)
 	b.Sent(noon, k)
@@ -156,7 +156,7 @@
 	r.Close(b, noon)
 	b, _, _ = ReadFile(path)
 	say(b)
-	b, r, _ = recorded(t, path)
+	b, r, _ = openLedger(t, path)
 	k = b.Open(noon, 3, b.Handler("status"), accounting.FastCGI, accounting.CustomerName{})
 	b.Open(noon, 4, b.Handler("status"), accounting.FastCGI, accounting.CustomerName{})
 	b.Answer(noon, k, accounting.Shed)
@@ -169,17 +169,17 @@
 	defer func() {
 		cfg = accounting.Config{Handlers: []string{"status", "file-claim"}, MaxCustomers: 3, MaxPeriods: 5, PeriodLength: time.Second}
 	}()
-	b, r, _ = recorded(t, path)
+	b, r, _ = openLedger(t, path)
 	list, _, _ := b.Incarnations()
 	killed := list[len(list)-2]
-	got = append(got, killed.Ending.String()+", "+figuresText(killed.Counts))
+	got = append(got, killed.Ending.String()+", "+countsText(killed.Counts))
 	if killed.Uncertain != 1 || killed.UncertainIDs[0] != 3 {
 		t.Error("in doubt: ", killed.UncertainIDs)
 	}
 	b.Open(noon, 5, b.Handler("claims"), accounting.FastCGI, accounting.CustomerName{})
 	r.Append(b, noon)
 	for _, row := range b.Report(false).Rows {
-		got = append(got, row.Handler+" "+figuresText(row.Figures))
+		got = append(got, row.Handler+" "+countsText(row.Figures))
 	}
 	r.Close(b, noon)
 	want := []string{
@@ -191,7 +191,7 @@
 	}
 }
 
-func figuresText(f accounting.Counts) string {
+func countsText(f accounting.Counts) string {
 	var b strings.Builder
 	for i, n := range []int64{f.Received, f.Served, f.Rejected, f.Failed, f.Open} {
 		b.WriteString([]string{"", "=", "+", "+", "+"}[i] + string(rune('0'+n)))
@@ -204,7 +204,7 @@
 	dir := t.TempDir()
 	whole := func() []byte {
 		path := filepath.Join(dir, "whole")
-		b, r, _ := recorded(t, path)
+		b, r, _ := openLedger(t, path)
 		for i := range 40 {
 			b.Open(noon, uint64(i), 1, accounting.FastCGI, accounting.CustomerName{})
 		}
@@ -217,7 +217,7 @@
 		return data
 	}()
 	var l layout
-	if err := l.get(whole); err != nil {
+	if err := l.decode(whole); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
@@ -230,9 +230,9 @@
 		"header":      {func(b []byte) []byte { b[13]++; return b }, ErrDamaged},
 		"truncated":   {func(b []byte) []byte { return b[:len(b)/2] }, ErrDamaged},
 		"longer":      {func(b []byte) []byte { return append(b, 0) }, ErrDamaged},
-		"an op":       {func(b []byte) []byte { b[l.opAt(20)+9]++; return zero(b, l.snapAt(1), l.snap) }, ErrDamaged},
-		"snapshots":   {func(b []byte) []byte { b[l.snapAt(0)+40]++; b[l.snapAt(1)+40]++; return b }, ErrDamaged},
-		"no snapshot": {func(b []byte) []byte { return zero(b, l.snapAt(0), 2*l.snap) }, ErrDamaged},
+		"an op":       {func(b []byte) []byte { b[l.entryOffset(20)+9]++; return zero(b, l.snapshotOffset(1), l.snapshotSize) }, ErrDamaged},
+		"snapshots":   {func(b []byte) []byte { b[l.snapshotOffset(0)+40]++; b[l.snapshotOffset(1)+40]++; return b }, ErrDamaged},
+		"no snapshot": {func(b []byte) []byte { return zero(b, l.snapshotOffset(0), 2*l.snapshotSize) }, ErrDamaged},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "figures")
@@ -243,7 +243,7 @@
 			if _, err := Read(bad); !errors.Is(err, c.why) {
 				t.Errorf("%v, not %v", err, c.why)
 			}
-			b, r, log := recorded(t, path)
+			b, r, log := openLedger(t, path)
 			defer r.Close(b, noon)
 			kept, err := os.ReadFile(path + ".bad-1")
 			if err != nil || !bytes.Equal(kept, bad) || !strings.Contains(log.String(), "level=ERROR") || !r.Recording() {
@@ -266,11 +266,11 @@
 // TestTwoOnOne: a second process is refused a file that is in use, and serves on without.
 func TestTwoOnOne(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
-	b, r, _ := recorded(t, path)
+	b, r, _ := openLedger(t, path)
 	if !Locked(path) {
 		t.Error("it is held")
 	}
-	other, second, log := recorded(t, path)
+	other, second, log := openLedger(t, path)
 	if second.Recording() || !strings.Contains(log.String(), filelock.ErrBusy.Error()) {
 		t.Error(log)
 	}
@@ -296,11 +296,11 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "figures")
-	b, r, log := recorded(t, path)
+	b, r, log := openLedger(t, path)
 	at, id := noon, uint64(0)
 	until := func(up bool) {
 		t.Helper()
-		for end := time.Now().Add(10 * time.Second); r.Recording() != up || up && r.busy; {
+		for end := time.Now().Add(10 * time.Second); r.Recording() != up || up && r.taskRunning; {
 			if time.Now().After(end) {
 				t.Fatal("never ", up, log)
 			}
@@ -312,7 +312,7 @@
 		}
 	}
 	until(true)
-	if err := os.Truncate(path, headLen); err != nil {
+	if err := os.Truncate(path, headerSize); err != nil {
 		t.Fatal(err)
 	}
 	until(false)
@@ -332,7 +332,7 @@
 		r.Append(b, at)
 	}
 	full := errors.New("no space left on device")
-	disk(t, func() error { return full }) // before the folder is there: a try in the background may come at any moment
+	replaceAllocate(t, func() error { return full }) // before the folder is there: a try in the background may come at any moment
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -343,11 +343,11 @@
 		at += time.Second
 		r.Append(b, at)
 	}
-	for r.busy { // the try on the full disk is over
+	for r.taskRunning { // the try on the full disk is over
 		at += time.Millisecond
 		r.Append(b, at)
 	}
-	otherDisk.Store(nil)
+	allocateOverride.Store(nil)
 	until(true)
 	b.Open(at, id+1, 1, accounting.FastCGI, accounting.CustomerName{})
 	r.Append(b, at)
@@ -355,7 +355,7 @@
 	if err != nil || book.Total() != b.Total() {
 		t.Error(err, book.Total(), b.Total())
 	}
-	if names, _ := filepath.Glob(path + newMark + "*"); len(names) > 0 {
+	if names, _ := filepath.Glob(path + unpublishedMark + "*"); len(names) > 0 {
 		t.Error("left behind: ", names)
 	}
 	r.Close(b, at)
@@ -364,17 +364,17 @@
 // TestOutgrown: a book that no longer fits its file gets a larger one.
 func TestOutgrown(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
-	b, r, log := recorded(t, path)
+	b, r, log := openLedger(t, path)
 	at := noon
 	size := len(r.file.data)
-	for i := range 16 * openSpare {
+	for i := range 16 * spareOpenRequests {
 		b.Open(noon, uint64(i), 1, accounting.FastCGI, accounting.CustomerName{})
 		if i%100 == 0 {
 			at += time.Second
 			r.Append(b, at)
 		}
 	}
-	for end := time.Now().Add(10 * time.Second); !r.Recording() || r.busy || len(r.file.data) == size; at += time.Second {
+	for end := time.Now().Add(10 * time.Second); !r.Recording() || r.taskRunning || len(r.file.data) == size; at += time.Second {
 		if time.Now().After(end) {
 			t.Fatal(log)
 		}
@@ -395,11 +395,11 @@
 	small.MaxPeriods = 0
 	b, _ := accounting.New(small)
 	b.StartIncarnation(noon, 0)
-	l := layout{ops: MinEntries, snap: 4096}
+	l := layout{entries: MinEntries, snapshotSize: 4096}
 	x := &file{layout: l, path: path, data: make([]byte, l.size())}
-	l.put(x.data)
+	l.encode(x.data)
 	b.RecordEntries(true)
-	if err := x.start(b); err != nil {
+	if err := x.initialize(b); err != nil {
 		f.Fatal(err)
 	}
 	var open []accounting.Ticket
@@ -473,7 +473,7 @@
 // TestFlat: a million reqs of ever new customers leave memory and disk as they were.
 func TestFlat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
-	b, r, _ := recorded(t, path)
+	b, r, _ := openLedger(t, path)
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -512,7 +512,7 @@
 func TestSlowDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
 	slow := make(chan struct{})
-	disk(t, func() error {
+	replaceAllocate(t, func() error {
 		<-slow
 		return errors.New("the disk is back, too late")
 	})
@@ -530,17 +530,17 @@
 	r.Append(b, noon)
 	r.Close(b, noon)
 	close(slow)
-	for end := time.Now().Add(5 * time.Second); Locked(path) && len(glob(t, path+newMark+"*")) > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); Locked(path) && len(glob(t, path+unpublishedMark+"*")) > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("what waited never ends")
 		}
 	}
 }
 
-// disk has another disk for the rest of the test.
-func disk(t *testing.T, takes func() error) {
-	otherDisk.Store(&takes)
-	t.Cleanup(func() { otherDisk.Store(nil) })
+// replaceAllocate has another disk for the rest of the test.
+func replaceAllocate(t *testing.T, takes func() error) {
+	allocateOverride.Store(&takes)
+	t.Cleanup(func() { allocateOverride.Store(nil) })
 }
 
 func glob(t *testing.T, pattern string) []string {
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -70,7 +70,7 @@
 	for now := time.Hour; now <= time.Hour+1000*ms; now += 10 * ms {
 		h.Beat(now)
 	}
-	if ago := time.Hour + 1000*ms - h.Earliest(); ago < heldMost || ago > 2*heldMost+10*ms {
+	if ago := time.Hour + 1000*ms - h.Earliest(); ago < maxUnnoticedHold || ago > 2*maxUnnoticedHold+10*ms {
 		t.Error("a node that runs on hears of it late by", ago)
 	}
 	h.Beat(time.Hour + 3000*ms)
--- a/lifecycle/notice.go
+++ b/lifecycle/notice.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// heldMost is how long a machine may hold a thread at any line without anybody noticing.
-const heldMost = 100 * time.Millisecond
+// maxUnnoticedHold is how long a machine may hold a thread at any line without anybody noticing.
+const maxUnnoticedHold = 100 * time.Millisecond
 
 // Heartbeat bounds when an event can have happened that is only now heard of, as a signal is: not before the node last ran well before now. A
 // node that stood still hears of a notice long after it was given, and all that is owed counts from then.
@@ -17,7 +17,7 @@
 	switch {
 	case !h.begun:
 		h.begun, h.older, h.newer = true, now, now
-	case now-h.newer >= heldMost:
+	case now-h.newer >= maxUnnoticedHold:
 		h.older, h.newer = h.newer, now
 	}
 }
--- a/lifecycle/permit.go
+++ b/lifecycle/permit.go
@@ -48,7 +48,7 @@
 
 // Exit decides whether the process may exit now.
 func (p *Process) Exit(now time.Duration, left PendingWork) Verdict {
-	if left.none() || now >= p.kill-ExitBefore {
+	if left.empty() || now >= p.kill-ExitBefore {
 		return Allowed
 	}
 	return WorkLeft
--- a/lifecycle/process.go
+++ b/lifecycle/process.go
@@ -32,17 +32,17 @@
 	ExitBefore    = 20 * time.Millisecond  // of the kill: the process ends whatever is left
 	answerBefore  = 150 * time.Millisecond // of the kill: when the last answers are to be decided, so that they get out
 
-	killAfterDeadline = 700 * time.Millisecond // from the longest client timeout to the kill, by the platform's newest rule
-	killMost          = 3 * time.Second        // and no later than this after the notice, by the same
+	killMargin   = 700 * time.Millisecond // from the longest client timeout to the kill, by the platform's newest rule
+	maxKillDelay = 3 * time.Second        // and no later than this after the notice, by the same
 )
 
 // KillAfter is how long after the notice the process may be killed, by what the platform tells and what its rules allow: the least of
 // the time told, the longest client timeout and a margin, and a bound. A longest of 0 is not known.
 func KillAfter(told, longest time.Duration) time.Duration {
 	if longest > 0 {
-		told = min(told, longest+killAfterDeadline)
+		told = min(told, longest+killMargin)
 	}
-	return min(told, killMost)
+	return min(told, maxKillDelay)
 }
 
 // Process follows the end of the process. The zero value serves.
@@ -62,8 +62,8 @@
 	Unsaved     bool // results are on their way to the disk
 }
 
-// none tells whether nothing is left.
-func (w PendingWork) none() bool {
+// empty tells whether nothing is left.
+func (w PendingWork) empty() bool {
 	return w.Unanswered == 0 && w.Connections == 0 && !w.Accepting && !w.Unhandled && !w.Unsaved
 }
 
--- a/loadbalance/route_test.go
+++ b/loadbalance/balancer_test.go
@@ -85,7 +85,7 @@
 					t.Fatal("fewer than none")
 				}
 			}
-			if float64(furthers) > budgetTop+0.1*float64(firsts) {
+			if float64(furthers) > maxRetryTokens+0.1*float64(firsts) {
 				t.Fatal(furthers, "further tries for", firsts)
 			}
 		}
@@ -141,7 +141,7 @@
 	state()
 	a = pick("")
 	r.Done(now, a, Fault)
-	r.tokens = 1
+	r.retryTokens = 1
 	pick("", a)
 	pick("", a) // the budget is spent
 	now = 900 * time.Millisecond
