--- /dev/null
+++ b/internal/wal/compat_test.go
@@ -0,0 +1,220 @@
+package wal_test
+
+import (
+	"encoding/binary"
+	"fmt"
+	"frosthub/idempotency"
+	"frosthub/internal/wal"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// The store in testdata/store-v1 was written on 2 December 2026 by the program as it was before its types and functions were renamed, and
+// testdata/store-v1.golden is what that program read from it. Neither file is ever made anew: stores of this format exist on disks.
+const (
+	v1Store  = "testdata/store-v1"
+	v1Golden = "testdata/store-v1.golden"
+)
+
+var v1Config = idempotency.Config{
+	MaxEntries:     10,
+	MaxBytes:       400,
+	MaxResultBytes: 40,
+	ResultTTL:      40 * time.Second,
+	RetryHorizon:   10 * time.Minute,
+	MaxSegments:    24,
+	KeysPerSegment: 6,
+	SegmentBytes:   1500,
+}
+
+func v1Key(n int) (key idempotency.Key) {
+	copy(key[:], "v1-")
+	binary.BigEndian.PutUint64(key[8:], uint64(n))
+	return key
+}
+
+// TestReadStoreV1 reads a store that an earlier version of the program wrote, and compares all that can be told of it.
+func TestReadStoreV1(t *testing.T) {
+	want, err := os.ReadFile(v1Golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := describeStore(t, wal.DirDisk(v1Store), noon+10*time.Minute+64*time.Second)
+	if diff := cmp.Diff(string(want), got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// TestWriteStoreV1 plays the history that the store in testdata was written by, and compares the files byte for byte.
+func TestWriteStoreV1(t *testing.T) {
+	dir := t.TempDir()
+	h := &v1History{t: t, disk: wal.DirDisk(dir), now: noon}
+	if err := wal.Init(h.disk, "n1", noon, 0x0123456789abcdef); err != nil {
+		t.Fatal(err)
+	}
+	h.play()
+
+	wantNames, gotNames := names(t, wal.DirDisk(v1Store), ""), names(t, h.disk, "")
+	if diff := cmp.Diff(wantNames, gotNames); diff != "" {
+		t.Fatal(diff)
+	}
+	for _, name := range wantNames {
+		want, err := os.ReadFile(filepath.Join(v1Store, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !slices.Equal(want, got) {
+			t.Errorf("%s differs:\nwant %x\ngot  %x", name, want, got)
+		}
+	}
+}
+
+// v1History is the history of the store in testdata: three incarnations whose requests end in each possible way, history that is lost and
+// accepted, segments that are retired and dropped.
+type v1History struct {
+	t      *testing.T
+	disk   wal.Disk
+	store  *idempotency.Store
+	writer *wal.Writer
+	now    time.Duration
+}
+
+func (h *v1History) play() {
+	h.open()
+	for n := 1; n <= 12; n++ {
+		h.request(n)
+	}
+	h.close()
+
+	h.now += 9 * time.Minute
+	h.open()
+	for n := 13; n <= 32; n++ {
+		h.request(n)
+		if n == 15 {
+			h.store.MarkOutdated(h.now)
+		}
+		if n == 17 {
+			h.store.AcceptHistory(h.now)
+		}
+	}
+	h.close()
+
+	h.now += time.Second
+	h.open()
+	for n := 33; n <= 41; n++ {
+		h.request(n)
+		if n == 34 || n == 40 {
+			h.store.MarkOutdated(h.now)
+		}
+		if n == 39 {
+			h.store.AcceptHistory(h.now)
+		}
+	}
+	h.close()
+}
+
+func (h *v1History) open() {
+	h.t.Helper()
+	h.store = idempotency.New(v1Config)
+	writer, _, err := wal.Open(h.disk, "n1", h.store, h.now, nil)
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.writer = writer
+	commit(h.t, h.store, h.writer)
+}
+
+func (h *v1History) close() {
+	h.t.Helper()
+	if err := h.writer.Close(); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// request runs one request from its intent to its end, which depends on its number.
+func (h *v1History) request(n int) {
+	h.t.Helper()
+	handler := [...]string{"claim", "status", ""}[n%3]
+	key := v1Key(n)
+	h.now += 3 * time.Second
+	h.store.Reserve(h.now, h.now, key, handler, uint64(n))
+	commit(h.t, h.store, h.writer)
+	switch n % 7 {
+	case 0:
+		h.store.Finish(h.now, key, idempotency.EntryFailed, nil)
+	case 1:
+		h.store.Finish(h.now, key, idempotency.EntryResult, []byte(strings.Repeat("x", v1Config.MaxResultBytes+1)))
+	case 2:
+		h.store.Finish(h.now, key, idempotency.EntryNeverRan, nil)
+	case 3: // it is still in flight when the process ends
+	default:
+		h.store.Finish(h.now, key, idempotency.EntryResult, fmt.Appendf(nil, "result of %d", n))
+	}
+	h.store.Sweep(h.now)
+	commit(h.t, h.store, h.writer)
+}
+
+// describeStore lists the files and records of a store, and what the state machine knows after it has loaded them.
+func describeStore(t *testing.T, disk wal.Disk, now time.Duration) string {
+	t.Helper()
+	var b strings.Builder
+	fmt.Fprintln(&b, "files:")
+	for _, name := range names(t, disk, "") {
+		data, err := disk.Read(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&b, "  %s: %d bytes\n", name, len(data))
+	}
+
+	store := idempotency.New(v1Config)
+	fmt.Fprintln(&b, "records:")
+	found, err := wal.Read(disk, "n1", store, func(r idempotency.LogEntry) error {
+		fmt.Fprintf(&b, "  %d at %s: kind %d in segment %d, subject %d, key %x, data %q\n",
+			r.Seq, r.At-noon, r.Kind, r.Segment, r.Subject, r.Key, r.Data)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintln(&b, "contents:")
+	fmt.Fprintf(&b, "  node %q, created %s, mark %016x\n", found.ID.Node, found.ID.Created, found.ID.Mark)
+	fmt.Fprintf(&b, "  %d records, %d segments, last segment %d, torn bytes %d\n", found.Records, found.Segments, found.LastSegment, found.TornBytes)
+	fmt.Fprintf(&b, "  damage %q, leftover %q, new segment needed %t\n", found.Damage, found.Leftover, found.NeedsNewSegment())
+
+	store.FinishLoading(now, found.NeedsNewSegment(), found.LastSegment)
+	fmt.Fprintln(&b, "keys:")
+	var keys []string
+	store.Each(func(key idempotency.Key, at time.Duration, state string, bytes int) {
+		keys = append(keys, fmt.Sprintf("  %x at %s: %s, %d bytes\n", key, at-noon, state, bytes))
+	})
+	slices.Sort(keys)
+	b.WriteString(strings.Join(keys, ""))
+	fmt.Fprintln(&b, "decisions, for requests made now and for requests that don't say when:")
+	for n := range 45 {
+		recent := store.PeekOutcome(now, now, v1Key(n))
+		undated := store.PeekOutcome(now, 0, v1Key(n))
+		fmt.Fprintf(&b, "  key %d: decision %d, result %q; decision %d, result %q\n", n, recent.Decision, recent.Result, undated.Decision, undated.Result)
+	}
+	fmt.Fprintln(&b, "unknown outcomes:")
+	for _, key := range store.UnknownKeys(100) {
+		fmt.Fprintf(&b, "  %x\n", key)
+	}
+	stats := store.Stats()
+	fmt.Fprintln(&b, "stats:")
+	fmt.Fprintf(&b, "  incarnation %d, %d keys, %d unknown, %d in flight, %d bytes\n",
+		stats.Incarnation, stats.Keys, stats.OutcomeUnknown, stats.InFlight, stats.Bytes)
+	fmt.Fprintf(&b, "  %d fingerprints in %d segments since %s, history lost before %s\n",
+		stats.Fingerprints, stats.Segments, stats.Since-noon, stats.LostBefore-noon)
+	return b.String()
+}
