--- a/backend/backend.go
+++ b/backend/backend.go
@@ -14,7 +14,6 @@
 	"frosthub/lifecycle"
 	"frosthub/overload"
 	"log/slog"
-	"maps"
 	"math"
 	"slices"
 	"sync/atomic"
@@ -22,10 +21,6 @@
 	"time"
 )
 
-// defaultClientTimeout is how long the clients of a handler wait where the configuration does not say. The overload
-// controller takes the same.
-const defaultClientTimeout = 10 * time.Second
-
 // Backend is one backend. Its exported methods may be called from any goroutine; all its fields belong to the goroutine
 // that runs Serve.
 type Backend struct {
@@ -98,37 +93,7 @@
 		ownerCalls:   make(chan func()),
 		done:         make(chan struct{}),
 	}
-	part, _ := cfg.Settings["backend"].(map[string]any)
-	b.canCancel = part["halt"] != nil && part["halt"] != "off"
-	rules, _ := b.cfg.Settings["rules"].(map[string]any)
-	b.drain.grace, _ = rules["drain_grace"].(time.Duration)
-	limits, _ := b.cfg.Settings["limits"].(map[string]any)
-	if advice, _ := limits["retry_after"].(bool); advice {
-		b.drain.retryAfter, _ = limits["max_retry_after"].(time.Duration)
-	}
-	b.cfg.Settings = b.guard.init(b)
-	b.fit()
-	list, _ := b.cfg.Settings["handlers"].([]any)
-	for _, v := range list {
-		m, _ := v.(map[string]any)
-		name, _ := m["name"].(string)
-		timeout, ok := m["client_timeout"].(time.Duration)
-		if !ok {
-			timeout = defaultClientTimeout
-		}
-		value, _ := m["value"].(float64)
-		window, _ := m["window"].(time.Duration)
-		b.handlers = append(b.handlers, handler{
-			name: name, replayable: m["repeats"] == "replayable",
-			uniqued: m["repeats"] == "uniqued", window: window, timeout: timeout, value: value,
-		})
-	}
-	customers, _ := b.cfg.Settings["customers"].([]any)
-	for _, v := range customers {
-		m, _ := v.(map[string]any)
-		name, _ := m["name"].(string)
-		b.customers = append(b.customers, name)
-	}
+	b.readSettings()
 	b.cluster.init(b)
 	b.frontend.init(b)
 	b.processor.init(b)
@@ -141,16 +106,43 @@
 	return b
 }
 
-// fit makes the settings those of this backend alone, and of what its protocols can say: the processor has no word by
-// which a run goes on without its call, so none of that is worth anything here.
-func (b *Backend) fit() {
-	settings := maps.Clone(b.cfg.Settings)
-	if part, ok := settings["backend"].(map[string]any); ok {
-		part = maps.Clone(part)
-		delete(part, "handler_skip_value")
-		settings["backend"] = part
+// readSettings takes over what the settings of the overload controller say of this backend, and adapts them to what it
+// can do.
+func (b *Backend) readSettings() {
+	settings := &b.cfg.Settings
+	b.canCancel = settings.Backend.Cancellation != overload.CancelOff
+	b.drain.grace = settings.Rules.DrainGrace
+	if settings.Limits.RetryAfter {
+		b.drain.retryAfter = settings.Limits.MaxRetryAfter.Or(0)
+	}
+	settings.Handlers = withoutSkipping(b.guard.init(b))
+	for i := range settings.Handlers {
+		b.handlers = append(b.handlers, newHandler(&settings.Handlers[i]))
+	}
+	for _, customer := range settings.Customers {
+		b.customers = append(b.customers, customer.Name)
+	}
+}
+
+func newHandler(settings *overload.Handler) handler {
+	return handler{
+		name:       settings.Name,
+		replayable: settings.Idempotency == overload.Replayable,
+		uniqued:    settings.Idempotency == overload.Deduplicated,
+		window:     settings.Window,
+		timeout:    settings.ClientTimeout.Or(overload.DefaultClientTimeout),
+		value:      settings.Value.Or(0),
+	}
+}
+
+// withoutSkipping returns the settings of the handlers without the value of runs that go on without their call: the
+// processor has no command for that.
+func withoutSkipping(handlers []overload.Handler) []overload.Handler {
+	handlers = slices.Clone(handlers)
+	for i := range handlers {
+		handlers[i].SkipValue = 0
 	}
-	b.cfg.Settings = settings
+	return handlers
 }
 
 // handlerOf returns the index of the handler of that name, -1 if there is none.
@@ -205,15 +197,3 @@
 	}
 	return share * b.cfg.Limits.MemoryMB * (1 << 20)
 }
-
-// processorUp makes the controller, once the processor is up. Its first batch brings the health, the load signal and the
-// first timer event.
-func (b *Backend) processorUp(cold bool, started time.Duration) {
-	s := b.cfg.Settings
-	if part, ok := s["backend"].(map[string]any); ok {
-		part["cold"] = cold
-	}
-	b.controller = overload.New(b.cfg.Seed, s, started)
-	b.log.Info("processor is up", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
-	b.timerEvent()
-}
--- a/backend/config.go
+++ b/backend/config.go
@@ -7,6 +7,7 @@
 	"frosthub/internal/faultinject"
 	"frosthub/internal/settings"
 	"frosthub/lifecycle"
+	"frosthub/overload"
 	"math"
 	"os"
 	"runtime"
@@ -37,7 +38,7 @@
 	Seed         uint64        // of the overload controller's random source
 	StopTimeout  time.Duration // from the notice to leave until the process is killed
 	Limits       Limits
-	Settings     map[string]any // for package overload, in its own names
+	Settings     overload.Settings
 
 	Accounting  AccountingConfig
 	AJP         AJPConfig
@@ -95,11 +96,8 @@
 
 // longestTimeout returns the longest client timeout of all handlers, 0 if none is told.
 func (c *Config) longestTimeout() (longest time.Duration) {
-	list, _ := c.Settings["handlers"].([]any)
-	for _, v := range list {
-		m, _ := v.(map[string]any)
-		timeout, _ := m["client_timeout"].(time.Duration)
-		longest = max(longest, timeout)
+	for i := range c.Settings.Handlers {
+		longest = max(longest, c.Settings.Handlers[i].ClientTimeout.Or(0))
 	}
 	return longest
 }
@@ -125,7 +123,7 @@
 		Upstream:     file.Backend,
 		StopTimeout:  time.Duration(file.StopMS * float64(time.Millisecond)),
 		Limits:       Limits{Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets},
-		Settings:     settings.Map(value),
+		Settings:     settings.Decode(value),
 	}
 	if file.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -76,7 +76,7 @@
 // send sends one report. An error of the first write is the answer to an earlier report, to which nobody listened: this
 // one was not sent then.
 func (r *controlReporter) send(b *Backend) {
-	r.buf = control.AppendLease(r.buf[:0], b.cfg.Name, r.saidReady)
+	r.buf = control.AppendReport(r.buf[:0], b.cfg.Name, r.saidReady)
 	err := faultinject.Error(faultinject.Send)
 	if err == nil {
 		_, err = r.conn.Write(r.buf)
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -38,6 +38,16 @@
 	idleTimeout   time.Duration // idle connections are closed after this; 0 for the default
 }
 
+// processorUp makes the controller, once the processor is up. Its first batch brings the health, the load signal and the
+// first timer event.
+func (b *Backend) processorUp(cold bool, started time.Duration) {
+	settings := b.cfg.Settings
+	settings.Backend.Cold = cold
+	b.controller = overload.New(b.cfg.Seed, settings, started)
+	b.log.Info("processor is up", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
+	b.timerEvent()
+}
+
 // controllerTimer asks for the gauges when a timer event is due, and adds the event once they are there or are late.
 func (b *Backend) controllerTimer() {
 	switch {
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -13,12 +13,12 @@
 type AJPConfig struct {
 	Listen    string // the address where they connect; empty for none
 	Secret    string // that each request must bring; empty for none
-	MaxPacket int    // bytes of a packet at most, with its header; 0 for ajp.PacketUsual
+	MaxPacket int    // bytes of a packet at most, with its header; 0 for ajp.DefaultPacketSize
 }
 
 func (c AJPConfig) packet() int {
 	if c.MaxPacket == 0 {
-		return ajp.PacketUsual
+		return ajp.DefaultPacketSize
 	}
 	return c.MaxPacket
 }
@@ -45,19 +45,19 @@
 
 func (p *ajpProtocol) kind() accounting.Frontend { return accounting.AJP }
 
-func (p *ajpProtocol) partialBytes() int { return p.server.Held() }
+func (p *ajpProtocol) partialBytes() int { return p.server.Buffered() }
 
-func (p *ajpProtocol) midMessage() bool { return p.server.Part() }
+func (p *ajpProtocol) midMessage() bool { return p.server.Receiving() }
 
 func (p *ajpProtocol) discardPartial() {
-	if p.server.Part() {
+	if p.server.Receiving() {
 		p.server = ajp.NewServer(p.frontend.backend.cfg.AJP.packet())
 		p.inPartial = false
 	}
 }
 
 func (p *ajpProtocol) openSlots() int {
-	if p.server.Open() {
+	if p.server.InProgress() {
 		return 1
 	}
 	return 0
@@ -68,13 +68,13 @@
 		return exchange{}, false
 	}
 	p.inPartial = false
-	p.server.Refuse()
+	p.server.Reject()
 	return exchange{client: p.client, slot: ajpSlot}, true
 }
 
 func (p *ajpProtocol) feed(input []byte) error {
 	err := p.server.Feed(input, p.message)
-	if inPartial := p.server.Part(); inPartial != p.inPartial {
+	if inPartial := p.server.Receiving(); inPartial != p.inPartial {
 		p.inPartial = inPartial
 		p.begunAt = p.frontend.backend.now
 	}
@@ -94,12 +94,12 @@
 	case ajp.CPing:
 		b.scratch = ajp.AppendCPong(b.scratch[:0])
 		client.conn.Write(b.scratch)
-	case ajp.More:
-		b.scratch = ajp.AppendMore(b.scratch[:0], b.cfg.AJP.packet())
+	case ajp.NeedBodyChunk:
+		b.scratch = ajp.AppendGetBodyChunk(b.scratch[:0], b.cfg.AJP.packet())
 		client.conn.Write(b.scratch)
 	case ajp.Shutdown:
 		f.cut(client, errShutdownRequested)
-	case ajp.Bad:
+	case ajp.TooLarge:
 		p.reject(accounting.BadFields, "too large a body")
 	case ajp.Request:
 		p.request(m)
@@ -143,24 +143,24 @@
 }
 
 func (p *ajpProtocol) appendResponse(buf []byte, _ uint16, keepOpen bool, r *response) []byte {
-	var room [5]ajp.Field
+	var room [5]ajp.Header
 	fields := room[:0]
 	if len(r.signal) > 0 {
-		fields = append(fields, ajp.Field{Name: "X-Load-Signal", Value: string(r.signal)})
+		fields = append(fields, ajp.Header{Name: "X-Load-Signal", Value: string(r.signal)})
 	}
 	if r.retryAfter > 0 {
 		millis := retryAfterMillis(r)
 		seconds := (millis + 999) / 1000 // rounded up: never earlier
 		fields = append(fields,
-			ajp.Field{Name: "Retry-After-Ms", Value: strconv.FormatInt(millis, 10)},
-			ajp.Field{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)})
+			ajp.Header{Name: "Retry-After-Ms", Value: strconv.FormatInt(millis, 10)},
+			ajp.Header{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)})
 	}
 	if r.dontRetry {
-		fields = append(fields, ajp.Field{Name: "X-Dont-Retry", Value: "1"})
+		fields = append(fields, ajp.Header{Name: "X-Dont-Retry", Value: "1"})
 	}
-	fields = append(fields, ajp.Field{Name: "Content-Length", Value: strconv.Itoa(len(r.body))})
+	fields = append(fields, ajp.Header{Name: "Content-Length", Value: strconv.Itoa(len(r.body))})
 	buf = ajp.AppendHeaders(buf, r.status, statusText[r.status], fields)
-	buf = ajp.AppendBody(buf, p.frontend.backend.cfg.AJP.packet(), r.body)
+	buf = ajp.AppendResponseBody(buf, p.frontend.backend.cfg.AJP.packet(), r.body)
 	buf = ajp.AppendEnd(buf, keepOpen)
 	p.server.Done()
 	return buf
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -20,16 +20,16 @@
 
 func (p *fastcgiProtocol) kind() accounting.Frontend { return accounting.FastCGI }
 
-func (p *fastcgiProtocol) partialBytes() int { return p.parser.Held() }
+func (p *fastcgiProtocol) partialBytes() int { return p.parser.Buffered() }
 
-func (p *fastcgiProtocol) midMessage() bool { return p.parser.Mid() }
+func (p *fastcgiProtocol) midMessage() bool { return p.parser.MidRequest() }
 
-func (p *fastcgiProtocol) openSlots() int { return p.parser.Open() }
+func (p *fastcgiProtocol) openSlots() int { return p.parser.OpenRequests() }
 
-func (p *fastcgiProtocol) discardPartial() { p.parser.Drop() }
+func (p *fastcgiProtocol) discardPartial() { p.parser.DropIncomplete() }
 
 func (p *fastcgiProtocol) overdue(by time.Duration) (partial exchange, found bool) {
-	slot, keepOpen := p.parser.Late(by)
+	slot, keepOpen := p.parser.OldestIncomplete(by)
 	return exchange{client: p.client, slot: slot, keepOpen: keepOpen}, slot > 0
 }
 
@@ -46,19 +46,19 @@
 	}
 	client.lastUsed = f.backend.now
 	client.hasSentRequest = true
-	x := exchange{client: client, slot: m.Slot, keepOpen: m.Keep}
+	x := exchange{client: client, slot: m.RequestID, keepOpen: m.KeepConn}
 	switch m.Kind {
 	case fastcgi.Request:
 		parsed := f.newParsedRequest(x, m.Body)
-		complete := fastcgi.Each(m.Params, func(name, value []byte) { parsed.setAll(f.cgiFields[string(name)], value) })
+		complete := fastcgi.EachParam(m.Params, func(name, value []byte) { parsed.setAll(f.cgiFields[string(name)], value) })
 		f.handleRequest(parsed, complete)
-	case fastcgi.Bad:
+	case fastcgi.Invalid:
 		x.keepOpen = false
 		f.rejectMalformed(x, f.openUnnamed(client), 0, accounting.BadFields, "too large, or without its parameters")
 	case fastcgi.Abort:
-		f.abort(client, m.Slot)
-		p.endSlot(x, fastcgi.Complete)
-	case fastcgi.Refuse:
+		f.abort(client, m.RequestID)
+		p.endSlot(x, fastcgi.StatusComplete)
+	case fastcgi.Rejected:
 		p.refuse(x, m.Status)
 	case fastcgi.Reply:
 		client.conn.Write(m.Body)
@@ -72,7 +72,7 @@
 	f.backend.logLimited("bad req", "why", "role or number of open reqs", "status", status)
 	ticket := f.openUnnamed(p.client)
 	reason := accounting.UnsupportedRole
-	if status == fastcgi.Overloaded {
+	if status == fastcgi.StatusOverloaded {
 		reason = accounting.TooManyOpen
 	}
 	p.endSlot(x, status)
@@ -110,7 +110,7 @@
 	content = append(content, "\r\n"...)
 	content = append(content, r.body...)
 	buf = fastcgi.AppendStdout(buf, slot, content)
-	buf = fastcgi.AppendEnd(buf, slot, fastcgi.Complete)
+	buf = fastcgi.AppendEnd(buf, slot, fastcgi.StatusComplete)
 	p.parser.Done(slot)
 	return buf
 }
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -99,7 +99,7 @@
 		p.query = string(value)
 	case idField:
 		p.r.wireID = string(value)
-		p.r.id, _ = lineproto.ID(value)
+		p.r.id, _ = lineproto.ParseID(value)
 	case startField:
 		p.start = p.number(value, stampMax)
 		p.hasStart = true
