--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	b.clock()
+	b.readClocks()
 	if b.cfg.Accounting.File == "" {
 		ledger.StartIncarnation(b.wall, 0)
 	} else {
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -52,6 +52,7 @@
 	results   resultCache
 	guard     idempotencyGuard
 	cluster   cluster
+	observers [3]requestObserver // the parts that follow the ends of requests, in order
 
 	stats         Counters
 	connsRejected atomic.Int64 // connections for which there was no room; also written by the accepting goroutine
@@ -103,6 +104,7 @@
 		b.upstream = newProxyUpstream(b)
 	}
 	b.results.init(b)
+	b.observe()
 	return b
 }
 
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -68,11 +68,11 @@
 }
 
 // addConnection takes a connection that was accepted.
-func (f *frontend) addConnection(c *conn.Conn, newProtocol func(*clientConn) protocol) {
+func (f *frontend) addConnection(accepted *conn.Conn, newProtocol func(*clientConn) protocol) {
 	b := f.backend
 	f.accepted++
 	client := &clientConn{
-		conn:       c,
+		conn:       accepted,
 		number:     f.accepted,
 		requests:   map[uint16]*request{},
 		acceptedAt: b.now,
@@ -81,14 +81,14 @@
 	client.protocol = newProtocol(client)
 	f.clients[client] = struct{}{}
 	b.stats.Conns++
-	c.MaxUnsent = connUnsentMax
-	c.OnSent = func() { f.confirmDelivered(client) }
-	c.ResponsePending = func() bool { return lifecycle.End(client.lifecycleState()) != lifecycle.Allowed }
-	c.OnData = func(input []byte) error {
+	accepted.MaxUnsent = connUnsentMax
+	accepted.OnSent = func() { f.confirmDelivered(client) }
+	accepted.ResponsePending = func() bool { return lifecycle.End(client.lifecycleState()) != lifecycle.Allowed }
+	accepted.OnData = func(input []byte) error {
 		f.read(client, input)
 		return nil
 	}
-	c.OnClosed = func(err error) { f.connectionClosed(client, err) }
+	accepted.OnClosed = func(err error) { f.connectionClosed(client, err) }
 	if len(f.clients) > f.evictionThreshold() {
 		f.evict()
 	}
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -73,7 +73,7 @@
 }
 
 func (p *ajpProtocol) feed(input []byte) error {
-	err := p.server.Feed(input, p.message)
+	err := p.server.Feed(input, p.onMessage)
 	if inPartial := p.server.Receiving(); inPartial != p.inPartial {
 		p.inPartial = inPartial
 		p.begunAt = p.frontend.backend.now
@@ -81,8 +81,8 @@
 	return err
 }
 
-// message takes one message of the parser.
-func (p *ajpProtocol) message(m ajp.Message) {
+// onMessage takes one message of the parser.
+func (p *ajpProtocol) onMessage(message ajp.Message) {
 	f, client := p.frontend, p.client
 	b := f.backend
 	if client.broken {
@@ -90,7 +90,7 @@
 	}
 	client.lastUsed = b.now
 	client.hasSentRequest = true
-	switch m.Kind {
+	switch message.Kind {
 	case ajp.CPing:
 		b.scratch = ajp.AppendCPong(b.scratch[:0])
 		client.conn.Write(b.scratch)
@@ -102,24 +102,24 @@
 	case ajp.TooLarge:
 		p.reject(accounting.BadFields, "too large a body")
 	case ajp.Request:
-		p.request(m)
+		p.onRequest(message)
 	}
 }
 
-// request takes a request.
-func (p *ajpProtocol) request(m ajp.Message) {
+// onRequest takes a request.
+func (p *ajpProtocol) onRequest(message ajp.Message) {
 	f := p.frontend
 	secret := f.backend.cfg.AJP.Secret
-	if secret != "" && subtle.ConstantTimeCompare([]byte(secret), m.Secret) != 1 {
+	if secret != "" && subtle.ConstantTimeCompare([]byte(secret), message.Secret) != 1 {
 		p.reject(accounting.BadSecret, "a wrong secret, or none")
 		return
 	}
-	parsed := f.newParsedRequest(exchange{client: p.client, slot: ajpSlot, keepOpen: true}, m.Body)
-	parsed.r.stickyRoute = string(m.Route)
-	parsed.set(pathField, m.Path)
-	parsed.set(queryField, m.Query)
+	parsed := f.newParsedRequest(exchange{client: p.client, slot: ajpSlot, keepOpen: true}, message.Body)
+	parsed.request.stickyRoute = string(message.Route)
+	parsed.set(pathField, message.Path)
+	parsed.set(queryField, message.Query)
 	var room [32]byte
-	m.Headers.Each(func(name, value []byte) {
+	message.Headers.Each(func(name, value []byte) {
 		parsed.setAll(f.httpFields[string(appendLower(room[:0], name))], value)
 	})
 	f.handleRequest(parsed, true)
@@ -127,8 +127,8 @@
 
 // reject answers a request that can't be taken, and closes the connection.
 func (p *ajpProtocol) reject(reason accounting.Reason, problem string) {
-	x := exchange{client: p.client, slot: ajpSlot}
-	p.frontend.rejectMalformed(x, p.frontend.openUnnamed(p.client), 0, reason, problem)
+	from := exchange{client: p.client, slot: ajpSlot}
+	p.frontend.rejectMalformed(from, p.frontend.openUnnamed(p.client), 0, reason, problem)
 }
 
 // appendLower appends a name in lower case.
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -35,38 +35,38 @@
 
 func (p *fastcgiProtocol) feed(input []byte) error {
 	p.parser.Now = p.frontend.backend.now
-	return p.parser.Feed(input, p.message)
+	return p.parser.Feed(input, p.onMessage)
 }
 
-// message takes one message of the parser.
-func (p *fastcgiProtocol) message(m fastcgi.Message) {
+// onMessage takes one message of the parser.
+func (p *fastcgiProtocol) onMessage(message fastcgi.Message) {
 	f, client := p.frontend, p.client
 	if client.broken {
 		return
 	}
 	client.lastUsed = f.backend.now
 	client.hasSentRequest = true
-	x := exchange{client: client, slot: m.RequestID, keepOpen: m.KeepConn}
-	switch m.Kind {
+	from := exchange{client: client, slot: message.RequestID, keepOpen: message.KeepConn}
+	switch message.Kind {
 	case fastcgi.Request:
-		parsed := f.newParsedRequest(x, m.Body)
-		complete := fastcgi.EachParam(m.Params, func(name, value []byte) { parsed.setAll(f.cgiFields[string(name)], value) })
+		parsed := f.newParsedRequest(from, message.Body)
+		complete := fastcgi.EachParam(message.Params, func(name, value []byte) { parsed.setAll(f.cgiFields[string(name)], value) })
 		f.handleRequest(parsed, complete)
 	case fastcgi.Invalid:
-		x.keepOpen = false
-		f.rejectMalformed(x, f.openUnnamed(client), 0, accounting.BadFields, "too large, or without its parameters")
+		from.keepOpen = false
+		f.rejectMalformed(from, f.openUnnamed(client), 0, accounting.BadFields, "too large, or without its parameters")
 	case fastcgi.Abort:
-		f.abort(client, m.RequestID)
-		p.endSlot(x, fastcgi.StatusComplete)
+		f.abort(client, message.RequestID)
+		p.endSlot(from, fastcgi.StatusComplete)
 	case fastcgi.Rejected:
-		p.refuse(x, m.Status)
+		p.refuse(from, message.Status)
 	case fastcgi.Reply:
-		client.conn.Write(m.Body)
+		client.conn.Write(message.Body)
 	}
 }
 
 // refuse ends a slot on which the parser takes no request: its role is not that of a responder, or too many are open.
-func (p *fastcgiProtocol) refuse(x exchange, status byte) {
+func (p *fastcgiProtocol) refuse(from exchange, status byte) {
 	f := p.frontend
 	f.backend.stats.BadRequests++
 	f.backend.logLimited("bad req", "why", "role or number of open reqs", "status", status)
@@ -75,16 +75,16 @@
 	if status == fastcgi.StatusOverloaded {
 		reason = accounting.TooManyOpen
 	}
-	p.endSlot(x, status)
+	p.endSlot(from, status)
 	f.trackDelivery(p.client, ticket, 0, reason)
 }
 
 // endSlot ends a slot without an answer.
-func (p *fastcgiProtocol) endSlot(x exchange, status byte) {
+func (p *fastcgiProtocol) endSlot(at exchange, status byte) {
 	b := p.frontend.backend
-	b.scratch = fastcgi.AppendEnd(b.scratch[:0], x.slot, status)
-	p.parser.Done(x.slot)
-	p.frontend.writeScratch(x)
+	b.scratch = fastcgi.AppendEnd(b.scratch[:0], at.slot, status)
+	p.parser.Done(at.slot)
+	p.frontend.writeScratch(at)
 }
 
 func (p *fastcgiProtocol) appendResponse(buf []byte, slot uint16, _ bool, r *response) []byte {
--- a/backend/health_check.go
+++ b/backend/health_check.go
@@ -15,21 +15,21 @@
 
 // healthCheck answers a health check. Deep checks ask the processor for a trial, unless the overload controller wants
 // them cheap or takes the node for unhealthy anyway.
-func (f *frontend) healthCheck(x exchange, query string) {
+func (f *frontend) healthCheck(from exchange, query string) {
 	b := f.backend
 	b.stats.Checks++
 	deep := slices.Contains(strings.Split(query, "&"), "deep=1")
 	if !deep || b.advice.shallowChecks || !b.advice.healthy {
-		f.answerCheck(x, b.advice.healthy)
+		f.answerCheck(from, b.advice.healthy)
 		return
 	}
-	if x.client.checks == nil {
-		x.client.checks = map[uint16]deepCheck{}
+	if from.client.checks == nil {
+		from.client.checks = map[uint16]deepCheck{}
 	}
-	x.client.checks[x.slot] = deepCheck{
+	from.client.checks[from.slot] = deepCheck{
 		tag:      b.processor.startCheck(),
 		deadline: b.now + deepCheckTimeout,
-		keepOpen: x.keepOpen,
+		keepOpen: from.keepOpen,
 	}
 }
 
@@ -58,10 +58,10 @@
 	f.answerCheck(exchange{client: client, slot: slot, keepOpen: check.keepOpen}, healthy)
 }
 
-func (f *frontend) answerCheck(x exchange, healthy bool) {
+func (f *frontend) answerCheck(to exchange, healthy bool) {
 	status := 503
 	if healthy {
 		status = 200
 	}
-	f.answer(x, &response{status: status})
+	f.answer(to, &response{status: status})
 }
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -170,7 +170,7 @@
 			b.log.Warn("keep", "dir", b.cfg.Idempotency.Dir, "why", "no such handler", "handler", name)
 		}
 	}
-	b.clock()
+	b.readClocks()
 	k.base, k.from = b.wall, b.now
 	k.writing = map[*request]struct{}{}
 	k.closing, k.gone = make(chan struct{}), make(chan struct{})
@@ -301,7 +301,7 @@
 
 // named tells whether a req has what its key needs.
 func (k *idempotencyGuard) named(a *parsedRequest) bool {
-	return !k.enabled() || len(a.key) > 0 || !slices.Contains(k.parts[a.r.handler], KeyPartField)
+	return !k.enabled() || len(a.guardKey) > 0 || !slices.Contains(k.parts[a.request.handler], KeyPartField)
 }
 
 // guards gives what a req has that must not run twice, nil if it may.
@@ -309,11 +309,11 @@
 	if !k.enabled() {
 		return nil
 	}
-	parts, replay := k.parts[a.r.handler], false
+	parts, replay := k.parts[a.request.handler], false
 	if parts == nil && k.backend.cluster.enabled() {
-		parts, replay = k.backend.cluster.parts[a.r.handler], true
+		parts, replay = k.backend.cluster.parts[a.request.handler], true
 	}
-	if parts == nil || len(a.key) == 0 && slices.Contains(parts, KeyPartField) {
+	if parts == nil || len(a.guardKey) == 0 && slices.Contains(parts, KeyPartField) {
 		return nil
 	}
 	h := sha256.New()
@@ -324,20 +324,20 @@
 		_, _ = h.Write(head[:]) // never an error
 		_, _ = h.Write(v)
 	}
-	put(0, []byte(k.backend.handlers[a.r.handler].name))
+	put(0, []byte(k.backend.handlers[a.request.handler].name))
 	for _, part := range parts {
 		switch part {
 		case KeyPartID:
-			put(part, []byte(a.r.wireID))
+			put(part, []byte(a.request.wireID))
 		case KeyPartCustomer:
-			put(part, a.owner)
+			put(part, a.customerID)
 		case KeyPartField:
-			put(part, a.key)
+			put(part, a.guardKey)
 		case KeyPartBody:
-			put(part, a.r.body)
+			put(part, a.request.body)
 		}
 	}
-	return &guardState{key: idempotency.Key(h.Sum(nil)), createdAt: time.Duration(a.made * float64(time.Millisecond)), replayable: replay}
+	return &guardState{key: idempotency.Key(h.Sum(nil)), createdAt: time.Duration(a.createdAt * float64(time.Millisecond)), replayable: replay}
 }
 
 // admit lets a guarded req go to the module, or answers it at once where that has nothing to decide: nothing can be run of it.
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -53,8 +53,8 @@
 // untilWake is how long the owner may sleep from now on.
 func (c *ownerClock) untilWake() time.Duration { return max(0, c.wakeAt-time.Since(c.start)) }
 
-// clock takes the time of this turn, and counts and logs steps of the time of day and stalls of the process.
-func (b *Backend) clock() time.Time {
+// readClocks takes the time of this turn, and counts and logs steps of the time of day and stalls of the process.
+func (b *Backend) readClocks() time.Time {
 	reading := b.read()
 	if reading.step != 0 {
 		b.stats.ClockSteps++
--- a/backend/request.go
+++ b/backend/request.go
@@ -134,9 +134,7 @@
 func (b *Backend) releaseUnstarted(r *request) {
 	switch r.state {
 	case stateUnverified, stateHeld, stateJoined:
-		delete(b.requests, r.id)
-		b.guard.leave(r)
-		b.results.ended(r, overload.Failed, false, nil)
+		b.withdraw(r)
 	case stateAwaitingCall, stateCalling:
 		b.cancelRun(r)
 	}
@@ -173,9 +171,8 @@
 		}
 		b.answered(r)
 	}
-	b.cluster.settled(r, reason)
-	delete(b.requests, r.id)
-	b.results.ended(r, outcome, r.startSent && reason != accounting.NeverRan, result)
+	ran := r.startSent && reason != accounting.NeverRan
+	b.end(r, requestEnd{outcome: outcome, reason: reason, ran: ran, result: result})
 }
 
 // reasonOf returns how the end of a run is accounted for.
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -56,29 +56,29 @@
 
 // parsedRequest is a request whose fields are being read.
 type parsedRequest struct {
-	b        *Backend
-	r        *request
-	arrival  overload.Event // what the controller is to hear of it
-	path     string
-	query    string
-	start    float64 // Unix milliseconds
-	hasStart bool
-	customer accounting.CustomerName
-	tenant   string
-	once     string // its idempotency key
-	problem  string // what is wrong with a field; empty for nothing
+	backend        *Backend
+	request        *request
+	arrival        overload.Event // what the controller is to hear of it
+	path           string
+	query          string
+	start          float64 // Unix milliseconds
+	hasStart       bool
+	customer       accounting.CustomerName
+	tenant         string
+	idempotencyKey string // its idempotency key
+	problem        string // what is wrong with a field; empty for nothing
 
 	// Both are read only where something must not run twice.
-	owner []byte // the customer's name in full
-	key   []byte // the field that names what must not run twice
+	customerID []byte // the customer's name in full
+	guardKey   []byte // the field that names what must not run twice
 
-	made float64 // when it was first made, in Unix milliseconds; 0 if not told
+	createdAt float64 // when it was first made, in Unix milliseconds; 0 if not told
 }
 
-func (f *frontend) newParsedRequest(x exchange, body []byte) *parsedRequest {
+func (f *frontend) newParsedRequest(from exchange, body []byte) *parsedRequest {
 	return &parsedRequest{
-		b:       f.backend,
-		r:       &request{client: x.client, slot: x.slot, keepOpen: x.keepOpen, body: body},
+		backend: f.backend,
+		request: &request{client: from.client, slot: from.slot, keepOpen: from.keepOpen, body: body},
 		arrival: overload.Event{Kind: overload.Arrived},
 	}
 }
@@ -98,8 +98,8 @@
 	case queryField:
 		p.query = string(value)
 	case idField:
-		p.r.wireID = string(value)
-		p.r.id, _ = lineproto.ParseID(value)
+		p.request.wireID = string(value)
+		p.request.id, _ = lineproto.ParseID(value)
 	case startField:
 		p.start = p.number(value, stampMax)
 		p.hasStart = true
@@ -116,15 +116,15 @@
 	case customerField:
 		p.setCustomer(value)
 	case keyField:
-		p.key = append(p.key[:0], value...)
+		p.guardKey = append(p.guardKey[:0], value...)
 	case createdField:
-		p.made = p.number(value, stampMax)
+		p.createdAt = p.number(value, stampMax)
 	case idempotencyKeyField:
-		p.once = string(value)
+		p.idempotencyKey = string(value)
 	case tenantField:
 		p.tenant = string(value)
 	case timeoutField:
-		p.r.clientTimeout = p.milliseconds(value)
+		p.request.clientTimeout = p.milliseconds(value)
 	}
 }
 
@@ -150,14 +150,14 @@
 	if float64(p.arrival.Caller) != n {
 		p.problem = notANumber
 	}
-	if p.b.cfg.Accounting.CustomerField == "" {
+	if p.backend.cfg.Accounting.CustomerField == "" {
 		p.setCustomer(value)
 	}
 }
 
 func (p *parsedRequest) setCustomer(value []byte) {
 	p.customer = accounting.NewCustomerName(value)
-	if p.b.guard.enabled() {
-		p.owner = append(p.owner[:0], value...)
+	if p.backend.guard.enabled() {
+		p.customerID = append(p.customerID[:0], value...)
 	}
 }
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -15,38 +15,38 @@
 )
 
 // handleRequest takes a request whose fields were read: all of them if complete, else its parameters were cut short.
-func (f *frontend) handleRequest(p *parsedRequest, complete bool) {
-	b, r := f.backend, p.r
+func (f *frontend) handleRequest(parsed *parsedRequest, complete bool) {
+	b, r := f.backend, parsed.request
 	client := r.client
-	if complete && p.path == healthPath {
-		f.healthCheck(r.exchange(), p.query)
+	if complete && parsed.path == healthPath {
+		f.healthCheck(r.exchange(), parsed.query)
 		return
 	}
-	name, isInvoke := strings.CutPrefix(p.path, invokePrefix)
+	name, isInvoke := strings.CutPrefix(parsed.path, invokePrefix)
 	r.handler = b.handlerOf(name)
 	known := isInvoke && r.handler >= 0
-	reason, problem := f.validate(p, complete, known)
-	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(r.handler), client.protocol.kind(), p.customer)
+	reason, problem := f.validate(parsed, complete, known)
+	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(r.handler), client.protocol.kind(), parsed.customer)
 	if problem != "" {
 		f.rejectMalformed(r.exchange(), r.ticket, r.id, reason, problem)
 		return
 	}
-	start := time.Duration(p.start * float64(time.Millisecond))
+	start := time.Duration(parsed.start * float64(time.Millisecond))
 	queueDelay := b.arrivals.QueueDelay(start, client.verified || !b.canCancel)
 	if reason := f.refuse(r, queueDelay); reason != accounting.None {
 		f.answer(r.exchange(), f.rejection())
 		f.trackDelivery(client, r.ticket, r.id, reason)
 		return
 	}
-	p.arrival.ID = r.id
-	p.arrival.Handler = r.handler
-	p.arrival.Delay = queueDelay
-	p.arrival.Customer = slices.Index(b.customers, p.tenant)
-	r.subject = b.results.subjectOf(r, p.arrival.Subject, p.tenant, p.once)
-	r.arrival = p.arrival
+	parsed.arrival.ID = r.id
+	parsed.arrival.Handler = r.handler
+	parsed.arrival.Delay = queueDelay
+	parsed.arrival.Customer = slices.Index(b.customers, parsed.tenant)
+	r.subject = b.results.subjectOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
+	r.arrival = parsed.arrival
 	r.readAt = b.now
 	r.arrivedAt = b.now - queueDelay
-	r.guard = b.guard.guards(p)
+	r.guard = b.guard.guards(parsed)
 	b.requests[r.id] = r
 	b.unanswered++
 	client.requests[r.slot] = r
@@ -58,8 +58,8 @@
 
 // validate checks the fields of a request. It returns an empty problem if they are good. The first problem found
 // counts; the order of the checks decides how the request is accounted for.
-func (f *frontend) validate(p *parsedRequest, complete, known bool) (reason accounting.Reason, problem string) {
-	b, r, arrival := f.backend, p.r, &p.arrival
+func (f *frontend) validate(parsed *parsedRequest, complete, known bool) (reason accounting.Reason, problem string) {
+	b, r, arrival := f.backend, parsed.request, &parsed.arrival
 	reason = accounting.BadFields
 	switch {
 	case !complete:
@@ -67,15 +67,15 @@
 	case !known:
 		reason = accounting.UnknownHandler
 		problem = "unknown handler"
-	case p.problem != "":
-		problem = p.problem
+	case parsed.problem != "":
+		problem = parsed.problem
 	case r.id == 0:
 		problem = "no id of 16 hex digits"
-	case !p.hasStart || arrival.Size == 0:
+	case !parsed.hasStart || arrival.Size == 0:
 		problem = "start or memory is missing"
-	case !b.guard.named(p):
+	case !b.guard.named(parsed):
 		problem = "no key, and it must not run twice"
-	case arrival.ValueRank == 1 || arrival.Size == memoryMax || p.start > startMax ||
+	case arrival.ValueRank == 1 || arrival.Size == memoryMax || parsed.start > startMax ||
 		arrival.Hint > costMaxFactor*b.handlers[r.handler].timeout:
 		problem = "a field is out of its range"
 	case b.requests[r.id] != nil:
@@ -101,10 +101,10 @@
 
 // rejectMalformed answers a request that can't be taken. A client that goes on with such requests has its connection
 // closed.
-func (f *frontend) rejectMalformed(x exchange, ticket accounting.Ticket, id uint64, reason accounting.Reason, problem string) {
+func (f *frontend) rejectMalformed(from exchange, ticket accounting.Ticket, id uint64, reason accounting.Reason, problem string) {
 	f.backend.stats.BadRequests++
 	f.backend.logLimited("bad req", "why", problem)
-	client := x.client
+	client := from.client
 	client.badRequests++
 	status := 400
 	switch reason {
@@ -113,8 +113,8 @@
 	case accounting.BadSecret:
 		status = 403
 	}
-	x.keepOpen = x.keepOpen && client.badRequests < malformedMax
-	f.answer(x, &response{status: status})
+	from.keepOpen = from.keepOpen && client.badRequests < malformedMax
+	f.answer(from, &response{status: status})
 	f.trackDelivery(client, ticket, id, reason)
 	if client.badRequests >= malformedCutoff && !client.broken {
 		f.cut(client, errMalformed)
@@ -147,8 +147,8 @@
 // those that the deployment has.
 func (f *frontend) unknown(r *request) {
 	delete(r.client.requests, r.slot)
-	x := r.exchange()
-	x.keepOpen = false
-	f.rejectMalformed(x, r.ticket, r.id, accounting.UnknownRequest, "no req of this machine")
+	from := r.exchange()
+	from.keepOpen = false
+	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "no req of this machine")
 	f.backend.finishAnswered(r)
 }
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -6,6 +6,7 @@
 //
 //	from              to                when
 //	(new)             unverified        it was read whole, and its fields are good
+//	(new)             held              it is taken over from another node of the cluster
 //	unverified        held              the processor knows it, or nobody can tell; its group has answered
 //	held              unverified        it must not run twice, and its group in the cluster is asked first
 //	held              joined            the controller answers it from another request
--- a/backend/response.go
+++ b/backend/response.go
@@ -78,18 +78,18 @@
 }
 
 // answer writes a response, with the load signal.
-func (f *frontend) answer(x exchange, r *response) {
-	r.signal = f.backend.advice.signal
-	f.backend.scratch = x.client.protocol.appendResponse(f.backend.scratch[:0], x.slot, x.keepOpen, r)
-	f.writeScratch(x)
+func (f *frontend) answer(to exchange, answer *response) {
+	answer.signal = f.backend.advice.signal
+	f.backend.scratch = to.client.protocol.appendResponse(f.backend.scratch[:0], to.slot, to.keepOpen, answer)
+	f.writeScratch(to)
 }
 
 // writeScratch sends what is in the scratch buffer, and closes a connection that is not to stay once nothing is open
 // there.
-func (f *frontend) writeScratch(x exchange) {
-	x.client.lastUsed = f.backend.now
-	x.client.conn.Write(f.backend.scratch)
-	if !x.keepOpen || x.client.broken {
-		x.client.conn.CloseGracefully(errNotKept)
+func (f *frontend) writeScratch(to exchange) {
+	to.client.lastUsed = f.backend.now
+	to.client.conn.Write(f.backend.scratch)
+	if !to.keepOpen || to.client.broken {
+		to.client.conn.CloseGracefully(errNotKept)
 	}
 }
--- a/backend/serve.go
+++ b/backend/serve.go
@@ -64,7 +64,7 @@
 		case <-timer.C:
 		case <-leave:
 			leave = nil
-			b.clock()
+			b.readClocks()
 			b.startDrain()
 		case f := <-b.ownerCalls:
 			f()
@@ -79,7 +79,7 @@
 // turn handles all that has happened, and reports whether it was the last turn. Its order matters: what the connections
 // bring comes before what is due, all of that before the controller's decisions, and the results of those are sent last.
 func (b *Backend) turn() (last bool) {
-	at := b.clock()
+	at := b.readClocks()
 	b.wakeAt = b.now + turnIntervalMax
 	b.loop.Dispatch()
 	b.processor.askUnverified()
