--- /dev/null
+++ b/membership/detector.go
@@ -0,0 +1,199 @@
+package membership
+
+import (
+	"cmp"
+	"frosthub/internal/prng"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Detector is one node's view of the cluster. Make it with New. It is not safe for concurrent use.
+type Detector struct {
+	cfg   Config
+	self  Update
+	peers map[string]*peer
+
+	// Probing: see probe.go.
+	probeOrder   []string // names of all peers, shuffled at the start of each round
+	nextTarget   int      // index in probeOrder
+	nextProbeAt  time.Duration
+	probes       []probe // in flight, in the order in which they began
+	lastProbe    uint64  // number of the latest probe
+	healthScore  int     // Lifeguard's local health multiplier: see LocalHealth
+	randomSource prng.Source
+
+	suspects []*peer // in the order in which they became suspected
+	gossip   gossipQueue
+
+	// Output that Ready has not yet returned.
+	outbox  []Envelope
+	changes []Change
+}
+
+// peer is what the local node believes of another.
+type peer struct {
+	Update
+	suspicionEnds time.Duration // when State is Suspect: declared dead then
+}
+
+// New returns a Detector to which all other nodes are Unknown. The seed decides all random choices.
+func New(cfg Config, seed uint64, now time.Duration) *Detector {
+	cfg = cfg.withDefaults()
+	d := &Detector{
+		cfg:          cfg,
+		self:         Update{Name: cfg.Name, Incarnation: cfg.Incarnation, State: Alive},
+		peers:        map[string]*peer{},
+		randomSource: prng.New(seed),
+		nextProbeAt:  now,
+	}
+	for _, name := range cfg.Others {
+		if name != cfg.Name {
+			d.peers[name] = &peer{Update: Update{Name: name}}
+			d.probeOrder = append(d.probeOrder, name)
+		}
+	}
+	slices.Sort(d.probeOrder)
+	d.gossip.enqueue(cfg.Name)
+	return d
+}
+
+// SetOthers replaces the names of all nodes that may exist. New ones are Unknown; all that was believed of those no longer named is
+// forgotten.
+func (d *Detector) SetOthers(others []string) {
+	for _, name := range others {
+		if name != d.cfg.Name && d.peers[name] == nil {
+			d.peers[name] = &peer{Update: Update{Name: name}}
+		}
+	}
+	for name, p := range d.peers {
+		if !slices.Contains(others, name) {
+			d.forget(p)
+		}
+	}
+	d.probeOrder = slices.Sorted(maps.Keys(d.peers))
+	d.nextTarget = 0
+	d.gossip.enqueue(d.cfg.Name)
+}
+
+// forget drops all that is known of a peer.
+func (d *Detector) forget(p *peer) {
+	delete(d.peers, p.Name)
+	d.gossip.remove(p.Name)
+	d.removeSuspect(p)
+	d.probes = slices.DeleteFunc(d.probes, func(pending probe) bool { return pending.target == p.Name })
+}
+
+// Lookup returns what is believed of a node. A node that is not among the others is Unknown.
+func (d *Detector) Lookup(name string) Update {
+	if name == d.cfg.Name {
+		return d.self
+	}
+	if p := d.peers[name]; p != nil {
+		return p.Update
+	}
+	return Update{Name: name}
+}
+
+// Alive reports whether a node seems to be running: it is Alive, or no more than suspected.
+func (d *Detector) Alive(name string) bool {
+	state := d.Lookup(name).State
+	return state == Alive || state == Suspect
+}
+
+// Snapshot returns what is believed of all nodes, the local one included, ordered by name.
+func (d *Detector) Snapshot() []Update {
+	all := []Update{d.self}
+	for _, p := range d.peers {
+		all = append(all, p.Update)
+	}
+	slices.SortFunc(all, func(x, y Update) int { return cmp.Compare(x.Name, y.Name) })
+	return all
+}
+
+// Ready returns the messages to be sent and the changes of belief since the last call.
+func (d *Detector) Ready() ([]Envelope, []Change) {
+	outbox, changes := d.outbox, d.changes
+	d.outbox, d.changes = nil, nil
+	return outbox, changes
+}
+
+// NextDeadline returns the time by which Tick has to be called, unless another call comes first.
+func (d *Detector) NextDeadline() time.Duration {
+	deadline := d.nextProbeAt
+	for i := range d.probes {
+		deadline = min(deadline, d.probeDeadline(&d.probes[i]))
+	}
+	for _, p := range d.suspects {
+		deadline = min(deadline, p.suspicionEnds)
+	}
+	return deadline
+}
+
+// Tick does what is due: it gives up on probes and suspicions whose time is over, and begins the next probe.
+func (d *Detector) Tick(now time.Duration) {
+	d.expireProbes(now)
+	d.expireSuspicions(now)
+	if now >= d.nextProbeAt && len(d.probeOrder) > 0 {
+		d.nextProbeAt = now + d.scaleByLocalHealth(d.cfg.ProbeInterval)
+		d.probeNext(now)
+	}
+}
+
+// Observe takes note that a message of any kind, of this package or another, came from a node in that incarnation: the node is there.
+func (d *Detector) Observe(now time.Duration, from string, incarnation uint64) {
+	p := d.peers[from]
+	if p == nil || incarnation < p.Incarnation {
+		return
+	}
+	if incarnation > p.Incarnation || p.State == Unknown {
+		d.apply(now, Update{Name: from, Incarnation: incarnation, State: Alive})
+	}
+}
+
+// Receive handles a message from a node in that incarnation. Messages of nodes that are not among the others, or of an earlier incarnation
+// than the latest known, are ignored.
+func (d *Detector) Receive(now time.Duration, from string, incarnation uint64, m *Message) {
+	p := d.peers[from]
+	if p == nil || incarnation < p.Incarnation {
+		return
+	}
+	d.Observe(now, from, incarnation)
+	for _, u := range m.Updates {
+		d.apply(now, u)
+	}
+	switch m.Kind {
+	case Ping:
+		d.send(from, Message{Kind: Ack, Number: m.Number, Target: d.cfg.Name})
+	case Ack:
+		d.receiveAck(now, m.Target, m.Number)
+	case PingRequest:
+		d.relayProbe(now, from, m)
+	}
+}
+
+// Leave announces to all nodes that seem to be running that the local node leaves.
+func (d *Detector) Leave() {
+	d.self.State = Left
+	d.gossip.enqueue(d.cfg.Name)
+	for _, name := range d.probeOrder {
+		if d.Alive(name) {
+			d.sendPing(name)
+		}
+	}
+}
+
+// send queues a message, with gossip piggybacked on it.
+func (d *Detector) send(to string, m Message) {
+	m.Updates = d.selectGossip(to)
+	d.outbox = append(d.outbox, Envelope{To: to, Message: m})
+}
+
+// scaleByClusterSize returns factor times 1 + log2 of the number of nodes, the logarithm rounded down.
+func (d *Detector) scaleByClusterSize(factor float64) float64 {
+	logarithm := 1.0
+	for nodes := len(d.peers) + 1; nodes > 1; nodes /= 2 {
+		logarithm++
+	}
+	return factor * logarithm
+}
--- /dev/null
+++ b/membership/detector_test.go
@@ -0,0 +1,251 @@
+package membership
+
+import (
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+var largestCluster = flag.Int("boxes", 50, "nodes of the largest simulated cluster; 500 outside CI")
+
+// simStep is the resolution of the simulated time.
+const simStep = 5 * time.Millisecond
+
+// simCluster is a cluster whose nodes gossip over links that delay and lose messages.
+type simCluster struct {
+	random    *rand.Rand
+	now       time.Duration
+	detectors []*Detector
+	up        []bool
+	names     []string
+	queue     map[time.Duration][]func() // deliveries by their time
+	loss      float64                    // share of the messages that are lost
+	lag       map[int]time.Duration      // by node: added to the delay of each message to it
+	bytes     int                        // sent, as an estimate
+}
+
+func newSimCluster(size int, seed uint64) *simCluster {
+	c := &simCluster{
+		random:    rand.New(rand.NewPCG(seed, 9)),
+		detectors: make([]*Detector, size),
+		up:        make([]bool, size),
+		queue:     map[time.Duration][]func(){},
+		lag:       map[int]time.Duration{},
+	}
+	for i := range size {
+		c.names = append(c.names, fmt.Sprint("n", i))
+	}
+	for i := range size {
+		c.start(i, 1)
+	}
+	return c
+}
+
+// start starts a node, or restarts it.
+func (c *simCluster) start(node int, incarnation uint64) {
+	cfg := Config{Name: c.names[node], Incarnation: incarnation, Others: c.names}
+	c.up[node] = true
+	c.detectors[node] = New(cfg, uint64(node)*7919+incarnation, c.now)
+}
+
+// index returns the number of the node of that name.
+func (c *simCluster) index(name string) int {
+	node := 0
+	_, _ = fmt.Sscanf(name, "n%d", &node)
+	return node
+}
+
+// run has that much time pass.
+func (c *simCluster) run(duration time.Duration) {
+	for end := c.now + duration; c.now < end; c.now += simStep {
+		due := c.queue[c.now]
+		delete(c.queue, c.now)
+		for _, deliver := range due {
+			deliver()
+		}
+		for i, detector := range c.detectors {
+			if c.up[i] {
+				detector.Tick(c.now)
+				c.flush(i)
+			}
+		}
+	}
+}
+
+// flush puts the messages of a node on their way.
+func (c *simCluster) flush(node int) {
+	detector := c.detectors[node]
+	outbox, _ := detector.Ready()
+	for _, envelope := range outbox {
+		c.bytes += 40 + 24*len(envelope.Updates)
+		if c.random.Float64() < c.loss {
+			continue
+		}
+		to := c.index(envelope.To)
+		message := envelope.Message
+		incarnation := detector.self.Incarnation
+		at := c.now + simStep*time.Duration(1+c.random.IntN(2)) + c.lag[to].Truncate(simStep)
+		c.queue[at] = append(c.queue[at], func() {
+			if c.up[to] {
+				c.detectors[to].Receive(c.now, c.names[node], incarnation, &message)
+				c.flush(to)
+			}
+		})
+	}
+}
+
+// believers counts the running nodes that believe another to be in that state.
+func (c *simCluster) believers(node int, state State) int {
+	count := 0
+	for i, detector := range c.detectors {
+		if i != node && c.up[i] && detector.Lookup(c.names[node]).State == state {
+			count++
+		}
+	}
+	return count
+}
+
+// timeToDetect runs until all nodes believe that a node which was just stopped is dead, or a minute is over. It returns after what time the
+// first of them did, and the last; 0 if that did not happen.
+func (c *simCluster) timeToDetect(node int) (first, last time.Duration) {
+	stoppedAt := c.now
+	for c.now < stoppedAt+60*time.Second && last == 0 {
+		c.run(50 * time.Millisecond)
+		believers := c.believers(node, Dead)
+		if believers > 0 && first == 0 {
+			first = c.now - stoppedAt
+		}
+		if believers == len(c.names)-1 {
+			last = c.now - stoppedAt
+		}
+	}
+	return first, last
+}
+
+// TestDetection checks that all nodes find a dead node in bounded time, that a running one is not taken for dead when messages are lost, that
+// one which restarts is known by its new incarnation, and that one which was wrongly taken for dead refutes that.
+func TestDetection(t *testing.T) {
+	for _, size := range []int{5, *largestCluster} {
+		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) { testDetection(t, size) })
+	}
+}
+
+func testDetection(t *testing.T, size int) {
+	c := newSimCluster(size, uint64(size))
+	c.run(time.Duration(size)*200*time.Millisecond + 2*time.Second)
+	if got := c.believers(0, Alive); got != size-1 {
+		t.Fatalf("%d nodes: %d know of the first", size, got)
+	}
+	c.bytes = 0
+	c.run(2 * time.Second)
+	bytesPerSecond := float64(c.bytes) / 2 / float64(size)
+
+	c.up[1] = false
+	first, last := c.timeToDetect(1)
+	if last == 0 || last > 20*time.Second {
+		t.Errorf("%d nodes: not all know in time: %d", size, c.believers(1, Dead))
+	}
+
+	c.start(1, 2)
+	c.run(3*time.Second + time.Duration(size)*100*time.Millisecond)
+	if got := c.believers(1, Alive); got != size-1 || c.detectors[0].Lookup("n1").Incarnation != 2 {
+		t.Errorf("%d nodes: %d know that it is back, in incarnation %d", size, got, c.detectors[0].Lookup("n1").Incarnation)
+	}
+
+	c.loss = 0.1
+	wrong, beliefs := 0, 0
+	for range 100 {
+		c.run(100 * time.Millisecond)
+		for i := range c.names {
+			wrong += c.believers(i, Dead)
+			beliefs += size - 1
+		}
+	}
+	if share := float64(wrong) / float64(beliefs); share > 0.001 {
+		t.Errorf("%d nodes at a loss of 0.1: %.4f of beliefs are wrong", size, share)
+	}
+	c.loss = 0
+
+	c.lag[2] = 400 * time.Millisecond
+	c.run(8 * time.Second)
+	health := c.detectors[2].LocalHealth()
+	delete(c.lag, 2)
+	c.run(time.Duration(size)*200*time.Millisecond + 6*time.Second)
+	if got := c.believers(2, Alive); got != size-1 {
+		t.Errorf("%d nodes: one that was slow is alive for %d only", size, got)
+	}
+	t.Logf("%d nodes: first knows after %s, all after %s; %.0f bytes a node and second; wrong at a loss of 0.1: %d of %d; local health %d",
+		size, first, last, bytesPerSecond, wrong, beliefs, health)
+}
+
+// TestStaleIncarnations checks that messages of an earlier incarnation do no harm, and that a node refutes what is falsely said of it.
+func TestStaleIncarnations(t *testing.T) {
+	d := New(Config{Name: "a", Incarnation: 3, Others: []string{"a", "b", "c"}}, 1, 0)
+	d.Receive(0, "b", 2, &Message{Kind: Ping, Number: 1})
+	stale := Message{Kind: Ping, Number: 9, Updates: []Update{{Name: "c", Incarnation: 5, State: Dead}}}
+	d.Receive(0, "b", 1, &stale)
+	if d.Lookup("b").Incarnation != 2 || d.Lookup("c").State != Unknown {
+		t.Error(d.Snapshot())
+	}
+	outbox, _ := d.Ready()
+	if len(outbox) != 1 || outbox[0].To != "b" || outbox[0].Kind != Ack {
+		t.Error(outbox)
+	}
+	accusations := Message{Kind: Ack, Updates: []Update{
+		{Name: "a", Incarnation: 3, State: Dead},
+		{Name: "a", Incarnation: 2, Refutation: 9, State: Dead},
+	}}
+	d.Receive(0, "b", 2, &accusations)
+	if self := d.Lookup("a"); self.State != Alive || self.Refutation != 1 {
+		t.Error(self)
+	}
+	d.Receive(0, "x", 1, &Message{Kind: Ping})
+	if _, known := d.peers["x"]; known {
+		t.Error("a node that is not among the others is taken in")
+	}
+}
+
+// TestMemoryBound checks that what is remembered is bounded by the nodes that exist: ten times as many that come and go, send messages and are
+// the subject of updates leave nothing behind.
+func TestMemoryBound(t *testing.T) {
+	const size, rounds = 50, 11
+	namesOf := func(round int) []string {
+		names := []string{"me"}
+		for i := range size {
+			names = append(names, fmt.Sprint("n", round*size+i))
+		}
+		return names
+	}
+	d := New(Config{Name: "me", Incarnation: 1, Others: namesOf(0)}, 3, 0)
+	maxUpdates := 0
+	now := time.Duration(0)
+	for round := range rounds {
+		names := namesOf(round)
+		d.SetOthers(names)
+		for i, name := range names[1:] {
+			m := Message{Kind: Ping, Number: uint64(i), Updates: []Update{
+				{Name: name, Incarnation: 1, State: Dead},
+				{Name: "stranger" + name, Incarnation: 1, State: Alive},
+				{Name: fmt.Sprint("n", i), Incarnation: 9, State: Suspect},
+			}}
+			d.Receive(now, name, 1, &m)
+		}
+		for range 100 {
+			now += 50 * time.Millisecond
+			d.Tick(now)
+			outbox, _ := d.Ready()
+			for _, envelope := range outbox {
+				maxUpdates = max(maxUpdates, len(envelope.Updates))
+			}
+		}
+		if len(d.peers) != size || len(d.probeOrder) != size || len(d.probes) > size || len(d.suspects) > size || len(d.gossip.latest) > size+1 {
+			t.Fatalf("round %d: %d peers, %d in probe order, %d probes, %d suspects, %d names to gossip", round, len(d.peers), len(d.probeOrder),
+				len(d.probes), len(d.suspects), len(d.gossip.latest))
+		}
+	}
+	if maxUpdates == 0 || maxUpdates > 20 {
+		t.Error("updates in a message: ", maxUpdates)
+	}
+}
