--- a/accounting/audit.go
+++ b/accounting/audit.go
@@ -6,147 +6,164 @@
 	"time"
 )
 
-// Mismatch is two figures that should be the same and are not.
+const (
+	trailLength   = 16 // last entries that are shown with a mismatch
+	maxUnreported = 16 // mismatches that are held until they are taken; more are only counted
+	maxKnownGaps  = 2 * maxUnreported
+)
+
+// Mismatch is a pair of numbers that should be equal and aren't, or a transition that is not allowed.
 type Mismatch struct {
 	At          time.Duration
-	What        string
+	What        string // which numbers
 	Left, Right int64
-	Trail       string // the last ops before it was seen
+	Trail       string // the last entries before it was found
 }
 
-// recordMismatch takes note of a difference, counts it and has it recorded. The same one is told again only when it changes.
-func (b *Ledger) recordMismatch(at time.Duration, what string, left, right int64) {
-	if gap, told := b.knownGaps[what]; told && gap == left-right && left != right {
+// recordMismatch counts a mismatch, and holds it for TakeMismatches. One that was recorded with the same gap is not
+// recorded again until the gap changes.
+func (l *Ledger) recordMismatch(at time.Duration, what string, left, right int64) {
+	gap := left - right
+	if knownGap, known := l.knownGaps[what]; known && knownGap == gap && gap != 0 {
 		return
 	}
-	if len(b.knownGaps) < 2*maxUnreported {
-		b.knownGaps[what] = left - right
+	if len(l.knownGaps) < maxKnownGaps {
+		l.knownGaps[what] = gap
 	}
-	trail := b.trailText()
-	b.commit(Entry{Kind: EntryMismatch, At: at})
-	if len(b.unreported) < maxUnreported {
-		b.unreported = append(b.unreported, Mismatch{at, what, left, right, trail})
+	trail := l.trailText()
+	l.commit(Entry{Kind: EntryMismatch, At: at})
+	if len(l.unreported) < maxUnreported {
+		l.unreported = append(l.unreported, Mismatch{
+			At:    at,
+			What:  what,
+			Left:  left,
+			Right: right,
+			Trail: trail,
+		})
 	}
 }
 
-// TakeMismatches gives the differences since the last call.
-func (b *Ledger) TakeMismatches() []Mismatch {
-	found := b.unreported
-	b.unreported = nil
-	return found
+// TakeMismatches returns the mismatches since the last call and forgets them.
+func (l *Ledger) TakeMismatches() []Mismatch {
+	taken := l.unreported
+	l.unreported = nil
+	return taken
 }
 
-func (b *Ledger) trailText() string {
+// trailText returns the last entries as text, in order.
+func (l *Ledger) trailText() string {
 	var out strings.Builder
-	for k := uint64(trailLength); k > 0; k-- {
-		if b.seq < k {
+	for ago := uint64(trailLength); ago > 0; ago-- {
+		if l.seq < ago {
 			continue
 		}
-		if op := &b.trail[(b.seq-k+1)%trailLength]; op.Kind != 0 {
-			fmt.Fprintf(&out, "%s ", op)
+		if entry := &l.trail[(l.seq-ago+1)%trailLength]; entry.Kind != 0 {
+			fmt.Fprintf(&out, "%s ", entry)
 		}
 	}
 	return strings.TrimSpace(out.String())
 }
 
-// String is the op as it is shown in a trail.
-func (o *Entry) String() string {
-	switch o.Kind {
-	case EntryOpen:
-		return fmt.Sprintf("%d:open(%d,%016x)", o.Seq, o.Slot, o.ID)
-	case EntryAnswer, EntryClose:
-		return fmt.Sprintf("%d:%s(%d,%s)", o.Seq, o.Kind, o.Slot, o.Reason)
+// expectEqual records a mismatch if the numbers differ.
+func (l *Ledger) expectEqual(at time.Duration, what string, left, right int64) {
+	if left != right {
+		l.recordMismatch(at, what, left, right)
 	}
-	return fmt.Sprintf("%d:%s(%d)", o.Seq, o.Kind, o.Slot)
 }
 
-// expectEqual makes a difference of figures that are not the same.
-func (b *Ledger) expectEqual(at time.Duration, what string, left, right int64) {
-	if left != right {
-		b.recordMismatch(at, what, left, right)
+// expectEqualCounts records a mismatch for each of the counts that differs.
+func (l *Ledger) expectEqualCounts(at time.Duration, what string, left, right Counts) {
+	if left == right {
+		return
 	}
+	l.expectEqual(at, what+", received", left.Received, right.Received)
+	l.expectEqual(at, what+", served", left.Served, right.Served)
+	l.expectEqual(at, what+", rejected", left.Rejected, right.Rejected)
+	l.expectEqual(at, what+", failed", left.Failed, right.Failed)
+	l.expectEqual(at, what+", open", left.Open, right.Open)
 }
 
-// auditTotals compares what is kept twice for all: the total with itself and with its rows, customers and lives.
-func (b *Ledger) auditTotals(at time.Duration) {
-	b.expectEqual(at, "taken and served + refused + failed + open", b.total.Received, b.total.Sum())
+// Audit compares all sums that the ledger holds with what they are sums of, and records a mismatch for each that differs.
+// Its cost does not grow with the number of requests.
+func (l *Ledger) Audit(at time.Duration) {
+	l.auditTotals(at)
+	l.auditReasons(at)
+	l.expectEqual(at, "open and the slots in use", l.total.Open, int64(len(l.requests)-len(l.freeSlots)))
+	l.auditPeriods(at)
+}
+
+// auditTotals compares the total with itself, and with the sums of rows, customers and incarnations.
+func (l *Ledger) auditTotals(at time.Duration) {
+	l.expectEqual(at, "received and served + rejected + failed + open", l.total.Received, l.total.Sum())
 	var byRow, byCustomer Counts
-	for i := range b.rows {
-		if f := &b.rows[i]; f.Received != f.Sum() {
-			b.recordMismatch(at, "taken and the sum of its figures, of "+b.rowName(i), f.Received, f.Sum())
+	for row, counts := range l.rows {
+		if !counts.balanced() {
+			l.recordMismatch(at, "received and the sum of its parts, of "+l.rowName(row), counts.Received, counts.Sum())
 		}
-		byRow = byRow.Plus(b.rows[i])
+		byRow = byRow.Plus(counts)
 	}
-	for i := range b.customers.list {
-		c := &b.customers.list[i]
-		b.expectEqual(at, "taken and the sum of its figures, of a customer", c.Received, c.Sum())
-		byCustomer = byCustomer.Plus(c.Counts)
+	for i := range l.customers.rows {
+		counts := l.customers.rows[i].Counts
+		l.expectEqual(at, "received and the sum of its parts, of a customer", counts.Received, counts.Sum())
+		byCustomer = byCustomer.Plus(counts)
 	}
-	byLife := b.incarnations.earlier
-	for i := range b.incarnations.list {
-		byLife = byLife.Plus(b.incarnations.list[i].Counts)
+	byIncarnation := l.incarnations.earlier
+	for i := range l.incarnations.list {
+		byIncarnation = byIncarnation.Plus(l.incarnations.list[i].Counts)
 	}
-	b.expectEqualCounts(at, "the total and its handlers and fronts", b.total, byRow)
-	b.expectEqualCounts(at, "the total and its customers", b.total, byCustomer)
-	b.expectEqualCounts(at, "the total and its lives", b.total, byLife)
+	l.expectEqualCounts(at, "the total and its handlers and front ends", l.total, byRow)
+	l.expectEqualCounts(at, "the total and its customers", l.total, byCustomer)
+	l.expectEqualCounts(at, "the total and its incarnations", l.total, byIncarnation)
 }
 
-func (b *Ledger) expectEqualCounts(at time.Duration, what string, x, y Counts) {
-	if x == y {
-		return
+// auditReasons compares the counts of each row with the sums of its cells.
+func (l *Ledger) auditReasons(at time.Duration) {
+	for row, counts := range l.rows {
+		if byReason := sumCells(l.cells, row); byReason != counts {
+			l.expectEqualCounts(at, "the counts and the reasons of "+l.rowName(row), counts, byReason)
+		}
 	}
-	b.expectEqual(at, what+", taken", x.Received, y.Received)
-	b.expectEqual(at, what+", served", x.Served, y.Served)
-	b.expectEqual(at, what+", refused", x.Rejected, y.Rejected)
-	b.expectEqual(at, what+", failed", x.Failed, y.Failed)
-	b.expectEqual(at, what+", open", x.Open, y.Open)
-}
-
-func (b *Ledger) rowName(i int) string {
-	return b.handlers[i/frontendCount] + " over " + Frontend(i%frontendCount).String()
 }
 
-// Audit compares all sums that are kept with what they are sums of. Its cost does not grow with the reqs.
-func (b *Ledger) Audit(at time.Duration) {
-	b.auditTotals(at)
-	for i := range b.rows {
-		var f Counts
-		for why, n := range b.cells[i*reasonCount : (i+1)*reasonCount] {
-			f.Add(Reason(why), n)
-		}
-		f.Open = f.Received - f.Sum()
-		if f != b.rows[i] {
-			b.expectEqualCounts(at, "the figures and the reasons of "+b.rowName(i), b.rows[i], f)
-		}
+// auditPeriods compares each cell with the sum of its periods.
+func (l *Ledger) auditPeriods(at time.Duration) {
+	p := &l.periods
+	if !p.enabled() {
+		return
 	}
-	b.expectEqual(at, "open and the places in use", b.total.Open, int64(len(b.requests)-len(b.freeSlots)))
-	if p := &b.periods; p.capacity > 0 {
-		for i, n := range b.cells {
-			if sum := p.expired[i] + p.retained[i] + p.current[i]; sum != n {
-				b.recordMismatch(at, "the total and its periods, of "+b.rowName(i/reasonCount), n, sum)
-			}
+	for cell, n := range l.cells {
+		if sum := p.expired[cell] + p.retained[cell] + p.current[cell]; sum != n {
+			l.recordMismatch(at, "the total and its periods, of "+l.rowName(cell/reasonCount), n, sum)
 		}
 	}
 }
 
-// Compare looks whether what the box itself takes for open is what the book does: each calls back for every one.
-func (b *Ledger) Compare(at time.Duration, each func(have func(t Ticket, id uint64))) {
-	b.comparison++
-	n := int64(0)
-	each(func(t Ticket, id uint64) {
-		n++
-		if int(t.slot) >= len(b.requests) {
-			b.recordMismatch(at, "a req of the box that has no place in the book", int64(id), 0)
-			return
-		}
-		switch e := &b.requests[t.slot]; {
-		case e.state == slotFree || e.generation != t.generation || e.id != id:
-			b.recordMismatch(at, "a req of the box that is not open in the book", int64(id), int64(e.id))
-		case e.comparison == b.comparison:
-			b.recordMismatch(at, "one place in the book for two reqs of the box", int64(id), int64(e.id))
-		default:
-			e.comparison = b.comparison
-		}
+// Compare compares the ledger's open requests with what the node itself takes for open. forEach calls its argument once
+// for each of those, with the ticket and the id of the request.
+func (l *Ledger) Compare(at time.Duration, forEach func(isOpen func(ticket Ticket, id uint64))) {
+	l.comparison++
+	openInNode := int64(0)
+	forEach(func(ticket Ticket, id uint64) {
+		openInNode++
+		l.compareRequest(at, ticket, id)
 	})
-	b.expectEqual(at, "reqs open in the book and in the box", b.total.Open, n)
+	l.expectEqual(at, "requests open in the ledger and in the node", l.total.Open, openInNode)
+}
+
+// compareRequest looks for a request of the node among the open ones of the ledger.
+func (l *Ledger) compareRequest(at time.Duration, ticket Ticket, id uint64) {
+	if int(ticket.slot) >= len(l.requests) {
+		l.recordMismatch(at, "a request of the node has no slot in the ledger", int64(id), 0)
+		return
+	}
+	request := &l.requests[ticket.slot]
+	current := request.generation == ticket.generation && request.id == id
+	switch {
+	case request.state == slotFree || !current:
+		l.recordMismatch(at, "a request of the node is not open in the ledger", int64(id), int64(request.id))
+	case request.comparison == l.comparison:
+		l.recordMismatch(at, "two requests of the node have one slot in the ledger", int64(id), int64(request.id))
+	default:
+		request.comparison = l.comparison
+	}
 }
--- a/accounting/customer.go
+++ b/accounting/customer.go
@@ -1,13 +1,59 @@
 package accounting
 
-// customerTable is a bounded table of customers by name. Who comes when it is full takes the place of the least heavy one
-// that has nothing open, whose figures go to those of the others: no figure is ever lost. Its weight is inherited, as in
-// the space-saving sketch, so that who comes often stays although ever new ones come.
+import (
+	"strconv"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// maxNameLength is the longest name that is kept unchanged: with it an encoded entry has 64 bytes.
+const maxNameLength = 24
+
+// CustomerName is the name of a customer, comparable and without a pointer. A name that is too long is cut and ends in a
+// hash of the whole, which tells it apart.
+type CustomerName struct {
+	length uint8
+	bytes  [maxNameLength]byte
+}
+
+// NewCustomerName returns the customer name of the given text.
+func NewCustomerName(text []byte) CustomerName {
+	var name CustomerName
+	if len(text) <= maxNameLength {
+		name.length = uint8(copy(name.bytes[:], text))
+		return name
+	}
+	const (
+		hashDigits = 8
+		prefix     = maxNameLength - hashDigits - 1
+		topBit     = 1 << 31 // set, so that the hash always has all its digits
+	)
+	copy(name.bytes[:prefix], text)
+	name.bytes[prefix] = '~'
+	hash := xxhash.Sum64(text)>>32 | topBit
+	digits := strconv.AppendUint(name.bytes[prefix+1:prefix+1:maxNameLength], hash, 16)
+	name.length = uint8(prefix + 1 + len(digits))
+	return name
+}
+
+// String returns the name as text.
+func (n CustomerName) String() string { return string(n.bytes[:n.length]) }
+
+// otherCustomers is the name of the row of all customers without a row of their own.
+const otherCustomers = "(others)"
+
+// otherCustomersRow is the number of that row.
+const otherCustomersRow = 0
+
+// customerTable counts requests by customer in a bounded number of rows. A new customer who finds the table full takes the
+// row of the customer of least weight without an open request, whose counts are added to those of all others, so that no
+// count is lost. The newcomer inherits the weight, as in the space-saving sketch: frequent customers keep their row although
+// there are ever new ones.
 type customerTable struct {
-	list     []customerRow // the first is all others
-	weights  []uint64      // of the same: apart, as a newcomer looks at all
+	rows     []customerRow // the first is that of all others
+	weights  []uint64      // by row: apart from the rows, as a newcomer looks at all of them
 	byName   map[CustomerName]uint16
-	capacity int
+	capacity int // rows beside the first
 }
 
 type customerRow struct {
@@ -15,47 +61,69 @@
 	name CustomerName
 }
 
-// add gives a customer a place of its own.
-func (c *customerTable) add(x customerRow, weight uint64) uint16 {
-	i := uint16(len(c.list))
-	c.list, c.weights = append(c.list, x), append(c.weights, weight)
-	c.byName[x.name] = i
-	return i
+func newCustomerTable(capacity int) customerTable {
+	t := customerTable{
+		rows:     make([]customerRow, 1, capacity+1),
+		weights:  make([]uint64, 1, capacity+1),
+		byName:   make(map[CustomerName]uint16, capacity),
+		capacity: capacity,
+	}
+	t.rows[otherCustomersRow].name = NewCustomerName([]byte(otherCustomers))
+	return t
 }
 
-func (c *customerTable) init(most int) {
-	c.capacity = most
-	c.list = append(make([]customerRow, 0, most+1), customerRow{name: NewCustomerName([]byte(otherCustomers))})
-	c.weights = append(make([]uint64, 0, most+1), 0)
-	c.byName = make(map[CustomerName]uint16, most)
+// add appends a row and returns its number.
+func (t *customerTable) add(row customerRow, weight uint64) uint16 {
+	number := uint16(len(t.rows))
+	t.rows = append(t.rows, row)
+	t.weights = append(t.weights, weight)
+	t.byName[row.name] = number
+	return number
 }
 
-// find is the number of a customer, who may take another's place.
-func (c *customerTable) find(name CustomerName) uint16 {
-	if i, ok := c.byName[name]; ok {
-		c.weights[i]++
-		return i
+// full reports whether there is no room for another row.
+func (t *customerTable) full() bool { return len(t.rows) > t.capacity }
+
+// assign returns the row of a customer, and makes one or takes over another's if there is none.
+func (t *customerTable) assign(name CustomerName) uint16 {
+	if number, ok := t.byName[name]; ok {
+		t.weights[number]++
+		return number
 	}
-	if c.capacity == 0 || name.length == 0 {
-		return 0
+	if t.capacity == 0 || name.length == 0 {
+		return otherCustomersRow
 	}
-	if len(c.list) <= c.capacity {
-		return c.add(customerRow{name: name}, 1)
+	if !t.full() {
+		return t.add(customerRow{name: name}, 1)
 	}
-	least := 0
-	for i, w := range c.weights[1:] {
-		if (least == 0 || w < c.weights[least]) && c.list[i+1].Open == 0 {
-			least = i + 1
-		}
+	number := t.lightest()
+	if number == otherCustomersRow {
+		return otherCustomersRow
 	}
-	if least == 0 {
-		return 0 // all have something open
+	row := &t.rows[number]
+	t.addToOthers(row.Counts)
+	delete(t.byName, row.name)
+	*row = customerRow{name: name}
+	t.weights[number]++
+	t.byName[name] = uint16(number)
+	return uint16(number)
+}
+
+// lightest returns the row of least weight that has no open request, or that of all others if each has one.
+func (t *customerTable) lightest() int {
+	lightest := otherCustomersRow
+	for i, weight := range t.weights[1:] {
+		number := i + 1
+		lighter := lightest == otherCustomersRow || weight < t.weights[lightest]
+		if lighter && t.rows[number].Open == 0 {
+			lightest = number
+		}
 	}
-	old := &c.list[least]
-	c.list[0].Counts = c.list[0].Plus(old.Counts)
-	delete(c.byName, old.name)
-	*old = customerRow{name: name}
-	c.weights[least]++
-	c.byName[name] = uint16(least)
-	return uint16(least)
+	return lightest
+}
+
+// addToOthers adds the counts of a customer who has no row any more.
+func (t *customerTable) addToOthers(counts Counts) {
+	others := &t.rows[otherCustomersRow]
+	others.Counts = others.Plus(counts)
 }
--- a/accounting/entry.go
+++ b/accounting/entry.go
@@ -2,103 +2,133 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"hash/crc32"
-	"strconv"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// EntryKind tells what an Op changes.
+// EntryKind tells what an entry changes. The numbers are stored.
 type EntryKind uint8
 
-// The ops.
+// The kinds of entries.
 const (
-	EntryOpen     EntryKind = iota + 1 // a req was taken
-	EntryAnswer                        // its final answer is written, and is still to be handed to the system
-	EntrySent                          // the last byte of that was handed to the system: closed
-	EntryClose                         // closed without that
-	EntryFlush                         // answers that were left are being handed over anew (Slot 1), or no longer (Slot 0)
-	EntryMismatch                      // figures were found that do not add up
+	EntryOpen     EntryKind = iota + 1 // a request was received
+	EntryAnswer                        // its final response is written, and still to be handed to the operating system
+	EntrySent                          // the last byte of the response was handed over: the request is closed
+	EntryClose                         // the request is closed otherwise
+	EntryFlush                         // handing over responses that were left begins (Slot is flushBegins) or ends (0)
+	EntryMismatch                      // counts were found that do not add up
 )
 
-// Entry is one change of a book. Fields that do not belong to its kind are zero.
-type Entry struct {
-	Seq      uint64        // 1 for the first of a book, one more for each
-	At       time.Duration // since the start of 1970, by the box's clock
-	ID       uint64        // OpOpen
-	Slot     uint32        // the place of the req in the book; used again after its end
-	Kind     EntryKind
-	Reason   Reason       // OpAnswer, OpClose
-	Front    Frontend     // OpOpen
-	Handler  uint16       // OpOpen
-	Customer CustomerName // OpOpen
+// flushBegins is the Slot of an EntryFlush that begins.
+const flushBegins = 1
+
+// entryKindNames are the words of the kinds in trails.
+var entryKindNames = [...]string{
+	"none",
+	EntryOpen:     "open",
+	EntryAnswer:   "answer",
+	EntrySent:     "sent",
+	EntryClose:    "close",
+	EntryFlush:    "flush",
+	EntryMismatch: "differ",
 }
 
-// maxNameLength is the longest name kept as it is: with it an op has 64 bytes.
-const maxNameLength = 24
+// String returns the kind's word.
+func (k EntryKind) String() string {
+	if int(k) < len(entryKindNames) {
+		return entryKindNames[k]
+	}
+	return entryKindNames[0]
+}
 
-// CustomerName is a customer's name, comparable and without a pointer. A longer one is cut, and told apart by a hash.
-type CustomerName struct {
-	length uint8
-	bytes  [maxNameLength]byte
+// Entry is one change of a ledger. Fields that its kind does not use are zero.
+type Entry struct {
+	Seq      uint64        // 1 for the first entry of a ledger, one more for each
+	At       time.Duration // when it happened
+	ID       uint64        // of the request; EntryOpen
+	Slot     uint32        // where the ledger keeps the request while it is open; reused after its end
+	Kind     EntryKind
+	Reason   Reason       // EntryAnswer, EntryClose
+	Front    Frontend     // EntryOpen
+	Handler  uint16       // EntryOpen
+	Customer CustomerName // EntryOpen
 }
 
-// NewCustomerName makes a name.
-func NewCustomerName(b []byte) CustomerName {
-	var n CustomerName
-	if len(b) <= maxNameLength {
-		n.length = uint8(copy(n.bytes[:], b))
-		return n
+// String returns the entry as it is shown in a trail.
+func (e *Entry) String() string {
+	switch e.Kind {
+	case EntryOpen:
+		return fmt.Sprintf("%d:open(%d,%016x)", e.Seq, e.Slot, e.ID)
+	case EntryAnswer, EntryClose:
+		return fmt.Sprintf("%d:%s(%d,%s)", e.Seq, e.Kind, e.Slot, e.Reason)
 	}
-	const kept = maxNameLength - 9
-	copy(n.bytes[:kept], b)
-	n.bytes[kept] = '~'
-	h := strconv.AppendUint(n.bytes[kept+1:kept+1:maxNameLength], xxhash.Sum64(b)>>32|1<<31, 16)
-	n.length = uint8(kept + 1 + len(h))
-	return n
+	return fmt.Sprintf("%d:%s(%d)", e.Seq, e.Kind, e.Slot)
 }
 
-// String is the name as text.
-func (n CustomerName) String() string { return string(n.bytes[:n.length]) }
-
-// EntrySize is the length of an encoded op, in bytes.
+// EntrySize is the length of an encoded entry, in bytes.
 const EntrySize = 64
 
+// Offsets of the fields of an encoded entry. Numbers are little endian.
+const (
+	offsetSeq        = 0
+	offsetAt         = 8
+	offsetID         = 16
+	offsetSlot       = 24
+	offsetKind       = 28
+	offsetReason     = 29
+	offsetFrontend   = 30
+	offsetNameLength = 31
+	offsetHandler    = 32
+	offsetName       = 34
+	offsetPadding    = offsetName + maxNameLength
+	offsetChecksum   = EntrySize - 4
+)
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is the one of all parts of a figures file.
+// Checksum returns the CRC-32C that guards all parts of a stored ledger.
 func Checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// Put writes the op into the first OpSize bytes.
-func (o *Entry) Put(b []byte) {
-	_ = b[EntrySize-1]
+// Put encodes the entry into the first EntrySize bytes of b.
+func (e *Entry) Put(b []byte) {
+	b = b[:EntrySize]
 	le := binary.LittleEndian
-	le.PutUint64(b, o.Seq)
-	le.PutUint64(b[8:], uint64(o.At))
-	le.PutUint64(b[16:], o.ID)
-	le.PutUint32(b[24:], o.Slot)
-	b[28], b[29], b[30], b[31] = byte(o.Kind), byte(o.Reason), byte(o.Front), o.Customer.length
-	le.PutUint16(b[32:], o.Handler)
-	copy(b[34:58], o.Customer.bytes[:])
-	b[58], b[59] = 0, 0
-	le.PutUint32(b[60:], Checksum(b[:60]))
+	le.PutUint64(b[offsetSeq:], e.Seq)
+	le.PutUint64(b[offsetAt:], uint64(e.At))
+	le.PutUint64(b[offsetID:], e.ID)
+	le.PutUint32(b[offsetSlot:], e.Slot)
+	b[offsetKind] = byte(e.Kind)
+	b[offsetReason] = byte(e.Reason)
+	b[offsetFrontend] = byte(e.Front)
+	b[offsetNameLength] = e.Customer.length
+	le.PutUint16(b[offsetHandler:], e.Handler)
+	copy(b[offsetName:offsetPadding], e.Customer.bytes[:])
+	clear(b[offsetPadding:offsetChecksum])
+	le.PutUint32(b[offsetChecksum:], Checksum(b[:offsetChecksum]))
 }
 
-// Get reads an op and tells whether there is a whole one.
-func (o *Entry) Get(b []byte) bool {
+// Get decodes an entry and reports whether b begins with a complete one. Otherwise it leaves the entry alone, except that
+// an entry without a sequence number is decoded and not complete.
+func (e *Entry) Get(b []byte) bool {
 	if len(b) < EntrySize {
 		return false
 	}
 	le := binary.LittleEndian
-	if le.Uint32(b[60:]) != Checksum(b[:60]) {
+	if le.Uint32(b[offsetChecksum:]) != Checksum(b[:offsetChecksum]) {
 		return false
 	}
-	*o = Entry{
-		Seq: le.Uint64(b), At: time.Duration(le.Uint64(b[8:])), ID: le.Uint64(b[16:]), Slot: le.Uint32(b[24:]),
-		Kind: EntryKind(b[28]), Reason: Reason(b[29]), Front: Frontend(b[30]), Handler: le.Uint16(b[32:]),
+	*e = Entry{
+		Seq:     le.Uint64(b[offsetSeq:]),
+		At:      time.Duration(le.Uint64(b[offsetAt:])),
+		ID:      le.Uint64(b[offsetID:]),
+		Slot:    le.Uint32(b[offsetSlot:]),
+		Kind:    EntryKind(b[offsetKind]),
+		Reason:  Reason(b[offsetReason]),
+		Front:   Frontend(b[offsetFrontend]),
+		Handler: le.Uint16(b[offsetHandler:]),
 	}
-	o.Customer.length = min(b[31], maxNameLength)
-	copy(o.Customer.bytes[:], b[34:58])
-	return o.Seq > 0
+	e.Customer.length = min(b[offsetNameLength], maxNameLength)
+	copy(e.Customer.bytes[:], b[offsetName:offsetPadding])
+	return e.Seq > 0
 }
--- a/accounting/incarnation.go
+++ b/accounting/incarnation.go
@@ -3,28 +3,37 @@
 import "time"
 
 const (
-	maxIncarnations = 64   // lives told one by one; earlier ones are summed
-	maxUncertainIDs = 1024 // ids in doubt that are listed of a life; more are counted
+	maxIncarnations = 64   // incarnations that are kept one by one; earlier ones are summed
+	maxUncertainIDs = 1024 // ids of uncertain delivery that are kept of an incarnation; more are only counted
 )
 
-// Ending tells how a life ended.
+// bootTolerance is how far the time of one boot may seem to move: it is derived from a clock that is adjusted at times.
+const bootTolerance = time.Minute
+
+// Ending tells how an incarnation ended. The numbers are stored.
 type Ending uint8
 
-// The endings. The numbers stand in files.
+// The endings.
 const (
-	Running  Ending = iota // or nothing is known of its end yet
-	Exited                 // by itself, and said so
-	Killed                 // without a word
-	Rebooted               // without a word, and the machine has started since: what was not on the disk is lost
+	Running  Ending = iota // it runs, or nothing is known of its end yet
+	Exited                 // it exited in order and recorded that
+	Killed                 // it ended without recording it
+	Rebooted               // the same, and the machine has restarted since: what was not on disk is lost
 )
 
-// String is the ending's word.
-func (e Ending) String() string {
-	return [...]string{"runs", "left", "killed", "rebooted"}[min(e, Rebooted)]
+// endingNames are the words of the endings in reports.
+var endingNames = [...]string{
+	Running:  "runs",
+	Exited:   "left",
+	Killed:   "killed",
+	Rebooted: "rebooted",
 }
 
+// String returns the ending's word.
+func (e Ending) String() string { return endingNames[min(e, Rebooted)] }
+
 // Incarnation is one process of a node: its number, when it ran, how it ended, and what became of the requests it
-// received. Times are spans since the start of 1970. The JSON keys are read by scripts: they stay as they are.
+// received. The JSON keys are read by scripts: they stay as they are.
 type Incarnation struct {
 	Counts
 	Number       uint64        `json:"Number"`
@@ -33,81 +42,102 @@
 	LastEntry    time.Duration `json:"Last"`
 	Ending       Ending        `json:"Ending"`
 	Uncertain    int64         `json:"Doubted"` // requests whose response may have been delivered or not
-	UncertainIDs []uint64      `json:"Doubt"`   // the ids of the first uncertainMax of them
+	UncertainIDs []uint64      `json:"Doubt"`   // the ids of the first maxUncertainIDs of them
 }
 
-type incarnationList struct {
-	list         []Incarnation
-	earlier      Counts // of those no longer told one by one
-	earlierCount uint64 // how many those are
+// Rebooted reports whether the machine, which started at boot, has restarted since the incarnation ran.
+func (i *Incarnation) Rebooted(boot time.Duration) bool {
+	return (boot - i.Boot).Abs() > bootTolerance
 }
 
-// current is the figures of the present life.
-func (l *incarnationList) current() *Counts {
-	if len(l.list) == 0 {
-		l.list = append(l.list, Incarnation{Number: l.earlierCount + 1})
+// addUncertain notes a request whose response may have been delivered or not.
+func (i *Incarnation) addUncertain(id uint64) {
+	i.Uncertain++
+	if len(i.UncertainIDs) < maxUncertainIDs {
+		i.UncertainIDs = append(i.UncertainIDs, id)
 	}
-	return &l.list[len(l.list)-1].Counts
 }
 
-func (l *incarnationList) touch(at time.Duration) {
-	l.current()
-	l.list[len(l.list)-1].LastEntry = at
+// incarnationList holds the latest incarnations and the sum of all earlier ones.
+type incarnationList struct {
+	list         []Incarnation // in order, the present one last
+	earlier      Counts        // of those before the list
+	earlierCount uint64        // how many those are
 }
 
-// Incarnations are those told one by one, the present one last, and the figures and number of all earlier ones.
-func (b *Ledger) Incarnations() (list []Incarnation, earlier Counts, before uint64) {
-	return b.incarnations.list, b.incarnations.earlier, b.incarnations.earlierCount
+// last returns the last incarnation, nil if there is none.
+func (il *incarnationList) last() *Incarnation {
+	if len(il.list) == 0 {
+		return nil
+	}
+	return &il.list[len(il.list)-1]
 }
 
-// StartIncarnation opens a new life. What the last one left open stays on its account: as in doubt where its answer was being handed
-// over, else as cut.
-func (b *Ledger) StartIncarnation(at, boot time.Duration) {
-	l := &b.incarnations
-	if n := len(l.list); n > 0 && l.list[n-1].Ending == Running {
-		how := Killed
-		if l.list[n-1].Rebooted(boot) {
-			how = Rebooted
-		}
-		b.CloseAll(OpenAtKill, how)
+// current returns the present incarnation, and makes one if there is none.
+func (il *incarnationList) current() *Incarnation {
+	if len(il.list) == 0 {
+		il.list = append(il.list, Incarnation{Number: il.earlierCount + 1})
 	}
-	number := l.earlierCount + uint64(len(l.list)) + 1
-	if len(l.list) >= maxIncarnations {
-		l.earlier = l.earlier.Plus(l.list[0].Counts)
-		l.earlierCount++
-		l.list = append(l.list[:0], l.list[1:]...)
+	return il.last()
+}
+
+// running reports whether the last incarnation has not been ended.
+func (il *incarnationList) running() bool {
+	last := il.last()
+	return last != nil && last.Ending == Running
+}
+
+// add appends a new incarnation. The oldest one makes room for it if necessary.
+func (il *incarnationList) add(at, boot time.Duration) {
+	number := il.earlierCount + uint64(len(il.list)) + 1
+	if len(il.list) >= maxIncarnations {
+		il.earlier = il.earlier.Plus(il.list[0].Counts)
+		il.earlierCount++
+		il.list = append(il.list[:0], il.list[1:]...)
 	}
-	l.list = append(l.list, Incarnation{Number: number, Boot: boot, Started: at, LastEntry: at})
+	il.list = append(il.list, Incarnation{Number: number, Boot: boot, Started: at, LastEntry: at})
 }
 
-// bootTolerance is how far the time of one boot may seem to move: it is worked out from a clock that is set at times.
-const bootTolerance = time.Minute
+// Incarnations returns the latest incarnations, the present one last, the sum of the counts of all earlier ones, and how
+// many those are. The list belongs to the ledger.
+func (l *Ledger) Incarnations() (list []Incarnation, earlier Counts, before uint64) {
+	return l.incarnations.list, l.incarnations.earlier, l.incarnations.earlierCount
+}
 
-// Rebooted tells whether the machine, which started at boot, has done so since the life.
-func (l *Incarnation) Rebooted(boot time.Duration) bool {
-	apart := boot - l.Boot
-	return apart > bootTolerance || apart < -bootTolerance
+// StartIncarnation begins a new incarnation at the given time, on a machine that started at boot. What the last one left
+// open is closed on its account first.
+func (l *Ledger) StartIncarnation(at, boot time.Duration) {
+	if l.incarnations.running() {
+		ending := Killed
+		if l.incarnations.last().Rebooted(boot) {
+			ending = Rebooted
+		}
+		l.CloseAll(OpenAtKill, ending)
+	}
+	l.incarnations.add(at, boot)
 }
 
-// CloseAll closes all that is open, at the end of a life.
-func (b *Ledger) CloseAll(why Reason, how Ending) {
-	b.incarnations.current()
-	life := &b.incarnations.list[len(b.incarnations.list)-1]
-	for slot := range b.requests {
-		e := &b.requests[slot]
-		reason := why
-		switch {
-		case e.state == slotFree:
+// CloseAll ends the present incarnation: it closes all open requests, those whose response was being handed over as
+// DeliveryUnknown, the others for the given reason.
+func (l *Ledger) CloseAll(reason Reason, ending Ending) {
+	incarnation := l.incarnations.current()
+	for slot := range l.requests {
+		request := &l.requests[slot]
+		if request.state == slotFree {
 			continue
-		case e.state == answered && b.flushing:
-			reason = DeliveryUnknown
-			life.Uncertain++
-			if len(life.UncertainIDs) < maxUncertainIDs {
-				life.UncertainIDs = append(life.UncertainIDs, e.id)
-			}
 		}
-		b.commit(Entry{Kind: EntryClose, At: life.LastEntry, Slot: uint32(slot), Reason: reason})
+		entry := Entry{
+			Kind:   EntryClose,
+			At:     incarnation.LastEntry,
+			Slot:   uint32(slot),
+			Reason: reason,
+		}
+		if l.beingDelivered(request) {
+			entry.Reason = DeliveryUnknown
+			incarnation.addUncertain(request.id)
+		}
+		l.commit(entry)
 	}
-	b.Flush(life.LastEntry, false)
-	life.Ending = how
+	l.Flush(incarnation.LastEntry, false)
+	incarnation.Ending = ending
 }
--- a/accounting/ledger.go
+++ b/accounting/ledger.go
@@ -1,323 +1,151 @@
+// Package accounting is the ledger of all requests of a node. Every request that is received is in exactly one place: open,
+// or closed into one of the categories served, rejected or failed, with a reason. The counts by handler, front end, reason,
+// customer, period and process always add up to the total, and the ledger checks by itself that they do.
+//
+// A Ledger is a deterministic state machine without I/O, clock or goroutine. All its changes are entries: the same entries
+// in the same order lead to the same ledger, and a ledger can be restored from a snapshot and the entries that followed it.
+// Package statsfile stores both so that the ledger outlives the process.
+//
+// All times of the package are times of day by the node's clock, as spans since the start of 1970.
 package accounting
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
 )
 
+// Limits of a configuration.
 const (
-	maxHandlerRows  = 64        // rows of handlers, those of earlier lives included: more than any service has
-	maxOpenSlots    = 1 << 20   // places of open reqs: far beyond what a box can hold
-	maxCustomers    = 1024      // customers told apart: each newcomer may look at all
-	maxPeriods      = 1 << 14   // periods kept: eleven days of minutes
+	maxHandlerRows  = 64        // handlers, those of earlier processes included: more than any service has
+	maxCustomers    = 1024      // customers counted by name: a new one may have to be compared with all of them
+	maxPeriods      = 1 << 14   // closed periods that are kept: eleven days of minutes
 	maxPeriodLength = time.Hour // of a period
-	trailLength     = 16        // last ops shown with a difference
-	maxUnreported   = 16        // differences that wait to be read: more are only counted
-	unknownHandler  = "-"       // the row of reqs that named none that is known
-	formerHandlers  = "(former)"
-	otherCustomers  = "(others)"
-)
-
-// Config is what a book is made for.
-type Config struct {
-	Handlers     []string      // names, each once
-	MaxCustomers int           // told apart by name, the others in one; 0 none
-	MaxPeriods   int           // kept; 0 none
-	PeriodLength time.Duration // of a period; a minute if zero
-}
+	minPeriodLength = time.Second
 
-// Ticket is the right to close one req. The zero Ticket is none.
-type Ticket struct{ slot, generation uint32 }
-
-// Valid tells whether there is a req to it, open or not.
-func (t Ticket) Valid() bool { return t.generation != 0 }
-
-type requestState uint8
+	defaultPeriodLength = time.Minute
+)
 
+// Names of rows that stand for more than one handler. They are stored.
 const (
-	slotFree requestState = iota
-	awaitingAnswer
-	answered // its final answer is written
+	unknownHandler = "-"        // requests that named no handler, or one that is not configured; always number 0
+	formerHandlers = "(former)" // handlers of earlier processes for which there is no row left
+	reservedRows   = 2          // those two
 )
 
-// openRequest is the place of one open req.
-type openRequest struct {
-	id         uint64
-	openedAt   time.Duration
-	generation uint32
-	comparison uint32 // by the last comparison
-	handler    uint16
-	customer   uint16
-	frontend   Frontend
-	reason     Reason // answering: of its answer
-	state      requestState
+// Config is what a ledger is made for.
+type Config struct {
+	Handlers     []string      // names of the configured handlers, each once
+	MaxCustomers int           // customers that are counted by name, the others together; 0 means none
+	MaxPeriods   int           // closed periods that are kept; 0 means none
+	PeriodLength time.Duration // length of a period, a minute if 0
 }
 
-// Ledger is the accounts of one box. Make it with New, or Restore.
+// validate reports a configuration that is beyond the limits of a ledger.
+func (c *Config) validate() error {
+	switch {
+	case len(c.Handlers) > maxHandlerRows-reservedRows:
+		return fmt.Errorf("%d handlers are too many for the figures, %d at most",
+			len(c.Handlers), maxHandlerRows-reservedRows)
+	case c.MaxCustomers < 0 || c.MaxCustomers > maxCustomers:
+		return fmt.Errorf("%d customers are too many for the figures, %d at most", c.MaxCustomers, maxCustomers)
+	case c.MaxPeriods < 0 || c.MaxPeriods > maxPeriods:
+		return fmt.Errorf("%d periods are too many for the figures, %d at most", c.MaxPeriods, maxPeriods)
+	case c.PeriodLength < minPeriodLength || c.PeriodLength > maxPeriodLength:
+		return fmt.Errorf("a period of %s: it has 1s to %s", c.PeriodLength, maxPeriodLength)
+	}
+	return nil
+}
+
+// Ledger holds the accounts of one node. It is made by New, Restore or Restart, and is not safe for concurrent use: all
+// methods belong to the goroutine that owns the node's state.
 type Ledger struct {
 	cfg        Config
-	handlers   []string
-	cells      []int64  // by handler, front and reason; of None: taken
-	rows       []Counts // by handler and front
+	handlers   []string // names by number
+	cells      []int64  // requests by handler, front end and reason, see cellIndex
+	rows       []Counts // by handler and front end, see rowIndex
 	total      Counts
-	mismatches int64
+	mismatches int64 // recorded in all processes
 
-	requests      []openRequest
+	requests      []openRequest // by slot
 	freeSlots     []uint32
-	answeredCount int
-	flushing      bool
+	answeredCount int  // requests in state answered
+	flushing      bool // responses that are written are being handed to the operating system
 
 	customers    customerTable
 	periods      periodRing
 	incarnations incarnationList
 
-	seq        uint64
-	recording  bool
-	pending    []Entry // since the last Drain
-	trail      [trailLength]Entry
-	unreported []Mismatch
-	knownGaps  map[string]int64 // differences that were told
-	comparison uint32           // of comparisons
+	seq       uint64 // of the last entry
+	recording bool
+	pending   []Entry // entries since the last TakeEntries
+	trail     [trailLength]Entry
+
+	comparison uint32           // number of the last comparison by Compare
+	unreported []Mismatch       // since the last TakeMismatches
+	knownGaps  map[string]int64 // last gap that was recorded, by what was compared
 }
 
-// New returns an empty book.
+// New returns an empty ledger. It fails if the configuration is beyond the package's limits.
 func New(cfg Config) (*Ledger, error) {
 	if cfg.PeriodLength == 0 {
-		cfg.PeriodLength = time.Minute
+		cfg.PeriodLength = defaultPeriodLength
 	}
-	switch {
-	case len(cfg.Handlers) > maxHandlerRows-2:
-		return nil, fmt.Errorf("%d handlers are too many for the figures, %d at most", len(cfg.Handlers), maxHandlerRows-2)
-	case cfg.MaxCustomers < 0 || cfg.MaxCustomers > maxCustomers:
-		return nil, fmt.Errorf("%d customers are too many for the figures, %d at most", cfg.MaxCustomers, maxCustomers)
-	case cfg.MaxPeriods < 0 || cfg.MaxPeriods > maxPeriods:
-		return nil, fmt.Errorf("%d periods are too many for the figures, %d at most", cfg.MaxPeriods, maxPeriods)
-	case cfg.PeriodLength < time.Second || cfg.PeriodLength > maxPeriodLength:
-		return nil, fmt.Errorf("a period of %s: it has 1s to %s", cfg.PeriodLength, maxPeriodLength)
+	if err := cfg.validate(); err != nil {
+		return nil, err
 	}
-	b := &Ledger{cfg: cfg, handlers: append([]string{unknownHandler}, cfg.Handlers...), knownGaps: map[string]int64{}}
-	b.allocateRows()
-	b.customers.init(cfg.MaxCustomers)
-	b.periods.init(cfg, len(b.cells))
-	return b, nil
-}
-
-func (b *Ledger) allocateRows() {
-	b.cells = make([]int64, len(b.handlers)*frontendCount*reasonCount)
-	b.rows = make([]Counts, len(b.handlers)*frontendCount)
-}
-
-func rowIndex(handler uint16, front Frontend) int { return int(handler)*frontendCount + int(front) }
-
-// RecordEntries has the book keep its ops until they are drained: something records them.
-func (b *Ledger) RecordEntries(keep bool) {
-	b.recording = keep
-	if !keep {
-		b.pending = nil
+	l := &Ledger{
+		cfg:       cfg,
+		handlers:  append([]string{unknownHandler}, cfg.Handlers...),
+		knownGaps: map[string]int64{},
+		customers: newCustomerTable(cfg.MaxCustomers),
 	}
+	l.allocateRows()
+	return l, nil
 }
 
-// TakeEntries hands the ops since the last one to f and forgets them.
-func (b *Ledger) TakeEntries(f func(ops []Entry)) {
-	if len(b.pending) > 0 {
-		f(b.pending)
-		b.pending = b.pending[:0]
-	}
+// allocateRows makes empty counts for the ledger's handlers.
+func (l *Ledger) allocateRows() {
+	l.cells = make([]int64, len(l.handlers)*frontendCount*reasonCount)
+	l.rows = make([]Counts, len(l.handlers)*frontendCount)
+	l.periods = newPeriodRing(l.cfg, len(l.cells))
 }
 
-// HasPendingEntries tells whether there are ops since the last Drain.
-func (b *Ledger) HasPendingEntries() bool { return len(b.pending) > 0 }
-
-// RequeueEntries has the next Drain hand over ops that were drained and not recorded.
-func (b *Ledger) RequeueEntries(ops []Entry) { b.pending = append(slices.Clone(ops), b.pending...) }
-
-// Seq is the number of the last op.
-func (b *Ledger) Seq() uint64 { return b.seq }
-
-// Handler is the number of a handler's row, that of no handler if there is none of that name.
-func (b *Ledger) Handler(name string) uint16 { return uint16(max(0, slices.Index(b.handlers, name))) }
-
-// Total has the five figures of all.
-func (b *Ledger) Total() Counts { return b.total }
-
-// Mismatches is how often figures were found that do not add up.
-func (b *Ledger) Mismatches() int64 { return b.mismatches }
-
-// Open takes a req; at is the time of day.
-func (b *Ledger) Open(at time.Duration, id uint64, handler uint16, front Frontend, customer CustomerName) Ticket {
-	slot := uint32(len(b.requests))
-	if n := len(b.freeSlots); n > 0 {
-		slot = b.freeSlots[n-1]
-		b.freeSlots = b.freeSlots[:n-1]
-	}
-	b.commit(Entry{Kind: EntryOpen, At: at, ID: id, Slot: slot, Handler: handler, Front: front, Customer: customer})
-	return Ticket{slot, b.requests[slot].generation}
-}
-
-// Answer says that the final answer is written, for that reason.
-func (b *Ledger) Answer(at time.Duration, t Ticket, why Reason) bool {
-	return b.transition(at, t, EntryAnswer, why, awaitingAnswer)
-}
-
-// Sent says that the last byte of an answer was handed to the system: the req is closed.
-func (b *Ledger) Sent(at time.Duration, t Ticket) bool {
-	return b.transition(at, t, EntrySent, None, answered)
-}
-
-// Close closes a req whose answer was not handed over, or that got none.
-func (b *Ledger) Close(at time.Duration, t Ticket, why Reason) bool {
-	return b.transition(at, t, EntryClose, why, slotFree)
+// Handler returns the number of the handler of that name. Unknown names share one number.
+func (l *Ledger) Handler(name string) uint16 {
+	return uint16(max(0, slices.Index(l.handlers, name)))
 }
 
-// transition makes an op of an open req. One that is not open, or not in that state, is a difference and changes nothing.
-func (b *Ledger) transition(at time.Duration, t Ticket, kind EntryKind, why Reason, from requestState) bool {
-	if !t.Valid() || int(t.slot) >= len(b.requests) {
-		b.recordMismatch(at, "a move of a req that was never taken", int64(kind), 0)
-		return false
-	}
-	e := &b.requests[t.slot]
-	if e.generation != t.generation || e.state == slotFree || from != slotFree && e.state != from || kind != EntrySent && why.Category() == 0 {
-		b.recordMismatch(at, "a move that is not allowed: "+kind.String()+" for reason "+why.String(), int64(t.slot), int64(e.state))
-		return false
-	}
-	b.commit(Entry{Kind: kind, At: at, Slot: t.slot, Reason: why})
-	return true
-}
+// Total returns the counts of all requests.
+func (l *Ledger) Total() Counts { return l.total }
 
-// String is the op's word.
-func (k EntryKind) String() string {
-	if int(k) < len(entryKindNames) {
-		return entryKindNames[k]
-	}
-	return "none"
-}
+// Mismatches returns how often counts were found that do not add up, in all processes that the ledger knows.
+func (l *Ledger) Mismatches() int64 { return l.mismatches }
 
-var entryKindNames = [...]string{"none", "open", "answer", "sent", "close", "flush", "differ"}
+// Seq returns the sequence number of the last entry.
+func (l *Ledger) Seq() uint64 { return l.seq }
 
-// Flush says that answers are being handed to the system from now on, or that what was is done. It costs an op only
-// where peers have left some: an answer that is written is taken for on its way until then.
-func (b *Ledger) Flush(at time.Duration, begins bool) {
-	if begins == b.flushing || b.answeredCount == 0 {
-		return
-	}
-	op := Entry{Kind: EntryFlush, At: at}
-	if begins {
-		op.Slot = 1
-	}
-	b.commit(op)
-}
-
-func (b *Ledger) commit(op Entry) {
-	op.Seq = b.seq + 1
-	if err := b.Apply(op); err != nil { // its maker looked: none of these happen
-		b.recordMismatch(op.At, err.Error(), int64(op.Kind), int64(op.Slot))
-		return
-	}
-	if b.recording {
-		b.pending = append(b.pending, op)
+// RecordEntries sets whether the ledger retains its entries until they are taken. Turning it off drops those it retains.
+func (l *Ledger) RecordEntries(keep bool) {
+	l.recording = keep
+	if !keep {
+		l.pending = nil
 	}
 }
 
-// Errors of ops that can't follow.
-var (
-	ErrEntryOrder   = errors.New("an op out of its order")
-	ErrInvalidEntry = errors.New("an op that does not fit the book")
-)
-
-// Apply follows one op. It is how all changes are made, and how a book is had again from what was recorded.
-func (b *Ledger) Apply(op Entry) error {
-	if op.Seq != b.seq+1 {
-		return ErrEntryOrder
-	}
-	var e *openRequest
-	if op.Kind >= EntryAnswer && op.Kind <= EntryClose {
-		if int(op.Slot) >= len(b.requests) || b.requests[op.Slot].state == slotFree {
-			return ErrInvalidEntry
-		}
-		e = &b.requests[op.Slot]
+// TakeEntries passes the entries since the last call to f, which must not retain them, and forgets them. It does not call
+// f if there are none.
+func (l *Ledger) TakeEntries(f func(entries []Entry)) {
+	if len(l.pending) > 0 {
+		f(l.pending)
+		l.pending = l.pending[:0]
 	}
-	switch op.Kind {
-	case EntryOpen:
-		if int(op.Handler) >= len(b.handlers) || op.Front >= frontendCount || op.Slot >= maxOpenSlots {
-			return ErrInvalidEntry
-		}
-		for int(op.Slot) >= len(b.requests) {
-			b.requests = append(b.requests, openRequest{})
-		}
-		if e = &b.requests[op.Slot]; e.state != slotFree {
-			return ErrInvalidEntry
-		}
-	case EntryAnswer:
-		if e.state != awaitingAnswer || op.Reason.Category() == 0 {
-			return ErrInvalidEntry
-		}
-	case EntrySent:
-		if e.state != answered {
-			return ErrInvalidEntry
-		}
-	case EntryClose:
-		if op.Reason.Category() == 0 {
-			return ErrInvalidEntry
-		}
-	case EntryFlush, EntryMismatch:
-	default:
-		return ErrInvalidEntry
-	}
-	b.seq = op.Seq
-	b.trail[op.Seq%trailLength] = op
-	b.periods.advance(op.At)
-	b.incarnations.touch(op.At)
-	switch op.Kind {
-	case EntryOpen:
-		*e = openRequest{
-			id: op.ID, openedAt: op.At, generation: max(1, e.generation+1), handler: op.Handler, frontend: op.Front,
-			customer: b.customers.find(op.Customer), state: awaitingAnswer,
-		}
-		b.countOpened(e)
-	case EntryAnswer:
-		e.state, e.reason = answered, op.Reason
-		b.answeredCount++
-		b.flushing = true
-	case EntrySent:
-		b.closeSlot(op.Slot, e.reason, op.At)
-	case EntryClose:
-		b.closeSlot(op.Slot, op.Reason, op.At)
-	case EntryFlush:
-		b.flushing = op.Slot == 1
-	case EntryMismatch:
-		b.mismatches++
-	}
-	return nil
 }
 
-func (b *Ledger) countOpened(e *openRequest) {
-	r := rowIndex(e.handler, e.frontend)
-	b.cells[r*reasonCount]++
-	b.periods.add(r*reasonCount, 1)
-	b.total.addOpened()
-	b.rows[r].addOpened()
-	b.customers.list[e.customer].addOpened()
-	b.incarnations.current().addOpened()
-}
+// HasPendingEntries reports whether there are entries since the last TakeEntries.
+func (l *Ledger) HasPendingEntries() bool { return len(l.pending) > 0 }
 
-func (b *Ledger) closeSlot(slot uint32, why Reason, at time.Duration) {
-	e := &b.requests[slot]
-	if e.state == answered {
-		b.answeredCount--
-	}
-	e.state = slotFree
-	b.freeSlots = append(b.freeSlots, slot)
-	r := rowIndex(e.handler, e.frontend)
-	b.cells[r*reasonCount+int(why)]++
-	b.periods.add(r*reasonCount+int(why), 1)
-	b.total.addClosed(why)
-	b.rows[r].addClosed(why)
-	c := &b.customers.list[e.customer]
-	c.addClosed(why)
-	b.incarnations.current().addClosed(why)
-	if b.total.Received != b.total.Sum() || b.rows[r].Received != b.rows[r].Sum() || c.Received != c.Sum() {
-		b.auditTotals(at)
-	}
+// RequeueEntries puts back entries that were taken and not stored: the next TakeEntries passes them first.
+func (l *Ledger) RequeueEntries(entries []Entry) {
+	l.pending = append(slices.Clone(entries), l.pending...)
 }
--- a/accounting/ledger_test.go
+++ b/accounting/ledger_test.go
@@ -1,7 +1,6 @@
 package accounting
 
 import (
-	"bytes"
 	"fmt"
 	"frosthub/internal/golden"
 	"slices"
@@ -9,316 +8,197 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-	"pgregory.net/rapid"
 )
 
 func init() { golden.SameDraws() }
 
-var testConfig = Config{Handlers: []string{"status", "file-claim"}, MaxCustomers: 3, MaxPeriods: 4, PeriodLength: time.Second}
+var testConfig = Config{
+	Handlers:     []string{"status", "file-claim"},
+	MaxCustomers: 3,
+	MaxPeriods:   4,
+	PeriodLength: time.Second,
+}
 
+// newLedger returns a ledger with a first incarnation that records its entries.
 func newLedger(t testing.TB, cfg Config) *Ledger {
 	t.Helper()
-	b, err := New(cfg)
+	ledger, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.StartIncarnation(time.Hour, time.Minute)
-	b.RecordEntries(true)
-	return b
-}
-
-// restoreCopy has a book from a snapshot.
-func restoreCopy(b *Ledger) (*Ledger, error) {
-	return Restore(b.AppendSnapshot(nil), func(n uint64) []byte { return b.PeriodData(n) })
-}
-
-// model is the plainest account that there can be: what became of each req.
-type model struct {
-	ids     map[Ticket]uint64
-	answer  map[Ticket]Reason
-	cells   map[string]int64
-	figures Counts
+	ledger.StartIncarnation(time.Hour, time.Minute)
+	ledger.RecordEntries(true)
+	return ledger
 }
 
-func (m *model) key(h uint16, f Frontend, why Reason) string {
-	return fmt.Sprintf("%d %d %d", h, f, why)
+// restoreCopy returns a ledger that is restored from a snapshot of the given one.
+func restoreCopy(ledger *Ledger) (*Ledger, error) {
+	return Restore(ledger.AppendSnapshot(nil), ledger.PeriodData)
 }
 
-// TestAgainstModel: after any calls in any order, also such as are not allowed, the book has the figures of the plain
-// model, finds nothing wrong but what was not allowed, and is had again from a snapshot and the ops that followed it.
-func TestAgainstModel(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		b, err := New(testConfig)
-		if err != nil {
-			t.Fatal(err)
-		}
-		at := 1000 * time.Hour
-		b.StartIncarnation(at, time.Minute)
-		b.RecordEntries(true)
-		m := model{ids: map[Ticket]uint64{}, answer: map[Ticket]Reason{}, cells: map[string]int64{}}
-		of := map[Ticket][2]uint16{}
-		var open, ended []Ticket
-		snapshot, since := b.AppendSnapshot(nil), []Entry(nil)
-		periods := map[uint64][]byte{}
-		wrong := int64(0)
-		closed := func(k Ticket, why Reason) {
-			m.figures.addClosed(why)
-			m.cells[m.key(of[k][0], Frontend(of[k][1]), why)]++
-			open = slices.DeleteFunc(open, func(o Ticket) bool { return o == k })
-			ended = append(ended, k)
-		}
-		reason := rapid.SampledFrom([]Reason{Completed, Shed, Expired, BadFields, Aborted, ConnectionLost, RunFailed})
-		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			at += time.Duration(rapid.IntRange(-2500, 2600).Draw(t, "ms")) * time.Millisecond / 2
-			switch step := rapid.IntRange(0, 9).Draw(t, "step"); {
-			case step < 4 || len(open) == 0 && step < 8:
-				id, h := rapid.Uint64().Draw(t, "id"), uint16(rapid.IntRange(0, 2).Draw(t, "handler"))
-				f := Frontend(rapid.IntRange(0, frontendCount-1).Draw(t, "front"))
-				k := b.Open(at, id, h, f, NewCustomerName([]byte(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", ""}).Draw(t, "who"))))
-				m.ids[k], of[k] = id, [2]uint16{h, uint16(f)}
-				m.figures.addOpened()
-				m.cells[m.key(h, f, None)]++
-				open = append(open, k)
-			case step < 6:
-				k := rapid.SampledFrom(open).Draw(t, "req")
-				why := reason.Draw(t, "why")
-				if _, twice := m.answer[k]; b.Answer(at, k, why) == twice {
-					t.Fatal("an answer is taken once")
-				} else if twice {
-					wrong++
-				} else {
-					m.answer[k] = why
-				}
-			case step < 7:
-				k := rapid.SampledFrom(open).Draw(t, "req")
-				why, ok := m.answer[k]
-				if b.Sent(at, k) != ok {
-					t.Fatal("what is sent was answered before")
-				} else if ok {
-					closed(k, why)
-				} else {
-					wrong++
-				}
-			case step < 8:
-				k, why := rapid.SampledFrom(open).Draw(t, "req"), reason.Draw(t, "why")
-				if !b.Close(at, k, why) {
-					t.Fatal("an open req can be closed")
-				}
-				closed(k, why)
-			case step < 9 && len(ended) > 0:
-				if b.Close(at, rapid.SampledFrom(ended).Draw(t, "req"), Aborted) {
-					t.Fatal("closed twice")
-				}
-				wrong++
-			default:
-				b.Flush(at, rapid.Bool().Draw(t, "begins"))
-			}
-			b.TakeEntries(func(ops []Entry) { since = append(since, ops...) })
-			if rapid.IntRange(0, 30).Draw(t, "snapshot") == 0 {
-				snapshot, since = b.AppendSnapshot(nil), nil
-				first, next := b.Periods()
-				for ; first < next; first++ {
-					periods[first] = bytes.Clone(b.PeriodData(first))
-				}
+// TestMismatches checks that counts which were corrupted are found, recorded once with both sides, and counted.
+func TestMismatches(t *testing.T) {
+	for name, corruptCounts := range map[string]func(l *Ledger){
+		"total":       func(l *Ledger) { l.total.Received++ },
+		"row":         func(l *Ledger) { l.rows[rowIndex(1, FastCGI)].Served++ },
+		"cell":        func(l *Ledger) { l.cells[cellIndex(rowIndex(1, FastCGI), Shed)]++ },
+		"customer":    func(l *Ledger) { l.customers.rows[1].Failed-- },
+		"incarnation": func(l *Ledger) { l.incarnations.list[0].Rejected++ },
+		"period":      func(l *Ledger) { l.periods.retained[3]++ },
+		"slot":        func(l *Ledger) { l.freeSlots = append(l.freeSlots, 7) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			ledger := newLedger(t, testConfig)
+			ticket := ledger.Open(time.Hour, 7, ledger.Handler("status"), FastCGI, NewCustomerName([]byte("a")))
+			ledger.Audit(time.Hour)
+			if ledger.Mismatches() != 0 {
+				t.Fatal("mismatches in a correct ledger:", ledger.TakeMismatches())
 			}
-		}
-		b.Audit(at)
-		b.Compare(at, func(have func(Ticket, uint64)) {
-			for _, k := range open {
-				have(k, m.ids[k])
+			corruptCounts(ledger)
+			ledger.Audit(time.Hour)
+			recorded := ledger.Mismatches()
+			found := ledger.TakeMismatches()
+			if recorded == 0 || len(found) == 0 || found[0].Left == found[0].Right || found[0].Trail != "1:open(0,0000000000000007)" {
+				t.Error("not found:", recorded, found)
 			}
-		})
-		told := int64(len(b.knownGaps))
-		if b.Total() != m.figures || b.Mismatches() > wrong || wrong > 0 && told == 0 {
-			t.Fatalf("%+v, not %+v; %d differences, %d not allowed: %v", b.Total(), m.figures, b.Mismatches(), wrong, b.knownGaps)
-		}
-		for i, n := range b.cells {
-			if k := m.key(uint16(i/reasonCount/frontendCount), Frontend(i/reasonCount%frontendCount), Reason(i%reasonCount)); n != m.cells[k] {
-				t.Fatalf("cell %s: %d, not %d", k, n, m.cells[k])
+			ledger.Audit(time.Hour)
+			if ledger.Mismatches() != recorded {
+				t.Error("recorded again")
 			}
-		}
-		c, err := Restore(snapshot, func(n uint64) []byte { return periods[n] })
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, op := range since {
-			if err := c.Apply(op); err != nil {
-				t.Fatal(op, err)
+			ledger.Close(time.Hour, ticket, Aborted)
+			ledger.Compare(time.Hour, func(isOpen func(Ticket, uint64)) { isOpen(ticket, 7) })
+			found = ledger.TakeMismatches()
+			if len(found) == 0 || found[len(found)-1].What != "requests open in the ledger and in the node" {
+				t.Error("a request that is open in the node alone:", found)
 			}
-		}
-		c.EndReplay()
-		if diff := cmp.Diff(b.AppendSnapshot(nil), c.AppendSnapshot(nil)); diff != "" {
-			t.Fatal("not the same book from its snapshot and ops: ", diff)
-		}
-		if _, err := restoreCopy(c); err != nil {
-			t.Fatal(err)
-		}
-		n, err := c.Restart(Config{Handlers: []string{"file-claim", "new"}, MaxCustomers: 2, MaxPeriods: 3, PeriodLength: 2 * time.Second},
-			at, time.Minute)
-		if err != nil {
-			t.Fatal(err)
-		}
-		n.Audit(at)
-		if f := n.Total(); f.Open != 0 || f.Received != m.figures.Received || f.Served != m.figures.Served || f.Received != f.Sum() ||
-			len(n.TakeMismatches()) > 0 {
-			t.Fatalf("a new life: %+v of %+v, %v", f, m.figures, n.knownGaps)
-		}
-		if _, err := restoreCopy(n); err != nil {
-			t.Fatal(err)
-		}
-	})
-}
-
-// TestDifferences: figures that were spoilt are found, told with both sides, once, and counted.
-func TestDifferences(t *testing.T) {
-	for name, spoil := range map[string]func(b *Ledger){
-		"total":    func(b *Ledger) { b.total.Received++ },
-		"row":      func(b *Ledger) { b.rows[rowIndex(1, FastCGI)].Served++ },
-		"cell":     func(b *Ledger) { b.cells[rowIndex(1, FastCGI)*reasonCount+int(Shed)]++ },
-		"customer": func(b *Ledger) { b.customers.list[1].Failed-- },
-		"life":     func(b *Ledger) { b.incarnations.list[0].Rejected++ },
-		"period":   func(b *Ledger) { b.periods.retained[3]++ },
-		"place":    func(b *Ledger) { b.freeSlots = append(b.freeSlots, 7) },
-	} {
-		b := newLedger(t, testConfig)
-		k := b.Open(time.Hour, 7, b.Handler("status"), FastCGI, NewCustomerName([]byte("a")))
-		b.Audit(time.Hour)
-		if b.Mismatches() != 0 {
-			t.Fatal(name, b.TakeMismatches())
-		}
-		spoil(b)
-		b.Audit(time.Hour)
-		n := b.Mismatches()
-		found := b.TakeMismatches()
-		if n == 0 || len(found) == 0 || found[0].Left == found[0].Right || found[0].Trail != "1:open(0,0000000000000007)" {
-			t.Error(name, n, found)
-		}
-		b.Audit(time.Hour)
-		if b.Mismatches() != n {
-			t.Error(name, "told again")
-		}
-		b.Close(time.Hour, k, Aborted)
-		b.Compare(time.Hour, func(have func(Ticket, uint64)) { have(k, 7) })
-		if found = b.TakeMismatches(); len(found) == 0 || found[len(found)-1].What != "reqs open in the book and in the box" {
-			t.Error(name, found)
-		}
+		})
 	}
 }
 
-// TestPeriods: a clock that jumps opens periods with earlier or later labels, and they still add up.
+// TestPeriods checks that a clock that jumps opens periods with earlier or later starts, and that they still add up.
 func TestPeriods(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxPeriods = 5
-	b := newLedger(t, cfg)
+	ledger := newLedger(t, cfg)
 	at := 5 * time.Hour
 	for i, step := range []time.Duration{0, 500, 600, -200, -3600_000, 10, 900, 7200_000, 10, 5000} {
 		at += step * time.Millisecond
-		k := b.Open(at, uint64(i), 1, FastCGI, CustomerName{})
-		b.Answer(at, k, Completed)
-		b.Sent(at, k)
-		b.Audit(at)
+		ticket := ledger.Open(at, uint64(i), 1, FastCGI, CustomerName{})
+		ledger.Answer(at, ticket, Completed)
+		ledger.Sent(at, ticket)
+		ledger.Audit(at)
 	}
 	var got []string
-	first, next := b.Periods()
-	for ; first < next; first++ {
-		start, span, cells, err := decodePeriod(b.PeriodData(first))
-		sums := make([]int64, len(b.cells))
-		if err != nil || addCells(sums, cells) != nil {
+	first, next := ledger.Periods()
+	for number := first; number < next; number++ {
+		period, err := decodePeriod(ledger.PeriodData(number))
+		cells := make([]int64, len(ledger.cells))
+		if err != nil || addCells(cells, period.cells) != nil {
 			t.Fatal(err)
 		}
-		got = append(got, fmt.Sprint(first, ": ", start, " for ", span, ": ", sums[rowIndex(1, FastCGI)*reasonCount]))
+		received := cells[cellIndex(rowIndex(1, FastCGI), None)]
+		got = append(got, fmt.Sprint(number, ": ", period.start, " for ", period.length, ": ", received))
+	}
+	want := []string{
+		"0: 5h0m0s for 1s: 2",
+		"1: 5h0m1s for 1s: 2",
+		"2: 4h0m0s for 1s: 2",
+		"3: 4h0m1s for 1s: 1",
+		"4: 6h0m1s for 1s: 2",
 	}
-	want := []string{"0: 5h0m0s for 1s: 2", "1: 5h0m1s for 1s: 2", "2: 4h0m0s for 1s: 2", "3: 4h0m1s for 1s: 1", "4: 6h0m1s for 1s: 2"}
-	if diff := cmp.Diff(want, got); diff != "" || b.Total().Received != 10 {
-		t.Error(diff, b.Total())
+	if diff := cmp.Diff(want, got); diff != "" || ledger.Total().Received != 10 {
+		t.Error(diff, ledger.Total())
 	}
-	if len(b.TakeMismatches()) > 0 {
-		t.Error(b.knownGaps)
+	if len(ledger.TakeMismatches()) > 0 {
+		t.Error(ledger.knownGaps)
 	}
 }
 
-// TestCustomers: who comes often keeps a place although ever new ones come, and memory does not grow.
+// TestCustomers checks that a frequent customer keeps a row although there are ever new ones, and that the table does not
+// grow.
 func TestCustomers(t *testing.T) {
-	b := newLedger(t, testConfig)
-	heavy := NewCustomerName([]byte("a co-operative whose name is far too long for an op"))
+	ledger := newLedger(t, testConfig)
+	frequent := NewCustomerName([]byte("a co-operative whose name is far too long for an op"))
 	for i := range 10_000 {
 		name := NewCustomerName(fmt.Appendf(nil, "farmer-%d", i))
 		if i%3 == 0 {
-			name = heavy
+			name = frequent
 		}
-		k := b.Open(time.Hour, uint64(i), 1, FastCGI, name)
-		b.Close(time.Hour, k, Shed)
-		b.pending = b.pending[:0]
+		ticket := ledger.Open(time.Hour, uint64(i), 1, FastCGI, name)
+		ledger.Close(time.Hour, ticket, Shed)
+		ledger.pending = ledger.pending[:0]
 	}
-	b.Audit(time.Hour)
-	i := b.customers.byName[heavy]
-	if i == 0 || b.customers.list[i].Received < 3000 || len(b.customers.list) != 4 || len(b.customers.byName) != 3 {
-		t.Errorf("%v %+v", i, b.customers.list)
+	ledger.Audit(time.Hour)
+	table := &ledger.customers
+	number := table.byName[frequent]
+	if number == otherCustomersRow || table.rows[number].Received < 3000 || len(table.rows) != 4 || len(table.byName) != 3 {
+		t.Errorf("row %d of %+v", number, table.rows)
 	}
-	if len(b.TakeMismatches()) > 0 {
-		t.Error(b.knownGaps)
+	if len(ledger.TakeMismatches()) > 0 {
+		t.Error(ledger.knownGaps)
 	}
 }
 
-// TestNoAllocations: a transition costs no memory.
+// TestNoAllocations checks that the transitions of a request allocate nothing.
 func TestNoAllocations(t *testing.T) {
-	b := newLedger(t, testConfig)
-	i := uint64(0)
-	once := func() {
-		i++
-		k := b.Open(time.Hour, i, 1, FastCGI, NewCustomerName([]byte{byte(i), byte(i >> 8)}))
-		b.Answer(time.Hour, k, Completed)
-		b.Flush(time.Hour, true)
-		b.Sent(time.Hour, k)
-		b.Flush(time.Hour, false)
-		b.TakeEntries(func([]Entry) {})
+	ledger := newLedger(t, testConfig)
+	id := uint64(0)
+	request := func() {
+		id++
+		ticket := ledger.Open(time.Hour, id, 1, FastCGI, NewCustomerName([]byte{byte(id), byte(id >> 8)}))
+		ledger.Answer(time.Hour, ticket, Completed)
+		ledger.Flush(time.Hour, true)
+		ledger.Sent(time.Hour, ticket)
+		ledger.Flush(time.Hour, false)
+		ledger.TakeEntries(func([]Entry) {})
 	}
-	once()
-	if n := testing.AllocsPerRun(20_000, once); n != 0 {
+	request()
+	if n := testing.AllocsPerRun(20_000, request); n != 0 {
 		t.Error(n, "allocations for five transitions")
 	}
 }
 
-// FuzzRestore: a snapshot of any bytes is read or refused, and what is read is sound.
+// FuzzRestore checks that any bytes are restored or rejected, and that what is restored is a correct ledger.
 func FuzzRestore(f *testing.F) {
-	b := newLedger(f, testConfig)
+	ledger := newLedger(f, testConfig)
 	for i := range 12 {
-		k := b.Open(time.Hour+time.Duration(i)*time.Second, uint64(i), uint16(i%3), Frontend(i%2), NewCustomerName([]byte{byte(i)}))
+		at := time.Hour + time.Duration(i)*time.Second
+		ticket := ledger.Open(at, uint64(i), uint16(i%3), Frontend(i%2), NewCustomerName([]byte{byte(i)}))
 		if i%4 > 0 {
-			b.Answer(2*time.Hour, k, Completed)
+			ledger.Answer(2*time.Hour, ticket, Completed)
 		}
 		if i%4 > 1 {
-			b.Sent(2*time.Hour, k)
+			ledger.Sent(2*time.Hour, ticket)
 		}
 	}
-	first, _ := b.Periods()
-	f.Add(b.AppendSnapshot(nil), bytes.Clone(b.PeriodData(first)))
+	first, _ := ledger.Periods()
+	f.Add(ledger.AppendSnapshot(nil), slices.Clone(ledger.PeriodData(first)))
 	f.Fuzz(func(t *testing.T, snapshot, period []byte) {
-		b, err := Restore(snapshot, func(uint64) []byte { return period })
+		ledger, err := Restore(snapshot, func(uint64) []byte { return period })
 		if err != nil {
 			return
 		}
-		if _, err := restoreCopy(b); err != nil {
-			t.Error("what was read is not read again: ", err)
+		if _, err := restoreCopy(ledger); err != nil {
+			t.Error("what was restored can't be restored again:", err)
 		}
-		if _, err := b.Restart(testConfig, time.Hour, time.Hour); err != nil {
+		if _, err := ledger.Restart(testConfig, time.Hour, time.Hour); err != nil {
 			t.Error(err)
 		}
-		b.Audit(0)
-		if found := b.TakeMismatches(); len(found) > 0 {
+		ledger.Audit(0)
+		if found := ledger.TakeMismatches(); len(found) > 0 {
 			t.Error(found)
 		}
 	})
 }
 
 func BenchmarkTransitions(b *testing.B) {
-	book := newLedger(b, testConfig)
+	ledger := newLedger(b, testConfig)
 	name := NewCustomerName([]byte("4"))
 	b.ReportAllocs()
 	for i := range b.N {
-		k := book.Open(time.Hour, uint64(i), 1, FastCGI, name)
-		book.Answer(time.Hour, k, Completed)
-		book.Sent(time.Hour, k)
-		book.TakeEntries(func([]Entry) {})
+		ticket := ledger.Open(time.Hour, uint64(i), 1, FastCGI, name)
+		ledger.Answer(time.Hour, ticket, Completed)
+		ledger.Sent(time.Hour, ticket)
+		ledger.TakeEntries(func([]Entry) {})
 	}
 }
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -7,127 +7,166 @@
 	"time"
 )
 
-// Report is what a book says, free of it.
+// Report is what a ledger says at one moment, without a reference to it. The JSON keys of a report and its parts are read
+// by scripts: they stay as they are.
 type Report struct {
 	Total               Counts        `json:"total"`
 	Mismatches          int64         `json:"differences"`
-	Rows                []Row         `json:"rows"` // those in which anything was taken
+	Rows                []Row         `json:"rows"` // those in which a request was received
 	Customers           []Customer    `json:"customers,omitempty"`
-	Periods             []Period      `json:"periods,omitempty"` // closed ones in order, and the present one
+	Periods             []Period      `json:"periods,omitempty"` // closed ones in order, and the current one
 	Incarnations        []Incarnation `json:"lives"`
-	Earlier             Counts        `json:"earlier"` // of lives that are no longer told one by one
+	Earlier             Counts        `json:"earlier"` // of incarnations that are no longer listed
 	EarlierIncarnations uint64        `json:"before"`  // how many those are
 }
 
-// Row is the figures of a handler over a front, and the reasons behind them. In the row of a period Open is what was
-// taken and not closed in it, under zero where more was closed.
+// Row holds the counts of a handler over a front end, and the reasons behind them. In the row of a period Open is what was
+// received and not closed in that period; it is negative where more was closed.
 type Row struct {
 	Handler string           `json:"handler"`
 	Front   string           `json:"front"`
 	Figures Counts           `json:"figures"`
-	Reasons map[string]int64 `json:"reasons"`
+	Reasons map[string]int64 `json:"reasons"` // closed requests by the word of their reason
 }
 
-// Customer is the figures of a customer since there is a place for it.
+// Customer holds the counts of a customer since it has a row of its own.
 type Customer struct {
 	Name    string `json:"name"`
 	Figures Counts `json:"figures"`
 }
 
-// Period is the figures of a span of the day.
+// Period holds the counts of one period.
 type Period struct {
 	Start time.Duration `json:"start"` // since the start of 1970
 	Span  time.Duration `json:"span"`
 	Rows  []Row         `json:"rows"`
 }
 
-// Report gives what the book says, with its periods or without.
-func (b *Ledger) Report(periods bool) Report {
-	list, earlier, before := b.Incarnations()
-	out := Report{
-		Total: b.total, Mismatches: b.mismatches, Rows: b.reportRows(b.cells), Incarnations: slices.Clone(list), Earlier: earlier,
+// Report returns a report of the ledger, with its periods or without.
+func (l *Ledger) Report(periods bool) Report {
+	list, earlier, before := l.Incarnations()
+	report := Report{
+		Total:               l.total,
+		Mismatches:          l.mismatches,
+		Rows:                l.reportRows(l.cells),
+		Customers:           l.reportCustomers(),
+		Incarnations:        slices.Clone(list),
+		Earlier:             earlier,
 		EarlierIncarnations: before,
 	}
-	for _, c := range b.customers.list {
-		if c.Received != 0 {
-			out.Customers = append(out.Customers, Customer{c.name.String(), c.Counts})
-		}
+	if periods {
+		report.Periods = l.reportPeriods()
 	}
-	slices.SortStableFunc(out.Customers, func(x, y Customer) int { return cmp.Compare(y.Figures.Received, x.Figures.Received) })
-	if p := &b.periods; periods && p.capacity > 0 {
-		cells := make([]int64, len(b.cells))
-		for n := p.first; n < p.next; n++ {
-			start, span, data, err := decodePeriod(b.PeriodData(n))
-			clear(cells)
-			if err != nil || addCells(cells, data) != nil {
-				continue // proved when it was read: not reached
-			}
-			out.Periods = append(out.Periods, Period{start, span, b.reportRows(cells)})
-		}
-		if p.start != 0 {
-			out.Periods = append(out.Periods, Period{p.start, time.Duration(p.length), b.reportRows(p.current)})
+	return report
+}
+
+// reportRows returns the rows of cells in which there is any request.
+func (l *Ledger) reportRows(cells []int64) []Row {
+	var rows []Row
+	for row := range l.rows {
+		if !slices.ContainsFunc(rowCells(cells, row), func(n int64) bool { return n != 0 }) {
+			continue
 		}
+		rows = append(rows, Row{
+			Handler: l.handlers[row/frontendCount],
+			Front:   Frontend(row % frontendCount).String(),
+			Figures: sumCells(cells, row),
+			Reasons: reasonsOf(rowCells(cells, row)),
+		})
 	}
-	return out
+	return rows
 }
 
-func (b *Ledger) reportRows(cells []int64) []Row {
-	var out []Row
-	for i := range b.rows {
-		row := Row{Handler: b.handlers[i/frontendCount], Front: Frontend(i % frontendCount).String(), Reasons: map[string]int64{}}
-		any := false
-		for why, n := range cells[i*reasonCount : (i+1)*reasonCount] {
-			if n == 0 {
-				continue
-			}
-			any = true
-			if why != 0 {
-				row.Reasons[Reason(why).String()] = n
-			}
-			row.Figures.Add(Reason(why), n)
+// reasonsOf returns the numbers of closed requests by the word of their reason.
+func reasonsOf(cells []int64) map[string]int64 {
+	reasons := map[string]int64{}
+	for reason, n := range cells {
+		if n != 0 && Reason(reason) != None {
+			reasons[Reason(reason).String()] = n
 		}
-		if any {
-			row.Figures.Open = row.Figures.Received - row.Figures.Sum()
-			out = append(out, row)
+	}
+	return reasons
+}
+
+// reportCustomers returns the customers with any request, those with most requests first.
+func (l *Ledger) reportCustomers() []Customer {
+	var customers []Customer
+	for _, row := range l.customers.rows {
+		if row.Received != 0 {
+			customers = append(customers, Customer{Name: row.name.String(), Figures: row.Counts})
 		}
 	}
-	return out
+	slices.SortStableFunc(customers, func(x, y Customer) int {
+		return cmp.Compare(y.Figures.Received, x.Figures.Received)
+	})
+	return customers
 }
 
-// OpenIDs lists the ids of the open reqs: those whose answer was being handed to the system, and all others.
-func (b *Ledger) OpenIDs() (doubted, others []uint64) {
-	for i := range b.requests {
-		switch e := &b.requests[i]; {
-		case e.state == answered && b.flushing:
-			doubted = append(doubted, e.id)
-		case e.state != slotFree:
-			others = append(others, e.id)
+// reportPeriods returns the closed periods that are kept, in order, and the current one.
+func (l *Ledger) reportPeriods() []Period {
+	p := &l.periods
+	if !p.enabled() {
+		return nil
+	}
+	var periods []Period
+	cells := make([]int64, len(l.cells))
+	for number := p.first; number < p.next; number++ {
+		period, err := decodePeriod(l.PeriodData(number))
+		clear(cells)
+		if err != nil || addCells(cells, period.cells) != nil {
+			continue // it was checked when it was restored: it does not happen
 		}
+		periods = append(periods, Period{Start: period.start, Span: period.length, Rows: l.reportRows(cells)})
 	}
-	return doubted, others
+	if p.start != 0 {
+		periods = append(periods, Period{Start: p.start, Span: p.length, Rows: l.reportRows(p.current)})
+	}
+	return periods
 }
 
-// Check names the first figures of the report that do not add up, and says nothing if all do.
+// Check returns a description of the first counts of the report that do not add up, or an empty string if all do.
 func (r *Report) Check() string {
-	var byRow, byCustomer Counts
-	for _, x := range r.Rows {
-		byRow = byRow.Plus(x.Figures)
-		var n int64
-		for _, k := range x.Reasons {
-			n += k
-		}
-		if x.Figures.Received != x.Figures.Sum() || n+x.Figures.Open != x.Figures.Received {
-			return fmt.Sprintf("%s over %s: taken %d, reasons and open %d", x.Handler, x.Front, x.Figures.Received, n+x.Figures.Open)
+	for i := range r.Rows {
+		if mismatch := r.Rows[i].check(); mismatch != "" {
+			return mismatch
 		}
 	}
-	for _, c := range r.Customers {
-		byCustomer = byCustomer.Plus(c.Figures)
+	if mismatch := r.checkSums(); mismatch != "" {
+		return mismatch
 	}
-	byLife := r.Earlier
-	for _, l := range r.Incarnations {
-		byLife = byLife.Plus(l.Counts)
+	if r.Mismatches > 0 {
+		return fmt.Sprintf("the box itself found %d differences, see its log", r.Mismatches)
 	}
-	for _, x := range []struct {
+	return ""
+}
+
+// check returns a description of the row if its counts do not add up.
+func (r *Row) check() string {
+	var closed int64
+	for _, n := range r.Reasons {
+		closed += n
+	}
+	if r.Figures.balanced() && closed+r.Figures.Open == r.Figures.Received {
+		return ""
+	}
+	return fmt.Sprintf("%s over %s: taken %d, reasons and open %d",
+		r.Handler, r.Front, r.Figures.Received, closed+r.Figures.Open)
+}
+
+// checkSums returns a description of the first sum that differs from the total.
+func (r *Report) checkSums() string {
+	var byRow, byCustomer Counts
+	for _, row := range r.Rows {
+		byRow = byRow.Plus(row.Figures)
+	}
+	for _, customer := range r.Customers {
+		byCustomer = byCustomer.Plus(customer.Figures)
+	}
+	byIncarnation := r.Earlier
+	for _, incarnation := range r.Incarnations {
+		byIncarnation = byIncarnation.Plus(incarnation.Counts)
+	}
+	for _, pair := range []struct {
 		what        string
 		left, right int64
 	}{
@@ -135,31 +174,14 @@
 		{"taken and its handlers", r.Total.Received, byRow.Received},
 		{"open and its handlers", r.Total.Open, byRow.Open},
 		{"taken and its customers", r.Total.Received, byCustomer.Received},
-		{"taken and its lives", r.Total.Received, byLife.Received},
-		{"served and its lives", r.Total.Served, byLife.Served},
-		{"refused and its lives", r.Total.Rejected, byLife.Rejected},
-		{"failed and its lives", r.Total.Failed, byLife.Failed},
+		{"taken and its lives", r.Total.Received, byIncarnation.Received},
+		{"served and its lives", r.Total.Served, byIncarnation.Served},
+		{"refused and its lives", r.Total.Rejected, byIncarnation.Rejected},
+		{"failed and its lives", r.Total.Failed, byIncarnation.Failed},
 	} {
-		if x.left != x.right {
-			return fmt.Sprintf("%s: %d and %d", x.what, x.left, x.right)
+		if pair.left != pair.right {
+			return fmt.Sprintf("%s: %d and %d", pair.what, pair.left, pair.right)
 		}
 	}
-	if r.Mismatches > 0 {
-		return fmt.Sprintf("the box itself found %d differences, see its log", r.Mismatches)
-	}
 	return ""
 }
-
-// Reclassified has one that was counted as failed, being in doubt, counted where it belongs.
-func (f Counts) Reclassified(to Category) Counts {
-	f.Failed--
-	switch to {
-	case Served:
-		f.Served++
-	case Rejected:
-		f.Rejected++
-	default:
-		f.Failed++
-	}
-	return f
-}
