--- /dev/null
+++ b/internal/conn/dial.go
@@ -0,0 +1,51 @@
+package conn
+
+import (
+	"frosthub/internal/faultinject"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+)
+
+// dialTimeout is far longer than a peer on the same machine or network takes.
+const dialTimeout = 500 * time.Millisecond
+
+// Dial connects in the background and then calls done on the owner's goroutine,
+// with a connection or an error: ErrDialTimeout if the peer neither accepted
+// nor refused in time. Any goroutine may call it.
+func (l *Loop) Dial(address string, done func(*Conn, error)) {
+	go func() {
+		netConn, err := dial(address)
+		if err != nil {
+			l.Post(func() { done(nil, err) })
+			return
+		}
+		c := l.newConn(netConn)
+		_ = netConn.AddCloseCallback(c.onClose)
+		l.Post(func() {
+			done(c, nil)
+			c.deliver() // it may have been closed before it had callbacks
+		})
+		_ = netConn.SetOnRequest(c.onReadable)
+		if !netConn.IsActive() { // closed before netpoll had the callbacks
+			_ = netConn.Close()
+		}
+	}()
+}
+
+func dial(address string) (netpoll.Connection, error) {
+	start := time.Now()
+	netConn, err := dialOrFail(address)
+	if err != nil && time.Since(start) >= dialTimeout {
+		return nil, ErrDialTimeout
+	}
+	return netConn, err
+}
+
+// dialOrFail connects unless a fault is injected.
+func dialOrFail(address string) (netpoll.Connection, error) {
+	if err := faultinject.Error(faultinject.Connect); err != nil {
+		return nil, err
+	}
+	return netpoll.DialConnection("tcp", address, dialTimeout)
+}
--- /dev/null
+++ b/internal/conn/passing_errors_test.go
@@ -0,0 +1,67 @@
+//go:build faults
+
+package conn
+
+import (
+	"frosthub/internal/faultinject"
+	"io"
+	"testing"
+)
+
+// TestPassingErrors checks that a write that fails for a moment loses no response,
+// and an accept no connection.
+func TestPassingErrors(t *testing.T) {
+	for _, fault := range []string{"write ENOBUFS", "write ENOMEM", "accept EMFILE", "accept ENOMEM"} {
+		t.Run(fault, func(t *testing.T) {
+			l := NewLoop()
+			server := serveEcho(t, l, 10)
+			faultinject.Tell(fault)
+			t.Cleanup(func() { faultinject.Tell("") })
+			peer := connect(t, server.address)
+			_, _ = peer.Write([]byte("hello"))
+			echoed := make(chan error, 1)
+			go func() {
+				_, err := io.ReadFull(peer, make([]byte, 5))
+				echoed <- err
+			}()
+			runLoop(l, func() bool { // until a call has failed
+				return len(server.rejected) > 0 || l.Stalled() > 0 || len(server.closeErrors) > 0
+			})
+			faultinject.Tell("")
+			received := false
+			if !runLoop(l, func() bool {
+				select {
+				case err := <-echoed:
+					received = err == nil
+					return true
+				default:
+					return false
+				}
+			}) || !received {
+				t.Error("no response; close errors:", server.closeErrors)
+			}
+		})
+	}
+}
+
+// TestPassingDialError checks that a dial that fails for a moment is reported, and
+// that the next one succeeds.
+func TestPassingDialError(t *testing.T) {
+	l := NewLoop()
+	server := serveEcho(t, l, 10)
+	faultinject.Tell("connect ENOBUFS")
+	t.Cleanup(func() { faultinject.Tell("") })
+	result := make(chan error, 1)
+	dialOnce := func() error {
+		l.Dial(server.address, func(_ *Conn, err error) { result <- err })
+		runLoop(l, func() bool { return len(result) == 1 })
+		return <-result
+	}
+	if err := dialOnce(); err == nil {
+		t.Error("the dial did not fail: the test shows nothing")
+	}
+	faultinject.Tell("")
+	if err := dialOnce(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/conn/ring.go
+++ b/internal/conn/ring.go
@@ -1,26 +1,30 @@
 package conn
 
+// Sizes of a ring, in bytes.
 const (
-	ringLeast = 4 << 10  // bytes of a new ring: a req or an answer of usual size
-	ringKeep  = 32 << 10 // bytes an empty ring may keep: more is let go, a burst is over
+	minRingSize     = 4 << 10  // of a new ring: a request or response of common size
+	maxIdleRingSize = 32 << 10 // that an empty ring keeps: above it the memory of a burst is freed
 )
 
-// Ring is a queue of bytes in one piece of memory that is used again and again. It grows as needed; who
-// writes to it keeps the bound.
+// Ring is a first-in, first-out queue of bytes in one buffer that is reused. It
+// grows as needed; whoever writes to it enforces a limit. The zero value is
+// empty and ready for use. A Ring is not safe for concurrent use.
 type Ring struct {
-	buf     []byte
-	head, n int
+	buf    []byte
+	head   int // index of the first byte in the queue
+	length int // bytes in the queue
 }
 
-// Len is the number of bytes in the ring.
-func (r *Ring) Len() int { return r.n }
+// Len returns the number of bytes in the ring.
+func (r *Ring) Len() int { return r.length }
 
-// Space is a stretch that can be written to, of at least one byte; Commit takes what was written.
+// Space returns a free stretch of at least one byte, growing the ring by want
+// bytes if it is full. Commit adds what was written to it.
 func (r *Ring) Space(want int) []byte {
-	if r.n == len(r.buf) {
-		r.grow(r.n + max(1, want))
+	if r.length == len(r.buf) {
+		r.grow(r.length + max(1, want))
 	}
-	tail := (r.head + r.n) % len(r.buf)
+	tail := (r.head + r.length) % len(r.buf)
 	if tail < r.head {
 		return r.buf[tail:r.head]
 	}
@@ -28,58 +32,62 @@
 }
 
 // Commit adds the first n bytes of the last Space.
-func (r *Ring) Commit(n int) { r.n += n }
+func (r *Ring) Commit(n int) { r.length += n }
 
 // Write appends p.
 func (r *Ring) Write(p []byte) {
-	if r.n+len(p) > len(r.buf) {
-		r.grow(r.n + len(p))
+	if r.length+len(p) > len(r.buf) {
+		r.grow(r.length + len(p))
 	}
 	for len(p) > 0 {
-		k := copy(r.Space(len(p)), p)
-		r.Commit(k)
-		p = p[k:]
+		n := copy(r.Space(len(p)), p)
+		r.Commit(n)
+		p = p[n:]
 	}
 }
 
-// Peek is the next stretch in order; it is empty only if the ring is.
+// Peek returns the first contiguous stretch of the queue, which is empty only
+// if the ring is. It stays valid until the ring is written to again after a Skip.
 func (r *Ring) Peek() []byte {
-	if r.n == 0 {
+	if r.length == 0 {
 		return nil
 	}
-	return r.buf[r.head:min(r.head+r.n, len(r.buf))]
+	return r.buf[r.head:min(r.head+r.length, len(r.buf))]
 }
 
-// Release lets go of the memory of an empty ring.
-func (r *Ring) Release() {
-	if r.n == 0 {
-		r.buf, r.head = nil, 0
+// Skip drops the first n bytes.
+func (r *Ring) Skip(n int) {
+	r.length -= n
+	if r.length > 0 {
+		r.head = (r.head + n) % len(r.buf)
+		return
+	}
+	r.head = 0
+	if len(r.buf) > maxIdleRingSize {
+		r.buf = nil
 	}
 }
 
-// Skip drops the first n bytes.
-func (r *Ring) Skip(n int) {
-	r.n -= n
-	if r.n == 0 {
+// Release frees the buffer of an empty ring.
+func (r *Ring) Release() {
+	if r.length == 0 {
+		r.buf = nil
 		r.head = 0
-		if len(r.buf) > ringKeep {
-			r.buf = nil
-		}
-		return
 	}
-	r.head = (r.head + n) % len(r.buf)
 }
 
-// grow lays the bytes out anew in a larger piece. The old one stays as it was: a reader may still look at it.
+// grow moves the bytes to a larger buffer. It leaves the old one untouched,
+// since a result of Peek may still refer to it.
 func (r *Ring) grow(need int) {
-	size := max(ringLeast, len(r.buf))
+	size := max(minRingSize, len(r.buf))
 	for size < need {
 		size *= 2
 	}
 	buf := make([]byte, size)
-	k := copy(buf, r.Peek())
-	if k < r.n {
-		copy(buf[k:], r.buf[:r.n-k])
+	n := copy(buf, r.Peek())
+	if n < r.length {
+		copy(buf[n:], r.buf[:r.length-n])
 	}
-	r.buf, r.head = buf, 0
+	r.buf = buf
+	r.head = 0
 }
