--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -81,8 +81,8 @@
 	if err := wal.Init(disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 		t.Fatal(err)
 	}
-	s := &stage{t: t, edges: map[string]*edgeNode{}, known: map[string]bool{}, options: map[string]string{}}
-	s.newPeers("")
+	s := &testbed{t: t, clients: map[string]*clientSocket{}, begunIDs: map[string]bool{}, options: map[string]string{}}
+	s.startPeers("")
 	var address [2]string
 	for i := range address {
 		var err error
@@ -115,7 +115,7 @@
 			t.Error(err)
 		}
 		for _, p := range s.peers {
-			p.shut()
+			p.stop()
 		}
 	}()
 	for end := time.Now().Add(5 * time.Second); !log.has("msg=cluster") && time.Now().Before(end); {
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestParse: a configuration that can't be used is refused with one line that names what is wrong.
+// TestParse: a configuration that can't be used is rejected with one line that names what is wrong.
 func TestParse(t *testing.T) {
 	const whole = `{"name":"n3","listen":"127.0.0.1:4100","processor":"127.0.0.1:6100","seed":"ff","stop_ms":3200.5,` +
 		`"limits":{"cores":1.5,"memory_mb":192,"sockets":64},"settings":{"tickUs":1000,"later":[null]},"later":1}`
--- /dev/null
+++ b/backend/fake_peer_test.go
@@ -0,0 +1,179 @@
+package backend
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+)
+
+// fakePeer is a stand-in for the processor or the next tier, which listen.
+type fakePeer struct {
+	bed      *testbed
+	name     string
+	listener net.Listener
+
+	mu           sync.Mutex
+	lastConn     net.Conn            // that spoke last
+	connByID     map[string]net.Conn // that named a request's id last
+	conns        []net.Conn
+	mute         bool // the processor does not answer for the gauges
+	completesAll bool // the processor completes each request at once, which is not printed
+	resetsReused bool // the next tier resets a connection at its second call, unread
+}
+
+func newFakePeer(bed *testbed, name string) *fakePeer {
+	p := &fakePeer{bed: bed, name: name, connByID: map[string]net.Conn{}}
+	p.open("127.0.0.1:0")
+	return p
+}
+
+func (p *fakePeer) open(address string) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		p.bed.t.Error(err)
+		return
+	}
+	p.listener = listener
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			p.mu.Lock()
+			p.conns = append(p.conns, conn)
+			p.mu.Unlock()
+			go p.read(conn)
+		}
+	}()
+}
+
+// commandsWithBody are the commands that carry a body.
+var commandsWithBody = map[string]bool{"begin": true, "answer": true, "invoke": true}
+
+// read reads the commands of a connection and prints those that are not handled here.
+func (p *fakePeer) read(conn net.Conn) {
+	reader := bufio.NewReader(conn)
+	for commands := 0; ; commands++ {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		if p.resets(commands) {
+			_ = conn.Close()
+			return
+		}
+		words := strings.Fields(line)
+		if words[0] == "usage" {
+			p.tellGauges(conn, words[1])
+			continue
+		}
+		p.remember(conn, words)
+		if commandsWithBody[words[0]] {
+			size, _ := strconv.Atoi(words[len(words)-1])
+			body := make([]byte, size+2)
+			if _, err := io.ReadFull(reader, body); err != nil {
+				return
+			}
+			words[len(words)-1] = quoted(string(body[:size]))
+		}
+		if p.handled(conn, words) {
+			continue
+		}
+		if words[0] == "invoke" {
+			words = slices.Delete(words, 2, 3) // the time-out, which changes from run to run
+		}
+		p.bed.print(p.name, "%s", strings.Join(words, " "))
+	}
+}
+
+// resets reports whether a connection that carried so many commands is to be reset.
+func (p *fakePeer) resets(commands int) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.resetsReused && commands > 0
+}
+
+func (p *fakePeer) tellGauges(conn net.Conn, tag string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.mute {
+		_, _ = fmt.Fprintf(conn, "used %s 0.1 0 0.01 3\r\n", tag)
+	}
+}
+
+// remember notes which connection spoke last, and of which request.
+func (p *fakePeer) remember(conn net.Conn, words []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastConn = conn
+	if len(words) > 1 {
+		p.connByID[words[1]] = conn
+	}
+}
+
+// handled carries out what the processor does by itself, and reports whether that is all that is to be done.
+func (p *fakePeer) handled(conn net.Conn, words []string) bool {
+	switch words[0] {
+	case "begin":
+		p.bed.lookUp(words[1], true)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		if !p.completesAll {
+			return false
+		}
+		p.bed.notices++
+		_, _ = fmt.Fprintf(conn, "complete %d %s ok 1 2\r\nok\r\n", p.bed.notices, words[1])
+		return true
+	case "interrupt":
+		begun, rejected := p.bed.lookUp(words[1], false)
+		if rejected {
+			_, _ = fmt.Fprintf(conn, "reject interrupt %s\r\n", words[1])
+		}
+		return rejected || !begun // silence says that it knows the request
+	}
+	return false
+}
+
+func quoted(body string) string {
+	if len(body) > 80 {
+		return fmt.Sprintf("%q... of %d bytes", body[:8], len(body))
+	}
+	return strconv.Quote(body)
+}
+
+// write sends text on the connection that named its first word last, or else on the one that spoke last.
+func (p *fakePeer) write(text string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	conn := p.lastConn
+	if word, _, _ := strings.Cut(text, " "); p.connByID[word] != nil {
+		conn = p.connByID[word]
+	}
+	if conn == nil {
+		p.bed.print(p.name, "nobody has connected")
+		return
+	}
+	_, _ = io.WriteString(conn, text)
+}
+
+// close ends all connections.
+func (p *fakePeer) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.conns {
+		_ = conn.Close()
+	}
+	p.conns = nil
+}
+
+// stop ends all connections and listens no more.
+func (p *fakePeer) stop() {
+	_ = p.listener.Close()
+	p.close()
+}
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -12,9 +12,9 @@
 
 // keysAt is a table of remembered reqs whose clock the test sets.
 func keysAt(t *testing.T, memoryMB string) *Backend {
-	s := &stage{t: t, listen: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
-	s.newPeers("")
-	t.Cleanup(func() { s.processor.shut(); s.tier.shut() })
+	s := &testbed{t: t, listen: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
+	s.startPeers("")
+	t.Cleanup(func() { s.processor.stop(); s.upstream.stop() })
 	return New(s.config(), nil)
 }
 
@@ -87,16 +87,16 @@
 	for _, front := range []string{"fastcgi", "ajp"} {
 		t.Run(front, func(t *testing.T) {
 			t.Parallel()
-			s := &stage{t: t, edges: map[string]*edgeNode{}, known: map[string]bool{}, ajp: front == "ajp"}
+			s := &testbed{t: t, clients: map[string]*clientSocket{}, begunIDs: map[string]bool{}, ajp: front == "ajp"}
 			s.start(map[string]string{})
-			s.settle(2)
+			s.awaitQuiet(2)
 			s.step([]string{"processor", "says", "hi warm 500000"})
-			s.settle(1)
+			s.awaitQuiet(1)
 			s.step([]string{"edge", "a", "sends", "1", "HTTP_X_TENANT=south", "HTTP_X_TIMEOUT_MS=700"})
 			s.step([]string{"edge", "a", "sends", "2", "HTTP_X_TENANT=east"})
-			s.settle(2)
-			s.b.onOwner(func() {
-				told, other := s.b.requests[1], s.b.requests[2]
+			s.awaitQuiet(2)
+			s.backend.onOwner(func() {
+				told, other := s.backend.requests[1], s.backend.requests[2]
 				if told == nil || told.arrival.Customer != 1 || told.arrival.Remaining <= 0 || told.arrival.Remaining > 700*time.Millisecond {
 					t.Error("a told customer and time:", told)
 				}
--- /dev/null
+++ b/backend/testbed_test.go
@@ -0,0 +1,280 @@
+package backend
+
+import (
+	"context"
+	"fmt"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+	"frosthub/internal/wal"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+const (
+	quietPeriod = 40 * time.Millisecond // nothing must happen for so long before a step is over
+	stepTimeout = 5 * time.Second       // for what is expected to follow a step: machines stall at times
+)
+
+// testbed has a backend and stand-ins for all that it talks to. Each of them prints what it receives.
+type testbed struct {
+	t         *testing.T
+	mu        sync.Mutex
+	printed   []string // "party: text", in the order in which each party saw them
+	printedAt time.Time
+
+	backend     *Backend
+	options     map[string]string // of the backend's configuration
+	leave       context.CancelFunc
+	incarnation atomic.Int32  // of the backend
+	ownerGate   chan struct{} // holds the owner
+
+	processor *fakePeer
+	upstream  *fakePeer
+	peers     []*fakePeer     // those two, and those before they moved
+	notices   int             // sent by the processor
+	begunIDs  map[string]bool // of requests that were begun; false: the processor knows no such request
+	control   net.PacketConn
+
+	clients    map[string]*clientSocket
+	listen     string
+	ajp        bool // clients speak AJP
+	ajpAddress string
+
+	disk     *fake.Disk  // of the store
+	diskGate *sync.Mutex // held while the disk stalls
+}
+
+// newTestbed returns a testbed whose backend is not started.
+func newTestbed(t *testing.T) *testbed {
+	return &testbed{t: t, clients: map[string]*clientSocket{}, begunIDs: map[string]bool{}}
+}
+
+func (bed *testbed) print(party, format string, args ...any) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	bed.printed = append(bed.printed, party+": "+fmt.Sprintf(format, args...))
+	bed.printedAt = time.Now()
+}
+
+// printer returns a function that prints for a party until the present backend crashes.
+func (bed *testbed) printer(party string) func(format string, args ...any) {
+	incarnation := bed.incarnation.Load()
+	return func(format string, args ...any) {
+		if incarnation == bed.incarnation.Load() {
+			bed.print(party, format, args...)
+		}
+	}
+}
+
+// lookUp reports whether an id was begun, and whether it is to be rejected.
+func (bed *testbed) lookUp(id string, begins bool) (begun, rejected bool) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	if begins {
+		bed.begunIDs[id] = true
+	}
+	begun, known := bed.begunIDs[id]
+	return begun, known && !begun
+}
+
+// awaitQuiet waits until so many lines are printed and nothing happens any more, and returns them by party. A negative
+// number says that the trace is being written: nothing tells what is still to come.
+func (bed *testbed) awaitQuiet(expected int) []string {
+	start := time.Now()
+	period := quietPeriod
+	if expected < 0 {
+		period *= 6
+	}
+	bed.mu.Lock()
+	bed.printedAt = start
+	bed.mu.Unlock()
+	for {
+		time.Sleep(quietPeriod / 8)
+		if lines, quiet := bed.takeIfQuiet(expected, start, period); quiet {
+			return lines
+		}
+	}
+}
+
+func (bed *testbed) takeIfQuiet(expected int, start time.Time, period time.Duration) (lines []string, quiet bool) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	if time.Since(bed.printedAt) < period {
+		return nil, false
+	}
+	if len(bed.printed) < expected && time.Since(start) <= stepTimeout {
+		return nil, false
+	}
+	lines = bed.printed
+	bed.printed = nil
+	slices.SortStableFunc(lines, func(x, y string) int {
+		return strings.Compare(strings.SplitN(x, ":", 2)[0], strings.SplitN(y, ":", 2)[0])
+	})
+	return lines, true
+}
+
+const testConfig = `{"name":"n3","listen":"%s","processor":"%s","control":"%s","backend":"%s","seed":"8c1f30d27a5be964",
+"stop_ms":%s,"limits":{"cores":1.0,"memory_mb":%s,"sockets":%s},"settings":{"servers":2,"tickUs":1000,
+"classes":[{"name":"status","credit":1,"giveUpUs":%s,"goalTimeUs":%s,"idempotency":"retryable"},
+{"name":"file-claim","credit":3,"giveUpUs":1500000,"goalTimeUs":900000,"idempotency":"%s","windowUs":60000000}],
+"tenants":[{"name":"north","quotaPerS":%s},{"name":"south","quotaPerS":50}],
+"familyInfo":{"cores":2,"downstream":"tier","halt":"%s","keyKb":10,"memoryKb":100000,"runFactor":8,"senders":2,
+"shareForUs":800000,"ownStats":["cpu_busy","runnable","mem_used","sockets"],"signal":"allowance","tellsGone":true},
+"invariants":{"answerSlackUs":80000,"drainGraceUs":%s,"fallMultiple":8},
+"limits":{"maxRetryAfterUs":1000000,"retryAfter":true}}}`
+
+// configText returns the configuration of the present stand-ins.
+func (bed *testbed) configText() []byte {
+	option := func(name, missing string) string {
+		if value, ok := bed.options[name]; ok {
+			return value
+		}
+		return missing
+	}
+	upstream := bed.upstream.listener.Addr().String()
+	if bed.options["last"] != "" {
+		upstream = ""
+	}
+	return fmt.Appendf(nil, testConfig,
+		bed.listen, bed.processor.listener.Addr(), bed.control.LocalAddr(), upstream,
+		option("stop_ms", "3000"),
+		option("memory_mb", "192"),
+		option("sockets", "200"),
+		option("timeout", "1500000"),
+		option("target", "900000"),
+		option("claim", "fragile"),
+		option("north", "1000"),
+		option("halt", "discard"),
+		option("grace", "300000"))
+}
+
+func (bed *testbed) config() Config {
+	cfg, err := Parse(bed.configText())
+	if err != nil {
+		bed.t.Fatal(err)
+	}
+	return cfg
+}
+
+// startPeers has new stand-ins listen. What they print begins with prefix.
+func (bed *testbed) startPeers(prefix string) {
+	bed.processor = newFakePeer(bed, prefix+"processor")
+	bed.upstream = newFakePeer(bed, prefix+"tier")
+	bed.peers = append(bed.peers, bed.processor, bed.upstream)
+	control, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		bed.t.Fatal(err)
+	}
+	bed.control = control
+	bed.t.Cleanup(func() { _ = control.Close() })
+	go printReports(control, bed.printer(prefix+"control"))
+}
+
+// printReports prints each report to the control plane that differs from the one before.
+func printReports(control net.PacketConn, print func(format string, args ...any)) {
+	buf := make([]byte, 100)
+	last := ""
+	for {
+		n, _, err := control.ReadFrom(buf)
+		if err != nil {
+			return
+		}
+		if text := string(buf[:n]); text != last {
+			last = text
+			print("%s", text)
+		}
+	}
+}
+
+// useDisk has the next backend keep its store on a disk.
+func (bed *testbed) useDisk(disk *fake.Disk) {
+	gate := &sync.Mutex{}
+	bed.disk = disk
+	bed.diskGate = gate
+	disk.Slow = func(string, int) {
+		gate.Lock() // held while it stalls
+		defer gate.Unlock()
+	}
+}
+
+// crash has the backend be gone with all that was not on its disk, and another one start in its place.
+func (bed *testbed) crash() {
+	bed.incarnation.Add(1)
+	bed.disk.CutPower()
+	after := bed.disk.AfterPowerLoss(rand.New(rand.NewPCG(1, 1)))
+	bed.leave()
+	for _, peer := range bed.peers {
+		peer.stop()
+	}
+	for _, client := range bed.clients {
+		_ = client.conn.Close()
+	}
+	bed.mu.Lock()
+	bed.printed = nil
+	bed.notices = 0
+	bed.clients = map[string]*clientSocket{}
+	bed.mu.Unlock()
+	bed.useDisk(after)
+	bed.start(bed.options)
+}
+
+// start starts a backend. Options are those of configText, "last" for one of the last tier, "keep" for one with a
+// store, and "ajp" and "secret" for one that serves AJP.
+func (bed *testbed) start(options map[string]string) {
+	bed.options = options
+	if options["keep"] != "" && bed.disk == nil {
+		bed.useDisk(fake.NewDisk())
+		if err := wal.Init(bed.disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
+			bed.t.Fatal(err)
+		}
+	}
+	bed.startPeers("")
+	bed.listen = bed.freeAddress()
+	cfg := bed.config()
+	if bed.disk != nil {
+		cfg.Idempotency = IdempotencyConfig{
+			Dir:            bed.t.TempDir(),
+			Handlers:       map[string][]KeyPart{"file-claim": {KeyPartBody}},
+			CommitInterval: time.Microsecond,
+			Disk:           bed.disk,
+		}
+	}
+	bed.ajp = bed.ajp || options["ajp"] != ""
+	if bed.ajp {
+		bed.ajpAddress = bed.freeAddress()
+		cfg.AJP.Secret = options["secret"]
+		cfg.AJP.Listen = bed.ajpAddress
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	bed.leave = cancel
+	b := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	bed.backend = b
+	print := bed.printer("backend")
+	go func() { print("ended: %v", b.Serve(ctx)) }()
+	bed.t.Cleanup(func() {
+		cancel()
+		for _, peer := range bed.peers {
+			peer.stop()
+		}
+		for _, client := range bed.clients {
+			_ = client.conn.Close()
+		}
+	})
+}
+
+func (bed *testbed) freeAddress() string {
+	bed.t.Helper()
+	address, err := harness.FreeAddress()
+	if err != nil {
+		bed.t.Fatal(err)
+	}
+	return address
+}
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -18,288 +18,368 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestTraces plays the steps of each trace file against a backend on loopback; what follows a step is what the
-// stand-ins print then.
+// TestTraces plays the steps of each trace file against a backend on loopback. What follows a step in the file is what
+// the stand-ins print then.
 func TestTraces(t *testing.T) {
 	golden.Files(t, 4, func(t *testing.T, text string) string {
-		s := &stage{t: t, edges: map[string]*edgeNode{}, known: map[string]bool{}}
-		return golden.Steps(text, func(line string, expected int) []string {
-			s.step(strings.Fields(line))
-			return s.settle(expected)
+		return newTestbed(t).play(text)
+	})
+}
+
+// ajpTraces are the traces that must tell the same decisions over AJP. The others are of FastCGI's own: its records and
+// slots, bad ones, floods of them, requests partly sent, many on one connection. In link and pause a first request waits
+// for the processor to say whether it knows it, and over AJP each of theirs is one.
+var ajpTraces = []string{"answers", "calls", "drain", "due", "forgotten", "life", "lost", "no-halt", "reload", "repeats", "spoilt", "tier"}
+
+// TestTracesOverAJP plays traces over the other protocol. What differs is left out of both: connections that end (each
+// request has its own), answers to aborts (there are none), reasons (an abort is the end of a connection).
+func TestTracesOverAJP(t *testing.T) {
+	if flag.Lookup("update").Value.String() == "true" {
+		t.Skip("the traces are those of FastCGI")
+	}
+	for _, name := range ajpTraces {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			text, err := os.ReadFile("testdata/" + name + ".trace")
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := withoutFastCGI(string(text))
+			diff := ""
+			for range 4 { // as with the others: a machine stalls at times
+				bed := newTestbed(t)
+				bed.ajp = true
+				if diff = cmp.Diff(want, withoutFastCGI(bed.play(want))); diff == "" {
+					return
+				}
+			}
+			t.Error(diff)
 		})
+	}
+}
+
+// withoutFastCGI returns a trace without what is different over AJP.
+func withoutFastCGI(trace string) string {
+	var out strings.Builder
+	for line := range strings.Lines(trace) {
+		printed := strings.HasPrefix(line, "    ")
+		if printed && (strings.Contains(line, "connection closed") ||
+			strings.HasSuffix(line, "ends with 0, , \"\"\n") || strings.HasPrefix(line, "    counters: reasons")) {
+			continue
+		}
+		out.WriteString(line)
+	}
+	return out.String()
+}
+
+// play plays the steps of a trace, and returns it as it went.
+func (bed *testbed) play(trace string) string {
+	return golden.Steps(trace, func(line string, expected int) []string {
+		bed.step(strings.Fields(line))
+		return bed.awaitQuiet(expected)
 	})
 }
 
-// options reads the words of the form name=value; "_" stands for a space.
-func options(words []string) map[string]string {
-	out := map[string]string{}
-	for _, w := range words {
-		k, v, _ := strings.Cut(w, "=")
-		if times, unit, ok := strings.Cut(v, "*"); ok { // 2048*x
+// steps are the first words of steps and what they do, given the words after that.
+var steps = map[string]func(bed *testbed, words []string){
+	"start":     func(bed *testbed, words []string) { bed.start(parseOptions(words)) },
+	"wait":      func(_ *testbed, words []string) { time.Sleep(duration(words[0])) },
+	"leave":     func(bed *testbed, _ []string) { bed.leave() },
+	"dies":      func(bed *testbed, _ []string) { bed.crash() },
+	"disk":      (*testbed).diskStep,
+	"moves":     (*testbed).move,
+	"pause":     (*testbed).pause,
+	"owner":     (*testbed).ownerStep,
+	"crowd":     (*testbed).crowd,
+	"many":      (*testbed).many,
+	"figures":   func(bed *testbed, _ []string) { bed.print("figures", "%s", bed.reasons()) },
+	"kept":      (*testbed).printKept,
+	"counters":  (*testbed).printCounters,
+	"processor": func(bed *testbed, words []string) { bed.peerStep(bed.processor, words) },
+	"tier":      func(bed *testbed, words []string) { bed.peerStep(bed.upstream, words) },
+	"old":       (*testbed).movedPeerStep,
+	"edge":      (*testbed).clientStep,
+}
+
+// step plays one step.
+func (bed *testbed) step(words []string) {
+	play := steps[words[0]]
+	if play == nil {
+		bed.t.Fatal("unknown step", words)
+	}
+	play(bed, words[1:])
+}
+
+func duration(word string) time.Duration {
+	d, _ := time.ParseDuration(word)
+	return d
+}
+
+// parseOptions reads words of the form name=value; "_" stands for a space, and 2048*x for so many of x.
+func parseOptions(words []string) map[string]string {
+	options := map[string]string{}
+	for _, word := range words {
+		name, value, _ := strings.Cut(word, "=")
+		if times, unit, ok := strings.Cut(value, "*"); ok {
 			if n, err := strconv.Atoi(times); err == nil {
-				v = strings.Repeat(unit, n)
+				value = strings.Repeat(unit, n)
 			}
 		}
-		out[k] = strings.ReplaceAll(v, "_", " ")
+		options[name] = strings.ReplaceAll(value, "_", " ")
 	}
-	return out
+	return options
 }
 
-func (s *stage) step(w []string) {
-	unescape := func(words []string) string {
-		text, err := strconv.Unquote(`"` + strings.Join(words, " ") + `"`)
-		if err != nil {
-			s.t.Fatal(words, err)
-		}
-		return text
+// unescape returns words as one text, with its escapes as in a Go string.
+func (bed *testbed) unescape(words []string) string {
+	text, err := strconv.Unquote(`"` + strings.Join(words, " ") + `"`)
+	if err != nil {
+		bed.t.Fatal(words, err)
 	}
-	switch w[0] {
-	case "start":
-		s.start(options(w[1:]))
-	case "wait":
-		d, _ := time.ParseDuration(w[1])
-		time.Sleep(d)
-	case "leave":
-		s.leave()
-	case "dies":
-		s.dies()
-	case "disk":
-		switch w[1] {
-		case "holds":
-			s.hold.Lock()
-		case "goes":
-			s.hold.Unlock()
-		case "fails":
-			s.disk.CutPower()
+	return text
+}
+
+// diskStep has the disk stall, go on or fail.
+func (bed *testbed) diskStep(words []string) {
+	switch words[0] {
+	case "holds":
+		bed.diskGate.Lock()
+	case "goes":
+		bed.diskGate.Unlock()
+	case "fails":
+		bed.disk.CutPower()
+	}
+}
+
+// move has all that the backend talks to be elsewhere from now on.
+func (bed *testbed) move([]string) {
+	bed.startPeers("new ")
+	bed.backend.Reload(bed.config())
+}
+
+// pause has the owner stall, as on a machine that does; what is sent to it stays unread.
+func (bed *testbed) pause(words []string) {
+	bed.backend.loop.Post(func() { time.Sleep(duration(words[0])) })
+}
+
+// ownerStep has the owner stall between "holds" and "goes"; what is sent meanwhile is one batch.
+func (bed *testbed) ownerStep(words []string) {
+	if words[0] != "holds" {
+		close(bed.ownerGate)
+		return
+	}
+	gate, held := make(chan struct{}), make(chan struct{})
+	bed.ownerGate = gate
+	bed.backend.loop.Post(func() {
+		close(held)
+		<-gate
+	})
+	<-held
+}
+
+// crowd opens connections that carry nothing. Its words are how many, and how many may stay.
+func (bed *testbed) crowd(words []string) {
+	n, _ := strconv.Atoi(words[0])
+	limit, _ := strconv.Atoi(words[1])
+	var conns []net.Conn
+	for range n {
+		if conn, err := net.Dial("tcp", bed.listen); err == nil {
+			conns = append(conns, conn)
+			bed.t.Cleanup(func() { _ = conn.Close() })
 		}
-	case "moves": // all that the backend talks to is elsewhere from now on
-		s.newPeers("new ")
-		s.b.Reload(s.config())
-	case "pause": // the owner stands still, as on a machine that does; what is sent to it lies unread
-		d, _ := time.ParseDuration(w[1])
-		s.b.loop.Post(func() { time.Sleep(d) })
-	case "owner": // it stands still between "holds" and "goes"; what is sent meanwhile is one batch
-		if w[1] == "holds" {
-			gate, held := make(chan struct{}), make(chan struct{})
-			s.gate = gate
-			s.b.loop.Post(func() { close(held); <-gate })
-			<-held
-		} else {
-			close(s.gate)
+	}
+	time.Sleep(500 * time.Millisecond)
+	open := 0
+	for _, conn := range conns {
+		_ = conn.SetReadDeadline(time.Now().Add(time.Millisecond))
+		if _, err := conn.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
+			open++
 		}
-	case "crowd": // how many, how many may stay: of connections that carry nothing
-		n, _ := strconv.Atoi(w[1])
-		var open []net.Conn
-		for range n {
-			if c, err := net.Dial("tcp", s.listen); err == nil {
-				open = append(open, c)
-				s.t.Cleanup(func() { _ = c.Close() })
-			}
+	}
+	if open > limit || open < limit/2 {
+		bed.print("crowd", "%d of %d stay open", open, n)
+	} else {
+		bed.print("crowd", "at most %d stay open, and more than half of that", limit)
+	}
+}
+
+// many sends so many requests, each with an id, a caller and a connection of its own. Half of the connections stay open.
+func (bed *testbed) many(words []string) {
+	n, _ := strconv.Atoi(words[0])
+	done := 0
+	for i := range n {
+		conn, err := net.Dial("tcp", bed.listen)
+		if err != nil {
+			continue
 		}
-		time.Sleep(500 * time.Millisecond)
-		left := 0
-		for _, c := range open {
-			_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
-			if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
-				left++
-			}
+		_, _ = io.WriteString(conn, fastcgiRequest(1, map[string]string{
+			"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 1<<20+i),
+			"HTTP_X_CALLER":     strconv.Itoa(1000 + i),
+			"HTTP_X_OBJECT":     strconv.Itoa(i),
+		}))
+		head := make([]byte, 24)
+		if _, err := io.ReadFull(conn, head); err == nil && strings.HasSuffix(string(head), "Status: 200 OK\r\n") {
+			done++
 		}
-		if most, _ := strconv.Atoi(w[2]); left > most || left < most/2 {
-			s.print("crowd", "%d of %d stay open", left, n)
+		if i%2 == 0 {
+			_ = conn.Close()
 		} else {
-			s.print("crowd", "at most %d stay open, and more than half of that", most)
-		}
-	case "many": // so many reqs, each with an id, an edge node and a connection of its own
-		n, _ := strconv.Atoi(w[1])
-		done := 0
-		for i := range n {
-			c, err := net.Dial("tcp", s.listen)
-			if err != nil {
-				continue
-			}
-			_, _ = io.WriteString(c, fastcgiRequest(1, map[string]string{
-				"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 1<<20+i),
-				"HTTP_X_CALLER":     strconv.Itoa(1000 + i), "HTTP_X_OBJECT": strconv.Itoa(i),
-			}))
-			head := make([]byte, 24)
-			if _, err := io.ReadFull(c, head); err == nil && strings.HasSuffix(string(head), "Status: 200 OK\r\n") {
-				done++
-			}
-			if i%2 == 0 { // the others stay open for good
-				_ = c.Close()
-			} else {
-				s.t.Cleanup(func() { _ = c.Close() })
-			}
-		}
-		s.print("many", "%d of %d done", done, n)
-	case "figures": // by reason, and the sums
-		s.print("figures", "%s", s.figures())
-	case "kept":
-		s.b.loop.Post(func() {
-			b := s.b
-			s.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
-				len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.inFlight(), b.upstream.connections(), len(b.results.byID),
-				len(b.processor.trials), b.frontend.partialBytes)
-		})
-	case "counters":
-		c := s.b.Counters()
-		s.print("counters", "taken %d = served %d + refused %d + failed %d + open %d, differs %d, owed %d, bad connections %d, "+
-			"begun %d, ended %d, repeated %d, rejects %d, remarks %d, broken %d", c.Requests.Received, c.Requests.Served, c.Requests.Rejected,
-			c.Requests.Failed, c.Requests.Open, c.Mismatches, c.Pending, c.BadConns, c.Begun, c.Ended, c.Repeated, c.Rejects, c.Remarks, c.Broken)
-		s.print("counters", "%s", s.figures())
-	case "processor", "tier", "old":
-		p := map[string]*peer{"processor": s.processor, "tier": s.tier}[w[0]]
-		if w[0] == "old" { // the stand-ins before they moved
-			w = w[1:]
-			p = map[string]*peer{"processor": s.peers[0], "tier": s.peers[1]}[w[0]]
-		}
-		switch w[1] {
-		case "says":
-			p.write(unescape(w[2:]) + "\r\n")
-		case "notes": // a numbered notice: the word after it, the number, the rest, and a body
-			s.n++
-			body := unescape(w[len(w)-1:])
-			p.write(fmt.Sprintf("%s %d %s %d\r\n%s\r\n", w[2], s.n, strings.Join(w[3:len(w)-1], " "), len(body), body))
-		case "replies":
-			body := unescape(w[3:])
-			p.write(fmt.Sprintf("%s ok %d\r\n%s\r\n", w[2], len(body), body))
-		case "misses": // it knows no such req
-			s.mu.Lock()
-			s.known[w[2]] = false
-			s.mu.Unlock()
-		case "runs", "forgets", "mute":
-			way := map[string]*bool{"runs": &p.runs, "forgets": &p.once, "mute": &p.mute}[w[1]]
-			p.mu.Lock()
-			*way = len(w) == 2 || w[2] == "on"
-			p.mu.Unlock()
-		case "breaks":
-			p.close()
-		case "shuts": // and listens no more
-			p.shut()
-		}
-	case "edge":
-		slot := uint16(1)
-		if len(w) > 3 {
-			n, _ := strconv.Atoi(w[3])
-			slot = uint16(n)
-		}
-		if w[2] == "closes" {
-			for key, e := range s.edges {
-				if key == w[1] || strings.HasPrefix(key, w[1]+"/") {
-					_ = e.c.Close()
-					delete(s.edges, key)
-				}
-			}
-			return
+			bed.t.Cleanup(func() { _ = conn.Close() })
 		}
-		e := s.edge(w[1], slot)
-		if e.c == nil {
-			return
-		}
-		request := fastcgiRequest
-		if s.ajp {
-			request = ajpRequest
-		}
-		text := ""
-		switch w[2] {
-		case "connects":
-		case "sends":
-			o := options(w[4:])
-			if back, ok := o["ago"]; ok {
-				d, _ := time.ParseDuration(back)
-				delete(o, "ago")
-				o["HTTP_X_REQUEST_START"] = strconv.FormatInt(time.Now().Add(-d).UnixMilli(), 10)
-			}
-			text = request(slot, o)
-		case "checks":
-			text = request(slot, map[string]string{"secret": "s3cret", "SCRIPT_NAME": "/_health", "QUERY_STRING": strings.Join(w[4:], "&")})
-		case "fills": // all slots, each with a whole req of its own
-			for i := range uint16(32) {
-				text += request(i+1, map[string]string{"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 4096+int(i))})
-			}
-		case "starts": // so many reqs that never come whole
-			for i := range slot {
-				text += fake.FastCGIRecord(1, i+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + fake.FastCGIRecord(4, i+1, strings.Repeat("x", 4000))
-			}
-		case "half": // a req over AJP whose body stops in its middle
-			whole := ajpRequest(slot, map[string]string{"body": "a body that is cut"})
-			text = whole[:len(whole)-9]
-		case "aborts":
-			if text = fake.FastCGIAbort(slot); s.ajp { // its end is the abort
-				_ = e.c.Close()
-				delete(s.edges, fmt.Sprint(w[1], "/", slot))
-				return
-			}
-		case "raw":
-			raw, err := hex.DecodeString(strings.Join(w[3:], ""))
-			if err != nil {
-				s.t.Fatal(w, err)
-			}
-			text = string(raw)
-		}
-		_, _ = e.c.Write([]byte(text))
-	default:
-		s.t.Fatal("unknown step", w)
 	}
+	bed.print("many", "%d of %d done", done, n)
+}
+
+// printKept prints how much the backend holds of each kind.
+func (bed *testbed) printKept([]string) {
+	b := bed.backend
+	b.loop.Post(func() {
+		bed.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
+			len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.inFlight(), b.upstream.connections(),
+			len(b.results.byID), len(b.processor.trials), b.frontend.partialBytes)
+	})
 }
 
-// figures prints the reasons of closed reqs.
-func (s *stage) figures() string {
+func (bed *testbed) printCounters([]string) {
+	c := bed.backend.Counters()
+	bed.print("counters", "taken %d = served %d + refused %d + failed %d + open %d, differs %d, owed %d, bad connections %d, "+
+		"begun %d, ended %d, repeated %d, rejects %d, remarks %d, broken %d",
+		c.Requests.Received, c.Requests.Served, c.Requests.Rejected, c.Requests.Failed, c.Requests.Open, c.Mismatches, c.Pending,
+		c.BadConns, c.Begun, c.Ended, c.Repeated, c.Rejects, c.Remarks, c.Broken)
+	bed.print("counters", "%s", bed.reasons())
+}
+
+// reasons returns the reasons of closed requests, or what is wrong with the accounts.
+func (bed *testbed) reasons() string {
+	report := bed.backend.Accounting()
+	if wrong := report.Check(); wrong != "" {
+		return "differ: " + wrong
+	}
 	reasons := map[string]int64{}
-	r := s.b.Accounting()
-	for _, row := range r.Rows {
-		for why, n := range row.Reasons {
-			reasons[why] += n
+	for _, row := range report.Rows {
+		for reason, n := range row.Reasons {
+			reasons[reason] += n
 		}
 	}
-	if wrong := r.Check(); wrong != "" {
-		return "differ: " + wrong
-	}
 	return fmt.Sprintf("reasons %v", reasons)
 }
 
-// overAJP are the traces that must tell the same decisions over AJP. The others are of FastCGI's own: its records and slots, bad
-// ones, floods of them, reqs half sent, many on one connection; in link and pause a first req waits for the processor to say whether
-// it knows it, and over AJP each of theirs is one.
-var overAJP = []string{"answers", "calls", "drain", "due", "forgotten", "life", "lost", "no-halt", "reload", "repeats", "spoilt", "tier"}
+// movedPeerStep plays a step of the stand-ins as they were before they moved.
+func (bed *testbed) movedPeerStep(words []string) {
+	peer := map[string]*fakePeer{"processor": bed.peers[0], "tier": bed.peers[1]}[words[0]]
+	bed.peerStep(peer, words[1:])
+}
 
-// TestTracesOverAJP plays traces through the other front. What differs is left out of both: connections that end (each req has
-// its own), answers to aborts (there are none), reasons (an abort is the end of a connection).
-func TestTracesOverAJP(t *testing.T) {
-	if flag.Lookup("update").Value.String() == "true" {
-		t.Skip("the traces are those of FastCGI")
+// peerStep plays a step of the processor or the next tier.
+func (bed *testbed) peerStep(peer *fakePeer, words []string) {
+	verb, rest := words[0], words[1:]
+	switch verb {
+	case "says":
+		peer.write(bed.unescape(rest) + "\r\n")
+	case "notes": // a numbered notice: the word before its number, the rest, and a body
+		bed.notices++
+		last := len(rest) - 1
+		body := bed.unescape(rest[last:])
+		peer.write(fmt.Sprintf("%s %d %s %d\r\n%s\r\n", rest[0], bed.notices, strings.Join(rest[1:last], " "), len(body), body))
+	case "replies":
+		body := bed.unescape(rest[1:])
+		peer.write(fmt.Sprintf("%s ok %d\r\n%s\r\n", rest[0], len(body), body))
+	case "misses": // it knows no such request
+		bed.mu.Lock()
+		bed.begunIDs[rest[0]] = false
+		bed.mu.Unlock()
+	case "runs":
+		peer.set(&peer.completesAll, rest)
+	case "forgets":
+		peer.set(&peer.resetsReused, rest)
+	case "mute":
+		peer.set(&peer.mute, rest)
+	case "breaks":
+		peer.close()
+	case "shuts":
+		peer.stop()
 	}
-	same := func(text string) string {
-		var out []string
-		for line := range strings.Lines(text) {
-			if strings.HasPrefix(line, "    ") && (strings.Contains(line, "connection closed") ||
-				strings.HasSuffix(line, "ends with 0, , \"\"\n") || strings.HasPrefix(line, "    counters: reasons")) {
-				continue
-			}
-			out = append(out, line)
+}
+
+// set sets one of the peer's ways: on, unless the words say otherwise.
+func (p *fakePeer) set(way *bool, words []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	*way = len(words) == 0 || words[0] == "on"
+}
+
+// clientStep plays a step of a client. Its words are the client's name, what it does, the slot, and options.
+func (bed *testbed) clientStep(words []string) {
+	name, verb := words[0], words[1]
+	slot := uint16(1)
+	if len(words) > 2 {
+		n, _ := strconv.Atoi(words[2])
+		slot = uint16(n)
+	}
+	if verb == "closes" {
+		bed.closeClient(name)
+		return
+	}
+	client := bed.client(name, slot)
+	if client.conn == nil {
+		return
+	}
+	if verb == "aborts" && bed.ajp { // the end of its connection is the abort
+		_ = client.conn.Close()
+		delete(bed.clients, fmt.Sprint(name, "/", slot))
+		return
+	}
+	_, _ = client.conn.Write([]byte(bed.clientText(verb, slot, words)))
+}
+
+// closeClient ends all connections of a client.
+func (bed *testbed) closeClient(name string) {
+	for key, client := range bed.clients {
+		if key == name || strings.HasPrefix(key, name+"/") {
+			_ = client.conn.Close()
+			delete(bed.clients, key)
 		}
-		return strings.Join(out, "")
 	}
-	for _, name := range overAJP {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			text, err := os.ReadFile("testdata/" + name + ".trace")
-			if err != nil {
-				t.Fatal(err)
-			}
-			want := same(string(text))
-			diff := ""
-			for range 4 { // as with the others: a machine stands still at times
-				s := &stage{t: t, edges: map[string]*edgeNode{}, known: map[string]bool{}, ajp: true}
-				got := golden.Steps(want, func(line string, expected int) []string {
-					s.step(strings.Fields(line))
-					return s.settle(expected)
-				})
-				if diff = cmp.Diff(want, same(got)); diff == "" {
-					return
-				}
-			}
-			t.Error(diff)
-		})
+}
+
+// clientText returns what a client sends.
+func (bed *testbed) clientText(verb string, slot uint16, words []string) string {
+	request := fastcgiRequest
+	if bed.ajp {
+		request = ajpRequest
+	}
+	text := ""
+	switch verb {
+	case "connects":
+	case "sends":
+		options := parseOptions(words[3:])
+		if ago, ok := options["ago"]; ok {
+			delete(options, "ago")
+			options["HTTP_X_REQUEST_START"] = strconv.FormatInt(time.Now().Add(-duration(ago)).UnixMilli(), 10)
+		}
+		text = request(slot, options)
+	case "checks":
+		query := strings.Join(words[3:], "&")
+		text = request(slot, map[string]string{"secret": "s3cret", "SCRIPT_NAME": "/_health", "QUERY_STRING": query})
+	case "fills": // all slots, each with a whole request of its own
+		for i := range uint16(32) {
+			text += request(i+1, map[string]string{"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 4096+int(i))})
+		}
+	case "starts": // so many requests that never come whole
+		for i := range slot {
+			text += fake.FastCGIRecord(1, i+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + fake.FastCGIRecord(4, i+1, strings.Repeat("x", 4000))
+		}
+	case "half": // a request over AJP whose body stops in its middle
+		whole := ajpRequest(slot, map[string]string{"body": "a body that is cut"})
+		text = whole[:len(whole)-9]
+	case "aborts":
+		text = fake.FastCGIAbort(slot)
+	case "raw":
+		raw, err := hex.DecodeString(strings.Join(words[2:], ""))
+		if err != nil {
+			bed.t.Fatal(words, err)
+		}
+		text = string(raw)
 	}
+	return text
 }
--- /dev/null
+++ b/backend/upstream_crossing_test.go
@@ -0,0 +1,125 @@
+package backend
+
+import (
+	"bufio"
+	"frosthub/accounting"
+	"frosthub/overload"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// TestSlowDial: a connection that stands only after its call was given up carries another one, and never that call.
+func TestSlowDial(t *testing.T) {
+	t.Parallel()
+	bed := startReady(t, nil)
+	client := bed.dialClient()
+	bed.startRun(client, 1)
+	bed.inTurn(func() {
+		r := bed.backend.requests[1]
+		bed.backend.processor.ask(r, []byte("what"))
+		bed.backend.runController() // its call is being dialled for
+		if !bed.eventually(func() bool {
+			bed.upstream.mu.Lock()
+			defer bed.upstream.mu.Unlock()
+			return len(bed.upstream.conns) == 1
+		}) {
+			t.Error("nobody dials")
+		}
+		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
+	})
+	client.expect("1" + failedLine)
+	bed.await(func() bool { return bed.backend.upstream.inFlight() == 0 })
+	bed.startRun(client, 2)
+	bed.step([]string{"processor", "notes", "ask", "0000000000000002", "what"})
+	bed.expect(`tier: invoke 0000000000000002 "what"`)
+	bed.expectNone("tier: invoke 0000000000000001")
+	bed.step([]string{"tier", "replies", "0000000000000002", "that"})
+	bed.expect(`processor: answer 0000000000000002 "that"`)
+	bed.completeRun(2)
+	client.expect("2" + succeededLine)
+}
+
+// fullListener is a next tier whose queue of connections is full: a dial hangs until it is let go.
+func fullListener(t *testing.T) (address string, goes func() net.Listener) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err == nil {
+		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+	}
+	if err == nil {
+		err = syscall.Listen(fd, 0)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := os.NewFile(uintptr(fd), "full")
+	ln, err := net.FileListener(file)
+	_ = file.Close()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	for { // until one hangs
+		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
+		if err != nil {
+			return ln.Addr().String(), func() net.Listener { return ln }
+		}
+		t.Cleanup(func() { _ = c.Close() })
+	}
+}
+
+// TestSilentDial: a dial that nobody answers does not end its call while that has time.
+func TestSilentDial(t *testing.T) {
+	t.Parallel()
+	bed := startReady(t, nil)
+	address, goes := fullListener(t)
+	cfg := bed.config()
+	cfg.Upstream = address
+	bed.backend.Reload(cfg)
+	client := bed.dialClient()
+	bed.startRun(client, 1)
+	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
+	bed.await(func() bool { return bed.backend.logLimits["next tier not reached"] != nil })
+	go func() {
+		ln := goes()
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				line, err := bufio.NewReader(c).ReadString('\n')
+				if id, _, _ := strings.Cut(strings.TrimPrefix(line, "invoke "), " "); err == nil {
+					_, _ = io.WriteString(c, id+" ok 4\r\nthat\r\n")
+				}
+			}()
+		}
+	}()
+	bed.expect(`processor: answer 0000000000000001 "that"`)
+	bed.completeRun(1)
+	client.expect("1" + succeededLine)
+}
+
+// TestReplyCrossesCancel: the reply to a call that is given up in the same moment goes nowhere, and the connection that
+// carried it carries no other call.
+func TestReplyCrossesCancel(t *testing.T) {
+	t.Parallel()
+	bed := startReady(t, nil)
+	client := bed.dialClient()
+	bed.startRun(client, 1)
+	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
+	bed.expect(`tier: invoke 0000000000000001 "what"`)
+	release := bed.holdOwner()
+	bed.backend.loop.Post(func() { bed.backend.frontend.abort(bed.backend.requests[1].client, 1) }) // as an abort that is read first
+	bed.step([]string{"tier", "replies", "0000000000000001", "late"})
+	release()
+	bed.await(func() bool { return bed.backend.upstream.inFlight() == 0 && bed.backend.upstream.connections() == 0 })
+	bed.expect("tier: cancel 0000000000000001")
+	bed.step([]string{"processor", "notes", "complete", "0000000000000001", "halted", "5", "-"})
+	bed.await(func() bool { return len(bed.backend.requests) == 0 })
+	bed.expectNone("processor: answer")
+}
