--- /dev/null
+++ b/internal/conffile/argument.go
@@ -0,0 +1,279 @@
+package conffile
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Limits of values, in bytes.
+const (
+	maxNameLength   = 64 // of nodes, zones, headers and workers
+	maxSecretLength = 256
+)
+
+// The constructors below make an argument that stores its value in a field. The
+// field is given by a function, as the configuration is made only when a file is
+// read.
+
+// keyword returns a fixed word.
+func keyword(word string) argument { return argument{name: "word", keyword: word} }
+
+// named returns the argument with another name.
+func (a argument) named(name string) argument {
+	a.name = name
+	return a
+}
+
+// withExample returns the argument with an example in its messages.
+func (a argument) withExample(example string) argument {
+	a.kind += ", as " + example
+	return a
+}
+
+// integer returns a whole number from minimum to maximum.
+func integer(field func(*Config) *int, minimum, maximum int) argument {
+	return argument{
+		name: "number",
+		kind: fmt.Sprintf("a number from %d to %d", minimum, maximum),
+		set: func(c *Config, value string) error {
+			n, err := parseInteger(value, minimum, maximum)
+			*field(c) = n
+			return err
+		},
+	}
+}
+
+// weight returns a relative weight.
+func weight(field func(*Config) *float64) argument {
+	const minimum, maximum = 1, 1000
+	return argument{
+		name: "weight",
+		kind: fmt.Sprintf("a number from %d to %d", minimum, maximum),
+		set: func(c *Config, value string) error {
+			n, err := parseInteger(value, minimum, maximum)
+			*field(c) = float64(n)
+			return err
+		},
+	}
+}
+
+// duration returns a time span from minimum to maximum.
+func duration(field func(*Config) *time.Duration, minimum, maximum time.Duration) argument {
+	return argument{
+		name: "span",
+		kind: fmt.Sprintf("a span from %s to %s", formatDuration(minimum), formatDuration(maximum)),
+		set: func(c *Config, value string) error {
+			d, err := parseDuration(value, minimum, maximum)
+			*field(c) = d
+			return err
+		},
+	}
+}
+
+// durationFrom returns a time span that is not shorter than the one in another
+// field, which stands before it on the line.
+func durationFrom(minimum, field func(*Config) *time.Duration, maximum time.Duration) argument {
+	return argument{
+		name: "span",
+		kind: "a span, not under the first",
+		set: func(c *Config, value string) error {
+			d, err := parseDuration(value, *minimum(c), maximum)
+			*field(c) = d
+			return err
+		},
+	}
+}
+
+// percentage returns a share in percent, stored as a fraction of 1.
+func percentage(field func(*Config) *float64) argument {
+	return argument{
+		name: "share",
+		kind: "a share from 1% to 100%",
+		set: func(c *Config, value string) error {
+			share, err := parsePercentage(value)
+			*field(c) = share
+			return err
+		},
+	}
+}
+
+// listenAddress returns an IP address and port to listen at.
+func listenAddress(field func(*Config) *string, example string) argument {
+	return argument{
+		name: "address",
+		kind: "an address and a port, as " + example,
+		set: func(c *Config, value string) error {
+			*field(c) = value
+			anyIP := func(net.IP) bool { return true }
+			return checkListenAddress(value, "no address", anyIP)
+		},
+	}
+}
+
+// peerAddress returns the address and port of another server.
+func peerAddress(name string, field func(*Config) *string, example string) argument {
+	return argument{
+		name: name,
+		kind: "an address and a port, as " + example,
+		set: func(c *Config, value string) error {
+			*field(c) = value
+			return checkPeerAddress(value)
+		},
+	}
+}
+
+// shortName returns a name; the kind says of what.
+func shortName(name, kind string, field func(*Config) *string) argument {
+	return argument{
+		name: name,
+		kind: kind,
+		set: func(c *Config, value string) error {
+			*field(c) = value
+			return checkName(value)
+		},
+	}
+}
+
+// headerName returns the name of a header.
+func headerName(field func(*Config) *string, example string) argument {
+	return argument{
+		name: "header",
+		kind: "the name of a header, as " + example,
+		set: func(c *Config, value string) error {
+			*field(c) = value
+			return checkHeaderName(value)
+		},
+	}
+}
+
+// absolutePath returns the path of a file or directory.
+func absolutePath(field func(*Config) *string) argument {
+	return argument{
+		name: "path",
+		kind: "an absolute path on a disk of this machine",
+		set: func(c *Config, value string) error {
+			if !filepath.IsAbs(value) {
+				return errors.New("no absolute path")
+			}
+			*field(c) = filepath.Clean(value)
+			return nil
+		},
+	}
+}
+
+// secretFile returns the path of a file, whose first line is stored.
+func secretFile(field func(*Config) *string) argument {
+	return argument{
+		name: "path",
+		kind: "a file that can be read, with one line",
+		set: func(c *Config, value string) error {
+			secret, err := readSecret(value)
+			*field(c) = secret
+			return err
+		},
+	}
+}
+
+// last returns the element of a list that the rest of a line belongs to.
+func last[T any](list []T) *T { return &list[len(list)-1] }
+
+func parseInteger(text string, minimum, maximum int) (int, error) {
+	n, err := strconv.Atoi(text)
+	if err != nil {
+		return 0, errors.New("no whole number")
+	}
+	if n < minimum || n > maximum {
+		return 0, errOutOfRange
+	}
+	return n, nil
+}
+
+func parseDuration(text string, minimum, maximum time.Duration) (time.Duration, error) {
+	d, err := time.ParseDuration(text)
+	if err != nil {
+		return 0, errors.New("no span")
+	}
+	if d < minimum || d > maximum {
+		return 0, errOutOfRange
+	}
+	return d, nil
+}
+
+var errOutOfRange = errors.New("out of its range")
+
+// formatDuration formats a whole number of a unit as operators write it.
+func formatDuration(d time.Duration) string {
+	text := strings.TrimSuffix(d.String(), "0m0s") // of hours
+	return strings.Replace(text, "µs", "us", 1)
+}
+
+func parsePercentage(text string) (float64, error) {
+	number, ok := strings.CutSuffix(text, "%")
+	if !ok {
+		return 0, errors.New("no share in percent")
+	}
+	n, err := parseInteger(number, 1, 100)
+	return float64(n) / 100, err
+}
+
+// checkListenAddress checks an IP address and port; otherwise is the error where
+// the address is none that is allowed.
+func checkListenAddress(address, otherwise string, allowed func(net.IP) bool) error {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return errNoPort
+	}
+	if ip := net.ParseIP(host); ip == nil || !allowed(ip) {
+		return errors.New(otherwise)
+	}
+	if _, err := parseInteger(port, 0, 65535); err != nil {
+		return fmt.Errorf("its port is %w", err)
+	}
+	return nil
+}
+
+func checkPeerAddress(address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return errNoPort
+	}
+	return nil
+}
+
+var errNoPort = errors.New("no address with a port")
+
+func checkName(name string) error {
+	if name == "" || len(name) > maxNameLength {
+		return errors.New("no name")
+	}
+	return nil
+}
+
+var headerPattern = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9-]*$`)
+
+func checkHeaderName(name string) error {
+	if len(name) > maxNameLength || !headerPattern.MatchString(name) {
+		return errors.New("no name of a header")
+	}
+	return nil
+}
+
+// readSecret returns the first line of a file.
+func readSecret(path string) (string, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return "", err
+	}
+	first, _, _ := strings.Cut(string(text), "\n")
+	secret := strings.TrimRight(first, "\r")
+	if secret == "" || len(secret) > maxSecretLength {
+		return "", errors.New("its first line is empty or too long")
+	}
+	return secret, nil
+}
--- a/internal/conffile/operator_test.go
+++ b/internal/conffile/conffile_test.go
@@ -12,7 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestParse: what stands in a file is taken, and what is wrong is told with its place and what was expected.
+// TestParse checks what is read from files, and that errors name their place and
+// what was expected.
 func TestParse(t *testing.T) {
 	got, err := Parse("x.conf", "# all\n\nadmin listen 127.0.0.1:9180\r\n  figures file \"/var/lib/a b\" # here\n"+
 		"figures trail 1024\nfigures periods 60 every 30s\nfigures customers 9\nfigures customer-field X-Customer")
@@ -68,14 +69,17 @@
 		"figures file \"/x":                               `x.conf:1:14: not understood: lexer: invalid input text "\"/x\n", expected words, or text in double quotes that ends on its line`,
 		"figures customers 9\nfigures customer-field X:Y": `x.conf:2:24: header "X:Y": no name of a header, expected the name of a header, as X-Customer`,
 	} {
-		_, err := Parse("x.conf", text)
-		if err == nil || err.Error() != want {
-			t.Errorf("%q:\n%v, not\n%v", text, err, want)
-		}
+		t.Run(text, func(t *testing.T) {
+			_, err := Parse("x.conf", text)
+			if err == nil || err.Error() != want {
+				t.Errorf("%q:\n%v, not\n%v", text, err, want)
+			}
+		})
 	}
 }
 
-// TestDeployed: the file that shows all directives is good, and says nothing as it stands.
+// TestDeployed checks that the example file holds all directives as comments, and
+// that they are valid.
 func TestDeployed(t *testing.T) {
 	const path = "../../deploy/frosthub.conf"
 	if c, err := Load(path); err != nil || !cmp.Equal(c, Config{}) {
@@ -85,22 +89,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	on, n := "", 0
+	enabled := ""
+	count := 0
 	for line := range strings.SplitSeq(string(text), "\n") {
 		line = strings.ReplaceAll(line, "/etc/frosthub/ajp.secret", "/proc/sys/kernel/ostype") // any file of one line
 		if len(line) > 2 && line[0] == '#' && line[1] != ' ' {
-			on += line[1:] + "\n"
-			if !strings.HasPrefix(line, "#cluster member n2") && !strings.HasPrefix(line, "#cluster member n3") { // it may stand again
-				n++
+			enabled += line[1:] + "\n"
+			if !strings.HasPrefix(line, "#cluster member n2") && !strings.HasPrefix(line, "#cluster member n3") { // repetitions
+				count++
 			}
 		}
 	}
-	if c, err := Parse(path, on); err != nil || cmp.Equal(c, Config{}) || n != len(Directives) {
-		t.Error(n, c, err)
+	if c, err := Parse(path, enabled); err != nil || cmp.Equal(c, Config{}) || count != len(directives) {
+		t.Error(count, c, err)
 	}
 }
 
-// FuzzParse: any text is taken or refused with a place in it.
+// FuzzParse checks that any text is read, or refused with a place in it.
 func FuzzParse(f *testing.F) {
 	f.Add("figures file /x\nfigures periods 60 every 1m # so\n\"\\\"\"")
 	f.Fuzz(func(t *testing.T, text string) {
--- /dev/null
+++ b/internal/conffile/directives_admin.go
@@ -0,0 +1,18 @@
+package conffile
+
+import "net"
+
+var adminDirectives = []directive{
+	{
+		name: "admin listen",
+		help: "serve /metrics and /figures to programs on this machine",
+		args: []argument{{
+			name: "address",
+			kind: "a loopback address and a port, as 127.0.0.1:9180",
+			set: func(c *Config, value string) error {
+				c.Admin = value
+				return checkListenAddress(value, "no loopback address", net.IP.IsLoopback)
+			},
+		}},
+	},
+}
--- /dev/null
+++ b/internal/conffile/directives_upstream.go
@@ -0,0 +1,91 @@
+package conffile
+
+import (
+	"frosthub/loadbalance"
+	"time"
+)
+
+const exampleAJPAddress = "127.0.0.1:8009"
+
+var upstreamDirectives = []directive{
+	{
+		name:       "next-tier ajp",
+		repeatable: true,
+		help:       "make calls to this server over AJP; one line for each",
+		args: []argument{{
+			name: "address",
+			kind: "an address and a port, as " + exampleAJPAddress,
+			set:  (*Config).addUpstreamPeer,
+		}},
+		options: []argument{
+			weight(func(c *Config) *float64 { return &c.lastUpstreamPeer().Weight }),
+			shortName("route", "the name of a worker", func(c *Config) *string { return &c.lastUpstreamPeer().Route }),
+			integer(func(c *Config) *int { return &c.lastUpstreamPeer().MaxCalls }, 1, 10000).named("most"),
+		},
+	},
+	{
+		name:     "next-tier secret file",
+		requires: "next-tier ajp",
+		help:     "what each call brings; the file's first line",
+		args: []argument{
+			secretFile(func(c *Config) *string { return &c.AJPUpstream.Secret }),
+		},
+	},
+	{
+		name:     "route eject",
+		requires: "next-tier ajp",
+		help:     "faults in a row that put a peer out of service, and for how long: doubled each time",
+		args: []argument{
+			integer(func(c *Config) *int { return &c.AJPUpstream.Balancer.MaxConsecutiveFaults }, 1, 100),
+			keyword("for"),
+			duration(ejectionTime, 10*time.Millisecond, time.Hour),
+			keyword("to"),
+			durationFrom(ejectionTime, func(c *Config) *time.Duration { return &c.AJPUpstream.Balancer.MaxEjectionTime }, time.Hour),
+		},
+	},
+	{
+		name:     "route trial",
+		requires: "next-tier ajp",
+		help:     "share of the calls that a returning peer gets, and how many must go well",
+		args: []argument{
+			percentage(func(c *Config) *float64 { return &c.AJPUpstream.Balancer.TrialShare }),
+			keyword("passes"),
+			integer(func(c *Config) *int { return &c.AJPUpstream.Balancer.TrialSuccesses }, 1, 1000),
+		},
+	},
+	{
+		name:     "route floor",
+		requires: "next-tier ajp",
+		help:     "share of the peers that stay in service whatever their faults",
+		args: []argument{
+			percentage(func(c *Config) *float64 { return &c.AJPUpstream.Balancer.MinHealthyShare }),
+		},
+	},
+	{
+		name:     "route budget",
+		requires: "next-tier ajp",
+		help:     "further tries as a share of first ones",
+		args: []argument{
+			percentage(func(c *Config) *float64 { return &c.AJPUpstream.Balancer.RetryBudget }),
+		},
+	},
+}
+
+func ejectionTime(c *Config) *time.Duration { return &c.AJPUpstream.Balancer.EjectionTime }
+
+// lastUpstreamPeer returns the peer that the options of a line belong to.
+func (c *Config) lastUpstreamPeer() *loadbalance.Peer { return last(c.AJPUpstream.Balancer.Peers) }
+
+func (c *Config) addUpstreamPeer(address string) error {
+	if err := checkPeerAddress(address); err != nil {
+		return err
+	}
+	peers := &c.AJPUpstream.Balancer.Peers
+	for _, peer := range *peers {
+		if peer.Address == address {
+			return errDuplicate
+		}
+	}
+	*peers = append(*peers, loadbalance.Peer{Address: address})
+	return nil
+}
