--- /dev/null
+++ b/overload/bench_test.go
@@ -0,0 +1,26 @@
+package overload
+
+import (
+	"testing"
+	"time"
+)
+
+// BenchmarkHandle measures a batch under a steady load: a request comes, another ends, and at times the timer runs.
+func BenchmarkHandle(b *testing.B) {
+	b.ReportAllocs()
+	c := New(1, standardSettings(), 0)
+	events := make([]Event, 0, 3)
+	gauges := []float64{0.5, 1}
+	for i := range b.N {
+		now := time.Duration(i) * time.Millisecond
+		id := uint64(i + 1)
+		events = append(events[:0],
+			Event{Kind: Arrived, ID: id, Caller: i % 8, Handler: i % 3, Size: 1, Hint: time.Millisecond},
+			Event{Kind: Ended, ID: id - 5, Outcome: OK},
+		)
+		if i%25 == 0 {
+			events = append(events, Event{Kind: Timer, Gauges: gauges})
+		}
+		c.Handle(now, events)
+	}
+}
--- a/overload/settings.go
+++ b/overload/settings.go
@@ -144,7 +144,7 @@
 }
 
 // String returns the name of the value.
-func (i Idempotency) String() string { return idempotencyNames[i] }
+func (i Idempotency) String() string { return nameOf(idempotencyNames[:], uint8(i)) }
 
 // Cancellation is how a running request can be stopped.
 type Cancellation uint8
@@ -163,7 +163,7 @@
 }
 
 // String returns the name of the value.
-func (c Cancellation) String() string { return cancellationNames[c] }
+func (c Cancellation) String() string { return nameOf(cancellationNames[:], uint8(c)) }
 
 // SignalMeaning is the meaning of the load signal that rides on answers.
 type SignalMeaning uint8
@@ -184,7 +184,7 @@
 }
 
 // String returns the name of the value.
-func (s SignalMeaning) String() string { return signalMeaningNames[s] }
+func (s SignalMeaning) String() string { return nameOf(signalMeaningNames[:], uint8(s)) }
 
 // Downstream is what the calls of running requests go to.
 type Downstream uint8
@@ -203,7 +203,7 @@
 }
 
 // String returns the name of the value.
-func (d Downstream) String() string { return downstreamNames[d] }
+func (d Downstream) String() string { return nameOf(downstreamNames[:], uint8(d)) }
 
 // Gauge is one measurement of the server that comes with each Timer event.
 type Gauge uint8
@@ -222,4 +222,4 @@
 }
 
 // String returns the name of the value.
-func (g Gauge) String() string { return gaugeNames[g] }
+func (g Gauge) String() string { return nameOf(gaugeNames[:], uint8(g)) }
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -187,7 +187,7 @@
 	"call-ended": CallEnded, "tick": Timer, "leave": Drain,
 }
 
-var outcomeNames = map[string]Outcome{
+var outcomeWords = map[string]Outcome{
 	"ok": OK, "errored": Failed, "full": Overloaded, "timed-out": TimedOut,
 	"no-connection": NoConnection, "broken-off": BrokenOff, "stopped": Stopped, "moot": NeverRan,
 }
@@ -211,8 +211,8 @@
 		switch {
 		case !named && e.Kind == Drain:
 			e.Remaining, _ = time.ParseDuration(w)
-		case !named && outcomeNames[w] != 0:
-			e.Outcome = outcomeNames[w]
+		case !named && outcomeWords[w] != 0:
+			e.Outcome = outcomeWords[w]
 		case !named:
 			e.ID, _ = strconv.ParseUint(w, 10, 64)
 		case k == "times":
@@ -317,9 +317,9 @@
 		}
 		c.Handle(now, events)
 	}
-	if len(c.reqs) > 10 || len(c.all) > 200 || len(c.from) > 40000 || len(c.lapsed) > 3000 || len(c.keys) > 2000 {
-		t.Error("kept:", len(c.reqs), "reqs,", len(c.all), "listed,", len(c.from), "callers,", len(c.lapsed), "lapsed,",
-			len(c.keys), "keys")
+	if len(c.requests.byID) > 10 || len(c.requests.ordered) > 200 || len(c.edgeNodes.byNumber) > 40000 || len(c.repeats.neverRan) > 3000 || len(c.repeats.remembered) > 2000 {
+		t.Error("kept:", len(c.requests.byID), "reqs,", len(c.requests.ordered), "listed,", len(c.edgeNodes.byNumber), "callers,", len(c.repeats.neverRan), "lapsed,",
+			len(c.repeats.remembered), "keys")
 	}
 	for i := range uint64(10) { // what still runs
 		c.Handle(100*time.Second, []Event{{Kind: Ended, ID: 99991 + i, Outcome: OK}})
@@ -327,7 +327,7 @@
 	for i := range 1000 {
 		c.Handle(100*time.Second+time.Duration(i)*100*time.Millisecond, []Event{{Kind: Timer, Gauges: []float64{0, 0}}})
 	}
-	if n := len(c.reqs) + len(c.all) + len(c.from) + len(c.lapsed) + len(c.keys); n != 0 {
-		t.Error("kept after a while:", len(c.reqs), len(c.all), len(c.from), len(c.lapsed), len(c.keys))
+	if n := len(c.requests.byID) + len(c.requests.ordered) + len(c.edgeNodes.byNumber) + len(c.repeats.neverRan) + len(c.repeats.remembered); n != 0 {
+		t.Error("kept after a while:", len(c.requests.byID), len(c.requests.ordered), len(c.edgeNodes.byNumber), len(c.repeats.neverRan), len(c.repeats.remembered))
 	}
 }
