--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,6 @@
-// Command simhost hosts instances of the decision module on the simulator's wire.
+// Command simhost lets the overload controller decide for the servers of a simulator. It reads the simulator's events
+// from standard input and writes the actions to standard output, until the input ends. It exits with status 1 if it
+// can't understand the input.
 package main
 
 import (
