--- /dev/null
+++ b/idempotency/expiry.go
@@ -0,0 +1,63 @@
+package idempotency
+
+import (
+	"slices"
+	"time"
+)
+
+// Sweep expires results that are past their time, retires and drops segments, and lets go of what is past the retry horizon.
+func (s *Store) Sweep(now time.Duration) {
+	s.advanceClock(now)
+	s.sweepSegments()
+	horizon := s.now - s.cfg.RetryHorizon
+	s.peerFingerprints = slices.DeleteFunc(s.peerFingerprints, func(peer ExpiredKeys) bool { return peer.Until < horizon })
+	if s.lostBefore > 0 && horizon > s.lostBefore {
+		s.lostBefore = 0
+	}
+}
+
+// expireOverdue expires all records that are past their time.
+func (s *Store) expireOverdue() {
+	for {
+		oldest := s.oldest()
+		if oldest == nil || s.now-oldest.at < s.cfg.ResultTTL {
+			return
+		}
+		s.expireOldest()
+	}
+}
+
+// addResult counts a result, and expires the oldest records while all results are too large.
+func (s *Store) addResult(rec *record) {
+	s.resultBytes += len(rec.result)
+	for s.resultBytes > s.cfg.MaxBytes && s.expireOldest() {
+	}
+}
+
+// expireOldest expires the record that ended first, and reports whether there was one.
+func (s *Store) expireOldest() bool {
+	oldest := s.oldest()
+	if oldest == nil {
+		return false
+	}
+	key := s.expiryQueue[0]
+	s.popExpiryQueue()
+	s.expire(key, oldest)
+	return true
+}
+
+// oldest returns the record that expires next, nil if there is none. It drops keys from the queue that are forgotten or in flight again.
+func (s *Store) oldest() *record {
+	for len(s.expiryQueue) > 0 {
+		if rec := s.records[s.expiryQueue[0]]; rec != nil && rec.flight == nil {
+			return rec
+		}
+		s.popExpiryQueue()
+	}
+	return nil
+}
+
+func (s *Store) popExpiryQueue() {
+	s.expiryQueue = s.expiryQueue[1:]
+	s.queueStart++
+}
--- /dev/null
+++ b/idempotency/model_test.go
@@ -0,0 +1,280 @@
+package idempotency
+
+import (
+	"bytes"
+	"encoding/binary"
+	"frosthub/internal/golden"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+func init() { golden.SameDraws() }
+
+// keyOf returns the key of a request that a test numbered.
+func keyOf(n uint64) (key Key) {
+	binary.BigEndian.PutUint64(key[8:], n)
+	return key
+}
+
+const noon = 1000 * time.Hour
+
+// fakeDisk is what the log entries amount to: segments with their records, or their fingerprints.
+type fakeDisk struct {
+	records      map[uint64][]LogEntry
+	fingerprints map[uint64]Fingerprints
+}
+
+func newFakeDisk() *fakeDisk {
+	return &fakeDisk{records: map[uint64][]LogEntry{}, fingerprints: map[uint64]Fingerprints{}}
+}
+
+func (d *fakeDisk) write(entry LogEntry) {
+	switch entry.Kind {
+	case EntrySegmentRetired:
+		fingerprints := *entry.Fingerprints
+		if fingerprints.Filter != nil {
+			fingerprints.Filter = fingerprints.Filter.Copy()
+		}
+		d.fingerprints[entry.Segment] = fingerprints
+		delete(d.records, entry.Segment)
+		return
+	case EntrySegmentDropped:
+		delete(d.fingerprints, entry.Subject)
+	}
+	d.records[entry.Segment] = append(d.records[entry.Segment], entry)
+}
+
+// writeAll writes entries and returns the highest sequence number among them.
+func (d *fakeDisk) writeAll(entries []LogEntry) uint64 {
+	seq := uint64(0)
+	for _, entry := range entries {
+		d.write(entry)
+		seq = max(seq, entry.Seq)
+	}
+	return seq
+}
+
+func (d *fakeDisk) load(s *Store) {
+	last := uint64(0)
+	for number := range d.records {
+		last = max(last, number)
+	}
+	for number := uint64(1); number <= last; number++ {
+		if fingerprints, ok := d.fingerprints[number]; ok {
+			s.LoadFingerprints(fingerprints)
+			continue
+		}
+		for _, entry := range d.records[number] {
+			s.Load(entry)
+		}
+	}
+}
+
+// modelKey is what a plain table of everything that ever happened says of a key.
+type modelKey struct {
+	madeAt   time.Duration
+	runs     int // less those proved not to have been
+	result   []byte
+	answered bool
+}
+
+// modelTest drives a store and a model of it side by side.
+type modelTest struct {
+	t         *rapid.T
+	cfg       Config
+	now       time.Duration
+	disk      *fakeDisk
+	store     *Store
+	unwritten []LogEntry // handed over, not yet durable
+
+	keys      map[uint64]*modelKey
+	newest    uint64            // the highest key so far
+	requestID uint64            // the last one given
+	keyOf     map[uint64]uint64 // by request ID
+	running   map[uint64]uint64 // request IDs, by key
+
+	diskFailed bool // in this incarnation
+	lostRun    bool // the disk failed once, so a run's result may be missing
+}
+
+// TestNeverRunsTwice: over any arrivals, ends, withdrawals, losses of what was not yet durable, restarts, failing disks and clocks that go
+// back, no key runs twice unless it was proved never to have run, a retry gets the first result or none, and bounds hold.
+func TestNeverRunsTwice(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &modelTest{
+			t: t,
+			cfg: Config{
+				MaxEntries:     6,
+				MaxBytes:       60,
+				MaxResultBytes: 30,
+				ResultTTL:      20 * time.Second,
+				RetryHorizon:   80 * time.Second,
+				MaxSegments:    30,
+				KeysPerSegment: 4,
+				SegmentBytes:   1000,
+			},
+			now:     noon,
+			disk:    newFakeDisk(),
+			keys:    map[uint64]*modelKey{},
+			keyOf:   map[uint64]uint64{},
+			running: map[uint64]uint64{},
+		}
+		m.store = New(m.cfg)
+		m.store.FinishLoading(m.now, true, 0)
+		for range rapid.IntRange(80, 150).Draw(t, "steps") {
+			m.now += time.Duration(rapid.IntRange(-1000, 3000).Draw(t, "ms")) * time.Millisecond
+			m.step()
+			m.checkBounds()
+		}
+	})
+}
+
+func (m *modelTest) step() {
+	switch step := rapid.IntRange(0, 10).Draw(m.t, "step"); step {
+	case 0, 1, 2, 3:
+		m.request()
+	case 4, 5:
+		m.finishOne()
+	case 6, 7:
+		m.makeDurable()
+	case 8:
+		m.store.Sweep(m.now)
+		if rapid.IntRange(0, 40).Draw(m.t, "disk") == 29 {
+			m.diskFailed = true
+			m.lostRun = true
+			m.check(m.store.DiskFailed())
+		}
+	case 9:
+		m.withdraw()
+	case 10:
+		m.restart()
+	}
+}
+
+// request makes a request, fresh or a retry within the horizon.
+func (m *modelTest) request() {
+	key := uint64(rapid.IntRange(1, 12).Draw(m.t, "key"))
+	if key > m.newest || m.newest-key > 12 {
+		key = m.newest - min(m.newest, key) + 1
+	}
+	if m.keys[key] == nil {
+		m.newest = max(m.newest, key)
+		m.keys[key] = &modelKey{madeAt: m.now}
+	}
+	if m.now-m.keys[key].madeAt > m.cfg.RetryHorizon-10*time.Second {
+		m.newest++ // so old a one is no longer retried
+		key = m.newest
+		m.keys[key] = &modelKey{madeAt: m.now}
+	}
+	m.requestID++
+	m.keyOf[m.requestID] = key
+	outcome := m.store.Reserve(m.now, m.keys[key].madeAt, keyOf(key), "", m.requestID)
+	if outcome.Decision == OutcomeUnknown && m.lostRun {
+		return
+	}
+	m.check([]Outcome{outcome})
+}
+
+// finishOne ends the run with the lowest key.
+func (m *modelTest) finishOne() {
+	for key := range m.newest + 1 {
+		if _, ok := m.running[key]; !ok {
+			continue
+		}
+		end := rapid.SampledFrom([]EntryKind{EntryResult, EntryResult, EntryFailed, EntryNeverRan}).Draw(m.t, "end")
+		delete(m.running, key)
+		result := bytes.Repeat([]byte{byte('a' + key%20)}, 1+int(key)%28)
+		switch end {
+		case EntryResult:
+			m.keys[key].result = result
+		case EntryNeverRan:
+			m.keys[key].runs--
+		}
+		m.check(m.store.Finish(m.now, keyOf(key), end, result))
+		return
+	}
+}
+
+// makeDurable has a part of what waits become durable.
+func (m *modelTest) makeDurable() {
+	m.unwritten = append(m.unwritten, m.store.TakeEntries()...)
+	n := rapid.IntRange(0, len(m.unwritten)).Draw(m.t, "durable")
+	if n == 0 || m.diskFailed {
+		return
+	}
+	seq := m.disk.writeAll(m.unwritten[:n])
+	m.unwritten = m.unwritten[n:]
+	m.check(m.store.MarkDurable(seq))
+}
+
+// withdraw has a caller go.
+func (m *modelTest) withdraw() {
+	if m.requestID == 0 {
+		return
+	}
+	id := uint64(rapid.IntRange(1, int(m.requestID)).Draw(m.t, "who"))
+	m.store.Withdraw(m.now, keyOf(m.keyOf[id]), id)
+}
+
+// restart has the process die. Some of what was not durable may be on the disk all the same.
+func (m *modelTest) restart() {
+	m.unwritten = append(m.unwritten, m.store.TakeEntries()...)
+	if !m.diskFailed {
+		m.disk.writeAll(m.unwritten[:rapid.IntRange(0, len(m.unwritten)).Draw(m.t, "kept")])
+	}
+	m.unwritten = nil
+	m.diskFailed = false
+	m.store = New(m.cfg)
+	m.disk.load(m.store)
+	m.store.FinishLoading(m.now, false, 0)
+	clear(m.running) // they died with it
+	for key, model := range m.keys {
+		decision := m.store.Peek(m.now, model.madeAt, keyOf(key))
+		if model.answered && !m.lostRun && decision != Duplicate && decision != ResultExpired {
+			m.t.Fatalf("key %d was answered, and is %s after a restart", key, decision)
+		}
+		if rec := m.store.records[keyOf(key)]; rec != nil && model.answered && !m.lostRun && rec.state == stateUnknown {
+			m.t.Fatalf("key %d was answered, and its outcome is unknown after a restart", key)
+		}
+	}
+}
+
+// check compares outcomes with the model, and has what may start run.
+func (m *modelTest) check(outcomes []Outcome) {
+	for _, outcome := range outcomes {
+		key := m.keyOf[outcome.ID]
+		model := m.keys[key]
+		switch outcome.Decision {
+		case Start:
+			model.runs++
+			if model.runs > 1 {
+				m.t.Fatalf("key %d runs twice", key)
+			}
+			m.running[key] = outcome.ID
+		case Completed, Replay:
+			if model.result == nil || !bytes.Equal(outcome.Result, model.result) {
+				m.t.Fatalf("key %d: %q, not the first result %q", key, outcome.Result, model.result)
+			}
+			model.answered = true
+		case OutcomeUnknown:
+			if model.answered && !m.diskFailed {
+				m.t.Fatalf("key %d was answered, and its outcome is unknown", key)
+			}
+		case Fresh, StoreFull, StoreFailed:
+			if model.runs > 0 {
+				m.t.Fatalf("key %d ran, and is rejected", key)
+			}
+		case HistoryLost:
+			m.t.Fatalf("key %d: history is said to be lost, and none is", key)
+		}
+	}
+}
+
+func (m *modelTest) checkBounds() {
+	stats := m.store.Stats()
+	if stats.Keys > m.cfg.MaxEntries+stats.OutcomeUnknown || stats.Bytes > m.cfg.MaxBytes || stats.Segments > m.cfg.MaxSegments+1 {
+		m.t.Fatalf("over its bounds: %+v", stats)
+	}
+}
--- /dev/null
+++ b/idempotency/store_test.go
@@ -0,0 +1,320 @@
+package idempotency
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// testStore is a store with a disk that a test runs a few requests on.
+type testStore struct {
+	store     *Store
+	disk      *fakeDisk
+	requestID uint64
+}
+
+func newTestStore(cfg Config) *testStore {
+	x := &testStore{store: New(cfg), disk: newFakeDisk()}
+	x.store.FinishLoading(noon, true, 0)
+	x.sync()
+	return x
+}
+
+// sync makes all entries durable.
+func (x *testStore) sync() {
+	x.store.MarkDurable(x.disk.writeAll(x.store.TakeEntries()))
+}
+
+// run takes a request from its arrival to its durable result.
+func (x *testStore) run(now time.Duration, key uint64, result string) Decision {
+	x.requestID++
+	outcome := x.store.Reserve(now, 0, keyOf(key), "", x.requestID)
+	if outcome.Decision != Wait {
+		return outcome.Decision
+	}
+	x.sync()
+	x.store.Finish(now, keyOf(key), EntryResult, []byte(result))
+	x.sync()
+	return Completed
+}
+
+// TestExpiry: a result that has expired leaves a fingerprint, also on the disk, and what is past the horizon leaves nothing.
+func TestExpiry(t *testing.T) {
+	cfg := Config{
+		MaxEntries:     10,
+		MaxBytes:       100,
+		MaxResultBytes: 50,
+		ResultTTL:      time.Minute,
+		RetryHorizon:   time.Hour,
+		MaxSegments:    12,
+		KeysPerSegment: 100,
+		SegmentBytes:   1 << 20,
+	}
+	x := newTestStore(cfg)
+	x.run(noon, 7, "filed")
+	for i, c := range []struct {
+		after   time.Duration
+		restart bool
+		want    Decision
+	}{
+		{after: time.Second, want: Replay},
+		{after: 2 * time.Minute, want: ResultExpired},
+		{after: 40 * time.Minute, want: ResultExpired},
+		{after: 59 * time.Minute, restart: true, want: ResultExpired},
+		{after: 70 * time.Minute, want: Completed},
+	} {
+		x.store.Sweep(noon + c.after)
+		x.run(noon+c.after, uint64(100+i), "another") // segments follow each other
+		x.store.Sweep(noon + c.after)
+		x.sync()
+		if c.restart {
+			x.store = New(cfg)
+			x.disk.load(x.store)
+			x.store.FinishLoading(noon+c.after, false, 0)
+			x.sync()
+		}
+		if got := x.run(noon+c.after, 7, "again"); got != c.want {
+			t.Errorf("after %s: %s, not %s; %+v", c.after, got, c.want, x.store.Stats())
+		}
+	}
+	if got := x.store.Peek(noon+71*time.Minute, noon, keyOf(9)); got != ResultExpired {
+		t.Error("made long before the horizon: ", got)
+	}
+}
+
+// TestBounds: where keys come faster than they may be forgotten, the newest are rejected and none is forgotten early.
+func TestBounds(t *testing.T) {
+	x := newTestStore(Config{
+		MaxEntries:     20,
+		MaxBytes:       1000,
+		MaxResultBytes: 50,
+		ResultTTL:      time.Minute,
+		RetryHorizon:   time.Hour,
+		MaxSegments:    4,
+		KeysPerSegment: 5,
+		SegmentBytes:   1 << 20,
+	})
+	ran := uint64(0)
+	for x.run(noon, ran+1, "filed") == Completed {
+		ran++
+	}
+	if stats := x.store.Stats(); ran != 20 || stats.Segments != 4 {
+		t.Fatal(ran, stats)
+	}
+	for key := uint64(1); key <= ran; key++ {
+		if got := x.store.Peek(noon, 0, keyOf(key)); got != Duplicate && got != ResultExpired {
+			t.Errorf("key %d: %s", key, got)
+		}
+	}
+	if got := x.run(noon+59*time.Minute, 99, "filed"); got != StoreFull {
+		t.Error("before the horizon: ", got)
+	}
+	if got := x.run(noon+61*time.Minute, 99, "filed"); got != Completed {
+		t.Error("past it: ", got)
+	}
+}
+
+// TestLostHistory: what is lost is never taken for fresh, over restarts, until the horizon has passed, the caller tells when it made a request,
+// or an operator accepts the loss.
+func TestLostHistory(t *testing.T) {
+	cfg := Config{
+		MaxEntries:     10,
+		MaxBytes:       100,
+		MaxResultBytes: 50,
+		ResultTTL:      time.Minute,
+		RetryHorizon:   time.Hour,
+		MaxSegments:    12,
+		KeysPerSegment: 2,
+		SegmentBytes:   1 << 20,
+	}
+	x := newTestStore(cfg)
+	for key := uint64(1); key <= 5; key++ {
+		x.run(noon, key, "filed")
+	}
+	// restart loads all but the second segment.
+	restart := func(now time.Duration, change func(s *Store)) {
+		x.store = New(cfg)
+		for number := uint64(1); number <= 9; number++ {
+			if fingerprints, ok := x.disk.fingerprints[number]; ok {
+				x.store.LoadFingerprints(fingerprints)
+				continue
+			}
+			if number == 2 {
+				x.store.LoadLostSegment(number)
+				continue
+			}
+			records := x.disk.records[number]
+			if number == 3 && len(records) > 0 {
+				x.store.AddHistoryLoss(records[0].At)
+			}
+			for _, entry := range records {
+				x.store.Load(entry)
+			}
+		}
+		x.store.FinishLoading(now, false, 0)
+		if change != nil {
+			change(x.store)
+		}
+		x.sync()
+	}
+	var got []Decision
+	peek := func(now, madeAt time.Duration, key uint64) {
+		got = append(got, x.store.Peek(now, madeAt, keyOf(key)))
+	}
+	restart(noon+time.Minute, nil)
+	peek(noon+time.Minute, 0, 3)                // its segment is lost
+	peek(noon+time.Minute, 0, 9)                // a new one that says no time
+	peek(noon+time.Minute, noon+time.Second, 9) // and one that was made since
+	peek(noon+time.Minute, 0, 5)
+	restart(noon+50*time.Minute, func(s *Store) { s.Sweep(noon + 50*time.Minute) }) // the segments around it are retired now
+	peek(noon+50*time.Minute, 0, 9)
+	restart(noon+50*time.Minute, func(s *Store) { s.AcceptHistory(noon + 50*time.Minute) })
+	peek(noon+50*time.Minute, 0, 9)
+	restart(noon+51*time.Minute, nil)
+	peek(noon+51*time.Minute, 0, 9)
+	if want := []Decision{HistoryLost, HistoryLost, Fresh, Duplicate, HistoryLost, Fresh, Fresh}; !slices.Equal(got, want) {
+		t.Error(got, want)
+	}
+	restart(noon+62*time.Minute, func(s *Store) { s.Sweep(noon + 62*time.Minute) })
+	if stats := x.store.Stats(); stats.LostBefore != 0 {
+		t.Error(stats)
+	}
+}
+
+// TestWaitingRequests: a retry of what is in flight hears how that ends, and a withdrawn request makes room for the next.
+func TestWaitingRequests(t *testing.T) {
+	const (
+		intentSeq = 9  // past the record of the intent
+		endSeq    = 99 // past that of the end
+	)
+	finish := func(s *Store, end EntryKind, result string) []Outcome {
+		return s.Finish(noon, keyOf(1), end, []byte(result))
+	}
+	retry := func(s *Store) Outcome {
+		return s.Reserve(noon, 0, keyOf(1), "", 3)
+	}
+	for _, c := range []struct {
+		name string
+		play func(s *Store) []Outcome
+		want []string
+	}{
+		{"a result", func(s *Store) []Outcome {
+			s.MarkDurable(intentSeq)
+			finish(s, EntryResult, "yes")
+			return s.MarkDurable(endSeq)
+		}, []string{"1 completed yes", "2 replay yes"}},
+		{"too long a result", func(s *Store) []Outcome {
+			s.MarkDurable(intentSeq)
+			finish(s, EntryResult, "longer")
+			return s.MarkDurable(endSeq)
+		}, []string{"1 completed longer", "2 result expired "}},
+		{"a failure", func(s *Store) []Outcome {
+			s.MarkDurable(intentSeq)
+			return finish(s, EntryFailed, "")
+		}, []string{"2 original failed "}},
+		{"never ran", func(s *Store) []Outcome {
+			s.MarkDurable(intentSeq)
+			return finish(s, EntryNeverRan, "")
+		}, []string{"2 fresh "}},
+		{"withdrawn before its intent is durable", func(s *Store) []Outcome {
+			s.Withdraw(noon, keyOf(1), 1)
+			return s.MarkDurable(intentSeq)
+		}, []string{"2 start "}},
+		{"both withdrawn", func(s *Store) []Outcome {
+			s.Withdraw(noon, keyOf(1), 2)
+			s.Withdraw(noon, keyOf(1), 1)
+			return append(s.MarkDurable(intentSeq), retry(s))
+		}, []string{"3 wait "}},
+		{"withdrawn while it runs", func(s *Store) []Outcome {
+			s.MarkDurable(intentSeq)
+			s.Withdraw(noon, keyOf(1), 1)
+			finish(s, EntryResult, "yes")
+			return s.MarkDurable(endSeq)
+		}, []string{"2 replay yes"}},
+		{"the disk fails before its intent is durable", func(s *Store) []Outcome {
+			return s.DiskFailed()
+		}, []string{"1 store failed ", "2 store failed "}},
+		{"the disk fails before its end is durable", func(s *Store) []Outcome {
+			s.MarkDurable(intentSeq)
+			finish(s, EntryResult, "yes")
+			return append(s.DiskFailed(), retry(s))
+		}, []string{"1 completed yes", "2 replay yes", "3 replay yes"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := New(Config{
+				MaxEntries:     10,
+				MaxBytes:       100,
+				MaxResultBytes: 5,
+				ResultTTL:      time.Minute,
+				RetryHorizon:   time.Hour,
+				MaxSegments:    12,
+				KeysPerSegment: 9,
+				SegmentBytes:   1 << 20,
+			})
+			s.FinishLoading(noon, true, 0)
+			s.Reserve(noon, 0, keyOf(1), "", 1)
+			s.Reserve(noon, 0, keyOf(1), "", 2)
+			var got []string
+			for _, outcome := range c.play(s) {
+				got = append(got, fmt.Sprintf("%d %s %s", outcome.ID, outcome.Decision, outcome.Result))
+			}
+			if !slices.Equal(got, c.want) {
+				t.Errorf("%q, not %q", got, c.want)
+			}
+		})
+	}
+}
+
+// TestAbandonInFlight: the outcome of what was in flight is unknown once nobody has it any more. That of an end on its way to the disk is
+// not, and an end that turns up counts.
+func TestAbandonInFlight(t *testing.T) {
+	s := New(Config{
+		MaxEntries:     10,
+		MaxBytes:       1000,
+		MaxResultBytes: 100,
+		ResultTTL:      time.Hour,
+		RetryHorizon:   24 * time.Hour,
+		MaxSegments:    5,
+		KeysPerSegment: 10,
+		SegmentBytes:   1000,
+	})
+	s.FinishLoading(noon, false, 0)
+	for n := range uint64(3) {
+		s.Reserve(noon, 0, keyOf(n), "status", n+1)
+	}
+	s.MarkDurable(s.lastSeq)
+	s.Finish(noon, keyOf(1), EntryResult, []byte("filed"))
+	s.Reserve(noon, 0, keyOf(3), "status", 4)
+	s.AbandonInFlight(noon)
+	if got := s.UnknownByHandler(); got["status"] != 3 || s.inFlight != 1 {
+		t.Error(got, s.inFlight)
+	}
+	s.Finish(noon, keyOf(2), EntryResult, []byte("late"))
+	s.MarkDurable(s.lastSeq)
+	var got []Decision
+	for n := range uint64(4) {
+		got = append(got, s.PeekOutcome(noon, 0, keyOf(n)).Decision)
+	}
+	if diff := cmp.Diff([]Decision{OutcomeUnknown, Replay, Replay, OutcomeUnknown}, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// TestNames: the names that reach operators and their scripts, and the numbers that are on disks, stay as they are.
+func TestNames(t *testing.T) {
+	var kinds []string
+	for kind := range EntryKind(13) {
+		kinds = append(kinds, kind.String())
+	}
+	want := "unknown,intent,result,failed,never,too long,open,life,accepted,drop,retire,gap,unknown"
+	if got := strings.Join(kinds, ","); got != want {
+		t.Errorf("%s, not %s", got, want)
+	}
+	if got := (StoreFailed + 1).String(); got != "decision 13" {
+		t.Error(got)
+	}
+}
