--- a/internal/prng/prng.go
+++ b/internal/prng/prng.go
@@ -2,6 +2,8 @@
 // a seed repeats a run exactly. It is not for cryptography.
 package prng
 
+import "time"
+
 // Source is a generator of the xorshift family (Marsaglia, 2003) with 64 bits of state. Make it with New: the zero value yields only zeros. It
 // is not safe for concurrent use.
 type Source uint64
@@ -20,3 +22,16 @@
 // Intn returns the next number modulo n, which must be positive. It is slightly biased towards small numbers, which does not matter for n far
 // below 2^64.
 func (s *Source) Intn(n int) int { return int(s.Uint64() % uint64(n)) }
+
+// Jitter returns a random time from half of d to one and a half times d, which must be positive: retries at such intervals don't fall into step
+// with each other.
+func (s *Source) Jitter(d time.Duration) time.Duration {
+	return d/2 + time.Duration(s.Uint64()%uint64(d))
+}
+
+// Shuffle puts n elements in random order (Fisher-Yates); swap exchanges two of them.
+func (s *Source) Shuffle(n int, swap func(i, j int)) {
+	for i := n - 1; i > 0; i-- {
+		swap(i, s.Intn(i+1))
+	}
+}
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -43,7 +43,8 @@
 // are back, but no answer is expected of them.
 func (d *Detector) probeNext(now time.Duration) {
 	if d.nextTarget == 0 {
-		d.shuffleProbeOrder()
+		order := d.probeOrder
+		d.randomSource.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	}
 	target := d.probeOrder[d.nextTarget]
 	d.nextTarget = (d.nextTarget + 1) % len(d.probeOrder)
@@ -53,15 +54,6 @@
 	}
 }
 
-// shuffleProbeOrder draws the order of the next round (Fisher-Yates).
-func (d *Detector) shuffleProbeOrder() {
-	order := d.probeOrder
-	for i := len(order) - 1; i > 0; i-- {
-		k := d.randomSource.Intn(i + 1)
-		order[i], order[k] = order[k], order[i]
-	}
-}
-
 // sendPing pings a node under a new number, which it returns.
 func (d *Detector) sendPing(to string) uint64 {
 	d.lastProbe++
--- /dev/null
+++ b/recovery/node_test.go
@@ -0,0 +1,291 @@
+package recovery
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// model is a node that loses its disk or parts of it, and its peers, which remember what it told them as far as their own disks do.
+type model struct {
+	names []string      // of the peers
+	peers []*PeerStates // what each remembers
+	told  []PeerState   // the furthest that each was told and has not forgotten
+	empty []bool        // whether each has forgotten what was before, and was told nothing since
+	disk  DiskState     // as the node would read it
+	mark  uint64        // of the node's present process
+	now   time.Duration
+}
+
+// rule is one of the rules that the test switches off to show that it finds what is wrong without it.
+type rule uint8
+
+const (
+	allRules             rule = iota
+	compareIncarnations       // a disk of an earlier incarnation than a peer remembers is outdated
+	compareSeqs               // a disk with fewer records than a peer remembers is outdated
+	distrustEmptyAnswers      // a peer that remembers nothing from before its start does not confirm anything
+	awaitMajority             // a majority of the peers must answer
+)
+
+// withoutRule returns what is left of an answer for a node that does not follow a rule.
+func withoutRule(off rule, answer Answer) Answer {
+	switch off {
+	case compareIncarnations:
+		answer.Incarnation = 0
+	case compareSeqs:
+		answer.Seq = 0
+	case distrustEmptyAnswers:
+		answer.Empty = false
+	}
+	return answer
+}
+
+func newModel(peers int) *model {
+	m := &model{told: make([]PeerState, peers), empty: make([]bool, peers), now: time.Hour}
+	for i := range peers {
+		m.names = append(m.names, fmt.Sprint("n", i))
+		m.peers = append(m.peers, NewPeerStates(false))
+	}
+	return m
+}
+
+// simulate has the node write and tell its peers for some incarnations, with a loss and a restart after each. It returns what was wrong with a
+// restart, or "".
+func simulate(t *rapid.T, off rule) string {
+	m := newModel(rapid.IntRange(2, 6).Draw(t, "peers"))
+	for range rapid.IntRange(1, 6).Draw(t, "incarnations") {
+		if wrong := m.restart(t, off); wrong != "" {
+			return wrong
+		}
+		m.write(t)
+		m.lose(t)
+	}
+	return ""
+}
+
+// provesOutdated reports whether a peer was told more than the disk holds.
+func (m *model) provesOutdated(peer int) bool {
+	told := m.told[peer]
+	if told == (PeerState{}) || m.empty[peer] {
+		return false
+	}
+	return told.Incarnation >= m.disk.Incarnation || told.Incarnation+1 == m.disk.Incarnation && told.Seq > m.disk.Seq
+}
+
+// restart starts the node's next process, with answers of some of the peers.
+func (m *model) restart(t *rapid.T, off rule) string {
+	m.mark++
+	n := New(Config{Mark: m.mark, Others: m.names, MajorityAfter: time.Second, DegradeAfter: time.Minute, RetryHorizon: time.Hour}, m.mark)
+	n.StartLoading()
+	m.disk.Incarnation++
+	m.disk.New = m.disk.Incarnation == 1
+	n.DiskLoaded(m.now, m.disk)
+	outdated := false
+	confirmed, answered := 0, 0
+	for i, peer := range m.peers {
+		if rapid.IntRange(0, 3).Draw(t, "answers") == 0 {
+			continue
+		}
+		answer := peer.Answer("me", m.mark)
+		before := n.Phase()
+		n.Receive(m.now, m.names[i], withoutRule(off, answer))
+		answered++
+		if m.provesOutdated(i) {
+			outdated = true
+		}
+		if !m.empty[i] || m.disk.New {
+			confirmed++
+		}
+		if n.Phase() == Serving && outdated {
+			return fmt.Sprintf("it trusts a disk that peers know to be outdated (was %s)", before)
+		}
+	}
+	peers := len(m.peers)
+	if n.Phase() == Serving && answered < peers {
+		return "it serves before all have answered or the time is over"
+	}
+	m.now += 2 * time.Second
+	n.Tick(m.now)
+	if off == awaitMajority {
+		n.TrustDisk()
+	}
+	switch {
+	case outdated && n.Phase() != Degraded:
+		return "it trusts a disk that peers know to be outdated"
+	case !outdated && n.Phase() == Serving && 2*confirmed < peers:
+		return "it serves though too few could know"
+	case !outdated && n.Phase() == Querying && 2*confirmed >= peers:
+		return "it waits though a majority has answered"
+	}
+	m.now += 2 * time.Minute
+	n.Tick(m.now)
+	if !n.Established() {
+		return "it never comes back"
+	}
+	incarnation := m.disk.Incarnation
+	for _, action := range n.Ready() {
+		incarnation = max(incarnation, action.Incarnation)
+	}
+	for i := range m.peers {
+		if outdated && !m.empty[i] && m.told[i].Incarnation >= incarnation && answered == peers {
+			return "its incarnation is that of an earlier process"
+		}
+	}
+	m.disk.Incarnation = incarnation
+	return ""
+}
+
+// write has the node write some records, and tell some of the peers.
+func (m *model) write(t *rapid.T) {
+	for range rapid.IntRange(0, 5).Draw(t, "records") {
+		m.disk.Seq++
+		for i, peer := range m.peers {
+			if rapid.Bool().Draw(t, "told") {
+				state := PeerState{Incarnation: m.disk.Incarnation, Seq: m.disk.Seq}
+				peer.Update("me", m.mark, state)
+				m.told[i] = state
+				m.empty[i] = false
+			}
+		}
+	}
+}
+
+// lose has the node lose a part of its disk, or a peer all that it remembers, or nothing be lost.
+func (m *model) lose(t *rapid.T) {
+	switch rapid.IntRange(0, 3).Draw(t, "loss") {
+	case 0: // the last records
+		m.disk.Seq -= min(m.disk.Seq, rapid.Uint64Range(0, 3).Draw(t, "lost"))
+	case 1: // a backup is restored
+		m.disk.Incarnation -= min(m.disk.Incarnation, rapid.Uint64Range(0, 3).Draw(t, "older"))
+		m.disk.Seq -= min(m.disk.Seq, rapid.Uint64Range(0, 6).Draw(t, "lost"))
+	case 2: // a peer's disk
+		peer := rapid.IntRange(0, len(m.peers)-1).Draw(t, "forgets")
+		m.peers[peer] = NewPeerStates(true)
+		m.told[peer] = PeerState{}
+		m.empty[peer] = true
+	}
+}
+
+// TestRestarts checks that a loss is found if any peer that was told more answers, that peers which remember nothing don't confirm a disk, and
+// that the node always comes back.
+func TestRestarts(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		if wrong := simulate(t, allRules); wrong != "" {
+			t.Fatal(wrong)
+		}
+	})
+}
+
+// TestRulesAreNeeded checks that something wrong is found with any of the rules switched off.
+func TestRulesAreNeeded(t *testing.T) {
+	tests := map[rule]string{
+		compareIncarnations:  "compare incarnations",
+		compareSeqs:          "compare sequence numbers",
+		distrustEmptyAnswers: "distrust empty answers",
+		awaitMajority:        "await majority",
+	}
+	for off, name := range tests {
+		t.Run(name, func(t *testing.T) {
+			wrong := ""
+			example := rapid.Custom(func(t *rapid.T) string { return simulate(t, off) })
+			for seed := range 2000 {
+				if wrong = example.Example(seed); wrong != "" {
+					t.Logf("%s off: found by example %d: %s", name, seed, wrong)
+					break
+				}
+			}
+			if wrong == "" {
+				t.Errorf("%s is off, and nothing is found", name)
+			}
+		})
+	}
+}
+
+// TestQueries checks that peers which have not answered are asked again at growing intervals, and that the answer of one that was away for long
+// is heeded.
+func TestQueries(t *testing.T) {
+	n := New(Config{Others: []string{"n2", "n3", "n4", "n5"}, RetryHorizon: time.Hour}, 3)
+	n.StartLoading()
+	n.DiskLoaded(0, DiskState{Incarnation: 4, Seq: 20})
+	n.Receive(0, "n2", Answer{PeerState: PeerState{Incarnation: 3, Seq: 20}})
+	var phases strings.Builder
+	queries := 0
+	for now := time.Duration(0); now < 10*time.Second; now += 10 * time.Millisecond {
+		n.Tick(now)
+		for _, action := range n.Ready() {
+			queries += len(action.Query)
+			if action.To != action.From {
+				fmt.Fprintf(&phases, "%s: %s, %s\n", now, action.To, action.Reason)
+			}
+		}
+		if now == 2*time.Second {
+			n.Receive(now, "n9", Answer{PeerState: PeerState{Incarnation: 9, Seq: 9}})
+			n.Receive(now, "n3", Answer{PeerState: PeerState{Incarnation: 3, Seq: 19}})
+		}
+		if now == 5*time.Second {
+			n.Receive(now, "n4", Answer{PeerState: PeerState{Incarnation: 3, Seq: 21}})
+		}
+	}
+	want := "0s: reading, its store is read\n0s: asking, others are asked whether that is all\n2.01s: serving, most others know of nothing more\n" +
+		"5.01s: serving in part, its disk is older than what n4 knows\n"
+	if phases.String() != want {
+		t.Error(phases.String())
+	}
+	if queries < 10 || queries > 25 {
+		t.Error("queries: ", queries)
+	}
+}
+
+// TestTransitions checks the table of Node: each of the events that end a phase leads to the phase that it names, or nowhere.
+func TestTransitions(t *testing.T) {
+	config := Config{Mark: 1, Others: []string{"a", "b"}, MajorityAfter: time.Second, DegradeAfter: time.Minute, RetryHorizon: time.Hour}
+	confirmation := Answer{PeerState: PeerState{Incarnation: 1, Seq: 5}, Mark: 1}
+	outdated := Answer{PeerState: PeerState{Incarnation: 1, Seq: 6}, Mark: 1}
+	type step func(*Node)
+	load := func(n *Node) { n.StartLoading(); n.DiskLoaded(0, DiskState{Incarnation: 2, Seq: 5}) }
+	receive := func(from string, answer Answer) step { return func(n *Node) { n.Receive(0, from, answer) } }
+	tick := func(now time.Duration) step { return func(n *Node) { n.Tick(now) } }
+	tests := []struct {
+		name  string
+		steps []step
+		want  Phase
+	}{
+		{"new", nil, Cold},
+		{"answer before the store is read", []step{receive("a", confirmation)}, Cold},
+		{"reads", []step{(*Node).StartLoading}, Loading},
+		{"operator before the store is read", []step{(*Node).StartLoading, (*Node).TrustDisk}, Loading},
+		{"store is read", []step{load}, Querying},
+		{"one of two before the time", []step{load, receive("a", confirmation)}, Querying},
+		{"all confirm", []step{load, receive("a", confirmation), receive("b", confirmation)}, Serving},
+		{"majority in time", []step{load, receive("a", confirmation), tick(time.Second)}, Serving},
+		{"answer of another process", []step{load, receive("a", Answer{Mark: 2}), receive("b", confirmation)}, Querying},
+		{"operator while querying", []step{load, (*Node).TrustDisk}, Serving},
+		{"peer knows more", []step{load, receive("a", outdated)}, Degraded},
+		{"nobody answers", []step{load, tick(time.Minute)}, Degraded},
+		{"peer knows more, late", []step{load, (*Node).TrustDisk, receive("a", outdated)}, Degraded},
+		{"operator while degraded", []step{load, receive("a", outdated), (*Node).TrustDisk}, Serving},
+		{"refilled", []step{load, receive("a", outdated), (*Node).MarkComplete}, Serving},
+		{"horizon", []step{load, receive("a", outdated), tick(time.Hour)}, Serving},
+		{"not refilled while querying", []step{load, (*Node).MarkComplete}, Querying},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			n := New(config, 1)
+			for _, step := range test.steps {
+				step(n)
+			}
+			if n.Phase() != test.want {
+				t.Errorf("phase %s, want %s", n.Phase(), test.want)
+			}
+			lost := slices.ContainsFunc(n.Ready(), func(action Action) bool { return action.HistoryLost })
+			if test.want == Degraded && !lost {
+				t.Error("degraded without a loss of history")
+			}
+		})
+	}
+}
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -7,261 +7,279 @@
 	"time"
 )
 
-// Refill is how a box that has lost something of its disk is told it again by the others, while it serves. It decides whom to ask for the next
-// page and when, and of which keys all is known again. Places are those that say where to go on; the zero one is the start. Make it with
-// NewRefill.
-type Refill[P comparable] struct {
-	cfg     RefillConfig
-	sources map[string]*source[P]
-	names   []string        // in the order in which they are asked
-	without map[string]bool // boxes that never come back, by an operator's word
-	chance  prng.Source
-	done    bool
-}
-
-// RefillConfig says how much is asked at a time.
+// RefillConfig says whom a Refill asks, and how fast. PageInterval and MaxConcurrent take a default if they are zero.
 type RefillConfig struct {
-	Incarnation   uint64        // of this box: what was meant for an earlier one is not heeded
-	Others        []string      // all that share keys with it
-	PageInterval  time.Duration // between pages of one; 0 as usual
-	MaxConcurrent int           // that are asked at a time; 0 as usual
+	// Incarnation is that of this node's process: pages meant for an earlier one are ignored.
+	Incarnation uint64
+	// Others names all nodes that share keys with this one.
+	Others []string
+	// PageInterval is the time from one page of a source to the query for its next.
+	PageInterval time.Duration
+	// MaxConcurrent is how many sources are asked at a time.
+	MaxConcurrent int
 }
 
 const (
-	pageEvery  = 20 * time.Millisecond  // fifty pages a second and source: some hundred thousand keys
-	pageWait   = 300 * time.Millisecond // for one; doubled each time up to pageMost
-	pageMost   = 4 * time.Second
-	partEvery  = 5 * time.Second // until a source that has lost something itself is asked whether it is whole now
-	atOnceMost = 3               // a source spends a millisecond a page, and this box some writes
+	// Defaults of RefillConfig: fifty pages a second and source are some hundred thousand keys. A source spends about a millisecond on a page,
+	// and this node some writes.
+	defaultPageInterval  = 20 * time.Millisecond
+	defaultMaxConcurrent = 3
+
+	// Timeout of a page, doubled each time that none comes.
+	minPageTimeout = 300 * time.Millisecond
+	maxPageTimeout = 4 * time.Second
+
+	// incompleteInterval is how long a source that has lost history itself is left alone before it is asked from the start.
+	incompleteInterval = 5 * time.Second
+)
+
+// sourceState is how far a source of a Refill has come.
+//
+//	from        to          when
+//	notAsked    sending     the first query: query
+//	sending     complete    its last page came, and it has lost nothing itself: finishPass
+//	sending     incomplete  its last page came, but it has lost history itself: finishPass
+//	incomplete  sending     it is asked again from the start: query
+type sourceState uint8
+
+const (
+	notAsked sourceState = iota
+	sending
+	incomplete
+	complete
 )
 
-// source is one that tells.
-type source[P comparable] struct {
-	life    uint64 // of its process: another one's places mean nothing
-	next    P      // where to go on, as it said
-	askAt   time.Duration
-	wait    time.Duration
-	asked   bool // a page is on its way
-	started bool
-	done    bool
-	part    bool // it has told all, and has lost something itself
-	pages   int
-	keys    int
+// Names of Progress.State. They are read in operators' reports and stay as they are.
+const (
+	progressNotAsked   = "not asked"
+	progressSending    = "tells"
+	progressSilent     = "silent"
+	progressIncomplete = "not whole"
+	progressComplete   = "told"
+)
+
+// source is a node that is asked for what it knows.
+type source[C comparable] struct {
+	state       sourceState
+	incarnation uint64 // of its process: cursors of another process mean nothing
+	cursor      C      // where its next page begins; the zero value is the start
+	outstanding bool   // a page was asked for and did not come yet
+	nextQueryAt time.Duration
+	timeout     time.Duration // of the next page
+	pages       int
+	keys        int
 }
 
-// NewRefill begins one.
-func NewRefill[P comparable](cfg RefillConfig, seed uint64) *Refill[P] {
-	cfg.PageInterval, cfg.MaxConcurrent = cmp.Or(cfg.PageInterval, pageEvery), cmp.Or(cfg.MaxConcurrent, atOnceMost)
-	r := &Refill[P]{cfg: cfg, without: map[string]bool{}, chance: prng.New(seed)}
+// Question is a query to a node for a page.
+type Question[C comparable] struct {
+	To   string
+	From C // where the page begins, as that node said
+}
+
+// PageInfo describes a page without its content.
+type PageInfo[C comparable] struct {
+	Incarnation uint64 // of the process that asked for it
+	From        C      // where it begins
+	Next        C      // where the next one begins
+	Keys        int    // how many it has
+	Last        bool   // there is no next one
+	Complete    bool   // the source has not lost any history itself
+}
+
+// Refill is the state transfer to a node that has lost history: the other nodes send it what they know, page by page, while it serves. Refill
+// decides whom to ask for the next page and when, and tells for which nodes' keys the history is complete again.
+//
+// C is the type of the cursors by which a source finds the place where a page begins. Their zero value is the start; otherwise they mean
+// something only to the process that made them. Make a Refill with NewRefill. It is not safe for concurrent use.
+type Refill[C comparable] struct {
+	cfg          RefillConfig
+	sources      map[string]*source[C]
+	order        []string        // names of the sources, in which they are asked
+	excluded     map[string]bool // nodes that never come back, as an operator said
+	randomSource prng.Source
+	done         bool
+}
+
+// NewRefill returns a Refill that has asked nobody yet. The seed decides the order and the moments of its queries.
+func NewRefill[C comparable](cfg RefillConfig, seed uint64) *Refill[C] {
+	cfg.PageInterval = cmp.Or(cfg.PageInterval, defaultPageInterval)
+	cfg.MaxConcurrent = cmp.Or(cfg.MaxConcurrent, defaultMaxConcurrent)
+	r := &Refill[C]{cfg: cfg, excluded: map[string]bool{}, randomSource: prng.New(seed)}
 	r.SetOthers(cfg.Others)
 	return r
 }
 
-// SetOthers says that others are the ones that share keys with this box now: all begins anew, as what was told was told by other lists.
-func (r *Refill[P]) SetOthers(others []string) {
-	r.sources, r.names, r.done = map[string]*source[P]{}, nil, false
+// SetOthers replaces the names of the nodes that share keys with this one. The transfer begins anew, since what a node sends depends on the
+// configuration of the cluster.
+func (r *Refill[C]) SetOthers(others []string) {
+	r.sources = map[string]*source[C]{}
+	r.order = nil
+	r.done = false
 	for _, name := range others {
-		if r.without[name] {
+		if r.excluded[name] {
 			continue
 		}
-		r.names = append(r.names, name)
-		r.sources[name] = &source[P]{wait: pageWait}
-	}
-	for i := len(r.names) - 1; i > 0; i-- { // boxes that come back together ask different ones first
-		k := r.chance.Intn(i + 1)
-		r.names[i], r.names[k] = r.names[k], r.names[i]
+		r.order = append(r.order, name)
+		r.sources[name] = &source[C]{timeout: minPageTimeout}
 	}
+	// Nodes that come back together should not all ask the same one first.
+	r.randomSource.Shuffle(len(r.order), func(i, j int) { r.order[i], r.order[j] = r.order[j], r.order[i] })
 }
 
-// Exclude says that a box never comes back: what only that one and this box knew is lost, and taken for never run.
-func (r *Refill[P]) Exclude(name string) {
-	r.without[name] = true
+// Exclude says that a node never comes back. What only that one and this one knew is lost, and taken for never run.
+func (r *Refill[C]) Exclude(name string) {
+	r.excluded[name] = true
 	delete(r.sources, name)
-	r.names = slices.DeleteFunc(r.names, func(x string) bool { return x == name })
-	r.look()
-}
-
-// look finds out whether all have told.
-func (r *Refill[P]) look() {
-	r.done = !slices.ContainsFunc(r.names, func(name string) bool { return !r.sources[name].done })
-}
-
-// Question asks a box for a page.
-type Question[P comparable] struct {
-	To   string
-	From P // as that box said where to go on
+	r.order = slices.DeleteFunc(r.order, func(other string) bool { return other == name })
+	r.updateDone()
 }
 
-// Tick gives the questions that are due. alive tells who seems to be there: others are asked seldom.
-func (r *Refill[P]) Tick(now time.Duration, alive func(string) bool) (out []Question[P]) {
-	busy := 0
-	for _, name := range r.names {
-		if s := r.sources[name]; s.started && !s.done && !s.part && s.wait < pageMost {
-			busy++
-		}
-	}
-	for _, name := range r.names {
+// Tick returns the queries that are due. alive reports whether a node seems to be running: the first query to a node waits for that.
+func (r *Refill[C]) Tick(now time.Duration, alive func(string) bool) []Question[C] {
+	var queries []Question[C]
+	concurrent := r.concurrent()
+	for _, name := range r.order {
 		s := r.sources[name]
-		if s.done || now < s.askAt || !s.started && (busy >= r.cfg.MaxConcurrent || !alive(name)) {
+		if s.state == complete || now < s.nextQueryAt {
 			continue
 		}
-		if s.asked { // no answer: more seldom, each at moments of its own
-			s.wait = min(2*s.wait, pageMost)
+		if s.state == notAsked {
+			if concurrent >= r.cfg.MaxConcurrent || !alive(name) {
+				continue
+			}
+			concurrent++
 		}
-		if !s.started {
-			s.started = true
-			busy++
+		r.query(now, s)
+		queries = append(queries, Question[C]{To: name, From: s.cursor})
+	}
+	return queries
+}
+
+// concurrent counts the sources that are being asked, without those that have long been silent.
+func (r *Refill[C]) concurrent() int {
+	count := 0
+	for _, s := range r.sources {
+		if s.state == sending && s.timeout < maxPageTimeout {
+			count++
 		}
-		s.asked, s.part = true, false
-		s.askAt = now + s.wait/2 + time.Duration(r.chance.Uint64()%uint64(s.wait))
-		out = append(out, Question[P]{name, s.next})
 	}
-	return out
+	return count
 }
 
-// PageInfo is what a page says beside what it tells.
-type PageInfo[P comparable] struct {
-	Incarnation uint64 // of who asked
-	From        P      // as it was asked for
-	Next        P
-	Keys        int
-	Last        bool
-	Complete    bool // who tells has lost nothing itself
+// query asks a source for its next page, or again for one that did not come.
+func (r *Refill[C]) query(now time.Duration, s *source[C]) {
+	if s.outstanding {
+		s.timeout = min(2*s.timeout, maxPageTimeout)
+	}
+	s.state = sending
+	s.outstanding = true
+	s.nextQueryAt = now + r.randomSource.Jitter(s.timeout)
 }
 
-// Wants tells whether a page of a box, in that life of its own, is the one that is waited for.
-func (r *Refill[P]) Wants(from string, life uint64, p *PageInfo[P]) bool {
+// Wants reports whether a page from a node's process of that incarnation is the one that is waited for; then the caller handles its content and
+// calls PageReceived. If the node has restarted in the middle of the transfer, Wants returns false and begins with it from the start.
+func (r *Refill[C]) Wants(from string, incarnation uint64, page *PageInfo[C]) bool {
 	s := r.sources[from]
-	if s == nil || s.done || !s.asked || p.Incarnation != r.cfg.Incarnation {
+	if s == nil || s.state == complete || !s.outstanding || page.Incarnation != r.cfg.Incarnation {
 		return false
 	}
-	var start P
-	if s.next != start && s.life != life { // its places are another process's
-		s.next, s.life, s.asked, s.askAt = start, life, false, 0
+	var start C
+	if s.cursor != start && s.incarnation != incarnation {
+		s.cursor = start
+		s.incarnation = incarnation
+		s.outstanding = false
+		s.nextQueryAt = 0
 		return false
 	}
-	s.life = life
-	return s.next == p.From
+	s.incarnation = incarnation
+	return s.cursor == page.From
 }
 
-// PageReceived says that such a page was taken, or not all of it: then it is asked for once more, later.
-func (r *Refill[P]) PageReceived(now time.Duration, from string, p *PageInfo[P], all bool) {
+// PageReceived says that a page for which Wants returned true was handled. If not all of it could be taken, it is asked for again later.
+func (r *Refill[C]) PageReceived(now time.Duration, from string, page *PageInfo[C], all bool) {
 	s := r.sources[from]
-	s.asked = false
+	s.outstanding = false
 	if !all {
-		s.askAt = now + pageMost
+		s.nextQueryAt = now + maxPageTimeout
 		return
 	}
-	again := s.next == p.Next && !p.Last // it waits for its own disk
-	s.next, s.wait = p.Next, pageWait
+	interval := r.cfg.PageInterval
+	if s.cursor == page.Next {
+		interval = minPageTimeout // there was nothing new: the source waits for its own disk
+	}
+	s.cursor = page.Next
+	s.timeout = minPageTimeout
 	s.pages++
-	s.keys += p.Keys
-	switch {
-	case p.Last && p.Complete:
-		s.done = true
-	case p.Last:
-		var start P
-		s.part, s.next, s.askAt = true, start, now+partEvery
-	case again:
-		s.askAt = now + pageWait
-	default:
-		s.askAt = now + r.cfg.PageInterval
+	s.keys += page.Keys
+	if page.Last {
+		s.finishPass(now, page.Complete)
+	} else {
+		s.nextQueryAt = now + interval
 	}
-	r.look()
+	r.updateDone()
 }
 
-// Covers tells whether all of these have told all that they know.
-func (r *Refill[P]) Covers(others []string) bool {
-	return !slices.ContainsFunc(others, func(name string) bool {
-		s := r.sources[name]
-		return !r.without[name] && (s == nil || !s.done)
-	})
+// finishPass follows the last page of a source.
+func (s *source[C]) finishPass(now time.Duration, isComplete bool) {
+	if isComplete {
+		s.state = complete
+		return
+	}
+	var start C
+	s.state = incomplete
+	s.cursor = start
+	s.nextQueryAt = now + incompleteInterval
 }
 
-// Done tells whether all have.
-func (r *Refill[P]) Done() bool { return r.done }
-
-// Progress is how far one of the others has told.
-type Progress struct {
-	Name  string `json:"name"`
-	State string `json:"state"` // not asked, tells, told, not whole, silent
-	Keys  int    `json:"keys"`
-	Pages int    `json:"pages"`
+// updateDone finds out whether all sources have sent all that they know.
+func (r *Refill[C]) updateDone() {
+	r.done = !slices.ContainsFunc(r.order, func(name string) bool { return r.sources[name].state != complete })
 }
 
-// Progress gives it of each, in the order in which they are asked.
-func (r *Refill[P]) Progress() (out []Progress) {
-	for _, name := range r.names {
+// Covers reports whether all these nodes have sent all that they know, so that the history of the keys which they share with this node is
+// complete.
+func (r *Refill[C]) Covers(others []string) bool {
+	return !slices.ContainsFunc(others, func(name string) bool {
 		s := r.sources[name]
-		word := "tells"
-		switch {
-		case s.done:
-			word = "told"
-		case s.part:
-			word = "not whole"
-		case !s.started:
-			word = "not asked"
-		case s.wait > pageWait:
-			word = "silent"
-		}
-		out = append(out, Progress{name, word, s.keys, s.pages})
-	}
-	return out
+		return !r.excluded[name] && (s == nil || s.state != complete)
+	})
 }
 
-// UnknownOutcomes is in which order, and how fast, the others are asked how runs ended whose end a box does not know: it paces, and gives up on keys
-// that nobody can tell of, so that they are in doubt for good.
-type UnknownOutcomes struct {
-	tries map[[16]byte]*trying
-	order [][16]byte
-	next  time.Duration
-}
+// Done reports whether all nodes have sent all that they know.
+func (r *Refill[C]) Done() bool { return r.done }
 
-type trying struct {
-	n  int
-	at time.Duration
+// Progress is how far the transfer from one node has come.
+type Progress struct {
+	Name string `json:"name"`
+	// State is "not asked", "tells" (it sends), "silent" (it does not answer), "not whole" (it has sent all, but has lost history itself) or
+	// "told" (it has sent all).
+	State string `json:"state"`
+	Keys  int    `json:"keys"`  // received
+	Pages int    `json:"pages"` // received
 }
 
-const (
-	settleEvery = 50 * time.Millisecond
-	settleBatch = 16 // keys that are asked about at a time: some hundred a second, beside the work
-	settleTries = 8  // of one key, ever more seldom: some minutes
-	settleFirst = 2 * time.Second
-	settleMost  = time.Minute
-)
-
-// NewUnknownOutcomes takes the keys in doubt at the start, in the order in which they are asked about.
-func NewUnknownOutcomes(keys [][16]byte) *UnknownOutcomes {
-	s := &UnknownOutcomes{tries: map[[16]byte]*trying{}, order: keys}
-	for _, k := range keys {
-		s.tries[k] = &trying{}
+// Progress returns the progress of each node, in the order in which they are asked.
+func (r *Refill[C]) Progress() []Progress {
+	var all []Progress
+	for _, name := range r.order {
+		s := r.sources[name]
+		all = append(all, Progress{Name: name, State: s.progressState(), Keys: s.keys, Pages: s.pages})
 	}
-	return s
+	return all
 }
 
-// Remaining is how many are still asked about.
-func (s *UnknownOutcomes) Remaining() int { return len(s.tries) }
-
-// Tick gives keys to be asked about; doubted tells which are in doubt still.
-func (s *UnknownOutcomes) Tick(now time.Duration, doubted func([16]byte) bool) (ask [][16]byte) {
-	if now < s.next {
-		return nil
-	}
-	s.next = now + settleEvery
-	left := s.order[:0]
-	for _, k := range s.order {
-		t := s.tries[k]
-		if t.n > 0 && !doubted(k) || t.n >= settleTries && now >= t.at {
-			delete(s.tries, k)
-			continue
-		}
-		left = append(left, k)
-		if now >= t.at && len(ask) < settleBatch {
-			t.at = now + min(settleFirst<<t.n, settleMost)
-			t.n++
-			ask = append(ask, k)
-		}
+// progressState names the state of a source for Progress.
+func (s *source[C]) progressState() string {
+	switch {
+	case s.state == complete:
+		return progressComplete
+	case s.state == incomplete:
+		return progressIncomplete
+	case s.state == notAsked:
+		return progressNotAsked
+	case s.timeout > minPageTimeout:
+		return progressSilent
+	default:
+		return progressSending
 	}
-	s.order = left
-	return ask
 }
