--- /dev/null
+++ b/internal/peerproto/grpc_compare_test.go
@@ -0,0 +1,218 @@
+package peerproto
+
+import (
+	"context"
+	"flag"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/conn"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/mem"
+)
+
+var compareBatches = flag.Int("wires", 0, "batches sent and answered over connections of the core and over gRPC, to compare what they cost")
+
+// claimsPerBatch is the number of claims that ask in a batch, and of those that answer.
+const claimsPerBatch = 32
+
+// claimRequests returns a batch that asks.
+func claimRequests() *Batch {
+	batch := &Batch{}
+	for i := range claimsPerBatch {
+		batch.Claims = append(batch.Claims, failover.Message{
+			Kind:   failover.MsgAcquire,
+			Key:    idempotency.Key{byte(i)},
+			Ballot: failover.Ballot{Number: 8, Node: "n1", Incarnation: 3},
+			Work:   &failover.Work{Handler: "file-claim", Body: make([]byte, 500), Left: 9, Cost: 4, Size: 24.5, Rank: 0.625},
+		})
+	}
+	return batch
+}
+
+// claimReplies returns the batch that answers another.
+func claimReplies(requests *Batch) *Batch {
+	batch := &Batch{}
+	for _, request := range requests.Claims {
+		batch.Claims = append(batch.Claims, failover.Message{
+			Kind:   failover.MsgAcquireReply,
+			Key:    request.Key,
+			Ballot: request.Ballot,
+			Vote:   failover.VoteGranted,
+		})
+	}
+	return batch
+}
+
+// processorTime returns the time that this process has spent on processors.
+func processorTime(t *testing.T) time.Duration {
+	t.Helper()
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		t.Fatal(err)
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// runLoop serves an event loop until done is closed.
+func runLoop(loop *conn.Loop, done chan struct{}) {
+	for {
+		select {
+		case <-loop.Wake:
+		case <-done:
+			return
+		}
+		loop.Dispatch()
+		loop.Flush(time.Now())
+	}
+}
+
+// overConn sends batches over the connections of this program, with an event loop at each end as nodes have.
+func overConn(t *testing.T, batches int) {
+	t.Helper()
+	client, server := conn.NewLoop(), conn.NewLoop()
+	listener, err := server.Listen("127.0.0.1:0", 10, func(c *conn.Conn) {
+		parser := NewParser(func(batch *Batch) error {
+			c.Write(Append(nil, claimReplies(batch)))
+			return nil
+		})
+		c.OnData = parser.Feed
+		c.OnClosed = func(error) {}
+	}, func(error) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	remaining := batches
+	finished := make(chan struct{})
+	client.Dial(listener.Addr().String(), func(c *conn.Conn, err error) {
+		if err != nil {
+			t.Error(err)
+			close(finished)
+			return
+		}
+		c.OnClosed = func(error) {}
+		parser := NewParser(func(*Batch) error {
+			remaining--
+			if remaining == 0 {
+				close(finished)
+				return nil
+			}
+			c.Write(Append(nil, claimRequests()))
+			return nil
+		})
+		c.OnData = parser.Feed
+		c.Write(Append(nil, claimRequests()))
+	})
+	done := make(chan struct{})
+	go runLoop(client, done)
+	go runLoop(server, done)
+	<-finished
+	close(done)
+	_ = listener.Close()
+}
+
+// rawCodec is a codec of gRPC that leaves bytes as they are: the schema is the same in both.
+type rawCodec struct{}
+
+func (rawCodec) Name() string { return "proto" }
+
+func (rawCodec) Marshal(v any) (mem.BufferSlice, error) {
+	return mem.BufferSlice{mem.SliceBuffer(v.([]byte))}, nil
+}
+
+func (rawCodec) Unmarshal(data mem.BufferSlice, v any) error {
+	*v.(*[]byte) = data.Materialize()
+	return nil
+}
+
+// streamDescription describes a stream in both directions.
+var streamDescription = grpc.StreamDesc{StreamName: "batches", ClientStreams: true, ServerStreams: true, Handler: answerStream}
+
+// answerStream answers each batch of a stream.
+func answerStream(_ any, stream grpc.ServerStream) error {
+	for {
+		var b []byte
+		if err := stream.RecvMsg(&b); err != nil {
+			return nil
+		}
+		requests, err := Parse(b)
+		if err != nil {
+			return err
+		}
+		if err := stream.SendMsg(Append(nil, claimReplies(requests))[frameHeaderBytes:]); err != nil {
+			return err
+		}
+	}
+}
+
+// overGRPC sends batches over a stream of gRPC.
+func overGRPC(t *testing.T, batches int) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := grpc.NewServer(grpc.ForceServerCodecV2(rawCodec{}))
+	server.RegisterService(&grpc.ServiceDesc{ServiceName: "peer", HandlerType: (*any)(nil), Streams: []grpc.StreamDesc{streamDescription}}, nil)
+	go func() { _ = server.Serve(listener) }()
+	defer server.Stop()
+	client, err := grpc.NewClient(listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(rawCodec{})))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = client.Close() }()
+	stream, err := client.NewStream(context.Background(), &streamDescription, "/peer/batches")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range batches {
+		var b []byte
+		if err := stream.SendMsg(Append(nil, claimRequests())[frameHeaderBytes:]); err != nil {
+			t.Fatal(err)
+		}
+		if err := stream.RecvMsg(&b); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := Parse(b); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// cost is what a batch and its answer took.
+type cost struct {
+	elapsed   time.Duration
+	processor time.Duration
+}
+
+// measure returns the cost of one batch, as the mean of many.
+func measure(t *testing.T, send func(*testing.T, int), batches int) cost {
+	t.Helper()
+	processorBefore := processorTime(t)
+	start := time.Now()
+	send(t, batches)
+	return cost{
+		elapsed:   time.Since(start) / time.Duration(batches),
+		processor: (processorTime(t) - processorBefore) / time.Duration(batches),
+	}
+}
+
+// TestCompareGRPC compares, batch for batch and one at a time, the connections of this program with a stream of gRPC.
+func TestCompareGRPC(t *testing.T) {
+	if *compareBatches == 0 {
+		t.Skip("asked for by -wires")
+	}
+	for range 3 {
+		own := measure(t, overConn, *compareBatches)
+		viaGRPC := measure(t, overGRPC, *compareBatches)
+		t.Logf("a batch of %d and its answer: own %s, %s of processors; gRPC %s, %s of processors: %.2f and %.2f of own", claimsPerBatch,
+			own.elapsed, own.processor, viaGRPC.elapsed, viaGRPC.processor,
+			float64(viaGRPC.elapsed)/float64(own.elapsed), float64(viaGRPC.processor)/float64(own.processor))
+	}
+}
