--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -1,266 +1,229 @@
 package statsfile
 
 import (
-	"errors"
-	"fmt"
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
-	"io/fs"
 	"log/slog"
 	"os"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"frosthub/accounting"
 )
 
+// Intervals of what the recorder does in the background, by the ledger's time.
 const (
-	checkInterval = 10 * time.Second // between looks whether the file is still there
-	retryInterval = 5 * time.Second  // between tries to make one anew after trouble
+	checkInterval = 10 * time.Second // between checks whether the file is still in place
+	retryInterval = 5 * time.Second  // between attempts to make a new file after a failure
 )
 
-// Recorder keeps a book in a file. Its methods belong to the owner of the book; none but Open waits for a disk. When the
-// file fails, the book goes on in memory, the trouble is told, and a new file is made in the background.
+// Recorder records a ledger in a file. Its methods must be called by the goroutine that owns the ledger; none of them but
+// Open and Close waits for the disk. If the file fails, the ledger goes on in memory, the failure is logged, and a new file
+// with all counts is made in the background.
+//
+//	state      what happens                            next
+//	-          Open succeeds                           recording
+//	-          Open can't make a file                  retrying
+//	-          Open finds it locked, or times out      disabled
+//	recording  a write fails, the file was replaced    retrying
+//	retrying   a new file was made in the background   recording
+//	any        Abandon, Close                          disabled
 type Recorder struct {
 	path    string
-	entries int
+	entries int // in the ring
+	periods int // closed periods that are kept
 	log     *slog.Logger
-	periods int
 
-	file        *file
-	lock        *os.File
-	taskRunning bool     // something runs in the background
-	taskDone    chan any // its result: *file, error, or nil for a file that is where it was
-	nextTask    time.Duration
-	disabled    bool // for the rest of this life
+	file     *file    // nil unless recording
+	lock     *os.File // held while the process records or retries
+	disabled bool     // for the rest of this process
+
+	taskRunning bool            // at most one runs in the background
+	taskDone    chan taskResult // its result
+	nextTask    time.Duration   // when the next one is due
 }
 
-// NewRecorder prepares one for a file with a ring of so many ops, OpsUsual if 0.
-func NewRecorder(path string, ops int, log *slog.Logger) *Recorder {
-	if ops == 0 {
-		ops = DefaultEntries
-	}
-	return &Recorder{path: path, entries: min(max(ops, MinEntries), maxEntries), log: log, taskDone: make(chan any, 1)}
+// taskResult is the result of a background task.
+type taskResult struct {
+	created *file // a new file, to be initialized by the owner of the ledger
+	err     error
 }
 
-// openResult is what opening a file brings.
-type openResult struct {
-	book *accounting.Ledger
-	file *file
-	lock *os.File
-	errs []error
-	kept string // where a file that could not be read was put
+// NewRecorder returns a recorder for the file of that name, with so many entries in its ring, DefaultEntries if 0.
+func NewRecorder(path string, entries int, log *slog.Logger) *Recorder {
+	if entries == 0 {
+		entries = DefaultEntries
+	}
+	return &Recorder{
+		path:     path,
+		entries:  min(max(entries, MinEntries), maxEntries),
+		log:      log,
+		taskDone: make(chan taskResult, 1),
+	}
 }
 
-// Open takes the file and gives the book to go on with: that of earlier lives with a new one begun, or the fresh one. A
-// disk that does not answer within the time given costs the record of this life.
-func (r *Recorder) Open(fresh *accounting.Ledger, cfg accounting.Config, at, patient time.Duration) *accounting.Ledger {
+// Open takes the file and returns the ledger to go on with: that of earlier processes with a new incarnation begun, or the
+// fresh one. If the disk does not answer within the timeout, this process is not recorded. Errors are logged; there is
+// always a ledger.
+func (r *Recorder) Open(fresh *accounting.Ledger, cfg accounting.Config, at, timeout time.Duration) *accounting.Ledger {
 	r.periods = cfg.MaxPeriods
 	done := make(chan openResult, 1)
 	go func() { done <- openFile(r.path, r.entries, fresh, cfg, at) }()
-	timer := time.NewTimer(patient)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case o := <-done:
-		for _, err := range o.errs {
-			r.log.Error("figures file", "file", r.path, "why", err, "kept_as", o.kept)
-		}
-		r.file, r.lock, r.disabled = o.file, o.lock, o.lock == nil
-		if o.book == nil {
-			fresh.StartIncarnation(at, bootTime())
-			o.book = fresh
-		}
-		o.book.RecordEntries(r.file != nil)
-		if list, _, _ := o.book.Incarnations(); len(list) > 0 && r.file != nil {
-			r.log.Info("figures file", "file", r.path, "life", list[len(list)-1].Number)
-		}
-		return o.book
+	case result := <-done:
+		return r.opened(result, fresh, at)
 	case <-timer.C:
-		r.log.Error("figures file", "file", r.path, "why", "the disk does not answer: this life is not recorded")
-		r.disabled = true
-		own, err := accounting.New(cfg) // the other is in the hands of what still waits for the disk
-		if err != nil {
-			return fresh // not reached: the same made the other
-		}
-		own.StartIncarnation(at, bootTime())
-		return own
+		return r.timedOut(fresh, cfg, at)
 	}
 }
 
-// openFile takes the lock, reads what is there, and puts a new file in its place.
-func openFile(path string, ops int, fresh *accounting.Ledger, cfg accounting.Config, at time.Duration) (o openResult) {
-	fail := func(err error) { o.errs = append(o.errs, err) }
-	lock, err := filelock.Acquire(path + lockSuffix)
-	if err != nil {
-		fail(err)
-		return o
-	}
-	o.lock = lock
-	data, err := readRegularFile(path)
-	if err == nil {
-		o.book, err = Read(data)
-		if err != nil && o.book != nil && rebooted(o.book) {
-			err = nil // a machine that went down keeps what was on its disk
-		}
-		if err == nil {
-			o.book, err = o.book.Restart(cfg, at, bootTime())
-		}
-		if err != nil {
-			o.book = nil
-			fail(err)
-			if o.kept, err = keepAside(path); err != nil {
-				fail(fmt.Errorf("keeping it aside: %w", err))
-				return o
-			}
-		}
-	} else if !errors.Is(err, fs.ErrNotExist) {
-		fail(err)
-		return o
+// opened takes over what openFile brought.
+func (r *Recorder) opened(result openResult, fresh *accounting.Ledger, at time.Duration) *accounting.Ledger {
+	for _, err := range result.errs {
+		r.log.Error("figures file failed", "file", r.path, "error", err, "kept_as", result.keptAs)
 	}
-	if o.book == nil {
+	r.file = result.file
+	r.lock = result.lock
+	r.disabled = result.lock == nil
+	ledger := result.ledger
+	if ledger == nil {
 		fresh.StartIncarnation(at, bootTime())
-		o.book = fresh
-	}
-	removeUnpublished(path)
-	f, err := create(path, layoutFor(o.book, ops, cfg.MaxPeriods))
-	if err == nil {
-		if err = catchFaults(func() error { return f.initialize(o.book) }); err == nil {
-			err = f.publish()
-		}
+		ledger = fresh
 	}
-	if err != nil {
-		fail(err)
-		return o
+	ledger.RecordEntries(r.Recording())
+	if r.Recording() {
+		r.log.Info("figures file opened", "file", r.path, "incarnation", lastIncarnation(ledger))
 	}
-	o.file = f
-	return o
+	return ledger
 }
 
-func readRegularFile(path string) ([]byte, error) {
-	info, err := os.Stat(path)
+// timedOut gives up the file for this process. The fresh ledger belongs to what still waits for the disk.
+func (r *Recorder) timedOut(fresh *accounting.Ledger, cfg accounting.Config, at time.Duration) *accounting.Ledger {
+	r.log.Error("figures file failed", "file", r.path, "error", "the disk does not answer: this process is not recorded")
+	r.disabled = true
+	ledger, err := accounting.New(cfg)
 	if err != nil {
-		return nil, err
-	}
-	if !info.Mode().IsRegular() || info.Size() > maxFileSize {
-		return nil, ErrNotStatsFile
+		return fresh // not reached: the same configuration made the fresh one
 	}
-	return os.ReadFile(path)
+	ledger.StartIncarnation(at, bootTime())
+	return ledger
 }
 
-// keepAside renames a file that can't be read so that nothing of it is lost.
-func keepAside(path string) (string, error) {
-	for i := 1; ; i++ {
-		to := fmt.Sprintf("%s.bad-%d", path, i)
-		if _, err := os.Lstat(to); errors.Is(err, fs.ErrNotExist) {
-			return to, os.Rename(path, to)
-		} else if err != nil {
-			return "", err
+// Recording reports whether the ledger is being recorded.
+func (r *Recorder) Recording() bool { return r.file != nil }
+
+// Append records the entries of the ledger since the last call, and starts what is due in the background.
+func (r *Recorder) Append(ledger *accounting.Ledger, now time.Duration) {
+	if r.disabled {
+		return
+	}
+	r.finishTask(ledger, now)
+	if r.Recording() && ledger.HasPendingEntries() {
+		if err := catchFaults(func() error { return r.file.append(ledger) }); err != nil {
+			r.abandonFile(ledger, err, now)
 		}
 	}
-}
-
-// bootTime is when the machine started, by its clock.
-func bootTime() time.Duration {
-	var info unix.Sysinfo_t
-	if err := unix.Sysinfo(&info); err != nil {
-		return 0
+	if r.taskRunning || !r.taskDue(now) {
+		return
+	}
+	if r.Recording() {
+		r.checkFile(now)
+	} else {
+		r.createFile(ledger, now)
 	}
-	return time.Duration(time.Now().Unix()-int64(info.Uptime)) * time.Second
 }
 
-func rebooted(b *accounting.Ledger) bool {
-	list, _, _ := b.Incarnations()
-	return len(list) > 0 && list[len(list)-1].Rebooted(bootTime())
+// taskDue reports whether the next background task is due. It also is if the clock was set back far.
+func (r *Recorder) taskDue(now time.Duration) bool {
+	return now >= r.nextTask || now <= r.nextTask-2*checkInterval
 }
 
-// Recording tells whether the book is being recorded.
-func (r *Recorder) Recording() bool { return r.file != nil }
+// runTask runs a task in the background.
+func (r *Recorder) runTask(next time.Duration, task func() taskResult) {
+	r.taskRunning = true
+	r.nextTask = next
+	go func() { r.taskDone <- task() }()
+}
 
-// Append records what has happened since the last call.
-func (r *Recorder) Append(b *accounting.Ledger, now time.Duration) {
-	if r.disabled {
-		return
-	}
-	if r.taskRunning {
-		select {
-		case n := <-r.taskDone:
-			r.taskRunning = false
-			r.finishTask(b, n, now)
-		default:
+// checkFile looks in the background whether the file is still in place.
+func (r *Recorder) checkFile(now time.Duration) {
+	f := r.file
+	r.runTask(now+checkInterval, func() taskResult {
+		if !f.inPlace() {
+			return taskResult{err: ErrReplaced}
 		}
-	}
-	if r.file != nil && b.HasPendingEntries() {
-		if err := catchFaults(func() error { return r.file.append(b) }); err != nil {
-			r.abandonFile(b, err, now)
+		return taskResult{}
+	})
+}
+
+// createFile makes a new file in the background.
+func (r *Recorder) createFile(ledger *accounting.Ledger, now time.Duration) {
+	path := r.path
+	l := layoutFor(ledger, r.entries, r.periods)
+	r.runTask(now+retryInterval, func() taskResult {
+		removeUnpublished(path)
+		created, err := create(path, l)
+		return taskResult{created: created, err: err}
+	})
+}
+
+// publishFile gives a new file its name in the background.
+func (r *Recorder) publishFile(f *file, now time.Duration) {
+	r.runTask(now+checkInterval, func() taskResult {
+		if err := f.publish(); err != nil {
+			return taskResult{err: err}
 		}
-	}
-	if r.taskRunning || now < r.nextTask && now > r.nextTask-2*checkInterval {
+		r.log.Info("figures file recreated", "file", f.path)
+		return taskResult{}
+	})
+}
+
+// finishTask follows the result of the background task, if there is one.
+func (r *Recorder) finishTask(ledger *accounting.Ledger, now time.Duration) {
+	if !r.taskRunning {
 		return
 	}
-	r.taskRunning = true
-	if f := r.file; f != nil {
-		r.nextTask = now + checkInterval
-		go func() {
-			if f.inPlace() {
-				r.taskDone <- nil
-			} else {
-				r.taskDone <- ErrReplaced
-			}
-		}()
-		return
+	select {
+	case result := <-r.taskDone:
+		r.taskRunning = false
+		r.handleResult(ledger, result, now)
+	default:
 	}
-	r.nextTask = now + retryInterval
-	path, l := r.path, layoutFor(b, r.entries, r.periods)
-	go func() {
-		removeUnpublished(path)
-		f, err := create(path, l)
-		if err != nil {
-			r.taskDone <- err
-			return
-		}
-		r.taskDone <- f
-	}()
 }
 
-// finishTask follows what the background has done.
-func (r *Recorder) finishTask(b *accounting.Ledger, news any, now time.Duration) {
-	switch n := news.(type) {
-	case *file:
-		err := catchFaults(func() error { return n.initialize(b) })
-		if err == nil {
-			r.file = n
-			b.RecordEntries(true)
-			r.taskRunning, r.nextTask = true, now+checkInterval
-			go func() { // its name is given off the owner
-				if err := n.publish(); err != nil {
-					r.taskDone <- err
-					return
-				}
-				r.taskDone <- nil
-				r.log.Info("figures file", "file", n.path, "made", "anew")
-			}()
-			return
-		}
-		n.unmap()
-		r.log.Error("figures file", "file", r.path, "why", err)
-	case error:
-		if r.file != nil {
-			r.abandonFile(b, n, now)
-			return
-		}
-		r.log.Error("figures file", "file", r.path, "why", n, "again_in", retryInterval)
+// handleResult follows the result of a background task.
+func (r *Recorder) handleResult(ledger *accounting.Ledger, result taskResult, now time.Duration) {
+	switch {
+	case result.created != nil:
+		r.adoptFile(ledger, result.created, now)
+	case result.err != nil && r.Recording():
+		r.abandonFile(ledger, result.err, now)
+	case result.err != nil:
+		r.log.Error("figures file failed", "file", r.path, "error", result.err, "retry_in", retryInterval)
 	}
 }
 
-// abandonFile goes on in memory.
-func (r *Recorder) abandonFile(b *accounting.Ledger, err error, now time.Duration) {
-	r.log.Error("figures file", "file", r.path, "why", err, "again_in", retryInterval)
+// adoptFile records the ledger in a new file from now on.
+func (r *Recorder) adoptFile(ledger *accounting.Ledger, created *file, now time.Duration) {
+	if err := catchFaults(func() error { return created.initialize(ledger) }); err != nil {
+		created.unmap()
+		r.log.Error("figures file failed", "file", r.path, "error", err)
+		return
+	}
+	r.file = created
+	ledger.RecordEntries(true)
+	r.publishFile(created, now)
+}
+
+// abandonFile goes on in memory after a failure of the file.
+func (r *Recorder) abandonFile(ledger *accounting.Ledger, err error, now time.Duration) {
+	r.log.Error("figures file failed", "file", r.path, "error", err, "retry_in", retryInterval)
 	r.file.unmap()
 	r.file = nil
 	r.nextTask = now + retryInterval
-	b.RecordEntries(false)
+	ledger.RecordEntries(false)
 }
 
-// Abandon lets go of the file as the end of the process would, with nothing more written.
+// Abandon releases the file with nothing more written, as the end of the process would.
 func (r *Recorder) Abandon() {
 	if r.file != nil {
 		r.file.unmap()
@@ -268,19 +231,22 @@
 	if r.lock != nil {
 		_ = r.lock.Close()
 	}
-	r.file, r.lock, r.disabled = nil, nil, true
+	r.file = nil
+	r.lock = nil
+	r.disabled = true
 }
 
-// Close writes the settled book down and lets go of the file.
-func (r *Recorder) Close(b *accounting.Ledger, now time.Duration) {
-	if r.file != nil {
-		if err := catchFaults(func() error {
-			if err := r.file.append(b); err != nil {
+// Close writes a snapshot of the ledger and releases the file.
+func (r *Recorder) Close(ledger *accounting.Ledger, _ time.Duration) {
+	if r.Recording() {
+		err := catchFaults(func() error {
+			if err := r.file.append(ledger); err != nil {
 				return err
 			}
-			return r.file.writeSnapshot(b)
-		}); err != nil {
-			r.log.Error("figures file", "file", r.path, "why", err)
+			return r.file.writeSnapshot(ledger)
+		})
+		if err != nil {
+			r.log.Error("figures file failed", "file", r.path, "error", err)
 		}
 	}
 	r.Abandon()
