--- a/backend/backend.go
+++ b/backend/backend.go
@@ -189,12 +189,12 @@
 		}
 	}
 	b.cfg.Processor, b.cfg.Upstream, b.cfg.ControlPlane, b.cfg.StopTimeout = cfg.Processor, cfg.Upstream, cfg.ControlPlane, cfg.StopTimeout
-	b.processor.changeAddress(cfg.Processor)
+	b.processor.reconfigure(cfg.Processor)
 	if len(cfg.AJPUpstream.Balancer.Peers) > 0 == (len(b.cfg.AJPUpstream.Balancer.Peers) > 0) { // else it takes a new process
 		b.cfg.AJPUpstream = cfg.AJPUpstream
 		b.upstream.reconfigure(&cfg)
 	}
-	b.cluster.change(cfg.Cluster)
+	b.cluster.reconfigure(cfg.Cluster)
 	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
@@ -244,7 +244,7 @@
 	b.guard.open()
 	defer b.guard.close()
 	if b.cluster.enabled() {
-		if err := b.listen(ctx, b.cfg.Cluster.Listen, b.cluster.take); err != nil {
+		if err := b.listen(ctx, b.cfg.Cluster.Listen, b.cluster.accept); err != nil {
 			return err
 		}
 	}
@@ -416,7 +416,7 @@
 	b.ledger.Audit(b.wall)
 	b.logMismatches()
 	invariant.Check(calls == b.upstream.inFlight(), "calls in hand are those of reqs")
-	invariant.Check(float64(b.results.resultBytes) <= b.memoryShare(keptShare), "kept results stay within their bound")
+	invariant.Check(float64(b.results.resultBytes) <= b.memoryShare(resultCacheShare), "kept results stay within their bound")
 }
 
 // processorUp makes the controller once the processor is up.
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -52,45 +52,45 @@
 
 // cluster is the core's side of members and takeover: it carries their messages, and does what they say.
 type cluster struct {
-	backend     *Backend
-	list        *membership.Detector
-	node        *failover.Node // nil until the store is read
-	links       map[string]*nodeLink
-	incarnation uint64
-	next        time.Duration
-	store       *idempotency.Store
-	recovery    *recovery.Node // back after a loss; nil until the store is read
-	mark        uint64         // of this process
-	peerStates  peerStateFile
-	refill      refillState
-	parts       [][]KeyPart         // by handler: replayable ones that are taken over
-	asked       map[string]*session // processors of lost boxes that are being asked
+	backend          *Backend
+	detector         *membership.Detector
+	node             *failover.Node // nil until the store is read
+	links            map[string]*nodeLink
+	incarnation      uint64
+	nextTick         time.Duration
+	store            *idempotency.Store
+	recovery         *recovery.Node // back after a loss; nil until the store is read
+	mark             uint64         // of this process
+	peerStates       peerStateFile
+	refill           refillState
+	keyParts         [][]KeyPart                // by handler: replayable ones that are taken over
+	processorQueries map[string]*processorQuery // processors of lost boxes that are being asked
 
-	lists     lists               // that this box goes by
-	goes      []uint64            // their digests
-	leavers   []ClusterMember     // of the list before: no members, and not known to be gone
-	adopted   map[string][]uint64 // by which lists others go: digests
-	pending   bool                // it is to go by those of the configuration
-	tryAt     time.Duration
-	why       string // it can't yet
-	recording bool   // the disk takes other lists
+	roster        clusterRoster       // that this box goes by
+	ownDigests    []uint64            // their digests
+	departing     []ClusterMember     // of the list before: no members, and not known to be gone
+	peerDigests   map[string][]uint64 // by which lists others go: digests
+	changePending bool                // it is to go by those of the configuration
+	changeAt      time.Duration
+	changeReason  string // it can't yet
+	writingRoster bool   // the disk takes other lists
 }
 
-// session is a question to the processor of a lost box.
-type session struct {
-	c  *conn.Conn // nil while it is dialled
-	by time.Duration
+// processorQuery is a question to the processor of a lost box.
+type processorQuery struct {
+	conn     *conn.Conn // nil while it is dialled
+	deadline time.Duration
 }
 
 // nodeLink is the connection on which this box sends to another.
 type nodeLink struct {
-	address   string
-	processor string
-	c         *conn.Conn
-	dialing   bool
-	dialAt    time.Duration
-	batch     peerproto.Batch // of this turn
-	ask       bool            // what it remembers of this box
+	address    string
+	processor  string
+	conn       *conn.Conn
+	dialing    bool
+	redialAt   time.Duration
+	batch      peerproto.Batch // of this turn
+	queryState bool            // what it remembers of this box
 }
 
 var (
@@ -105,27 +105,27 @@
 	if b.cfg.Cluster.Name == "" || !b.guard.enabled() {
 		return
 	}
-	c.backend, c.links, c.asked = b, map[string]*nodeLink{}, map[string]*session{}
+	c.backend, c.links, c.processorQueries = b, map[string]*nodeLink{}, map[string]*processorQuery{}
 	for _, h := range b.handlers {
 		parts := b.cfg.Cluster.ReplayableHandlers[h.name]
 		if !h.replayable {
 			parts = nil // what must not run twice is guarded, or not kept at all
 		}
-		c.parts = append(c.parts, parts)
+		c.keyParts = append(c.keyParts, parts)
 	}
-	c.adopted = map[string][]uint64{}
+	c.peerDigests = map[string][]uint64{}
 }
 
-// begin has the box take part, with the life that its store counts.
-func (c *cluster) begin() {
+// start has the box take part, with the life that its store counts.
+func (c *cluster) start() {
 	b := c.backend
 	c.incarnation = c.store.Stats().Incarnation
-	r := c.lists.roster()
+	r := c.roster.forFailover()
 	if c.node != nil { // its life was numbered anew
 		c.store.AbandonInFlight(b.guard.now())
 	}
-	c.pending = true // until it goes by those of its file
-	c.list = membership.New(membership.Config{Name: b.cfg.Name, Incarnation: c.incarnation, ProbeInterval: probeEvery, ProbeTimeout: probeAnd}, b.cfg.Seed, b.now)
+	c.changePending = true // until it goes by those of its file
+	c.detector = membership.New(membership.Config{Name: b.cfg.Name, Incarnation: c.incarnation, ProbeInterval: probeEvery, ProbeTimeout: probeAnd}, b.cfg.Seed, b.now)
 	c.connect()
 	c.node = failover.New(failover.Config{
 		Name: b.cfg.Name, Incarnation: c.incarnation, Members: r.Members, Previous: r.Previous, ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
@@ -133,18 +133,18 @@
 	}, c.store, c, b.cfg.Seed^1,
 		b.guard.now())
 	c.node.AddFences(fences(c.peerStates.Fences))
-	c.lacks()
+	c.startRefill()
 	b.log.Info("cluster", "name", b.cfg.Cluster.Name, "life", c.incarnation, "members", len(r.Members), "before", len(r.Previous))
 }
 
 // Alive, Gone and Life are what takeover is told of others. One that is only suspected is tried to be replaced: that harms nothing.
-func (c *cluster) Alive(name string) bool { return c.list.Lookup(name).State == membership.Alive }
+func (c *cluster) Alive(name string) bool { return c.detector.Lookup(name).State == membership.Alive }
 
-func (c *cluster) Dead(name string) bool          { return c.list.Lookup(name).State >= membership.Dead }
-func (c *cluster) Incarnation(name string) uint64 { return c.list.Lookup(name).Incarnation }
+func (c *cluster) Dead(name string) bool          { return c.detector.Lookup(name).State >= membership.Dead }
+func (c *cluster) Incarnation(name string) uint64 { return c.detector.Lookup(name).Incarnation }
 
-// take accepts the connection of another box.
-func (c *cluster) take(n *conn.Conn) {
+// accept accepts the connection of another box.
+func (c *cluster) accept(n *conn.Conn) {
 	b := c.backend
 	from, life := "", uint64(0)
 	p := peerproto.NewParser(func(batch *peerproto.Batch) error {
@@ -156,8 +156,8 @@
 				return fmt.Errorf("%w: %s of %s", errStranger, h.From, h.Cluster)
 			}
 			from, life = h.From, h.Incarnation
-			c.adopted[from] = h.Lists
-			c.heard(h)
+			c.peerDigests[from] = h.Lists
+			c.onHello(h)
 		}
 		if from != "" && batch.PeerState != nil && c.recovery != nil {
 			c.recovery.Receive(b.now, from, *batch.PeerState)
@@ -171,18 +171,18 @@
 			return fmt.Errorf("%w: %s", errStranger, from)
 		}
 		if batch.PageRequest != nil {
-			c.tells(from, life, batch.PageRequest)
+			c.sendPage(from, life, batch.PageRequest)
 		}
 		if batch.Page != nil {
-			c.toldAgain(from, life, batch.Page)
+			c.onPage(from, life, batch.Page)
 		}
 		if len(batch.Members) == 0 {
-			c.list.Observe(b.now, from, life)
+			c.detector.Observe(b.now, from, life)
 		}
 		for i := range batch.Members {
-			c.list.Receive(b.now, from, life, &batch.Members[i])
+			c.detector.Receive(b.now, from, life, &batch.Members[i])
 		}
-		if len(batch.Claims) > 0 && !failover.Compatible(c.adopted[from], c.goes) {
+		if len(batch.Claims) > 0 && !failover.Compatible(c.peerDigests[from], c.ownDigests) {
 			b.logLimited("members differ", "box", from)
 			return nil
 		}
@@ -202,43 +202,43 @@
 
 // onTimer does what is due.
 func (c *cluster) onTimer() {
-	c.lookBack()
+	c.recoveryTick()
 	if c.node == nil {
 		return
 	}
 	b := c.backend
-	for _, s := range c.asked { // each has its own connection: the order does not matter
+	for _, s := range c.processorQueries { // each has its own connection: the order does not matter
 		switch {
-		case s.c == nil:
-		case b.now >= s.by:
-			s.c.Abort(conn.ErrClosedLocally)
+		case s.conn == nil:
+		case b.now >= s.deadline:
+			s.conn.Abort(conn.ErrClosedLocally)
 		default:
-			b.wakeBy(s.by)
+			b.wakeBy(s.deadline)
 		}
 	}
-	if b.now >= c.next {
-		c.next = b.now + boxTick
+	if b.now >= c.nextTick {
+		c.nextTick = b.now + boxTick
 		c.node.Tick(b.guard.now())
 		c.refillTick()
 	}
-	b.wakeBy(c.next)
-	c.tryChange()
-	at := c.list.NextDeadline()
+	b.wakeBy(c.nextTick)
+	c.tryReconfigure()
+	at := c.detector.NextDeadline()
 	if b.now >= at {
-		c.list.Tick(b.now)
-		at = c.list.NextDeadline()
+		c.detector.Tick(b.now)
+		at = c.detector.NextDeadline()
 	}
 	b.wakeBy(at)
 }
 
 // runPending carries out what members and takeover want, and tells whether anything was done.
 func (c *cluster) runPending() (any bool) {
-	c.follow()
+	c.runRecovery()
 	if c.node == nil {
 		return false
 	}
 	b := c.backend
-	sends, changes := c.list.Ready()
+	sends, changes := c.detector.Ready()
 	for _, s := range sends {
 		l := c.links[s.To]
 		if l == nil {
@@ -247,7 +247,7 @@
 		l.batch.Members = append(l.batch.Members, s.Message)
 	}
 	for _, x := range changes {
-		c.forget(x.Update)
+		c.dropDeparted(x.Update)
 		b.log.Info("member", "name", x.Name, "life", x.Incarnation, "state", x.State.String(), "was", x.Previous.State.String())
 	}
 	for {
@@ -262,7 +262,7 @@
 		}
 		for _, o := range out {
 			any = true
-			c.outcome(o)
+			c.applyOutcome(o)
 		}
 	}
 	for _, p := range c.node.ProcessorQueries() {
@@ -274,20 +274,20 @@
 // askProcessor asks the processor of a lost box how runs ended that were begun there: it hands out its notices after the given one.
 func (c *cluster) askProcessor(p failover.ProcessorQuery) {
 	b, l := c.backend, c.links[p.Node]
-	if l == nil || l.processor == "" || c.asked[p.Node] != nil {
+	if l == nil || l.processor == "" || c.processorQueries[p.Node] != nil {
 		return
 	}
-	s := &session{}
-	c.asked[p.Node] = s
+	s := &processorQuery{}
+	c.processorQueries[p.Node] = s
 	b.loop.Dial(l.processor, func(n *conn.Conn, err error) {
 		if err != nil {
-			delete(c.asked, p.Node)
+			delete(c.processorQueries, p.Node)
 			return
 		}
-		s.c, s.by = n, b.now+askWait
+		s.conn, s.deadline = n, b.now+askWait
 		n.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
 		n.SetInputLimit(n.MaxUnsent)
-		n.OnClosed = func(error) { delete(c.asked, p.Node) }
+		n.OnClosed = func(error) { delete(c.processorQueries, p.Node) }
 		n.OnData = b.parseLogged("bad link", processor.NewParser(func(x processor.Notice) {
 			kind := map[overload.Outcome]idempotency.EntryKind{overload.OK: idempotency.EntryResult, overload.Failed: idempotency.EntryFailed, overload.Stopped: idempotency.EntryFailed}[x.Outcome]
 			switch {
@@ -312,22 +312,22 @@
 
 // flush writes a turn's batch to a box. What can't be sent is asked for again.
 func (c *cluster) flush(l *nodeLink) {
-	if !l.wants() {
+	if !l.hasPending() {
 		return
 	}
 	b := c.backend
-	if l.c != nil {
-		if l.ask {
-			l.ask = false
-			l.c.Write(c.hello(true))
+	if l.conn != nil {
+		if l.queryState {
+			l.queryState = false
+			l.conn.Write(c.hello(true))
 		}
 		b.scratch = peerproto.Append(b.scratch[:0], &l.batch)
-		l.c.Write(b.scratch)
-	} else if !l.dialing && b.now >= l.dialAt {
+		l.conn.Write(b.scratch)
+	} else if !l.dialing && b.now >= l.redialAt {
 		l.dialing = true
 		address := l.address
 		b.loop.Dial(address, func(n *conn.Conn, err error) {
-			l.dialing, l.dialAt = false, b.now+boxRedial
+			l.dialing, l.redialAt = false, b.now+boxRedial
 			if err != nil {
 				return
 			}
@@ -335,34 +335,34 @@
 				n.CloseAfterSend(conn.ErrClosedLocally) // it has moved meanwhile
 				return
 			}
-			l.c = n
+			l.conn = n
 			n.MaxUnsent = boxOutMost
 			n.OnData = func([]byte) error { return nil }
 			n.OnClosed = func(error) {
-				if l.c == n {
-					l.c = nil
+				if l.conn == n {
+					l.conn = nil
 				}
 			}
-			n.Write(c.hello(l.ask))
-			l.ask = false
+			n.Write(c.hello(l.queryState))
+			l.queryState = false
 		})
 	}
 	l.batch = peerproto.Batch{}
 }
 
-// ask has a guarded req's group asked, before the module hears of it.
-func (c *cluster) ask(r *request) {
+// claim has a guarded req's group asked, before the module hears of it.
+func (c *cluster) claim(r *request) {
 	g := r.guard
 	r.state = stateUnverified
 	h := &c.backend.handlers[r.handler]
 	c.node.Claim(c.backend.guard.now(), g.key, g.createdAt, r.id, failover.Work{
-		Handler: h.name, Body: r.body, Left: int64(g.due - c.backend.now),
+		Handler: h.name, Body: r.body, Left: int64(g.answerBy - c.backend.now),
 		Cost: int64(r.arrival.Hint), Size: r.arrival.Size, Rank: r.arrival.ValueRank, Weight: h.value, Replayable: g.replayable,
 	})
 }
 
-// admitted hands a req to the module, after its group was asked.
-func (c *cluster) admitted(r *request, known bool) {
+// submitClaimed hands a req to the module, after its group was asked.
+func (c *cluster) submitClaimed(r *request, known bool) {
 	r.state = stateHeld
 	r.arrival.Delay += c.backend.now - r.guard.askedAt
 	if known {
@@ -377,8 +377,8 @@
 	c.backend.submitArrival(r)
 }
 
-// settled closes the account of a req that was taken over: its answer is the group's.
-func (c *cluster) settled(r *request, why accounting.Reason) {
+// closeAccount closes the account of a req that was taken over: its answer is the group's.
+func (c *cluster) closeAccount(r *request, why accounting.Reason) {
 	if !r.takenOver || r.accounted {
 		return
 	}
@@ -395,7 +395,7 @@
 	}
 	c.backend.stats.HandedOff++
 	r.state = stateAwaitingResult
-	c.backend.guard.writing[r] = struct{}{}
+	c.backend.guard.awaitingDisk[r] = struct{}{}
 	return true
 }
 
@@ -435,23 +435,23 @@
 			return
 		}
 		out = &ClusterStats{
-			Name: b.cfg.Cluster.Name, Incarnation: c.incarnation, Previous: len(c.lists.Before), Since: c.allSince(), RosterReason: c.why,
+			Name: b.cfg.Cluster.Name, Incarnation: c.incarnation, Previous: len(c.roster.Previous), Since: c.adoptedByAllSince(), RosterReason: c.changeReason,
 			Phase: c.recovery.Phase().String(), PhaseReason: c.recovery.Reason(), Unanswered: c.recovery.Unanswered(),
 		}
 		if c.node == nil {
 			return
 		}
 		out.OutcomeUnknown = c.store.UnknownByHandler()
-		if out.UnknownOutcomes = c.refill.doubts.Remaining(); c.refill.from != nil {
+		if out.UnknownOutcomes = c.refill.unknown.Remaining(); c.refill.from != nil {
 			out.Refill = c.refill.from.Progress()
 		}
-		out.LocalHealth, out.Failover, out.Requests = c.list.LocalHealth(), c.node.Stats(), c.node.Requests(reqsMost)
-		for _, m := range c.list.Snapshot() {
+		out.LocalHealth, out.Failover, out.Requests = c.detector.LocalHealth(), c.node.Stats(), c.node.Requests(reqsMost)
+		for _, m := range c.detector.Snapshot() {
 			goes := "unknown"
-			switch told := c.adopted[m.Name]; {
-			case m.Name == b.cfg.Name, slices.Equal(told, c.goes):
+			switch told := c.peerDigests[m.Name]; {
+			case m.Name == b.cfg.Name, slices.Equal(told, c.ownDigests):
 				goes = "as here"
-			case failover.Compatible(told, c.goes):
+			case failover.Compatible(told, c.ownDigests):
 				goes = "beside"
 			case told != nil:
 				goes = "apart"
@@ -466,12 +466,12 @@
 func (c *cluster) leave() {
 	if c.node != nil {
 		c.node.StartDraining()
-		c.list.Leave()
+		c.detector.Leave()
 	}
 }
 
-// takenOver has a req that another box held go to the module here; nobody waits for it on a connection.
-func (c *cluster) takenOver(o failover.Outcome) {
+// acceptFailover has a req that another box held go to the module here; nobody waits for it on a connection.
+func (c *cluster) acceptFailover(o failover.Outcome) {
 	b := c.backend
 	h := b.handlerOf(o.Work.Handler)
 	left := time.Duration(o.Work.Left)
@@ -481,7 +481,7 @@
 	}
 	r := &request{
 		id: o.ID, wireID: fmt.Sprintf("%016x", o.ID), handler: h, body: o.Work.Body, state: stateHeld, takenOver: true, readAt: b.now,
-		guard: &guardState{key: o.Key, createdAt: o.Made, due: b.now + left, replayable: o.Work.Replayable},
+		guard: &guardState{key: o.Key, createdAt: o.Made, answerBy: b.now + left, replayable: o.Work.Replayable},
 	}
 	r.arrival = overload.Event{
 		Kind: overload.Arrived, ID: r.id, Handler: h, Remaining: left, Hint: time.Duration(o.Work.Cost),
@@ -493,11 +493,11 @@
 	b.events = append(b.events, r.arrival)
 }
 
-// outcome carries out what takeover says of a req.
-func (c *cluster) outcome(o failover.Outcome) {
+// applyOutcome carries out what takeover says of a req.
+func (c *cluster) applyOutcome(o failover.Outcome) {
 	b := c.backend
 	if o.Decision == failover.TakenOver {
-		c.takenOver(o)
+		c.acceptFailover(o)
 		return
 	}
 	r := b.requests[o.ID]
@@ -510,26 +510,26 @@
 	asking := r.state == stateUnverified
 	switch {
 	case o.Decision == idempotency.Fresh && asking:
-		c.admitted(r, false)
+		c.submitClaimed(r, false)
 	case o.Decision == idempotency.Duplicate && r.guard.replayable: // it waits, or goes on where it is
 	case o.Decision == idempotency.Duplicate && asking:
-		c.admitted(r, true)
+		c.submitClaimed(r, true)
 	case o.Decision == idempotency.Duplicate: // it was held here until another took it: it waits for that one
 	case asking && o.Decision == idempotency.Replay:
-		b.guard.reason(o.Decision)
+		b.guard.countDecision(o.Decision)
 		b.frontend.succeeded(r, accounting.Replayed, o.Result)
 		b.finishAnswered(r)
 	case asking && r.guard.replayable:
-		c.admitted(r, false)
+		c.submitClaimed(r, false)
 	case r.guard.replayable && o.Decision != idempotency.Replay && r.state != stateAwaitingResult && !r.takenOver: // the module has it
 	case asking:
-		b.frontend.declined(r, b.guard.reason(o.Decision))
+		b.frontend.declined(r, b.guard.countDecision(o.Decision))
 		b.finishAnswered(r)
 	case o.Decision == idempotency.Start && !b.isWanted(r):
 		r.guard.resultDurable = true
 		c.node.Finish(b.guard.now(), o.Key, o.ID, idempotency.EntryNeverRan, nil)
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	default:
-		b.guard.outcome(o.Outcome)
+		b.guard.applyOutcome(o.Outcome)
 	}
 }
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -123,7 +123,7 @@
 	hello := func(cluster, from string, life uint64) []byte {
 		return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
 			Cluster: cluster, From: from, Incarnation: life,
-			Lists: []uint64{failover.Digest(plain(cfg.Cluster.Members))},
+			Lists: []uint64{failover.Digest(failoverMembers(cfg.Cluster.Members))},
 		}})
 	}
 	claim := peerproto.Append(nil, &peerproto.Batch{Members: []membership.Message{{Kind: membership.Ping, Number: 1}}, Claims: []failover.Message{
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -347,7 +347,7 @@
 			s.turn(func() { s.b.shallowChecks = false })
 			c := s.client()
 			c.sends(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
-			s.until(func() bool { return len(s.b.processor.trials) == 1 })
+			s.until(func() bool { return len(s.b.processor.pendingTrials) == 1 })
 			s.closes()
 			c.wants("1"+refusedLine, "end")
 			s.over()
@@ -610,7 +610,7 @@
 	s.begins(c, 1)
 	s.turn(func() {
 		r := s.b.requests[1]
-		s.b.processor.ask(r, []byte("what"))
+		s.b.processor.onCallRequest(r, []byte("what"))
 		s.b.runController() // its call is being dialled for
 		if !s.within(func() bool { s.tier.mu.Lock(); defer s.tier.mu.Unlock(); return len(s.tier.all) == 1 }) {
 			t.Error("nobody dials")
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -94,7 +94,7 @@
 type guardState struct {
 	key           idempotency.Key
 	createdAt     time.Duration     // since 1970; 0 not told
-	due           time.Duration     // it is answered by then, whatever the disk does
+	answerBy      time.Duration     // it is answered by then, whatever the disk does
 	askedAt       time.Duration     // when the store, or the group, was asked
 	reason        accounting.Reason // of its answer, once its run has ended
 	resultDurable bool              // its end was told to the store
@@ -104,18 +104,18 @@
 // idempotencyGuard is the core's side of the store: it asks it before a guarded req is taken and before it is begun, and carries out what it
 // says. All decisions are the store's.
 type idempotencyGuard struct {
-	backend *Backend
-	parts   [][]KeyPart        // by handler; nil: not guarded
-	store   *idempotency.Store // nil until it is read
-	log     *wal.Log
-	lock    *os.File
-	from    time.Duration // the span at which the time of day was base
-	base    time.Duration // both clocks are read once: a jump of one while the process runs changes nothing
-	broken  bool          // for this life: nothing can be protected
-	closing chan struct{}
-	gone    chan struct{}         // closed when the reading is over
-	writing map[*request]struct{} // their runs have ended, their answers wait for the disk
-	stats   IdempotencyStats
+	backend       *Backend
+	keyParts      [][]KeyPart        // by handler; nil: not guarded
+	store         *idempotency.Store // nil until it is read
+	log           *wal.Log
+	lock          *os.File
+	startedAt     time.Duration // the span at which the time of day was base
+	startedAtWall time.Duration // both clocks are read once: a jump of one while the process runs changes nothing
+	failed        bool          // for this life: nothing can be protected
+	stopOpening   chan struct{}
+	opening       chan struct{}         // closed when the reading is over
+	awaitingDisk  map[*request]struct{} // their runs have ended, their answers wait for the disk
+	stats         IdempotencyStats
 }
 
 // IdempotencyStats tell what the store has done for reqs, and how it is.
@@ -134,8 +134,8 @@
 
 // init finds out what is guarded, and gives the settings with those handlers as uniqued: the module then lets their repeats join,
 // and has a run go on when its caller is gone, as its answer is for whoever repeats it.
-func (k *idempotencyGuard) init(b *Backend) map[string]any {
-	k.backend = b
+func (g *idempotencyGuard) init(b *Backend) map[string]any {
+	g.backend = b
 	cfg := &b.cfg.Idempotency
 	if cfg.Dir == "" {
 		return b.cfg.Settings
@@ -148,7 +148,7 @@
 		m, _ := v.(map[string]any)
 		name, _ := m["name"].(string)
 		parts := cfg.Handlers[name]
-		k.parts = append(k.parts, parts)
+		g.keyParts = append(g.keyParts, parts)
 		if parts != nil {
 			m = maps.Clone(m)
 			m["repeats"], m["window"] = "uniqued", time.Duration(0)
@@ -159,15 +159,15 @@
 	return settings
 }
 
-func (k *idempotencyGuard) enabled() bool { return k.parts != nil }
+func (g *idempotencyGuard) enabled() bool { return g.keyParts != nil }
 
 // now is the time of day as the store has it.
-func (k *idempotencyGuard) now() time.Duration { return k.base + k.backend.now - k.from }
+func (g *idempotencyGuard) now() time.Duration { return g.startedAtWall + g.backend.now - g.startedAt }
 
 // open has the store read, beside all else.
-func (k *idempotencyGuard) open() {
-	b := k.backend
-	if !k.enabled() {
+func (g *idempotencyGuard) open() {
+	b := g.backend
+	if !g.enabled() {
 		return
 	}
 	for name := range b.cfg.Idempotency.Handlers {
@@ -176,40 +176,40 @@
 		}
 	}
 	b.clock()
-	k.base, k.from = b.wall, b.now
-	k.writing = map[*request]struct{}{}
-	k.closing, k.gone = make(chan struct{}), make(chan struct{})
+	g.startedAtWall, g.startedAt = b.wall, b.now
+	g.awaitingDisk = map[*request]struct{}{}
+	g.stopOpening, g.opening = make(chan struct{}), make(chan struct{})
 	began := b.now
-	var first *lists
+	var first *clusterRoster
 	if b.cluster.enabled() {
 		l := b.cfg.Cluster.wanted()
 		first = &l
 	}
 	go func() {
-		defer close(k.gone)
-		o := openStore(b.cfg.Name, &b.cfg.Idempotency, first, k.base, k.closing, func(n int) {
+		defer close(g.opening)
+		o := openStore(b.cfg.Name, &b.cfg.Idempotency, first, g.startedAtWall, g.stopOpening, func(n int) {
 			b.log.Info("keep", "dir", b.cfg.Idempotency.Dir, "reading", n)
 		})
-		b.loop.Post(func() { k.opened(o, began) })
+		b.loop.Post(func() { g.onOpened(o, began) })
 	}()
 }
 
 // loadedStore is what opening a store brings.
 type loadedStore struct {
-	store *idempotency.Store
-	log   *wal.Writer
-	lock  *os.File
-	found wal.Contents
-	aside bool  // its records are as lost
-	lists lists // of a box of a cluster, as what follows
-	known peerStateFile
-	err   error
+	store      *idempotency.Store
+	log        *wal.Writer
+	lock       *os.File
+	contents   wal.Contents
+	setAside   bool          // its records are as lost
+	roster     clusterRoster // of a box of a cluster, as what follows
+	peerStates peerStateFile
+	err        error
 }
 
 var errClosing = errors.New("the process ends")
 
 // openStore reads a store; it is given up when closing is closed. first are the lists that a box of a cluster begins with, nil for one alone.
-func openStore(box string, cfg *IdempotencyConfig, first *lists, now time.Duration, closing chan struct{}, told func(records int)) (o loadedStore) {
+func openStore(box string, cfg *IdempotencyConfig, first *clusterRoster, now time.Duration, closing chan struct{}, told func(records int)) (o loadedStore) {
 	disk := cfg.Disk
 	if disk == nil {
 		disk = wal.DirDisk(cfg.Dir)
@@ -221,14 +221,14 @@
 		return o
 	}
 	if first != nil {
-		if o.lists, o.err = readLists(cfg.Dir, *first); o.err != nil {
+		if o.roster, o.err = readRoster(cfg.Dir, *first); o.err != nil {
 			return o
 		}
-		if o.known, o.err = readMemory(cfg.Dir); o.err != nil {
+		if o.peerStates, o.err = readPeerStates(cfg.Dir); o.err != nil {
 			return o
 		}
 	}
-	if o.aside, o.err = wal.BeginRead(disk); o.err != nil {
+	if o.setAside, o.err = wal.BeginRead(disk); o.err != nil {
 		return o
 	}
 	defer func() {
@@ -238,7 +238,7 @@
 	}()
 	o.store = idempotency.New(cfg.Store)
 	n, last := 0, time.Now()
-	o.log, o.found, o.err = wal.Open(disk, box, o.store, now, func(idempotency.LogEntry) error {
+	o.log, o.contents, o.err = wal.Open(disk, box, o.store, now, func(idempotency.LogEntry) error {
 		if n++; n%lookEach != 0 {
 			return nil
 		}
@@ -256,67 +256,67 @@
 	return o
 }
 
-func (k *idempotencyGuard) opened(o loadedStore, began time.Duration) {
-	b, dir := k.backend, k.backend.cfg.Idempotency.Dir
-	k.lock = o.lock
+func (g *idempotencyGuard) onOpened(o loadedStore, began time.Duration) {
+	b, dir := g.backend, g.backend.cfg.Idempotency.Dir
+	g.lock = o.lock
 	if o.err != nil {
-		k.broken = true
+		g.failed = true
 		b.log.Error("keep", "dir", dir, "why", o.err, "so", "guarded reqs are refused in this life")
 		return
 	}
-	if o.aside {
+	if o.setAside {
 		b.log.Error("keep", "dir", dir, "why", "starts died over it", "so", "its records are put aside; what ran is not known until the horizon has passed")
-		o.store.MarkOutdated(k.now())
+		o.store.MarkOutdated(g.now())
 	}
-	for _, what := range o.found.Damage {
+	for _, what := range o.contents.Damage {
 		b.log.Error("keep", "dir", dir, "damage", what)
 	}
-	k.store = o.store
-	k.log = wal.NewLog(o.log, b.cfg.Idempotency.CommitInterval, gatherEnough, func(seq uint64, err error) {
-		b.loop.Post(func() { k.durable(seq, err) })
+	g.store = o.store
+	g.log = wal.NewLog(o.log, b.cfg.Idempotency.CommitInterval, gatherEnough, func(seq uint64, err error) {
+		b.loop.Post(func() { g.onDurable(seq, err) })
 	})
 	if b.cluster.enabled() {
-		b.cluster.returns(k.store, o)
+		b.cluster.startRecovery(g.store, o)
 	}
-	k.flushEntries()
-	s := k.store.Stats()
-	k.stats.LoadingMS = (b.now - began).Milliseconds()
+	g.flushEntries()
+	s := g.store.Stats()
+	g.stats.LoadingMS = (b.now - began).Milliseconds()
 	b.log.Info("keep", "dir", dir, "life", s.Incarnation, "keys", s.Keys, "in_doubt", s.OutcomeUnknown, "prints", s.Fingerprints, "segments", s.Segments,
-		"cut", o.found.TornBytes, "blind", s.LostBefore > 0, "took", b.now-began)
+		"cut", o.contents.TornBytes, "blind", s.LostBefore > 0, "took", b.now-began)
 }
 
-// durable follows the disk's word.
-func (k *idempotencyGuard) durable(seq uint64, err error) {
-	box := k.backend.cluster.node // nil for a box alone
+// onDurable follows the disk's word.
+func (g *idempotencyGuard) onDurable(seq uint64, err error) {
+	box := g.backend.cluster.node // nil for a box alone
 	if err != nil {
-		k.broken = true
-		k.backend.log.Error("keep", "dir", k.backend.cfg.Idempotency.Dir, "why", err, "so", "guarded reqs are refused in this life, but for repeats")
+		g.failed = true
+		g.backend.log.Error("keep", "dir", g.backend.cfg.Idempotency.Dir, "why", err, "so", "guarded reqs are refused in this life, but for repeats")
 	}
 	switch {
 	case err == nil && box != nil:
-		box.MarkDurable(k.now(), seq)
+		box.MarkDurable(g.now(), seq)
 	case err == nil:
-		k.heed(k.store.MarkDurable(seq))
+		g.applyOutcomes(g.store.MarkDurable(seq))
 	case box != nil:
-		box.DiskFailed(k.now())
+		box.DiskFailed(g.now())
 	default:
-		k.heed(k.store.DiskFailed())
+		g.applyOutcomes(g.store.DiskFailed())
 	}
 }
 
-// named tells whether a req has what its key needs.
-func (k *idempotencyGuard) named(a *parsedRequest) bool {
-	return !k.enabled() || len(a.key) > 0 || !slices.Contains(k.parts[a.r.handler], KeyPartField)
+// hasRequiredKey tells whether a req has what its key needs.
+func (g *idempotencyGuard) hasRequiredKey(a *parsedRequest) bool {
+	return !g.enabled() || len(a.key) > 0 || !slices.Contains(g.keyParts[a.r.handler], KeyPartField)
 }
 
-// guards gives what a req has that must not run twice, nil if it may.
-func (k *idempotencyGuard) guards(a *parsedRequest) *guardState {
-	if !k.enabled() {
+// stateOf gives what a req has that must not run twice, nil if it may.
+func (g *idempotencyGuard) stateOf(a *parsedRequest) *guardState {
+	if !g.enabled() {
 		return nil
 	}
-	parts, replay := k.parts[a.r.handler], false
-	if parts == nil && k.backend.cluster.enabled() {
-		parts, replay = k.backend.cluster.parts[a.r.handler], true
+	parts, replay := g.keyParts[a.r.handler], false
+	if parts == nil && g.backend.cluster.enabled() {
+		parts, replay = g.backend.cluster.keyParts[a.r.handler], true
 	}
 	if parts == nil || len(a.key) == 0 && slices.Contains(parts, KeyPartField) {
 		return nil
@@ -329,7 +329,7 @@
 		_, _ = h.Write(head[:]) // never an error
 		_, _ = h.Write(v)
 	}
-	put(0, []byte(k.backend.handlers[a.r.handler].name))
+	put(0, []byte(g.backend.handlers[a.r.handler].name))
 	for _, part := range parts {
 		switch part {
 		case KeyPartID:
@@ -346,29 +346,29 @@
 }
 
 // admit lets a guarded req go to the module, or answers it at once where that has nothing to decide: nothing can be run of it.
-func (k *idempotencyGuard) admit(r *request) bool {
-	b := k.backend
-	r.guard.due = b.now - r.arrival.Delay + b.handlers[r.handler].timeout - answerBefore
+func (g *idempotencyGuard) admit(r *request) bool {
+	b := g.backend
+	r.guard.answerBy = b.now - r.arrival.Delay + b.handlers[r.handler].timeout - answerBefore
 	var verdict idempotency.Decision
 	switch {
-	case r.guard.replayable && (b.cluster.node == nil || k.broken):
+	case r.guard.replayable && (b.cluster.node == nil || g.failed):
 		r.guard = nil
 		b.results.lookup(r)
 		return true
-	case k.store != nil && !k.broken && b.cluster.node != nil:
-		b.cluster.ask(r)
+	case g.store != nil && !g.failed && b.cluster.node != nil:
+		b.cluster.claim(r)
 		return false
-	case k.store != nil && !k.broken && b.cluster.enabled(): // it is not yet sure of what it has
-	case k.store != nil:
-		verdict = k.store.Peek(k.now(), r.guard.createdAt, r.guard.key)
-	case k.broken:
+	case g.store != nil && !g.failed && b.cluster.enabled(): // it is not yet sure of what it has
+	case g.store != nil:
+		verdict = g.store.Peek(g.now(), r.guard.createdAt, r.guard.key)
+	case g.failed:
 		verdict = idempotency.StoreFailed
 	}
 	switch verdict {
 	case idempotency.Fresh:
 		return true
 	case idempotency.Duplicate:
-		if r.originalID = k.store.Original(r.guard.key); r.originalID == 0 || b.requests[r.originalID] == nil {
+		if r.originalID = g.store.Original(r.guard.key); r.originalID == 0 || b.requests[r.originalID] == nil {
 			r.originalID = binary.LittleEndian.Uint64(r.guard.key[:]) | 1 // of an earlier life, or ended: the module knows nothing of it
 		}
 		r.arrival.RepeatOf = r.originalID
@@ -376,32 +376,32 @@
 	}
 	why := accounting.StoreLoading
 	if verdict != 0 {
-		why = k.reason(verdict)
+		why = g.countDecision(verdict)
 	}
 	b.frontend.declined(r, why)
 	b.finishAnswered(r)
 	return false
 }
 
-// reason says how a verdict that ends a req is accounted for, and counts it.
-func (k *idempotencyGuard) reason(v idempotency.Decision) accounting.Reason {
+// countDecision says how a verdict that ends a req is accounted for, and counts it.
+func (g *idempotencyGuard) countDecision(v idempotency.Decision) accounting.Reason {
 	switch v {
 	case idempotency.Replay:
-		k.stats.Replayed++
+		g.stats.Replayed++
 		return accounting.Replayed
 	case idempotency.OriginalFailed:
 		return accounting.OriginalFailed
 	case idempotency.OutcomeUnknown:
-		k.stats.OutcomeUnknown++
+		g.stats.OutcomeUnknown++
 		return accounting.OutcomeUnknown
 	case idempotency.ResultExpired:
-		k.stats.Expired++
+		g.stats.Expired++
 		return accounting.ResultExpired
 	case idempotency.HistoryLost:
-		k.stats.HistoryLost++
+		g.stats.HistoryLost++
 		return accounting.HistoryLost
 	}
-	k.stats.Rejected++
+	g.stats.Rejected++
 	switch v {
 	case idempotency.StoreFull:
 		return accounting.StoreFull
@@ -414,65 +414,65 @@
 }
 
 // requestStart has a req that the module wants run wait for its intent.
-func (k *idempotencyGuard) requestStart(r *request) {
+func (g *idempotencyGuard) requestStart(r *request) {
 	if r.guard.replayable {
-		k.backend.cluster.node.MarkRunning(k.now(), r.guard.key, r.id)
-		k.backend.startRun(r)
+		g.backend.cluster.node.MarkRunning(g.now(), r.guard.key, r.id)
+		g.backend.startRun(r)
 		return
 	}
 	r.state = stateAwaitingIntent
-	if k.backend.cluster.enabled() {
-		k.backend.cluster.node.Start(k.now(), r.guard.key, r.id, k.backend.processor.last)
+	if g.backend.cluster.enabled() {
+		g.backend.cluster.node.Start(g.now(), r.guard.key, r.id, g.backend.processor.lastNotice)
 		return
 	}
-	if o := k.store.Reserve(k.now(), r.guard.createdAt, r.guard.key, k.backend.handlers[r.handler].name, r.id); o.Decision != idempotency.Wait {
-		k.outcome(o)
+	if o := g.store.Reserve(g.now(), r.guard.createdAt, r.guard.key, g.backend.handlers[r.handler].name, r.id); o.Decision != idempotency.Wait {
+		g.applyOutcome(o)
 	}
 }
 
 // join has a repeat meet its forerunner.
-func (k *idempotencyGuard) join(r *request) {
-	if k.backend.cluster.enabled() {
+func (g *idempotencyGuard) join(r *request) {
+	if g.backend.cluster.enabled() {
 		r.state = stateJoined
-		k.backend.cluster.node.Join(k.now(), r.guard.key, r.id)
+		g.backend.cluster.node.Join(g.now(), r.guard.key, r.id)
 		return
 	}
-	if k.store.Peek(k.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate { // proved never to have run since the module was told
-		k.outcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
+	if g.store.Peek(g.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate { // proved never to have run since the module was told
+		g.applyOutcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
 		return
 	}
 	r.state = stateJoined
-	if o := k.store.Reserve(k.now(), r.guard.createdAt, r.guard.key, k.backend.handlers[r.handler].name, r.id); o.Decision != idempotency.Wait {
-		k.outcome(o)
+	if o := g.store.Reserve(g.now(), r.guard.createdAt, r.guard.key, g.backend.handlers[r.handler].name, r.id); o.Decision != idempotency.Wait {
+		g.applyOutcome(o)
 	}
 }
 
-// leave follows a req that no longer waits and never ran.
-func (k *idempotencyGuard) leave(r *request) {
+// withdraw follows a req that no longer waits and never ran.
+func (g *idempotencyGuard) withdraw(r *request) {
 	switch {
-	case r.guard == nil || k.store == nil || k.backend.cluster.enabled() && k.backend.cluster.node == nil:
-	case k.backend.cluster.enabled():
-		k.backend.cluster.node.Release(k.now(), r.guard.key, r.id)
+	case r.guard == nil || g.store == nil || g.backend.cluster.enabled() && g.backend.cluster.node == nil:
+	case g.backend.cluster.enabled():
+		g.backend.cluster.node.Release(g.now(), r.guard.key, r.id)
 	case r.state >= stateJoined:
-		k.store.Withdraw(k.now(), r.guard.key, r.id)
+		g.store.Withdraw(g.now(), r.guard.key, r.id)
 	}
 }
 
-func (k *idempotencyGuard) heed(all []idempotency.Outcome) {
+func (g *idempotencyGuard) applyOutcomes(all []idempotency.Outcome) {
 	for _, o := range all {
-		k.outcome(o)
+		g.applyOutcome(o)
 	}
 }
 
-// outcome carries out what the store says of a req.
-func (k *idempotencyGuard) outcome(o idempotency.Outcome) {
-	b := k.backend
+// applyOutcome carries out what the store says of a req.
+func (g *idempotencyGuard) applyOutcome(o idempotency.Outcome) {
+	b := g.backend
 	r := b.requests[o.ID]
 	if r == nil || r.guard == nil || r.guard.resultDurable && r.state != stateAwaitingResult {
 		invariant.Check(o.Decision != idempotency.Start, "what is to be begun is there")
 		return
 	}
-	delete(k.writing, r)
+	delete(g.awaitingDisk, r)
 	switch o.Decision {
 	case idempotency.Start:
 		if !b.isWanted(r) || r.state != stateAwaitingIntent { // nobody waits and it never ran, or the module has it joined
@@ -481,14 +481,14 @@
 				why = accounting.RetryAllowed
 			}
 			r.guard.resultDurable = true
-			others := k.store.Finish(k.now(), r.guard.key, idempotency.EntryNeverRan, nil)
+			others := g.store.Finish(g.now(), r.guard.key, idempotency.EntryNeverRan, nil)
 			b.runEnded(r, overload.NeverRan, why, 0, nil)
-			k.heed(others)
+			g.applyOutcomes(others)
 			return
 		}
 		b.startRun(r)
 	case idempotency.Completed:
-		b.cluster.settled(r, r.guard.reason)
+		b.cluster.closeAccount(r, r.guard.reason)
 		delete(b.requests, r.id)
 		if b.hasClient(r) {
 			b.frontend.succeeded(r, r.guard.reason, o.Result)
@@ -497,11 +497,11 @@
 		}
 	case idempotency.Replay:
 		r.guard.resultDurable = true
-		b.runEnded(r, overload.OK, k.reason(o.Decision), 0, o.Result)
+		b.runEnded(r, overload.OK, g.countDecision(o.Decision), 0, o.Result)
 	default:
 		r.guard.resultDurable = true
 		how := overload.Failed
-		why := k.reason(o.Decision)
+		why := g.countDecision(o.Decision)
 		if why.Category() == accounting.Rejected {
 			how = overload.NeverRan
 		}
@@ -509,33 +509,33 @@
 	}
 }
 
-// writes follows the end of a guarded req, and tells whether its answer has to wait for the disk.
-func (k *idempotencyGuard) writes(r *request, how overload.Outcome, why accounting.Reason, body []byte) bool {
-	g := r.guard
-	if g.replayable {
+// recordEnd follows the end of a guarded req, and tells whether its answer has to wait for the disk.
+func (g *idempotencyGuard) recordEnd(r *request, how overload.Outcome, why accounting.Reason, body []byte) bool {
+	state := r.guard
+	if state.replayable {
 		switch {
-		case g.resultDurable:
+		case state.resultDurable:
 		case r.state < stateRunning:
-			k.leave(r)
+			g.withdraw(r)
 		default:
-			g.resultDurable = true
+			state.resultDurable = true
 			kind := idempotency.EntryNeverRan
 			if how == overload.OK {
 				kind = idempotency.EntryResult
 			}
-			k.backend.cluster.node.Finish(k.now(), g.key, r.id, kind, body)
+			g.backend.cluster.node.Finish(g.now(), state.key, r.id, kind, body)
 		}
 		return false
 	}
-	if g.resultDurable || r.state < stateAwaitingIntent { // joined ones and held ones have no run of their own
-		if r.state == stateJoined && !g.resultDurable {
-			k.leave(r)
+	if state.resultDurable || r.state < stateAwaitingIntent { // joined ones and held ones have no run of their own
+		if r.state == stateJoined && !state.resultDurable {
+			g.withdraw(r)
 		}
 		return false
 	}
-	g.resultDurable = true
+	state.resultDurable = true
 	if r.state == stateAwaitingIntent {
-		k.leave(r)
+		g.withdraw(r)
 		return false
 	}
 	kind := map[overload.Outcome]idempotency.EntryKind{overload.OK: idempotency.EntryResult, overload.NeverRan: idempotency.EntryNeverRan}[how]
@@ -543,22 +543,22 @@
 		kind = idempotency.EntryFailed
 	}
 	if kind == idempotency.EntryResult {
-		g.reason, r.state = why, stateAwaitingResult
-		k.writing[r] = struct{}{}
+		state.reason, r.state = why, stateAwaitingResult
+		g.awaitingDisk[r] = struct{}{}
 	}
-	if k.backend.cluster.enabled() {
-		k.backend.cluster.node.Finish(k.now(), g.key, r.id, kind, body)
+	if g.backend.cluster.enabled() {
+		g.backend.cluster.node.Finish(g.now(), state.key, r.id, kind, body)
 	} else {
-		k.heed(k.store.Finish(k.now(), g.key, kind, body))
+		g.applyOutcomes(g.store.Finish(g.now(), state.key, kind, body))
 	}
 	return kind == idempotency.EntryResult
 }
 
 // onTimer answers what waits for the disk and can wait no longer. Its result is kept all the same once the disk has it.
-func (k *idempotencyGuard) onTimer() {
-	b := k.backend
-	for r := range k.writing {
-		due := r.guard.due
+func (g *idempotencyGuard) onTimer() {
+	b := g.backend
+	for r := range g.awaitingDisk {
+		due := r.guard.answerBy
 		if b.process.Phase() > lifecycle.Serving {
 			due = min(due, b.process.AnswerBy())
 		}
@@ -570,47 +570,47 @@
 			b.frontend.failed(r, accounting.ResultNotDurable)
 			b.finishAnswered(r)
 		}
-		if delete(k.writing, r); b.cluster.enabled() { // too few of its group may ever answer
-			b.cluster.settled(r, accounting.ResultNotDurable)
+		if delete(g.awaitingDisk, r); b.cluster.enabled() { // too few of its group may ever answer
+			b.cluster.closeAccount(r, accounting.ResultNotDurable)
 			delete(b.requests, r.id)
 		}
 	}
 }
 
 // flushEntries gives the log what the store wrote in this turn.
-func (k *idempotencyGuard) flushEntries() {
-	if k.log != nil {
-		k.log.Append(k.store.TakeEntries())
+func (g *idempotencyGuard) flushEntries() {
+	if g.log != nil {
+		g.log.Append(g.store.TakeEntries())
 	}
 }
 
-func (k *idempotencyGuard) sweep() {
-	if k.store != nil {
-		k.store.Sweep(k.now())
+func (g *idempotencyGuard) sweep() {
+	if g.store != nil {
+		g.store.Sweep(g.now())
 	}
 }
 
 // close has the log end: all answers have left, what waits is records of failures and ages.
-func (k *idempotencyGuard) close() {
-	if !k.enabled() {
+func (g *idempotencyGuard) close() {
+	if !g.enabled() {
 		return
 	}
-	close(k.closing)
-	if k.log != nil {
-		k.flushEntries()
-		if err := k.log.Close(patientEnd); err != nil {
-			k.backend.log.Error("keep", "dir", k.backend.cfg.Idempotency.Dir, "why", err)
+	close(g.stopOpening)
+	if g.log != nil {
+		g.flushEntries()
+		if err := g.log.Close(patientEnd); err != nil {
+			g.backend.log.Error("keep", "dir", g.backend.cfg.Idempotency.Dir, "why", err)
 			return // the lock goes with the process
 		}
 	} else {
 		select {
-		case <-k.gone:
+		case <-g.opening:
 		case <-time.After(patientEnd):
 			return
 		}
 	}
-	if k.lock != nil {
-		_ = k.lock.Close()
+	if g.lock != nil {
+		_ = g.lock.Close()
 	}
 }
 
@@ -623,7 +623,7 @@
 	b.onOwner(func() {
 		k := &b.guard
 		out = k.stats
-		out.Loading, out.StoreFailed = k.store == nil && !k.broken, k.broken
+		out.Loading, out.StoreFailed = k.store == nil && !k.failed, k.failed
 		if k.store != nil {
 			out.Store = k.store.Stats()
 		}
--- a/backend/parse.go
+++ b/backend/parse.go
@@ -218,7 +218,7 @@
 		why = "no id of 16 hex digits"
 	case !a.hasStart || ev.Size == 0:
 		why = "start or memory is missing"
-	case !b.guard.named(a):
+	case !b.guard.hasRequiredKey(a):
 		why = "no key, and it must not run twice"
 	case ev.ValueRank == 1 || ev.Size == sizeMost || ev.Hint > costMost*b.handlers[r.handler].timeout || a.started > startMost:
 		why = "a field is out of its range"
@@ -242,13 +242,13 @@
 		return
 	}
 	ev.ID, ev.Handler, ev.Delay, ev.Customer = r.id, r.handler, unread, slices.Index(b.customers, a.tenant)
-	r.subject = b.results.subjectOf(r, ev.Subject, a.tenant, a.once)
+	r.subject = b.results.keyOf(r, ev.Subject, a.tenant, a.once)
 	r.arrival, r.readAt, r.arrivedAt = *ev, b.now, b.now-unread
-	r.guard = b.guard.guards(a)
+	r.guard = b.guard.stateOf(a)
 	b.requests[r.id] = r
 	b.unanswered++
 	e.requests[r.slot] = r
-	if e.verified && b.results.repeats(r) == nil || !b.processor.identify(r) {
+	if e.verified && b.results.find(r) == nil || !b.processor.identify(r) {
 		b.admit(r)
 	}
 }
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -26,38 +26,40 @@
 // processor keeps its notices and takes commands in their order, so a question for gauges that is answered
 // proves that all before it arrived, and that all notices of before were read.
 type processorLink struct {
-	backend    *Backend
-	address    string
-	conn       *conn.Conn    // nil while there is none
-	next       *conn.Conn    // takes its place once all that was sent on c is proved to have arrived
-	quiet      uint64        // the question whose answer proves it; no commands are sent meanwhile; 0 none
-	quietBy    time.Duration // it is replaced then without that
-	moved      bool          // c leads to an address that is no more
-	finish     time.Duration // it is closed then
-	up         bool          // hi was read on this one
-	last       uint64        // the last notice that was read
-	tag        uint64        // of the last question, for gauges or a trial
-	acked      uint64        // the last question for gauges that was answered
-	age        time.Duration // of the processor, as told last
-	probes     int           // reqs whose begin is being probed
-	resync     uint64        // this one's answer ends the resumption; 0 it has ended
-	trials     []uint64      // asked and not told
-	unverified []*request    // the processor is asked whether it knows them, in order
-	dialing    bool
-	dialAt     time.Duration
-	wait       time.Duration
+	backend       *Backend
+	address       string
+	conn          *conn.Conn    // nil while there is none
+	replacement   *conn.Conn    // takes its place once all that was sent on c is proved to have arrived
+	quiesceTag    uint64        // the question whose answer proves it; no commands are sent meanwhile; 0 none
+	quiesceBy     time.Duration // it is replaced then without that
+	moved         bool          // c leads to an address that is no more
+	closeAt       time.Duration // it is closed then
+	greeted       bool          // hi was read on this one
+	lastNotice    uint64        // the last notice that was read
+	lastTag       uint64        // of the last question, for gauges or a trial
+	ackedTag      uint64        // the last question for gauges that was answered
+	processorAge  time.Duration // of the processor, as told last
+	probing       int           // reqs whose begin is being probed
+	resyncTag     uint64        // this one's answer ends the resumption; 0 it has ended
+	pendingTrials []uint64      // asked and not told
+	unverified    []*request    // the processor is asked whether it knows them, in order
+	dialing       bool
+	redialAt      time.Duration
+	redialWait    time.Duration
 }
 
-func (l *processorLink) init(b *Backend) { l.backend, l.address, l.wait = b, b.cfg.Processor, redial }
+func (l *processorLink) init(b *Backend) {
+	l.backend, l.address, l.redialWait = b, b.cfg.Processor, redial
+}
 
 func (l *processorLink) onTimer() {
 	b := l.backend
 	if l.moved && l.conn != nil {
-		if b.now >= l.finish {
+		if b.now >= l.closeAt {
 			l.conn.Abort(conn.ErrClosedLocally) // what is in hand there is in doubt from now on
 			return
 		}
-		b.wakeBy(l.finish)
+		b.wakeBy(l.closeAt)
 	}
 	if len(l.unverified) > 0 { // the processor takes no questions: the module decides, and knows when an answer is due
 		if till := l.unverified[0].readAt + unverifiedMost; b.now >= till {
@@ -66,18 +68,18 @@
 			b.wakeBy(till)
 		}
 	}
-	if l.quiet > 0 {
-		if b.now >= l.quietBy {
+	if l.quiesceTag > 0 {
+		if b.now >= l.quiesceBy {
 			l.replace()
 			return
 		}
-		b.wakeBy(l.quietBy)
+		b.wakeBy(l.quiesceBy)
 	}
-	if l.conn != nil && !l.moved || l.dialing || l.next != nil {
+	if l.conn != nil && !l.moved || l.dialing || l.replacement != nil {
 		return
 	}
-	if b.now < l.dialAt {
-		b.wakeBy(l.dialAt)
+	if b.now < l.redialAt {
+		b.wakeBy(l.redialAt)
 		return
 	}
 	l.dialing = true
@@ -96,45 +98,45 @@
 	case err != nil:
 		b.logLimited("processor not reached", "why", err)
 		l.dialLater()
-	case l.up && l.resync == 0: // the old link works: nothing is left in doubt by the change
-		l.next = c
+	case l.greeted && l.resyncTag == 0: // the old link works: nothing is left in doubt by the change
+		l.replacement = c
 		c.OnClosed = func(error) {
-			l.next, l.quiet = nil, 0
+			l.replacement, l.quiesceTag = nil, 0
 			l.dialLater()
 		}
 		l.requestGauges()
-		l.quiet, l.quietBy = l.tag, b.now+quietMost
-		b.wakeBy(l.quietBy)
+		l.quiesceTag, l.quiesceBy = l.lastTag, b.now+quietMost
+		b.wakeBy(l.quiesceBy)
 	default:
-		l.next = c
+		l.replacement = c
 		l.replace()
 	}
 }
 
 // dialLater puts the next try off, each time for longer, until the processor says hi.
 func (l *processorLink) dialLater() {
-	l.dialAt = l.backend.now + l.wait
-	l.wait = min(2*l.wait, redialMax)
+	l.redialAt = l.backend.now + l.redialWait
+	l.redialWait = min(2*l.redialWait, redialMax)
 }
 
-// changeAddress has the link lead to another address; the old one is used until the new one stands.
-func (l *processorLink) changeAddress(address string) {
+// reconfigure has the link lead to another address; the old one is used until the new one stands.
+func (l *processorLink) reconfigure(address string) {
 	if address == l.address {
 		return
 	}
-	l.address, l.dialAt, l.wait = address, l.backend.now, redial
+	l.address, l.redialAt, l.redialWait = address, l.backend.now, redial
 	if !l.moved {
-		l.moved, l.finish = true, l.backend.now+linkFinish
+		l.moved, l.closeAt = true, l.backend.now+linkFinish
 	}
-	if c := l.next; c != nil {
+	if c := l.replacement; c != nil {
 		c.CloseAfterSend(conn.ErrClosedLocally) // its end lets the old link go on
 	}
 }
 
 // replace lets the next connection take the place of the present one.
 func (l *processorLink) replace() {
-	old, c := l.conn, l.next
-	l.next, l.quiet, l.moved = nil, 0, false
+	old, c := l.conn, l.replacement
+	l.replacement, l.quiesceTag, l.moved = nil, 0, false
 	l.admitAll()
 	l.open(c)
 	if old != nil {
@@ -143,11 +145,11 @@
 }
 
 // ready tells whether commands may be sent; what is not sent now is by resume.
-func (l *processorLink) ready() bool { return l.up && l.resync == 0 && l.quiet == 0 }
+func (l *processorLink) ready() bool { return l.greeted && l.resyncTag == 0 && l.quiesceTag == 0 }
 
 func (l *processorLink) open(c *conn.Conn) {
 	b := l.backend
-	l.conn, l.up = c, false
+	l.conn, l.greeted = c, false
 	b.stats.Links++
 	c.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
 	c.SetInputLimit(c.MaxUnsent)
@@ -158,37 +160,37 @@
 		}
 		b.stats.LinksLost++
 		b.logLimited("link lost", "why", err)
-		l.conn, l.up, l.moved = nil, false, false
+		l.conn, l.greeted, l.moved = nil, false, false
 		l.admitAll() // nobody can tell now
 		l.dialLater()
-		if l.next != nil {
+		if l.replacement != nil {
 			l.replace()
 		}
 	}
-	c.Write(processor.AppendHello(nil, l.last))
+	c.Write(processor.AppendHello(nil, l.lastNotice))
 }
 
 func (l *processorLink) write(p []byte) { l.conn.Write(p) }
 
 // requestGauges asks for the gauges and tells whether there is anybody to ask.
 func (l *processorLink) requestGauges() bool {
-	if !l.up {
+	if !l.greeted {
 		return false
 	}
-	l.tag++
-	l.backend.scratch = processor.AppendUsage(l.backend.scratch[:0], l.tag)
+	l.lastTag++
+	l.backend.scratch = processor.AppendUsage(l.backend.scratch[:0], l.lastTag)
 	l.write(l.backend.scratch)
 	return true
 }
 
 // startCheck asks for a deep check's work. Where the link is down it is asked for once it stands.
 func (l *processorLink) startCheck() uint64 {
-	l.tag++
-	l.trials = append(l.trials, l.tag)
-	if l.up {
-		l.write(processor.AppendTrial(nil, l.tag))
+	l.lastTag++
+	l.pendingTrials = append(l.pendingTrials, l.lastTag)
+	if l.greeted {
+		l.write(processor.AppendTrial(nil, l.lastTag))
 	}
-	return l.tag
+	return l.lastTag
 }
 
 // identify asks whether the processor knows a req: the first of a connection, and each that would be answered from what is
@@ -201,14 +203,14 @@
 	}
 	l.backend.scratch = processor.AppendInterrupt(l.backend.scratch[:0], r.wireID)
 	l.write(l.backend.scratch)
-	r.verifyTag = l.tag + 1 // asked for once a turn, by askUnverified
+	r.verifyTag = l.lastTag + 1 // asked for once a turn, by askUnverified
 	l.unverified = append(l.unverified, r)
 	return true
 }
 
 // askUnverified asks the question that ends the wait of this turn's unverified reqs.
 func (l *processorLink) askUnverified() {
-	if n := len(l.unverified); n > 0 && l.unverified[n-1].verifyTag > l.tag {
+	if n := len(l.unverified); n > 0 && l.unverified[n-1].verifyTag > l.lastTag {
 		l.requestGauges()
 	}
 }
@@ -233,7 +235,7 @@
 	if !l.ready() {
 		return // resume sends it
 	}
-	r.startSent, r.confirmTag = true, l.tag
+	r.startSent, r.confirmTag = true, l.lastTag
 	b := l.backend
 	b.scratch = processor.AppendBegin(b.scratch[:0], r.wireID, b.handlers[r.handler].name, r.body)
 	l.write(b.scratch)
@@ -241,7 +243,7 @@
 
 func (l *processorLink) cancel(r *request) {
 	r.cancelRequested = true
-	if l.up {
+	if l.greeted {
 		l.backend.scratch = processor.AppendInterrupt(l.backend.scratch[:0], r.wireID)
 		l.write(l.backend.scratch)
 	}
@@ -250,11 +252,11 @@
 // answer hands a run its reply; it is kept until more is heard of the run.
 func (l *processorLink) answer(r *request, body []byte) {
 	r.callReply, r.callReplied = append(r.callReply[:0], body...), true
-	l.repeatAnswer(r)
+	l.sendAnswer(r)
 }
 
-func (l *processorLink) repeatAnswer(r *request) {
-	r.confirmTag = l.tag
+func (l *processorLink) sendAnswer(r *request) {
+	r.confirmTag = l.lastTag
 	if !l.ready() {
 		return // resume sends it
 	}
@@ -266,14 +268,14 @@
 	b := l.backend
 	switch n.Kind {
 	case processor.Complete, processor.Ask, processor.Remark:
-		if n.N <= l.last {
+		if n.N <= l.lastNotice {
 			return // read before the link broke
 		}
-		if n.N != l.last+1 {
-			b.logLimited("notices missing", "after", l.last, "got", n.N)
-			l.lost()
+		if n.N != l.lastNotice+1 {
+			b.logLimited("notices missing", "after", l.lastNotice, "got", n.N)
+			l.noticesLost()
 		}
-		l.last = n.N
+		l.lastNotice = n.N
 	}
 	switch n.Kind {
 	case processor.Hi:
@@ -284,12 +286,12 @@
 		}
 	case processor.Ask:
 		if r := b.requests[n.ID]; r != nil {
-			l.ask(r, n.Body)
+			l.onCallRequest(r, n.Body)
 		}
 	case processor.Used:
-		l.used(n)
+		l.onGauges(n)
 	case processor.Tried:
-		l.trials = slices.DeleteFunc(l.trials, func(t uint64) bool { return t == n.Tag })
+		l.pendingTrials = slices.DeleteFunc(l.pendingTrials, func(t uint64) bool { return t == n.Tag })
 		b.frontend.checkDone(n.Tag, n.Outcome == overload.OK)
 	case processor.Reject:
 		b.stats.Rejects++
@@ -311,23 +313,23 @@
 
 func (l *processorLink) onHello(n processor.Notice) {
 	b := l.backend
-	l.up, l.wait = true, redial
+	l.greeted, l.redialWait = true, redial
 	if b.controller == nil {
 		b.processorUp(n.Cold, b.now-min(n.Took, b.now))
-	} else if n.Took < l.age { // however long the word lay unread, one that goes on has grown older
+	} else if n.Took < l.processorAge { // however long the word lay unread, one that goes on has grown older
 		b.logLimited("processor started anew", "age", n.Took)
-		l.lost()
-		l.last = 0
+		l.noticesLost()
+		l.lastNotice = 0
 	}
-	l.age = n.Took
-	for _, t := range l.trials {
+	l.processorAge = n.Took
+	for _, t := range l.pendingTrials {
 		l.write(processor.AppendTrial(nil, t))
 	}
 	l.requestGauges()
-	l.resync = l.tag
+	l.resyncTag = l.lastTag
 }
 
-func (l *processorLink) ask(r *request, body []byte) {
+func (l *processorLink) onCallRequest(r *request, body []byte) {
 	r.runHeard, r.callReplied, r.callReply = true, false, nil
 	r.callBody = append(r.callBody[:0], body...)
 	r.state = stateAwaitingCall
@@ -338,35 +340,35 @@
 	l.backend.events = append(l.backend.events, overload.Event{Kind: overload.NeedsCall, ID: r.id})
 }
 
-func (l *processorLink) used(n processor.Notice) {
+func (l *processorLink) onGauges(n processor.Notice) {
 	b := l.backend
-	before := l.acked
-	l.acked = max(l.acked, n.Tag)
+	before := l.ackedTag
+	l.ackedTag = max(l.ackedTag, n.Tag)
 	l.admit(n.Tag)
 	b.gauges = append(b.gauges[:0], n.Gauges...)
 	if b.gaugesBy > 0 {
 		b.timerEvent()
 	}
-	if l.quiet > 0 && n.Tag >= l.quiet {
+	if l.quiesceTag > 0 && n.Tag >= l.quiesceTag {
 		l.replace()
 		return
 	}
-	if l.resync > 0 && n.Tag >= l.resync {
-		l.resync = 0
+	if l.resyncTag > 0 && n.Tag >= l.resyncTag {
+		l.resyncTag = 0
 		l.resume(before)
 	}
-	if l.probes > 0 {
-		for _, r := range b.known() {
+	if l.probing > 0 {
+		for _, r := range b.requestsByID() {
 			switch {
 			case r.probeDue == 0 || b.now < r.probeDue:
 			case r.runHeard: // it runs, or its end follows
-				l.probes--
+				l.probing--
 				r.probeTag, r.probeDue = 0, 0
 			case !r.cancelRequested:
 				l.cancel(r)
 				r.probeDue = b.now + probeWait
 			case r.probeTag == 0:
-				r.probeTag = l.tag + 1 // the next question
+				r.probeTag = l.lastTag + 1 // the next question
 			case n.Tag >= r.probeTag:
 				l.neverRan(r)
 			}
@@ -374,10 +376,10 @@
 	}
 }
 
-// lost follows the loss of notices: the runs may have ended or not, and can't be known any more. None is
+// noticesLost follows the loss of notices: the runs may have ended or not, and can't be known any more. None is
 // repeated; what of them still runs is stopped.
-func (l *processorLink) lost() {
-	for _, r := range l.backend.known() {
+func (l *processorLink) noticesLost() {
+	for _, r := range l.backend.requestsByID() {
 		if r.state >= stateRunning && r.startSent {
 			l.cancel(r)
 			l.backend.runEnded(r, overload.Failed, accounting.ProcessorLost, 0, nil)
@@ -385,8 +387,8 @@
 	}
 }
 
-// known gives all reqs in an order that does not change from run to run.
-func (b *Backend) known() []*request {
+// requestsByID gives all reqs in an order that does not change from run to run.
+func (b *Backend) requestsByID() []*request {
 	return slices.SortedFunc(maps.Values(b.requests), func(x, y *request) int { return cmp.Compare(x.id, y.id) })
 }
 
@@ -396,7 +398,7 @@
 // else meet a run that is just ending.
 func (l *processorLink) resume(acked uint64) {
 	b := l.backend
-	for _, r := range b.known() {
+	for _, r := range b.requestsByID() {
 		doubt := r.confirmTag >= acked
 		switch {
 		case r.state < stateRunning:
@@ -404,21 +406,21 @@
 			b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		case !r.startSent:
 			l.start(r)
-		case doubt && !r.runHeard && !r.cancelRequested && lifecycle.Repeat(l.beginOf(r, false)) == lifecycle.Allowed:
-			l.restart(r, false, "it may run again")
+		case doubt && !r.runHeard && !r.cancelRequested && lifecycle.Repeat(l.startCommand(r, false)) == lifecycle.Allowed:
+			l.retryStart(r, false, "it may run again")
 		case doubt && !r.runHeard:
 			if r.cancelRequested {
 				l.cancel(r)
 			}
 			if r.probeDue == 0 { // else the link broke again meanwhile
-				l.probes++
+				l.probing++
 			}
 			r.probeTag, r.probeDue = 0, b.now+probeWait
 		case r.cancelRequested:
 			l.cancel(r)
 		case r.callReplied && doubt:
-			l.tellRepeat(r, "answer", "nothing was heard of the run since")
-			l.repeatAnswer(r)
+			l.logRetry(r, "answer", "nothing was heard of the run since")
+			l.sendAnswer(r)
 		}
 	}
 }
@@ -426,32 +428,32 @@
 // neverRan follows the proof that a begin was lost.
 func (l *processorLink) neverRan(r *request) {
 	b := l.backend
-	l.probes--
+	l.probing--
 	r.probeTag, r.probeDue, r.cancelRequested = 0, 0, false
-	if lifecycle.Repeat(l.beginOf(r, true)) == lifecycle.NobodyWaits {
+	if lifecycle.Repeat(l.startCommand(r, true)) == lifecycle.NobodyWaits {
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		return
 	}
-	l.restart(r, true, "it is proved never to have run")
+	l.retryStart(r, true, "it is proved never to have run")
 }
 
-// beginOf is the begin of a req as what may be sent again; neverRan: the first is proved to have been lost.
-func (l *processorLink) beginOf(r *request, neverRan bool) lifecycle.Command {
+// startCommand is the begin of a req as what may be sent again; neverRan: the first is proved to have been lost.
+func (l *processorLink) startCommand(r *request, neverRan bool) lifecycle.Command {
 	return lifecycle.Command{Repeatable: l.backend.handlers[r.handler].replayable, NeverRan: neverRan, Wanted: l.backend.hasClient(r)}
 }
 
-// restart sends a begin again, if it may be.
-func (l *processorLink) restart(r *request, neverRan bool, why string) {
-	if v := lifecycle.Repeat(l.beginOf(r, neverRan)); v != lifecycle.Allowed {
+// retryStart sends a begin again, if it may be.
+func (l *processorLink) retryStart(r *request, neverRan bool, why string) {
+	if v := lifecycle.Repeat(l.startCommand(r, neverRan)); v != lifecycle.Allowed {
 		l.backend.recordViolation("begin again", r, v)
 		return
 	}
-	l.tellRepeat(r, "begin", why)
+	l.logRetry(r, "begin", why)
 	l.start(r)
 }
 
-// tellRepeat counts a command that is sent again after a break, and says whose and why.
-func (l *processorLink) tellRepeat(r *request, command, why string) {
+// logRetry counts a command that is sent again after a break, and says whose and why.
+func (l *processorLink) logRetry(r *request, command, why string) {
 	l.backend.stats.Repeated++
 	l.backend.logLimited("command repeated", "command", command, "id", r.wireID, "handler", l.backend.handlers[r.handler].name, "why", why)
 }
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -26,13 +26,13 @@
 // peerStateFile is what this box remembers of the others, and the state of its record.
 type peerStateFile struct {
 	*recovery.PeerStates
-	writing bool
-	nextAt  time.Duration
-	said    uint64 // the last record that others were told of
+	writing      bool
+	nextAt       time.Duration
+	announcedSeq uint64 // the last record that others were told of
 }
 
-// readMemory gives what is remembered; nothing where the box is new.
-func readMemory(dir string) (peerStateFile, error) {
+// readPeerStates gives what is remembered; nothing where the box is new.
+func readPeerStates(dir string) (peerStateFile, error) {
 	text, err := os.ReadFile(filepath.Join(dir, memoryName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return peerStateFile{PeerStates: recovery.NewPeerStates(true)}, nil
@@ -47,19 +47,19 @@
 	return peerStateFile{PeerStates: m}, nil
 }
 
-// returns begins a box's way back, once its store is read.
-func (c *cluster) returns(store *idempotency.Store, o loadedStore) {
+// startRecovery begins a box's way back, once its store is read.
+func (c *cluster) startRecovery(store *idempotency.Store, o loadedStore) {
 	b := c.backend
-	c.store, c.lists, c.peerStates = store, o.lists, o.known
-	c.incarnation, c.goes, c.mark = store.Stats().Incarnation, c.lists.roster().Digests(), rand.Uint64()
+	c.store, c.roster, c.peerStates = store, o.roster, o.peerStates
+	c.incarnation, c.ownDigests, c.mark = store.Stats().Incarnation, c.roster.forFailover().Digests(), rand.Uint64()
 	c.connect()
 	c.recovery = recovery.New(recovery.Config{
-		Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.wait(),
+		Mark: c.mark, Others: c.witnesses(), RetryHorizon: c.retryWindow(),
 		MajorityAfter: b.cfg.Cluster.MajorityAfter, DegradeAfter: b.cfg.Cluster.DegradeAfter,
 	}, c.mark)
 	c.recovery.StartLoading()
-	c.recovery.DiskLoaded(b.now, recovery.DiskState{Incarnation: c.incarnation, Seq: store.LastSeq(), New: c.incarnation == 1 && !o.aside})
-	c.follow()
+	c.recovery.DiskLoaded(b.now, recovery.DiskState{Incarnation: c.incarnation, Seq: store.LastSeq(), New: c.incarnation == 1 && !o.setAside})
+	c.runRecovery()
 }
 
 // witnesses are the boxes that remember how far this one's disk is: some of each list, the same whoever asks, so that what is told and asked
@@ -67,9 +67,9 @@
 func (c *cluster) witnesses() (names []string) {
 	var key idempotency.Key
 	copy(key[:], c.backend.cfg.Name)
-	for _, list := range [][]ClusterMember{c.lists.Members, c.lists.Before} {
+	for _, list := range [][]ClusterMember{c.roster.Members, c.roster.Previous} {
 		n := 0
-		for _, name := range failover.Group(plain(list), key, witnessMost+1) {
+		for _, name := range failover.Group(failoverMembers(list), key, witnessMost+1) {
 			if name == c.backend.cfg.Name || n == witnessMost || c.peerStates.Forgotten(name) {
 				continue
 			}
@@ -81,8 +81,8 @@
 	return names
 }
 
-// follow does what the way back wants.
-func (c *cluster) follow() {
+// runRecovery does what the way back wants.
+func (c *cluster) runRecovery() {
 	if c.recovery == nil {
 		return
 	}
@@ -91,7 +91,7 @@
 	for _, a := range c.recovery.Ready() {
 		for _, name := range a.Query {
 			if l := c.links[name]; l != nil {
-				l.ask = true
+				l.queryState = true
 			}
 		}
 		if a.HistoryLost {
@@ -101,7 +101,7 @@
 		}
 		if a.Incarnation > 0 {
 			if !c.store.RaiseIncarnation(a.Incarnation) {
-				b.guard.broken = true
+				b.guard.failed = true
 				b.log.Error("store older than known", "why", "a life that can't be counted", "known", a.Incarnation, "so", "guarded reqs are refused in this life")
 			}
 			c.incarnation = c.store.Stats().Incarnation
@@ -113,14 +113,14 @@
 	}
 	switch {
 	case c.recovery.Established() && (c.node == nil || again):
-		c.begin()
+		c.start()
 	case c.node != nil && lost:
-		c.lacks()
+		c.startRefill()
 	}
 }
 
-// heard takes what a box says of itself, and answers what it asks.
-func (c *cluster) heard(h *peerproto.Hello) {
+// onHello takes what a box says of itself, and answers what it asks.
+func (c *cluster) onHello(h *peerproto.Hello) {
 	if c.recovery == nil {
 		return // it asks again
 	}
@@ -136,8 +136,8 @@
 	c.peerStates.SetFeatures(h.From, h.Features)
 }
 
-// lookBack does what is due on the way back, tells others how far this box's disk is, and has what it remembers of them recorded.
-func (c *cluster) lookBack() {
+// recoveryTick does what is due on the way back, tells others how far this box's disk is, and has what it remembers of them recorded.
+func (c *cluster) recoveryTick() {
 	if c.recovery == nil {
 		return
 	}
@@ -152,11 +152,11 @@
 	}
 	c.peerStates.nextAt = b.now + memoryEvery
 	b.wakeBy(c.peerStates.nextAt)
-	if last := c.store.LastSeq(); last != c.peerStates.said {
-		c.peerStates.said = last
+	if last := c.store.LastSeq(); last != c.peerStates.announcedSeq {
+		c.peerStates.announcedSeq = last
 		for _, name := range c.witnesses() {
-			if l := c.links[name]; l != nil && l.c != nil {
-				l.c.Write(c.hello(false))
+			if l := c.links[name]; l != nil && l.conn != nil {
+				l.conn.Write(c.hello(false))
 			}
 		}
 	}
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -12,17 +12,17 @@
 
 // refillState is the core's side of being told again what this box's disk lacks, and of how runs ended whose end it does not know.
 type refillState struct {
-	from   *recovery.Refill[failover.Cursor] // nil while nothing is lacking
-	doubts *recovery.UnknownOutcomes
+	from    *recovery.Refill[failover.Cursor] // nil while nothing is lacking
+	unknown *recovery.UnknownOutcomes
 }
 
-// lacks begins it where the store can't answer for all that it has ever had, and takes up the keys in doubt.
-func (c *cluster) lacks() {
+// startRefill begins it where the store can't answer for all that it has ever had, and takes up the keys in doubt.
+func (c *cluster) startRefill() {
 	var keys [][16]byte
 	for _, key := range c.store.UnknownKeys(settleKeys) {
 		keys = append(keys, key)
 	}
-	c.refill = refillState{doubts: recovery.NewUnknownOutcomes(keys)}
+	c.refill = refillState{unknown: recovery.NewUnknownOutcomes(keys)}
 	if c.store.Complete() {
 		return
 	}
@@ -34,12 +34,12 @@
 	}
 	c.refill.from = r
 	c.store.SetProver(func(key idempotency.Key) bool { return r.Covers(c.node.GroupPeers(key)) })
-	c.toldAll() // where an operator has said of all others that they never come back
+	c.finishRefill() // where an operator has said of all others that they never come back
 }
 
 // others are all boxes of the lists but this one.
 func (c *cluster) others() (names []string) {
-	for _, m := range c.lists.all() {
+	for _, m := range c.roster.all() {
 		if m.Name != c.backend.cfg.Name {
 			names = append(names, m.Name)
 		}
@@ -51,7 +51,7 @@
 func (c *cluster) refillTick() {
 	b, now := c.backend, c.backend.guard.now()
 	var ask []idempotency.Key
-	for _, k := range c.refill.doubts.Tick(now, func(k [16]byte) bool { return c.store.PeekOutcome(now, 0, k).Decision == idempotency.OutcomeUnknown }) {
+	for _, k := range c.refill.unknown.Tick(now, func(k [16]byte) bool { return c.store.PeekOutcome(now, 0, k).Decision == idempotency.OutcomeUnknown }) {
 		ask = append(ask, k)
 	}
 	c.node.ResolveUnknown(now, ask)
@@ -64,8 +64,8 @@
 	}
 }
 
-// tells answers a box that has lost something.
-func (c *cluster) tells(from string, life uint64, t *failover.PageRequest) {
+// sendPage answers a box that has lost something.
+func (c *cluster) sendPage(from string, life uint64, t *failover.PageRequest) {
 	if t.Incarnation != life || life < c.Incarnation(from) {
 		return
 	}
@@ -85,8 +85,8 @@
 	return out
 }
 
-// toldAgain takes a page.
-func (c *cluster) toldAgain(from string, life uint64, p *failover.Page) {
+// onPage takes a page.
+func (c *cluster) onPage(from string, life uint64, p *failover.Page) {
 	b, r := c.backend, c.refill.from
 	info := recovery.PageInfo[failover.Cursor]{
 		Incarnation: p.Incarnation, From: p.From, Next: p.Next, Keys: len(p.Records) + len(p.InFlight),
@@ -99,11 +99,11 @@
 	if info.Last {
 		b.log.Info("told again", "by", from, "whole", p.Complete, "fences_heeded", p.FencesSupported)
 	}
-	c.toldAll()
+	c.finishRefill()
 }
 
-// toldAll follows the end of the telling, if it has come.
-func (c *cluster) toldAll() {
+// finishRefill follows the end of the telling, if it has come.
+func (c *cluster) finishRefill() {
 	b := c.backend
 	if c.refill.from == nil || !c.refill.from.Done() {
 		return
@@ -111,7 +111,7 @@
 	kept := c.store.MarkComplete(b.guard.now())
 	b.log.Info("told again", "by", "all others", "also_for_later_lives", kept)
 	c.recovery.MarkComplete()
-	c.follow()
+	c.runRecovery()
 }
 
 // Errors of what an operator says to a running box.
@@ -137,7 +137,7 @@
 			c.store.AcceptHistory(b.guard.now())
 			c.refill.from = nil
 			c.recovery.TrustDisk()
-			c.follow()
+			c.runRecovery()
 			b.guard.flushEntries()
 		}
 	})
@@ -163,16 +163,16 @@
 			c.recovery.Tick(b.now)
 			if c.refill.from != nil {
 				c.refill.from.Exclude(name)
-				c.toldAll()
+				c.finishRefill()
 			}
-			c.follow()
+			c.runRecovery()
 		}
 	})
 	return err
 }
 
-// wants tells whether a link has something to send.
-func (l *nodeLink) wants() bool {
+// hasPending tells whether a link has something to send.
+func (l *nodeLink) hasPending() bool {
 	x := &l.batch
-	return len(x.Members)+len(x.Claims) > 0 || x.PeerState != nil || x.PageRequest != nil || x.Page != nil || l.ask
+	return len(x.Members)+len(x.Claims) > 0 || x.PeerState != nil || x.PageRequest != nil || x.Page != nil || l.queryState
 }
--- a/backend/request.go
+++ b/backend/request.go
@@ -121,7 +121,7 @@
 		}
 	case overload.Reject:
 		if r.takenOver {
-			b.cluster.settled(r, accounting.Shed)
+			b.cluster.closeAccount(r, accounting.Shed)
 			b.releaseUnstarted(r)
 			return
 		}
@@ -143,7 +143,7 @@
 			b.frontend.failed(r, why)
 			b.finishAnswered(r)
 		} else if r.takenOver && r.state < stateAwaitingIntent {
-			b.cluster.settled(r, accounting.Cancelled)
+			b.cluster.closeAccount(r, accounting.Cancelled)
 			b.releaseUnstarted(r)
 		} else if r.state >= stateAwaitingCall {
 			b.cancelRun(r) // nobody waits, but the run does
@@ -233,7 +233,7 @@
 	switch r.state {
 	case stateUnverified, stateHeld, stateJoined:
 		delete(b.requests, r.id)
-		b.guard.leave(r)
+		b.guard.withdraw(r)
 		b.results.ended(r, overload.Failed, false, nil)
 	case stateAwaitingCall, stateCalling:
 		b.cancelRun(r)
@@ -250,10 +250,10 @@
 	if r.state >= stateRunning {
 		b.stats.Ended++
 	}
-	waits := r.guard != nil && b.guard.writes(r, how, why, body) // until its result is on the disk
+	waits := r.guard != nil && b.guard.recordEnd(r, how, why, body) // until its result is on the disk
 	b.upstream.cancel(r)
 	if r.probeDue > 0 {
-		b.processor.probes--
+		b.processor.probing--
 		r.probeTag, r.probeDue = 0, 0
 	}
 	b.events = append(b.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: how, Took: took})
@@ -269,7 +269,7 @@
 		b.unanswered--
 		r.client = nil
 	}
-	b.cluster.settled(r, why)
+	b.cluster.closeAccount(r, why)
 	delete(b.requests, r.id)
 	b.results.ended(r, how, r.startSent && why != accounting.NeverRan, body)
 }
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -67,7 +67,7 @@
 			taken++
 		}
 	}
-	if taken == 0 || taken == 100 || float64(b.results.resultBytes) > b.memoryShare(keptShare) {
+	if taken == 0 || taken == 100 || float64(b.results.resultBytes) > b.memoryShare(resultCacheShare) {
 		t.Error(taken, "of 100 are taken,", b.results.resultBytes, "bytes are kept")
 	}
 	for i := range uint64(taken) {
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -78,7 +78,7 @@
 
 // failAll answers what is still owed: nothing that was read goes without a final answer.
 func (b *Backend) failAll() {
-	for _, r := range b.known() {
+	for _, r := range b.requestsByID() {
 		if b.hasClient(r) {
 			b.log.Warn("req given up at the stop", "id", r.wireID, "held", r.state < stateRunning)
 			if r.state < stateRunning {
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -139,7 +139,7 @@
 			b := s.b
 			s.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
 				len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.inFlight(), b.upstream.connections(), len(b.results.byID),
-				len(b.processor.trials), b.frontend.partialBytes)
+				len(b.processor.pendingTrials), b.frontend.partialBytes)
 		})
 	case "counters":
 		c := s.b.Counters()
