--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	redial         = 2 * time.Millisecond   // before the first further try to reach the processor
-	redialMax      = 500 * time.Millisecond // between later ones: it may come up long after this backend
-	quietMost      = 50 * time.Millisecond  // for the last answer on a link that is to be replaced
-	probeWait      = 100 * time.Millisecond // for a word of a run that may not be, and then of its interrupt: twenty ticks
-	unverifiedMost = 500 * time.Millisecond // for the processor's word whether it knows a req: far past any pause
-	linkShare      = 0.25                   // of the memory limit, for commands that wait, and as much for notices
+	redial          = 2 * time.Millisecond   // before the first further try to reach the processor
+	redialMax       = 500 * time.Millisecond // between later ones: it may come up long after this backend
+	quietMost       = 50 * time.Millisecond  // for the last answer on a link that is to be replaced
+	probeWait       = 100 * time.Millisecond // for a word of a run that may not be, and then of its interrupt: twenty ticks
+	unverifiedMost  = 500 * time.Millisecond // for the processor's word whether it knows a req: far past any pause
+	linkShare       = 0.25                   // of the memory limit, for commands that wait, and as much for notices
+	oldAddressGrace = 1400 * time.Millisecond
 )
 
 // processorLink is the link to the processor. It may break; what was sent on it then may or may not have arrived. The
@@ -126,7 +127,7 @@
 	}
 	l.address, l.redialAt, l.redialWait = address, l.backend.now, redial
 	if !l.moved {
-		l.moved, l.closeAt = true, l.backend.now+linkFinish
+		l.moved, l.closeAt = true, l.backend.now+oldAddressGrace
 	}
 	if c := l.replacement; c != nil {
 		c.CloseAfterSend(conn.ErrClosedLocally) // its end lets the old link go on
--- /dev/null
+++ b/backend/upstream.go
@@ -0,0 +1,135 @@
+package backend
+
+import (
+	"frosthub/lifecycle"
+	"frosthub/loadbalance"
+	"frosthub/overload"
+	"time"
+)
+
+// Limits of calls to the next tier, whichever protocol carries them.
+const (
+	// callGrace is how long past its timeout a call is waited for: the server that runs it should report the timeout first.
+	callGrace = 20 * time.Millisecond
+	// upstreamConnShare is the part of the descriptors that connections to the next tier may take.
+	upstreamConnShare = 0.125
+	// maxUnsentCalls is how many bytes of calls may wait on one connection.
+	maxUnsentCalls = 256 << 10
+)
+
+// upstream makes the calls that runs need from the next tier. The overload controller decides which calls are made; an upstream only
+// carries them. All methods are called by the goroutine that owns the backend.
+type upstream interface {
+	// reservedConns is the number of connections that the upstream may hold.
+	reservedConns() int
+	// invoke makes the call of r, which times out after the given time.
+	invoke(r *request, after time.Duration)
+	// cancel gives up the call of r, if there is one.
+	cancel(r *request)
+	// reconfigure sends new calls to the addresses of another configuration. Calls in flight may finish where they are.
+	reconfigure(cfg *Config)
+	// onTimer does what is due and asks the backend to wake up for the rest.
+	onTimer()
+	// inFlight is the number of calls in flight.
+	inFlight() int
+	// connections is the number of connections to the next tier.
+	connections() int
+}
+
+// call is a call in flight.
+type call struct {
+	request   *request
+	startedAt time.Duration
+	deadline  time.Duration
+
+	// Over the proxy protocol.
+	proxyConn *proxyConn    // nil while the call waits for a connection
+	sentAt    time.Duration // when it was written
+	connIdle  time.Duration // how long the connection had been idle before
+	sentMark  int           // bytes written on the connection before
+
+	// Over AJP.
+	target  *loadbalance.Target
+	ajpConn *ajpConn              // nil while the connection is dialed
+	tried   []*loadbalance.Target // targets at which the call is proved never to have run
+	proved  overload.Outcome      // what the last of them proved
+}
+
+// upstreamCalls are the calls in flight of an upstream, by the id of their request. Both upstreams embed it.
+type upstreamCalls struct {
+	backend *Backend
+	calls   map[uint64]*call
+}
+
+func newUpstreamCalls(b *Backend) upstreamCalls {
+	return upstreamCalls{backend: b, calls: map[uint64]*call{}}
+}
+
+// reservedConns is the number of connections to the next tier that the limit on descriptors leaves.
+func (u *upstreamCalls) reservedConns() int {
+	return max(1, int(upstreamConnShare*float64(u.backend.cfg.Limits.Sockets)))
+}
+
+func (u *upstreamCalls) inFlight() int { return len(u.calls) }
+
+// add puts the run of r on hold until its call has ended.
+func (u *upstreamCalls) add(r *request, after time.Duration) *call {
+	b := u.backend
+	b.stats.Calls++
+	added := &call{request: r, startedAt: b.now, deadline: b.now + after}
+	r.state = stateCalling
+	r.call = added
+	u.calls[r.id] = added
+	return added
+}
+
+// remove forgets a call without reporting its end.
+func (u *upstreamCalls) remove(ended *call) {
+	r := ended.request
+	delete(u.calls, r.id)
+	r.call = nil
+	r.state = stateAwaitingCall
+}
+
+// call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried where that does harm.
+func (b *Backend) call(r *request, after time.Duration) {
+	command := lifecycle.Command{
+		Repeatable: b.handlers[r.handler].replayable,
+		NeverRan:   !r.callOutcomeUnknown,
+		Wanted:     b.isWanted(r),
+	}
+	if verdict := lifecycle.Repeat(command); verdict != lifecycle.Allowed {
+		b.recordViolation("call", r, verdict)
+		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
+		return
+	}
+	b.upstream.invoke(r, after)
+}
+
+// callEnded reports the end of a call to the overload controller.
+func (b *Backend) callEnded(ended *call, outcome overload.Outcome) {
+	r := ended.request
+	r.callFailed = outcome != overload.OK
+	r.callOutcomeUnknown = !provesCallOutcome(outcome)
+	if outcome == overload.OK {
+		b.stats.CallsOK++
+		r.state = stateRunning
+	} else {
+		b.stats.CallsFailed++
+	}
+	b.events = append(b.events, overload.Event{
+		Kind:    overload.CallEnded,
+		ID:      r.id,
+		Outcome: outcome,
+		Took:    b.now - ended.startedAt,
+	})
+}
+
+// provesCallOutcome reports whether a call that ended so is known to have had its effect or known to have had none.
+func provesCallOutcome(outcome overload.Outcome) bool {
+	switch outcome {
+	case overload.OK, overload.Overloaded, overload.NeverRan, overload.NoConnection:
+		return true
+	}
+	return false
+}
