--- a/backend/parse.go
+++ b/backend/parse.go
@@ -248,7 +248,7 @@
 	b.requests[r.id] = r
 	b.unanswered++
 	e.requests[r.slot] = r
-	if e.verified && b.results.find(r) == nil || !b.processor.identify(r) {
+	if e.verified && b.results.find(r) == nil || !b.processor.verify(r) {
 		b.admit(r)
 	}
 }
--- /dev/null
+++ b/backend/processor_notices.go
@@ -0,0 +1,134 @@
+package backend
+
+import (
+	"frosthub/accounting"
+	"frosthub/internal/processor"
+	"frosthub/overload"
+	"slices"
+)
+
+// onNotice handles one notice of the processor.
+func (l *processorLink) onNotice(n processor.Notice) {
+	b := l.backend
+	if !l.countNotice(&n) {
+		return
+	}
+	switch n.Kind {
+	case processor.Hi:
+		l.onHello(&n)
+	case processor.Complete:
+		if r := b.requests[n.ID]; r != nil {
+			b.runEnded(r, n.Outcome, reasonOf(n.Outcome), n.Took, n.Body)
+		}
+	case processor.Ask:
+		if r := b.requests[n.ID]; r != nil {
+			l.onCallRequest(r, n.Body)
+		}
+	case processor.Used:
+		l.onGauges(&n)
+	case processor.Tried:
+		l.pendingTrials = slices.DeleteFunc(l.pendingTrials, func(tag uint64) bool { return tag == n.Tag })
+		b.frontend.checkDone(n.Tag, n.Outcome == overload.OK)
+	case processor.Reject:
+		l.onReject(&n)
+	case processor.Remark:
+		b.stats.Remarks++
+	}
+}
+
+// countNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are missing the outcomes
+// of all runs are unknown.
+func (l *processorLink) countNotice(n *processor.Notice) bool {
+	switch n.Kind {
+	case processor.Complete, processor.Ask, processor.Remark:
+	default:
+		return true // not numbered
+	}
+	if n.N <= l.lastNotice {
+		return false // read before the link broke
+	}
+	if n.N != l.lastNotice+1 {
+		l.backend.logLimited("notices missing", "after", l.lastNotice, "got", n.N)
+		l.noticesLost()
+	}
+	l.lastNotice = n.N
+	return true
+}
+
+// onHello handles the first notice of a connection.
+func (l *processorLink) onHello(n *processor.Notice) {
+	b := l.backend
+	l.greeted = true
+	l.redialWait = firstRedialWait
+	if b.controller == nil {
+		b.processorUp(n.Cold, b.now-min(n.Took, b.now))
+	} else if n.Took < l.processorAge { // one that went on would be older, however long the notice lay unread
+		b.logLimited("processor started anew", "age", n.Took)
+		l.noticesLost()
+		l.lastNotice = 0
+	}
+	l.processorAge = n.Took
+	for _, tag := range l.pendingTrials {
+		l.write(processor.AppendTrial(nil, tag))
+	}
+	l.requestGauges()
+	l.resyncTag = l.lastTag
+}
+
+// onCallRequest handles the notice that a run needs a call.
+func (l *processorLink) onCallRequest(r *request, body []byte) {
+	b := l.backend
+	r.runHeard = true
+	r.callReplied = false
+	r.callReply = nil
+	r.callBody = append(r.callBody[:0], body...)
+	r.state = stateAwaitingCall
+	b.stats.Asked++
+	if !b.isWanted(r) {
+		b.cancelRun(r)
+	}
+	b.events = append(b.events, overload.Event{Kind: overload.NeedsCall, ID: r.id})
+}
+
+// onGauges handles the answer to a query for gauges, and what it proves.
+func (l *processorLink) onGauges(n *processor.Notice) {
+	b := l.backend
+	previouslyAcked := l.ackedTag
+	l.ackedTag = max(l.ackedTag, n.Tag)
+	l.admit(n.Tag)
+	b.gauges = append(b.gauges[:0], n.Gauges...)
+	if b.gaugesBy > 0 {
+		b.timerEvent()
+	}
+	if l.quiesceTag > 0 && n.Tag >= l.quiesceTag {
+		l.replace()
+		return
+	}
+	if l.resyncTag > 0 && n.Tag >= l.resyncTag {
+		l.resyncTag = 0
+		l.resync(previouslyAcked)
+	}
+	if l.probing > 0 {
+		for _, r := range b.requestsByID() {
+			l.probe(r, n.Tag)
+		}
+	}
+}
+
+// onReject handles the rejection of a command: the processor knows no such request, so nothing was run.
+func (l *processorLink) onReject(n *processor.Notice) {
+	b := l.backend
+	b.stats.Rejects++
+	b.logLimited("processor rejects", "command", n.Text)
+	r := b.requests[n.ID]
+	switch {
+	case r == nil:
+	case n.Text == "interrupt" && r.state == stateUnverified:
+		b.frontend.unknown(r)
+	case n.Text == "begin" && r.state == stateRunning && r.startSent && !r.runHeard:
+		if b.hasClient(r) {
+			r.client.verified = false
+		}
+		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
+	}
+}
--- /dev/null
+++ b/backend/processor_resync.go
@@ -0,0 +1,139 @@
+package backend
+
+import (
+	"cmp"
+	"frosthub/accounting"
+	"frosthub/lifecycle"
+	"frosthub/overload"
+	"maps"
+	"slices"
+	"time"
+)
+
+// probeWait is how long a notice of a run that may never have been started is waited for, and then one of its interrupt: twenty ticks of
+// the processor.
+const probeWait = 100 * time.Millisecond
+
+// requestsByID returns all requests in an order that is the same in each run of the program.
+func (b *Backend) requestsByID() []*request {
+	return slices.SortedFunc(maps.Values(b.requests), func(x, y *request) int { return cmp.Compare(x.id, y.id) })
+}
+
+// resync retries the commands that a break of the link may have lost; acked is the tag of the last query that was answered before the
+// break. All notices that the processor kept are read by now.
+//
+// A start that is not proved to have arrived is retried at once where the request may run again. Elsewhere a notice of the run is waited
+// for: a start could meet a run that is just ending. Without a notice the run is interrupted, and counts as never started if
+// nothing is heard of it after that either. See probe.
+func (l *processorLink) resync(acked uint64) {
+	for _, r := range l.backend.requestsByID() {
+		if r.state >= stateRunning {
+			l.resyncRun(r, acked)
+		}
+	}
+}
+
+func (l *processorLink) resyncRun(r *request, acked uint64) {
+	b := l.backend
+	maybeLost := r.confirmTag >= acked
+	switch {
+	case !r.startSent && !b.isWanted(r):
+		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
+	case !r.startSent:
+		l.start(r)
+	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Repeat(l.startCommand(r, false)) == lifecycle.Allowed:
+		l.retryStart(r, false, "it may run again")
+	case maybeLost && !r.runHeard:
+		l.beginProbe(r)
+	case r.cancelRequested:
+		l.cancel(r)
+	case r.callReplied && maybeLost:
+		l.logRetry(r, "answer", "nothing was heard of the run since")
+		l.sendAnswer(r)
+	}
+}
+
+// beginProbe has a run whose start may be lost watched by probe.
+func (l *processorLink) beginProbe(r *request) {
+	if r.cancelRequested {
+		l.cancel(r)
+	}
+	if r.probeDue == 0 { // else the link broke again during the probe
+		l.probing++
+	}
+	r.probeTag = 0
+	r.probeDue = l.backend.now + probeWait
+}
+
+// probe takes the next step of finding out whether a run was ever started; acked is the tag of the query that was just answered. First a
+// notice of the run is waited for, then one that follows its interrupt. If a query sent after that is answered and there was still no
+// notice, the start was lost.
+func (l *processorLink) probe(r *request, acked uint64) {
+	now := l.backend.now
+	switch {
+	case r.probeDue == 0 || now < r.probeDue:
+	case r.runHeard: // it runs, or its end follows
+		l.endProbe(r)
+	case !r.cancelRequested:
+		l.cancel(r)
+		r.probeDue = now + probeWait
+	case r.probeTag == 0:
+		r.probeTag = l.lastTag + 1 // the next query
+	case acked >= r.probeTag:
+		l.startLost(r)
+	}
+}
+
+func (l *processorLink) endProbe(r *request) {
+	l.probing--
+	r.probeTag = 0
+	r.probeDue = 0
+}
+
+// startLost follows the proof that a start was lost.
+func (l *processorLink) startLost(r *request) {
+	l.endProbe(r)
+	r.cancelRequested = false
+	if lifecycle.Repeat(l.startCommand(r, true)) == lifecycle.NobodyWaits {
+		l.backend.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
+		return
+	}
+	l.retryStart(r, true, "it is proved never to have run")
+}
+
+// noticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that still run are
+// interrupted.
+func (l *processorLink) noticesLost() {
+	for _, r := range l.backend.requestsByID() {
+		if r.state >= stateRunning && r.startSent {
+			l.cancel(r)
+			l.backend.runEnded(r, overload.Failed, accounting.ProcessorLost, 0, nil)
+		}
+	}
+}
+
+// startCommand describes the start of r for the decision whether it may be retried; neverRan says that the first is proved to be lost.
+func (l *processorLink) startCommand(r *request, neverRan bool) lifecycle.Command {
+	return lifecycle.Command{
+		Repeatable: l.backend.handlers[r.handler].replayable,
+		NeverRan:   neverRan,
+		Wanted:     l.backend.hasClient(r),
+	}
+}
+
+// retryStart sends a start again if that is allowed.
+func (l *processorLink) retryStart(r *request, neverRan bool, reason string) {
+	if verdict := lifecycle.Repeat(l.startCommand(r, neverRan)); verdict != lifecycle.Allowed {
+		l.backend.recordViolation("begin again", r, verdict)
+		return
+	}
+	l.logRetry(r, "begin", reason)
+	l.start(r)
+}
+
+// logRetry counts and logs a command that is sent again after a break.
+func (l *processorLink) logRetry(r *request, command, reason string) {
+	l.backend.stats.Repeated++
+	handler := l.backend.handlers[r.handler].name
+	l.backend.logLimited("command repeated", "command", command, "id", r.wireID, "handler", handler, "why", reason)
+}
