--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -50,8 +50,7 @@
 
 func (c *resultCache) init(b *Backend) {
 	c.backend, c.entries, c.byID = b, map[cacheKey]*cacheEntry{}, map[uint64]*cacheEntry{}
-	part, _ := b.cfg.Settings["backend"].(map[string]any)
-	c.shareFor, _ = part["share_for"].(time.Duration)
+	c.shareFor = b.cfg.Settings.Backend.ReuseFor
 }
 
 func (c *resultCache) keyOf(r *request, object, owner, once string) cacheKey {
