--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -8,51 +8,62 @@
 	"time"
 )
 
+// Limits of the cache of results.
 const (
-	resultCacheShare = 0.08                 // of the memory limit, for what is remembered for repeats
-	rememberedBytes  = 400                  // of a remembered req beside its names and its result
-	answerMost       = 4 << 10              // bytes of a result, by the protocol of the deployment
-	askedMost        = 8                    // repeats of one whose ids are remembered
-	windowMore       = 2 * time.Millisecond // to a window: starts are told in whole milliseconds, and so is the time
+	// resultCacheShare is the part of the memory limit that the cache may take.
+	resultCacheShare = 0.08
+	// cacheEntryBytes is what an entry takes beside its names and its result.
+	cacheEntryBytes = 400
+	// maxCachedResult is the size of the largest result in bytes, as the protocol of the deployment has it.
+	maxCachedResult = 4 << 10
+	// maxRecentRepeats is how many ids of the repeats of an entry are kept.
+	maxRecentRepeats = 8
+	// windowMargin is added to a window: both the start of a request and the time are told in whole milliseconds.
+	windowMargin = 2 * time.Millisecond
 )
 
-// cacheKey is what reqs must have in common so that one may be answered from another's result: that of a req that must
-// run once is its idempotency key, which is its customer's own; a read's is what it is about and its body, since the
-// result is made of both.
+// cacheKey is what requests must have in common so that one may be answered with another's result. For a request that must run once it is
+// the idempotency key, which is its customer's own. For a read it is the object read and the body, since the result is made of both.
+// A key without a name is none.
 type cacheKey struct {
 	handler     int
 	owner, name string
 	body        [sha256.Size]byte
 }
 
-// cacheEntry is a remembered req. Its result is there once its run has ended well.
+// cacheEntry is a cached request. It has a result once the run of the request has succeeded.
 type cacheEntry struct {
 	id            uint64
-	recentRepeats []uint64 // the last that repeated it
+	recentRepeats []uint64 // ids of the last requests that repeated it
 	key           cacheKey
-	runsOnce      bool          // it must not run again: a repeat gets what came of it, be it nothing
-	expiresAt     time.Duration // of a req that must run once: what came before is a repeat; of a read: what is read before
+	runsOnce      bool          // it must not run again: a repeat gets what came of it, even if that is nothing
+	expiresAt     time.Duration // if it must run once, what arrived before is a repeat; if it is a read, what is read before
 	ended         bool
 	ok            bool
 	result        []byte
 	bytes         int
 }
 
-// resultCache is the table of remembered reqs. Reads are remembered as long as the module says and their result may be shared;
-// what must run once from its arrival until all that came in its window was read.
+// resultCache holds requests that others may repeat. Reads are kept as long as the overload controller says, and their results may be
+// shared. Requests that must run once are kept from their arrival until all that arrived within their window was read.
+//
+// Its methods are called by the goroutine that owns the backend.
 type resultCache struct {
 	backend     *Backend
 	entries     map[cacheKey]*cacheEntry
 	byID        map[uint64]*cacheEntry
 	resultBytes int
-	shareFor    time.Duration // how long after its end the result of a read may serve others
+	shareFor    time.Duration // how long after its end the result of a read may be shared
 }
 
 func (c *resultCache) init(b *Backend) {
-	c.backend, c.entries, c.byID = b, map[cacheKey]*cacheEntry{}, map[uint64]*cacheEntry{}
+	c.backend = b
+	c.entries = map[cacheKey]*cacheEntry{}
+	c.byID = map[uint64]*cacheEntry{}
 	c.shareFor = b.cfg.Settings.Backend.ReuseFor
 }
 
+// keyOf returns the cache key of a request for an object; once is its idempotency key.
 func (c *resultCache) keyOf(r *request, object, owner, once string) cacheKey {
 	switch {
 	case c.backend.handlers[r.handler].uniqued:
@@ -63,33 +74,34 @@
 	return cacheKey{handler: r.handler, name: object, body: sha256.Sum256(r.body)}
 }
 
-// find gives what a req would repeat, nil if nothing.
+// find returns the entry that a request repeats, nil if there is none.
 func (c *resultCache) find(r *request) *cacheEntry {
-	if e := c.entries[r.subject]; e != nil && (e.runsOnce && r.arrivedAt < e.expiresAt || !e.runsOnce && c.backend.now < e.expiresAt) {
-		return e
+	entry := c.entries[r.subject]
+	if entry == nil {
+		return nil
+	}
+	at := c.backend.now
+	if entry.runsOnce {
+		at = r.arrivedAt
+	}
+	if at >= entry.expiresAt {
+		return nil
 	}
-	return nil
+	return entry
 }
 
-// lookup has a req that the module is about to hear of repeat what is remembered about the same. One that must run once
-// is remembered from then on, since its repeat may come in the same batch. It gives why the req can't be taken: there is no
-// room to remember it, nobody could be asked whether the processor knows it, or its id is that of another try. Each try has its own, so somebody plays back what an edge node
-// sent: the processor knows the id, and would not be asked to run what is answered from here.
+// lookup marks a request that the overload controller is about to hear of as a repeat of the cached one, if there is one. A request that
+// must run once is cached from then on, since its repeat may come in the same batch.
+//
+// It returns why the request can't be admitted, or accounting.None. There may be no room to cache it, or nobody could be asked whether the
+// processor knows it, or its id is that of an earlier attempt. Each attempt has an id of its own: somebody replays what an edge node
+// sent, and the processor, which knows the id, would not be asked to run what is answered from the cache.
 func (c *resultCache) lookup(r *request) accounting.Reason {
 	if r.subject.name == "" {
 		return accounting.None // nothing by which a repeat could be known
 	}
-	if e := c.find(r); e != nil {
-		if c.backend.canCancel && !r.verified {
-			return accounting.NotReady // nobody could be asked whether it is an edge node's
-		}
-		if r.id == e.id || slices.Contains(e.recentRepeats, r.id) {
-			return accounting.UnknownRequest
-		}
-		e.recentRepeats = append(e.recentRepeats[max(0, len(e.recentRepeats)-askedMost+1):], r.id)
-		r.originalID = e.id
-		r.arrival.RepeatOf = e.id
-		return accounting.None
+	if entry := c.find(r); entry != nil {
+		return c.linkRepeat(r, entry)
 	}
 	if c.backend.handlers[r.handler].uniqued && !c.add(r) {
 		return accounting.StoreFull
@@ -97,65 +109,87 @@
 	return accounting.None
 }
 
-// add remembers a req and tells whether there was room, also for the result of one that must run once.
+// linkRepeat marks r as a repeat of a cached request.
+func (c *resultCache) linkRepeat(r *request, entry *cacheEntry) accounting.Reason {
+	if c.backend.canCancel && !r.verified {
+		return accounting.NotReady // nobody could be asked whether it is an edge node's
+	}
+	if r.id == entry.id || slices.Contains(entry.recentRepeats, r.id) {
+		return accounting.UnknownRequest
+	}
+	excess := max(0, len(entry.recentRepeats)-maxRecentRepeats+1)
+	entry.recentRepeats = append(entry.recentRepeats[excess:], r.id)
+	r.originalID = entry.id
+	r.arrival.RepeatOf = entry.id
+	return accounting.None
+}
+
+// add caches a request and reports whether there was room, also for the result of one that must run once.
 func (c *resultCache) add(r *request) bool {
 	c.drop(c.entries[r.subject])
-	h := &c.backend.handlers[r.handler]
-	e := &cacheEntry{id: r.id, key: r.subject, runsOnce: h.uniqued, expiresAt: r.arrivedAt + h.window + windowMore}
-	e.bytes = e.baseBytes()
-	if e.runsOnce {
-		e.bytes += answerMost
-	}
-	if float64(c.resultBytes+e.bytes) > c.backend.memoryShare(resultCacheShare) {
+	handler := &c.backend.handlers[r.handler]
+	entry := &cacheEntry{
+		id:        r.id,
+		key:       r.subject,
+		runsOnce:  handler.uniqued,
+		expiresAt: r.arrivedAt + handler.window + windowMargin,
+	}
+	entry.bytes = entry.baseBytes()
+	if entry.runsOnce {
+		entry.bytes += maxCachedResult
+	}
+	if !c.hasRoom(entry.bytes) {
 		return false
 	}
-	c.entries[r.subject], c.byID[r.id] = e, e
-	c.resultBytes += e.bytes
+	c.entries[r.subject] = entry
+	c.byID[r.id] = entry
+	c.resultBytes += entry.bytes
 	return true
 }
 
-// remember follows the module's word that repeats may be answered from a req; of a read it says for how long.
+func (c *resultCache) hasRoom(bytes int) bool {
+	return float64(c.resultBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
+}
+
+// remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it says for how long.
 func (c *resultCache) remember(r *request, lifetime time.Duration) {
 	if r.subject.name == "" || c.byID[r.id] == nil && !c.add(r) {
 		return
 	}
-	if e := c.byID[r.id]; !e.runsOnce {
-		e.expiresAt = c.backend.now + lifetime
+	if entry := c.byID[r.id]; !entry.runsOnce {
+		entry.expiresAt = c.backend.now + lifetime
 	}
 }
 
 // baseBytes is what an entry takes without a result.
-func (e *cacheEntry) baseBytes() int { return rememberedBytes + len(e.key.owner) + len(e.key.name) }
+func (e *cacheEntry) baseBytes() int { return cacheEntryBytes + len(e.key.owner) + len(e.key.name) }
 
-func (c *resultCache) drop(e *cacheEntry) {
-	if e != nil {
-		c.resultBytes -= e.bytes
-		if c.entries[e.key] == e {
-			delete(c.entries, e.key)
-		}
-		delete(c.byID, e.id)
+func (c *resultCache) drop(entry *cacheEntry) {
+	if entry == nil {
+		return
 	}
+	c.resultBytes -= entry.bytes
+	if c.entries[entry.key] == entry {
+		delete(c.entries, entry.key)
+	}
+	delete(c.byID, entry.id)
 }
 
-// join answers a repeat from its forerunner, now or when that ends. One that is no longer remembered never ran.
+// join answers a repeat like the original request, now or when that ends. An original that is no longer cached never ran.
 func (c *resultCache) join(r *request) {
-	if f := c.backend.requests[r.originalID]; f != nil {
+	if original := c.backend.requests[r.originalID]; original != nil {
 		r.state = stateJoined
-		f.followers = append(f.followers, r)
+		original.followers = append(original.followers, r)
 		return
 	}
-	e := c.byID[r.originalID]
-	c.answerFollower(r, e != nil, e != nil && e.ok, e.body())
-}
-
-func (e *cacheEntry) body() []byte {
-	if e == nil {
-		return nil
+	if entry := c.byID[r.originalID]; entry != nil {
+		c.answerFollower(r, true, entry.ok, entry.result)
+	} else {
+		c.answerFollower(r, false, false, nil)
 	}
-	return e.result
 }
 
-// answerFollower ends a repeat as its forerunner ended.
+// answerFollower ends a repeat as the original request has ended.
 func (c *resultCache) answerFollower(r *request, ran, ok bool, result []byte) {
 	switch {
 	case ok:
@@ -167,47 +201,52 @@
 	}
 }
 
-// ended follows the end of a forerunner. A good result is kept for a while, and those that wait get the same. A read
-// that came to nothing is forgotten, what must run once only if it never ran: else a repeat would be its second run.
-func (c *resultCache) ended(f *request, how overload.Outcome, ran bool, result []byte) {
-	ok := how == overload.OK
-	if e := c.byID[f.id]; e != nil {
-		e.ended, e.ok = true, ok
-		c.resultBytes -= e.bytes
-		e.bytes = e.baseBytes()
-		if room := float64(c.resultBytes+e.bytes+len(result)) <= c.backend.memoryShare(resultCacheShare); ok && room {
-			e.result = append([]byte(nil), result...)
-			e.bytes += len(result)
-		} else {
-			e.ok = false
-		}
-		c.resultBytes += e.bytes
-		if !e.runsOnce {
-			e.expiresAt = min(e.expiresAt, c.backend.now+c.shareFor)
-		}
-		if !e.ok && !(e.runsOnce && ran) {
-			c.drop(e)
+// ended follows the end of an original request: its result is kept for a while if it succeeded, and its followers are answered alike.
+func (c *resultCache) ended(original *request, outcome overload.Outcome, ran bool, result []byte) {
+	ok := outcome == overload.OK
+	if entry := c.byID[original.id]; entry != nil {
+		c.storeEnd(entry, ok, ran, result)
+	}
+	followers := original.followers
+	original.followers = nil
+	for _, follower := range followers {
+		if c.backend.requests[follower.id] == follower { // else given up meanwhile
+			c.answerFollower(follower, ran, ok, result)
 		}
 	}
-	joins := f.followers
-	f.followers = nil
-	for _, r := range joins {
-		if c.backend.requests[r.id] == r { // else given up meanwhile
-			c.answerFollower(r, ran, ok, result)
-		}
+}
+
+// storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run once is dropped only
+// if it never ran: otherwise a repeat would be its second run.
+func (c *resultCache) storeEnd(entry *cacheEntry, ok, ran bool, result []byte) {
+	entry.ended = true
+	c.resultBytes -= entry.bytes
+	entry.bytes = entry.baseBytes()
+	entry.ok = ok && c.hasRoom(entry.bytes+len(result))
+	if entry.ok {
+		entry.result = append([]byte(nil), result...)
+		entry.bytes += len(result)
+	}
+	c.resultBytes += entry.bytes
+	if !entry.runsOnce {
+		entry.expiresAt = min(entry.expiresAt, c.backend.now+c.shareFor)
+	}
+	mustStay := entry.runsOnce && ran
+	if !entry.ok && !mustStay {
+		c.drop(entry)
 	}
 }
 
-// sweep drops what has expired. What must run once is kept until all that came in its window was read: what lay unread
-// for longer than its client timeout is refused at the door.
+// sweep drops the entries that have expired. A request that must run once stays until all that arrived within its window was read: what lay
+// unread for longer than its client's timeout is rejected on arrival.
 func (c *resultCache) sweep() {
-	for _, e := range c.byID { // only removal: the order does not matter
-		till := e.expiresAt
-		if e.runsOnce {
-			till += c.backend.handlers[e.key.handler].timeout
+	for _, entry := range c.byID { // only removals: the order doesn't matter
+		expiresAt := entry.expiresAt
+		if entry.runsOnce {
+			expiresAt += c.backend.handlers[entry.key.handler].timeout
 		}
-		if till <= c.backend.now && (e.ended || !e.runsOnce) {
-			c.drop(e)
+		if expiresAt <= c.backend.now && (entry.ended || !entry.runsOnce) {
+			c.drop(entry)
 		}
 	}
 }
