--- /dev/null
+++ b/backend/cluster_processor_query.go
@@ -0,0 +1,59 @@
+package backend
+
+import (
+	"frosthub/failover"
+	"frosthub/internal/conn"
+	"frosthub/internal/processor"
+	"frosthub/overload"
+	"math"
+	"time"
+)
+
+// processorQueryTimeout is how long the processor of a lost node is waited for.
+const processorQueryTimeout = 100 * time.Millisecond
+
+// processorQuery is a question to the processor of a lost node.
+type processorQuery struct {
+	conn     *conn.Conn // nil while it is dialed
+	deadline time.Duration
+}
+
+// queryProcessor asks the processor of a lost node how runs that were started there have ended: it hands out its notices after the given one.
+func (c *cluster) queryProcessor(wanted failover.ProcessorQuery) {
+	b := c.backend
+	link := c.links[wanted.Node]
+	if link == nil || link.processor == "" || c.processorQueries[wanted.Node] != nil {
+		return
+	}
+	query := &processorQuery{}
+	c.processorQueries[wanted.Node] = query
+	b.loop.Dial(link.processor, func(opened *conn.Conn, err error) {
+		if err != nil {
+			delete(c.processorQueries, wanted.Node)
+			return
+		}
+		query.conn = opened
+		query.deadline = b.now + processorQueryTimeout
+		opened.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
+		opened.SetInputLimit(opened.MaxUnsent)
+		opened.OnClosed = func(error) { delete(c.processorQueries, wanted.Node) }
+		parser := processor.NewParser(func(notice processor.Notice) { c.onForeignNotice(wanted.Node, opened, &notice) })
+		opened.OnData = b.parseLogged("bad link", parser.Feed)
+		opened.Write(processor.AppendHello(nil, max(wanted.Notice, 1))) // 0 would say that its backend has started anew
+	})
+}
+
+// onForeignNotice handles a notice of the processor of a lost node.
+func (c *cluster) onForeignNotice(node string, from *conn.Conn, notice *processor.Notice) {
+	switch notice.Kind {
+	case processor.Hi:
+		from.Write(processor.AppendUsage(nil, 1)) // its answer follows all notices that are kept
+	case processor.Complete:
+		switch notice.Outcome {
+		case overload.OK, overload.Failed, overload.Stopped:
+			c.node.FinishFromProcessor(c.backend.guard.now(), node, notice.ID, entryKindOf(notice.Outcome), notice.Body)
+		}
+	case processor.Used:
+		from.CloseAfterSend(conn.ErrClosedLocally)
+	}
+}
--- /dev/null
+++ b/backend/cluster_reconfigure.go
@@ -0,0 +1,173 @@
+package backend
+
+import (
+	"errors"
+	"fmt"
+	"frosthub/failover"
+	"frosthub/membership"
+	"reflect"
+	"slices"
+	"strings"
+	"time"
+)
+
+// reconfigureRetry is the time between tries to adopt another roster.
+const reconfigureRetry = time.Second
+
+// reconfigure has the node adopt the roster of another configuration as soon as that is safe.
+func (c *cluster) reconfigure(cfg ClusterConfig) {
+	if !c.enabled() || cfg.Name != c.backend.cfg.Cluster.Name {
+		return
+	}
+	c.backend.cfg.Cluster.Members = cfg.Members
+	c.backend.cfg.Cluster.Previous = cfg.Previous
+	c.changePending = true
+	c.changeAt = c.backend.now
+}
+
+// tryReconfigure adopts the roster of the configuration if that is safe. While the members change it also finds out whether all other
+// nodes have adopted both lists.
+func (c *cluster) tryReconfigure() {
+	b := c.backend
+	awaitsOthers := len(c.roster.Previous) > 0 && c.roster.Since <= 0
+	if c.writingRoster || !c.changePending && !awaitsOthers {
+		return
+	}
+	if b.now < c.changeAt {
+		b.wakeBy(c.changeAt)
+		return
+	}
+	c.changeAt = b.now + reconfigureRetry
+	b.wakeBy(c.changeAt)
+	roster := c.roster.forFailover()
+	if len(roster.Previous) > 0 && roster.Since == 0 && c.noteAdoptedByAll(&roster) {
+		return
+	}
+	if c.changePending {
+		c.adoptConfigured(&roster)
+	}
+}
+
+// noteAdoptedByAll records when all nodes have adopted both lists, and reports whether they have.
+func (c *cluster) noteAdoptedByAll(roster *failover.Roster) bool {
+	b := c.backend
+	behind := roster.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.peerDigests[name] })
+	if len(behind) > 0 {
+		c.changeReason = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(behind, ", "))
+		return false
+	}
+	c.changeReason = ""
+	dated := c.roster
+	dated.Since = b.guard.now()
+	c.writeRoster(dated)
+	return true
+}
+
+// adoptConfigured adopts the roster of the configuration if it may follow the present one.
+func (c *cluster) adoptConfigured(roster *failover.Roster) {
+	b := c.backend
+	configured := b.cfg.Cluster.roster()
+	next, err := roster.Next(b.guard.now(), c.retryWindow(), configured.forFailover())
+	if err != nil {
+		if c.changeReason == "" || !errors.Is(err, failover.ErrNotAdopted) {
+			c.changeReason = err.Error()
+		}
+		b.logLimited("members not changed", "why", c.changeReason)
+		return
+	}
+	configured.Since = next.Since
+	c.changeReason = ""
+	c.changePending = false
+	if !reflect.DeepEqual(configured, c.roster) {
+		c.writeRoster(configured)
+	}
+}
+
+// retryWindow is how long after a request was read it may run or be retried.
+func (c *cluster) retryWindow() time.Duration {
+	longest := c.backend.cfg.Idempotency.Store.RetryHorizon
+	for _, handler := range c.backend.handlers {
+		longest = max(longest, handler.timeout)
+	}
+	return longest
+}
+
+// writeRoster has the node adopt a roster once it is on disk.
+func (c *cluster) writeRoster(roster clusterRoster) {
+	b := c.backend
+	c.writingRoster = true
+	dir := b.cfg.Idempotency.Dir
+	go func() { // the disk may be slow
+		err := writeRosterFile(dir, roster)
+		b.loop.Post(func() {
+			c.writingRoster = false
+			if err != nil {
+				c.changePending = true
+				b.logLimited("members not changed", "why", err)
+				return
+			}
+			c.adopt(roster)
+		})
+	}()
+}
+
+// adopt has the node act on a roster from now on, and tells the other nodes.
+func (c *cluster) adopt(roster clusterRoster) {
+	b := c.backend
+	c.keepDeparting(&roster)
+	c.roster = roster
+	members := roster.forFailover()
+	c.ownDigests = members.Digests()
+	c.node.Reconfigure(b.guard.now(), members.Members, members.Previous)
+	c.connect()
+	c.recovery.SetOthers(c.witnesses())
+	if refill := c.refill.from; refill != nil && !refill.Done() {
+		refill.SetOthers(c.others())
+	}
+	c.announce()
+	b.log.Info("members", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
+}
+
+// keepDeparting keeps the links to the nodes that leave with a new roster: those may still hold requests, and have them noted by this one.
+func (c *cluster) keepDeparting(next *clusterRoster) {
+	if len(next.Previous) == 0 {
+		for _, member := range c.roster.Previous {
+			if !member.Removed && member.Name != c.backend.cfg.Name && !containsMember(next.Members, member.Name) {
+				c.departing = append(c.departing, member)
+			}
+		}
+	}
+	c.departing = slices.DeleteFunc(c.departing, func(member ClusterMember) bool {
+		return containsMember(next.all(), member.Name)
+	})
+}
+
+// announce sends a hello to all nodes that are connected.
+func (c *cluster) announce() {
+	for _, link := range c.links {
+		if link.conn != nil {
+			link.conn.Write(c.hello(false))
+		}
+	}
+}
+
+// adoptedByAllSince tells since when all nodes have adopted both lists, as far as this one knows. It is empty if they have not.
+func (c *cluster) adoptedByAllSince() string {
+	if c.roster.Since == 0 {
+		return ""
+	}
+	return time.Unix(0, int64(c.roster.Since)).UTC().Format(time.RFC3339)
+}
+
+// dropDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has left may still wait for
+// the ends of its runs.
+func (c *cluster) dropDeparted(update membership.Update) {
+	if update.State != membership.Dead {
+		return
+	}
+	before := len(c.departing)
+	c.departing = slices.DeleteFunc(c.departing, func(member ClusterMember) bool { return member.Name == update.Name })
+	if len(c.departing) < before {
+		c.connect()
+	}
+}
--- /dev/null
+++ b/backend/cluster_requests.go
@@ -0,0 +1,172 @@
+package backend
+
+import (
+	"cmp"
+	"fmt"
+	"frosthub/accounting"
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/overload"
+	"time"
+)
+
+// defaultSizeKB is the size in kilobytes that is taken for a request whose first node said none.
+const defaultSizeKB = 24.0
+
+// claim asks the group of a guarded request, before the overload controller hears of it.
+func (c *cluster) claim(r *request) {
+	r.state = stateUnverified
+	handler := &c.backend.handlers[r.handler]
+	c.node.Claim(c.backend.guard.now(), r.guard.key, r.guard.createdAt, r.id, failover.Work{
+		Handler:    handler.name,
+		Body:       r.body,
+		Left:       int64(r.guard.answerBy - c.backend.now),
+		Cost:       int64(r.arrival.Hint),
+		Size:       r.arrival.Size,
+		Rank:       r.arrival.ValueRank,
+		Weight:     handler.value,
+		Replayable: r.guard.replayable,
+	})
+}
+
+// submitClaimed has the overload controller hear of a request whose group was asked; isRepeat says that another attempt is in flight.
+func (c *cluster) submitClaimed(r *request, isRepeat bool) {
+	b := c.backend
+	r.state = stateHeld
+	r.arrival.Delay += b.now - r.guard.askedAt
+	if isRepeat {
+		r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
+		if r.originalID == r.id || b.requests[r.originalID] == nil {
+			r.originalID = ^uint64(0) // another node's: the overload controller knows nothing of it
+		}
+		r.arrival.RepeatOf = r.originalID
+	} else if r.guard.replayable {
+		b.results.lookup(r) // where there is no room it isn't cached: it may run twice
+	}
+	b.submitArrival(r)
+}
+
+// closeAccount closes the account of a request that was taken over: its answer is the group's.
+func (c *cluster) closeAccount(r *request, reason accounting.Reason) {
+	if !r.takenOver || r.accounted {
+		return
+	}
+	r.accounted = true
+	ledger := c.backend.ledger
+	ledger.Answer(c.backend.wall, r.ticket, reason)
+	ledger.Sent(c.backend.wall, r.ticket)
+}
+
+// handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does. The client gets the
+// other node's result from here, if it comes in time.
+func (c *cluster) handOff(r *request) bool {
+	if c.node == nil || r.guard == nil || r.state != stateHeld {
+		return false
+	}
+	if !c.node.HandOff(c.backend.guard.now(), r.guard.key, r.id) {
+		return false
+	}
+	c.backend.stats.HandedOff++
+	r.state = stateAwaitingResult
+	c.backend.guard.awaitingDisk[r] = struct{}{}
+	return true
+}
+
+// acceptFailover has the overload controller hear of a request that another node held. Nobody waits for it on a connection here.
+func (c *cluster) acceptFailover(outcome *failover.Outcome) {
+	b := c.backend
+	work := outcome.Work
+	handler := b.handlerOf(work.Handler)
+	left := time.Duration(work.Left)
+	if handler < 0 || left <= 0 || b.controller == nil || b.requests[outcome.ID] != nil {
+		c.node.Release(b.guard.now(), outcome.Key, outcome.ID)
+		return
+	}
+	r := &request{
+		id:        outcome.ID,
+		wireID:    fmt.Sprintf("%016x", outcome.ID),
+		handler:   handler,
+		body:      work.Body,
+		state:     stateHeld,
+		takenOver: true,
+		readAt:    b.now,
+		guard: &guardState{
+			key:        outcome.Key,
+			createdAt:  outcome.Made,
+			answerBy:   b.now + left,
+			replayable: work.Replayable,
+		},
+	}
+	r.arrival = overload.Event{
+		Kind:      overload.Arrived,
+		ID:        r.id,
+		Handler:   handler,
+		Remaining: left,
+		Hint:      time.Duration(work.Cost),
+		Size:      cmp.Or(work.Size, defaultSizeKB),
+		ValueRank: work.Rank,
+		Delay:     max(0, b.handlers[handler].timeout-left),
+	}
+	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(handler), accounting.FailedOver, accounting.CustomerName{})
+	b.requests[r.id] = r
+	b.stats.TakenOver++
+	b.events = append(b.events, r.arrival)
+}
+
+// applyOutcome carries out what the failover node decided about a request.
+func (c *cluster) applyOutcome(outcome failover.Outcome) {
+	b := c.backend
+	if outcome.Decision == failover.TakenOver {
+		c.acceptFailover(&outcome)
+		return
+	}
+	r := b.requests[outcome.ID]
+	if r == nil || r.guard == nil || r.guard.key != outcome.Key {
+		if outcome.Decision == idempotency.Start { // it was given up in the same moment: it never ran
+			c.node.Finish(b.guard.now(), outcome.Key, outcome.ID, idempotency.EntryNeverRan, nil)
+		}
+		return
+	}
+	if r.state == stateUnverified {
+		c.applyClaimed(r, &outcome)
+	} else {
+		c.applyLater(r, &outcome)
+	}
+}
+
+// applyClaimed carries out the answer to the claim of r.
+func (c *cluster) applyClaimed(r *request, outcome *failover.Outcome) {
+	b := c.backend
+	switch {
+	case outcome.Decision == idempotency.Fresh:
+		c.submitClaimed(r, false)
+	case outcome.Decision == idempotency.Duplicate && r.guard.replayable: // it waits
+	case outcome.Decision == idempotency.Duplicate:
+		c.submitClaimed(r, true)
+	case outcome.Decision == idempotency.Replay:
+		b.guard.countDecision(outcome.Decision)
+		b.frontend.succeeded(r, accounting.Replayed, outcome.Result)
+		b.finishAnswered(r)
+	case r.guard.replayable:
+		c.submitClaimed(r, false)
+	default:
+		b.frontend.declined(r, b.guard.countDecision(outcome.Decision))
+		b.finishAnswered(r)
+	}
+}
+
+// applyLater carries out a decision about a request that the overload controller has heard of.
+func (c *cluster) applyLater(r *request, outcome *failover.Outcome) {
+	b := c.backend
+	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.takenOver
+	switch {
+	case outcome.Decision == idempotency.Duplicate: // it goes on where it is, or waits for the node that has taken it over
+	case controllerDecides && outcome.Decision != idempotency.Replay:
+	case outcome.Decision == idempotency.Start && !b.isWanted(r):
+		r.guard.resultDurable = true
+		c.node.Finish(b.guard.now(), outcome.Key, outcome.ID, idempotency.EntryNeverRan, nil)
+		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
+	default:
+		b.guard.applyOutcome(outcome.Outcome)
+	}
+}
--- /dev/null
+++ b/backend/idempotency_key.go
@@ -0,0 +1,74 @@
+package backend
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"frosthub/accounting"
+	"frosthub/idempotency"
+	"slices"
+	"time"
+)
+
+// guardState is what the guard keeps of a request that must not run twice.
+type guardState struct {
+	key           idempotency.Key
+	createdAt     time.Duration     // since 1970; 0 unknown
+	answerBy      time.Duration     // when it is answered at the latest, whatever the disk does
+	askedAt       time.Duration     // when the store, or the group, was asked
+	reason        accounting.Reason // of its answer, once its run has ended
+	resultDurable bool              // its end was reported to the store
+	replayable    bool              // it may run twice: only the nodes of the cluster know of it
+}
+
+// hasRequiredKey reports whether a request has the field that its key is made of, if it needs one.
+func (g *idempotencyGuard) hasRequiredKey(a *parsedRequest) bool {
+	return !g.enabled() || len(a.key) > 0 || !slices.Contains(g.keyParts[a.r.handler], KeyPartField)
+}
+
+// stateOf returns the guard's state for a new request, nil if the request is not guarded.
+func (g *idempotencyGuard) stateOf(a *parsedRequest) *guardState {
+	if !g.enabled() {
+		return nil
+	}
+	parts := g.keyParts[a.r.handler]
+	replayable := false
+	if parts == nil && g.backend.cluster.enabled() {
+		parts = g.backend.cluster.keyParts[a.r.handler]
+		replayable = true
+	}
+	if parts == nil || len(a.key) == 0 && slices.Contains(parts, KeyPartField) {
+		return nil
+	}
+	return &guardState{
+		key:        g.keyOf(a, parts),
+		createdAt:  time.Duration(a.made * float64(time.Millisecond)),
+		replayable: replayable,
+	}
+}
+
+// keyOf returns the idempotency key of a request: the start of a hash of its handler and the given parts. Each part goes in with its number
+// and length, so that no two different lists of parts make the same input.
+func (g *idempotencyGuard) keyOf(a *parsedRequest, parts []KeyPart) idempotency.Key {
+	hash := sha256.New()
+	add := func(part KeyPart, value []byte) {
+		var header [9]byte
+		header[0] = byte(part)
+		binary.LittleEndian.PutUint64(header[1:], uint64(len(value)))
+		_, _ = hash.Write(header[:]) // never an error
+		_, _ = hash.Write(value)
+	}
+	add(0, []byte(g.backend.handlers[a.r.handler].name))
+	for _, part := range parts {
+		switch part {
+		case KeyPartID:
+			add(part, []byte(a.r.wireID))
+		case KeyPartCustomer:
+			add(part, a.owner)
+		case KeyPartField:
+			add(part, a.key)
+		case KeyPartBody:
+			add(part, a.r.body)
+		}
+	}
+	return idempotency.Key(hash.Sum(nil))
+}
