--- /dev/null
+++ b/overload/edgenodes_test.go
@@ -0,0 +1,51 @@
+package overload
+
+import (
+	"testing"
+	"time"
+)
+
+// TestRenumberedEdgeNodes: one edge node sends as much as six others together. The allowance hardly depends on whether
+// their numbers last or are new every two seconds.
+func TestRenumberedEdgeNodes(t *testing.T) {
+	lasting := lastAllowance(false)
+	renumbered := lastAllowance(true)
+	if lasting < 14 || renumbered < 0.75*lasting {
+		t.Errorf("signal %.1f with lasting numbers, %.1f with new ones", lasting, renumbered)
+	}
+}
+
+// lastAllowance plays 30 s of arrivals and returns the last signal.
+func lastAllowance(renumbered bool) float64 {
+	const busiest = 7
+	settings := standardSettings()
+	settings.Backend.Signal = SignalAllowance
+	settings.Backend.EdgeNodes = 8
+	settings.Backend.Cores = 16
+	c := New(1, settings, 0)
+	last := 0.0
+	for i := range 3000 {
+		now := time.Duration(i) * 10 * time.Millisecond
+		id := uint64(i + 1)
+		number := (i*7%12 + 1) / 2 // 1 to 6 where i is odd
+		if i%2 == 0 {
+			number = busiest
+		}
+		if renumbered {
+			number += i / 200 * 8
+		}
+		events := []Event{
+			{Kind: Arrived, ID: id, Caller: number, Size: 1},
+			{Kind: Ended, ID: id - 3, Outcome: OK},
+		}
+		if i%10 == 0 {
+			events = append(events, Event{Kind: Timer, Gauges: []float64{0.1, 1}})
+		}
+		for _, action := range c.Handle(now, events) {
+			if action.Kind == Signal {
+				last = action.Value
+			}
+		}
+	}
+	return last
+}
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -9,325 +9,209 @@
 	"time"
 )
 
-// TestTraces plays the events of each trace file and compares the decisions with those that stand there.
-// Lines that begin with a time are events, those under them the decisions; # starts a comment.
-func TestTraces(t *testing.T) { golden.Files(t, 1, play) }
+// TestTraces plays the events of each trace file and compares the actions with those that stand there. A line that
+// begins with "set" changes a setting, one that begins with a time is an event, and the indented lines under it are
+// the actions; # starts a comment, and an empty line ends a batch.
+func TestTraces(t *testing.T) { golden.Files(t, 1, playTrace) }
 
-// standardSettings have three handlers, one of each kind; a trace's own settings go over them.
-func standardSettings() Settings {
-	handler := func(repeats Idempotency) Handler {
-		return Handler{
-			Idempotency: repeats, Value: Some(1.0), ResponseTarget: Some(time.Second),
-			ClientTimeout: Some(2 * time.Second), Window: 5 * time.Second,
-		}
-	}
-	return Settings{
-		BatchInterval: time.Millisecond,
-		Handlers:      []Handler{handler(Replayable), handler(Deduplicated), handler(NonReplayable)},
-		Backend: Backend{
-			Cores: 2, MemoryKB: Some(1000.0), RunMemoryFactor: 4, KeySizeKB: 10,
-			Cancellation: CancelDrop, Downstream: DownstreamTier, Signal: SignalOff,
-			Gauges: []Gauge{GaugeBusy, GaugeRunnable},
-		},
-		Rules:  Rules{CollapseFactor: Some(8.0), DrainGrace: time.Second, WarmUpTime: 10 * time.Second},
-		Limits: Limits{RetryAfter: true, MaxRetryAfter: Some(time.Second)},
-	}
-}
+// burst is the number of events in a batch from which actions of the same kind are printed as a count.
+const burst = 20
 
-func play(t *testing.T, text string) string {
+func playTrace(t *testing.T, text string) string {
 	t.Helper()
-	var out strings.Builder
-	var c *Controller
-	var events []Event
-	var now time.Duration
-	settings := standardSettings()
-	flush := func() {
-		if c == nil || len(events) == 0 {
-			return
-		}
-		alike, last := 0, ActionKind(0)
-		for _, a := range append(c.Handle(now, events), Action{Kind: Wake}) {
-			if a.Kind == last && len(events) > 20 { // a crowd is told by its number
-				alike++
-				continue
-			}
-			if alike > 0 {
-				fmt.Fprintf(&out, "    and %d more alike\n", alike)
-			}
-			if a.Kind != Wake { // the looks every 25 ms
-				fmt.Fprintf(&out, "    %s\n", printed(a))
-			}
-			alike, last = 0, a.Kind
-		}
-		events = nil
-	}
+	p := &tracePlayer{settings: standardSettings()}
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
-		words := strings.Fields(strings.SplitN(line, "#", 2)[0])
 		if strings.HasPrefix(line, " ") {
-			continue // a decision: it is made anew
+			continue // an action: it is made anew
 		}
-		if len(words) > 0 && words[0] == "set" {
-			change(t, &settings, words[1]+" "+words[2], words[3])
-		} else if len(words) > 0 {
-			at, err := time.ParseDuration(words[0])
-			if err != nil {
-				t.Fatal(line, err)
-			}
-			if at != now || c == nil {
-				flush()
-				now = at
-			}
-			if c == nil {
-				c = New(1, settings, now)
-			}
-			e := parse(t, words[1:])
-			for range max(1, e.times) {
-				events = append(events, e.Event)
-				e.ID++
-			}
-		} else {
-			flush()
+		code, _, _ := strings.Cut(line, "#")
+		words := strings.Fields(code)
+		switch {
+		case len(words) == 0:
+			p.flush()
+		case words[0] == "set":
+			changeSetting(t, &p.settings, words[1], words[2])
+		default:
+			p.addEvent(t, words)
 		}
-		out.WriteString(line + "\n")
+		p.out.WriteString(line + "\n")
 	}
-	flush()
-	return out.String()
+	p.flush()
+	return p.out.String()
+}
+
+// tracePlayer collects the events of a batch, which have the same time.
+type tracePlayer struct {
+	settings   Settings
+	controller *Controller // nil before the first event
+	now        time.Duration
+	batch      []Event
+	out        strings.Builder
 }
 
-// change makes one change to the settings, as a trace's set line has it. The value "none" stands for one that is missing.
-func change(t *testing.T, s *Settings, name, value string) {
+func (p *tracePlayer) addEvent(t *testing.T, words []string) {
 	t.Helper()
-	missing := value == "none"
-	number, notNumber := strconv.ParseFloat(value, 64)
-	span, notSpan := time.ParseDuration(value)
-	valid := missing || notNumber == nil // most are numbers
-	switch name {
-	case "top servers":
-		s.Servers = number
-	case "top tier", "all tier":
-		s.Tier = number
-	case "top customers":
-		s.Customers = nil
-		valid = missing
-	case "backend cores":
-		s.Backend.Cores = number
-	case "backend memory":
-		s.Backend.MemoryKB = Optional[float64]{Value: number, Set: !missing}
-	case "backend run_factor":
-		s.Backend.RunMemoryFactor = number
-	case "backend callers":
-		s.Backend.EdgeNodes = number
-	case "backend calls_share":
-		s.Backend.CallShare = number
-	case "backend calls_over":
-		s.Backend.CallShareWindow = Some(span)
-		valid = notSpan == nil
-	case "backend linger":
-		s.Backend.CallLinger = span
-		valid = notSpan == nil
-	case "backend share_for":
-		s.Backend.ReuseFor = span
-		valid = notSpan == nil
-	case "backend gauges":
-		s.Backend.Gauges = nil
-		valid = missing
-	case "backend cold":
-		s.Backend.Cold, valid = parseBool(value)
-	case "backend halt":
-		s.Backend.Cancellation, valid = byName(value, CancelPause)
-	case "backend below":
-		s.Backend.Downstream, valid = byName(value, DownstreamShared)
-	case "backend signal":
-		s.Backend.Signal, valid = byName(value, SignalAllowance)
-	case "backend handler_skip_value":
-		for i, part := range strings.Split(value, ",") {
-			s.Handlers[i].SkipValue, notNumber = strconv.ParseFloat(part, 64)
-			valid = notNumber == nil && (i == 0 || valid)
-		}
-	case "rules fall_multiple":
-		s.Rules.CollapseFactor = Optional[float64]{Value: number, Set: !missing}
-	case "rules cold_from":
-		s.Rules.ColdCapacity = Optional[float64]{Value: number, Set: !missing}
-	case "rules cold_for":
-		s.Rules.WarmUpTime = span
-		valid = missing || notSpan == nil
-	case "limits retry_after":
-		s.Limits.RetryAfter, valid = parseBool(value)
-	case "limits max_retry_after":
-		s.Limits.MaxRetryAfter = Optional[time.Duration]{Value: span, Set: !missing}
-		valid = missing || notSpan == nil
-	default:
-		t.Fatal("unknown setting", name)
+	at, err := time.ParseDuration(words[0])
+	if err != nil {
+		t.Fatal(words, err)
 	}
-	if !valid {
-		t.Fatal("not a value of", name, value)
+	if p.controller == nil {
+		p.controller = New(1, p.settings, at)
+	}
+	if at != p.now {
+		p.flush()
+		p.now = at
+	}
+	event, times := parseEvent(t, words[1:])
+	for range times {
+		p.batch = append(p.batch, event)
+		event.ID++
 	}
 }
 
-func parseBool(value string) (truth, valid bool) {
-	truth, err := strconv.ParseBool(value)
-	return truth, err == nil
-}
-
-// byName finds the value of an enum, of which last is the last one, by its name.
-func byName[E interface {
-	~uint8
-	String() string
-}](name string, last E) (value E, valid bool) {
-	for e := E(0); e <= last; e++ {
-		if e.String() == name {
-			return e, true
+// flush hands the batch to the controller and prints its actions.
+func (p *tracePlayer) flush() {
+	if len(p.batch) == 0 {
+		return
+	}
+	alike := 0
+	last := ActionKind(0)
+	for _, action := range append(p.controller.Handle(p.now, p.batch), Action{Kind: Wake}) {
+		if action.Kind == last && len(p.batch) > burst {
+			alike++
+			continue
 		}
+		if alike > 0 {
+			fmt.Fprintf(&p.out, "    and %d more alike\n", alike)
+		}
+		if action.Kind != Wake { // there is one each 25 ms
+			fmt.Fprintf(&p.out, "    %s\n", formatAction(action))
+		}
+		alike = 0
+		last = action.Kind
 	}
-	return 0, false
-}
-
-var eventNames = map[string]EventKind{
-	"arrived": Arrived, "ended": Ended, "gone": ClientGone, "needs-call": NeedsCall,
-	"call-ended": CallEnded, "tick": Timer, "leave": Drain,
-}
-
-var outcomeWords = map[string]Outcome{
-	"ok": OK, "errored": Failed, "full": Overloaded, "timed-out": TimedOut,
-	"no-connection": NoConnection, "broken-off": BrokenOff, "stopped": Stopped, "moot": NeverRan,
+	p.batch = nil
 }
 
-type repeated struct {
-	Event
-	times int
-}
-
-func parse(t *testing.T, words []string) repeated {
+// parseEvent reads an event without its time, and how many of it come, with one ID after the other.
+func parseEvent(t *testing.T, words []string) (event Event, times int) {
 	t.Helper()
-	e := repeated{Event: Event{Kind: eventNames[words[0]], Size: 1}}
-	if e.Kind == 0 {
+	kind, ok := valueByName(words[0], Arrived, Drain)
+	if !ok {
 		t.Fatal("unknown event", words)
 	}
-	for _, w := range words[1:] {
-		k, v, named := strings.Cut(w, "=")
-		n, _ := strconv.Atoi(v)
-		d, _ := time.ParseDuration(v)
-		f, _ := strconv.ParseFloat(v, 64)
+	event = Event{Kind: kind, Size: 1}
+	times = 1
+	for _, word := range words[1:] {
+		name, value, named := strings.Cut(word, "=")
 		switch {
-		case !named && e.Kind == Drain:
-			e.Remaining, _ = time.ParseDuration(w)
-		case !named && outcomeWords[w] != 0:
-			e.Outcome = outcomeWords[w]
 		case !named:
-			e.ID, _ = strconv.ParseUint(w, 10, 64)
-		case k == "times":
-			e.times = n
-		case k == "handler":
-			e.Handler = n
-		case k == "caller":
-			e.Caller = n
-		case k == "customer":
-			e.Customer = n
-		case k == "left":
-			e.Remaining = d
-		case k == "unread":
-			e.Delay = d
-		case k == "repeats":
-			e.RepeatOf = uint64(n)
-		case k == "subject":
-			e.Subject = v
-		case k == "size":
-			e.Size = f
-		case k == "took":
-			e.Took = d
-		case k == "busy" || k == "runnable":
-			e.Gauges = append(e.Gauges, f)
+			parseOutcomeOrID(t, &event, word)
+		case name == "times":
+			times = parseInt(t, value)
 		default:
-			t.Fatal("unknown field", w)
+			parseEventField(t, &event, name, value)
 		}
 	}
-	return e
+	return event, times
+}
+
+func parseOutcomeOrID(t *testing.T, event *Event, word string) {
+	t.Helper()
+	if outcome, ok := valueByName(word, OK, NeverRan); ok {
+		event.Outcome = outcome
+		return
+	}
+	event.ID = uint64(parseInt(t, word))
+}
+
+func parseEventField(t *testing.T, event *Event, name, value string) {
+	t.Helper()
+	switch name {
+	case "handler":
+		event.Handler = parseInt(t, value)
+	case "edge-node":
+		event.Caller = parseInt(t, value)
+	case "customer":
+		event.Customer = parseInt(t, value)
+	case "remaining":
+		event.Remaining = parseDuration(t, value)
+	case "delay":
+		event.Delay = parseDuration(t, value)
+	case "repeat-of":
+		event.RepeatOf = uint64(parseInt(t, value))
+	case "subject":
+		event.Subject = value
+	case "size":
+		event.Size = parseFloat(t, value)
+	case "took":
+		event.Took = parseDuration(t, value)
+	case "busy", "runnable":
+		event.Gauges = append(event.Gauges, parseFloat(t, value))
+	default:
+		t.Fatal("unknown field", name)
+	}
 }
 
-func printed(a Action) string {
+func formatAction(a Action) string {
 	switch a.Kind {
 	case Reject:
-		s := fmt.Sprintf("shed %d", a.ID)
+		text := fmt.Sprintf("%v %d", a.Kind, a.ID)
 		if a.RetryAfter > 0 {
-			s += fmt.Sprintf(" come back in %v", a.RetryAfter.Round(time.Millisecond))
+			text += fmt.Sprintf(" retry-after %v", a.RetryAfter.Round(time.Millisecond))
 		}
 		if a.NoRetry {
-			s += ", not elsewhere"
+			text += " no-retry"
 		}
-		return s
+		return text
 	case Call, Remember:
-		return fmt.Sprintf("%s %d for %v", map[ActionKind]string{Call: "call", Remember: "remember"}[a.Kind], a.ID, a.Duration)
+		return fmt.Sprintf("%v %d for %v", a.Kind, a.ID, a.Duration)
 	case Health:
-		return fmt.Sprintf("health good=%v", a.Healthy)
+		return fmt.Sprintf("%v healthy=%v", a.Kind, a.Healthy)
 	case Signal:
-		return fmt.Sprintf("signal %.3f", a.Value)
+		return fmt.Sprintf("%v %.3f", a.Kind, a.Value)
 	case CloseIdle:
-		return fmt.Sprintf("close connections idle for %v", a.Duration)
+		return fmt.Sprintf("%v %v", a.Kind, a.Duration)
 	}
-	names := map[ActionKind]string{Start: "run", Cancel: "stop", Fail: "error", SkipCall: "skip", Forget: "forget", Coalesce: "join"}
-	return fmt.Sprintf("%s %d", names[a.Kind], a.ID)
+	return fmt.Sprintf("%v %d", a.Kind, a.ID)
 }
 
-// TestRenamed: one edge node sends as much as six others together; the allowance hardly hangs on whether their
-// numbers last or are new every two seconds.
-func TestRenamed(t *testing.T) {
-	signal := func(renamed bool) (last float64) {
-		settings := standardSettings()
-		settings.Backend.Signal = SignalAllowance
-		settings.Backend.EdgeNodes = 8
-		settings.Backend.Cores = 16
-		c := New(1, settings, 0)
-		for i := range 3000 {
-			now, id, number := time.Duration(i)*10*time.Millisecond, uint64(i+1), (i*7%12+1)/2 // 1 to 6 where i is odd
-			if i%2 == 0 {
-				number = 7
-			}
-			if renamed {
-				number += i / 200 * 8
-			}
-			events := []Event{{Kind: Arrived, ID: id, Caller: number, Size: 1}, {Kind: Ended, ID: id - 3, Outcome: OK}}
-			if i%10 == 0 {
-				events = append(events, Event{Kind: Timer, Gauges: []float64{0.1, 1}})
-			}
-			for _, a := range c.Handle(now, events) {
-				if a.Kind == Signal {
-					last = a.Value
-				}
-			}
+// valueByName finds the value of an enum between first and last by its name.
+func valueByName[E interface {
+	~uint8
+	fmt.Stringer
+}](name string, first, last E) (value E, found bool) {
+	for e := first; e <= last; e++ {
+		if e.String() == name {
+			return e, true
 		}
-		return last
-	}
-	if lasting, renamed := signal(false), signal(true); lasting < 14 || renamed < 0.75*lasting {
-		t.Errorf("signal %.1f with lasting numbers, %.1f with new ones", lasting, renamed)
 	}
+	return 0, false
 }
 
-// TestKept: of reqs, callers and keys that are always new nothing stays longer than it counts.
-func TestKept(t *testing.T) {
-	c := New(1, standardSettings(), 0)
-	for i := range 100000 {
-		now, id := time.Duration(i)*time.Millisecond, uint64(i+1)
-		events := []Event{
-			{Kind: Arrived, ID: id, Caller: i, Handler: i % 3, Size: 1, Hint: time.Millisecond},
-			{Kind: Ended, ID: id - 5, Outcome: OK},
-			{Kind: ClientGone, ID: id - 7},
-		}
-		if i%100 == 0 {
-			events = append(events, Event{Kind: Timer, Gauges: []float64{0.5, 1}})
-		}
-		c.Handle(now, events)
-	}
-	if len(c.requests.byID) > 10 || len(c.requests.ordered) > 200 || len(c.edgeNodes.byNumber) > 40000 || len(c.repeats.neverRan) > 3000 || len(c.repeats.remembered) > 2000 {
-		t.Error("kept:", len(c.requests.byID), "reqs,", len(c.requests.ordered), "listed,", len(c.edgeNodes.byNumber), "callers,", len(c.repeats.neverRan), "lapsed,",
-			len(c.repeats.remembered), "keys")
-	}
-	for i := range uint64(10) { // what still runs
-		c.Handle(100*time.Second, []Event{{Kind: Ended, ID: 99991 + i, Outcome: OK}})
+func parseInt(t *testing.T, text string) int {
+	t.Helper()
+	n, err := strconv.Atoi(text)
+	if err != nil {
+		t.Fatal(err)
 	}
-	for i := range 1000 {
-		c.Handle(100*time.Second+time.Duration(i)*100*time.Millisecond, []Event{{Kind: Timer, Gauges: []float64{0, 0}}})
+	return n
+}
+
+func parseFloat(t *testing.T, text string) float64 {
+	t.Helper()
+	f, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if n := len(c.requests.byID) + len(c.requests.ordered) + len(c.edgeNodes.byNumber) + len(c.repeats.neverRan) + len(c.repeats.remembered); n != 0 {
-		t.Error("kept after a while:", len(c.requests.byID), len(c.requests.ordered), len(c.edgeNodes.byNumber), len(c.repeats.neverRan), len(c.repeats.remembered))
+	return f
+}
+
+func parseDuration(t *testing.T, text string) time.Duration {
+	t.Helper()
+	d, err := time.ParseDuration(text)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return d
 }
