--- a/overload/action.go
+++ b/overload/action.go
@@ -48,7 +48,7 @@
 
 	RetryAfter time.Duration // of Reject: how long the client should stay away; 0 is no advice
 	NoRetry    bool          // of Reject: the client should not try another server either
-	Duration   time.Duration // of Call: the timeout; of Remember: the lifetime; of CloseIdle: how long idle, 0 as usual
+	Duration   time.Duration // of Call: the timeout; of Remember: the lifetime; of CloseIdle: how long idle, 0 for the adapter's own limit
 	At         time.Duration // of Wake: when
 	Healthy    bool          // of Health: whether the server wants requests
 	Shallow    bool          // of Health: answer checks without real work
--- a/overload/drain.go
+++ b/overload/drain.go
@@ -31,7 +31,7 @@
 }
 
 // pastGrace reports whether a request was read after the grace that follows the notice. Such a request is not run,
-// whenever it says that it arrived: that is told by another clock.
+// whenever it says that it arrived: that time is of another clock.
 func (d *drainState) pastGrace(r *request) bool {
 	return d.noticedAt > 0 && r.readAt > d.noticedAt+d.grace
 }
--- a/overload/event.go
+++ b/overload/event.go
@@ -72,7 +72,7 @@
 	ValueRank float64       // rank by value among all requests, 0 to 1
 	Write     bool          // the request changes something
 	Retry     bool          // the request is known to be a retry
-	Caller    int           // number of the edge node that sent it
+	Caller    int           // number of the edge node that sent it; a new one after each restart of the node
 	RepeatOf  uint64        // the remembered request that this one repeats, 0 if none
 
 	// Remaining is, of Arrived, how long the client still waits, 0 if unknown; of Drain, the time until the server
--- a/overload/patience.go
+++ b/overload/patience.go
@@ -8,8 +8,8 @@
 // patienceSmoothing is the weight of one given-up attempt in the clients' patience: ten settle it.
 const patienceSmoothing = 0.1
 
-// clientPatience is the share of the client timeout that clients wait for an answer, as far as that can be told: who
-// retries gives an attempt up long before the client timeout.
+// clientPatience estimates which share of the client timeout clients wait for an answer: those that retry give up an
+// attempt long before the client timeout.
 type clientPatience struct {
 	lowerTier bool    // the clients are servers of the tier above
 	share     float64 // 0 while unknown
--- a/overload/settings.go
+++ b/overload/settings.go
@@ -127,8 +127,8 @@
 // Idempotency says whether a request may run more than once.
 type Idempotency uint8
 
-// Handlers for which nothing is said may run their requests again, but such requests aren't retried for them
-// outside of the controller.
+// The kinds of handlers. Where nothing is known the controller treats requests as replayable, as none of them brings a
+// key; others should not rely on that.
 const (
 	IdempotencyUnknown Idempotency = iota
 	Replayable                     // may run any number of times
