--- /dev/null
+++ b/internal/statsfile/bench_test.go
@@ -0,0 +1,60 @@
+package statsfile
+
+import (
+	"frosthub/accounting"
+	"io"
+	"log/slog"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// benchmarkLedger opens a ledger and a recorder for a benchmark.
+func benchmarkLedger(b *testing.B, cfg accounting.Config) (*accounting.Ledger, *Recorder) {
+	b.Helper()
+	fresh, err := accounting.New(cfg)
+	if err != nil {
+		b.Fatal(err)
+	}
+	recorder := NewRecorder(filepath.Join(b.TempDir(), "figures"), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return recorder.Open(fresh, cfg, noon, openTimeout), recorder
+}
+
+// BenchmarkAppend measures what a batch of a hundred requests costs the owner of the ledger.
+func BenchmarkAppend(b *testing.B) {
+	ledger, recorder := benchmarkLedger(b, testConfig)
+	defer recorder.Close(ledger, noon)
+	at := noon
+	b.ReportAllocs()
+	for i := range b.N {
+		at += 10 * time.Millisecond
+		for k := range 100 {
+			ticket := openRequest(ledger, at, uint64(i*100+k))
+			ledger.Answer(at, ticket, accounting.Completed)
+			ledger.Sent(at, ticket)
+		}
+		recorder.Append(ledger, at)
+	}
+}
+
+// BenchmarkTurns measures what a request alone in its batches costs the owner of the ledger, with ever new customers.
+func BenchmarkTurns(b *testing.B) {
+	cfg := testConfig
+	cfg.MaxCustomers = 64
+	ledger, recorder := benchmarkLedger(b, cfg)
+	defer recorder.Close(ledger, noon)
+	at := noon
+	b.ReportAllocs()
+	for i := range b.N {
+		at += 500 * time.Microsecond
+		customer := accounting.NewCustomerName([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
+		ticket := ledger.Open(at, uint64(i), 1, accounting.FastCGI, customer)
+		recorder.Append(ledger, at)
+		ledger.Answer(at, ticket, accounting.Completed)
+		ledger.Flush(at, true)
+		recorder.Append(ledger, at)
+		ledger.Sent(at, ticket)
+		ledger.Flush(at, false)
+		recorder.Append(ledger, at)
+	}
+}
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -10,14 +10,13 @@
 import (
 	"encoding/binary"
 	"fmt"
+	"frosthub/accounting"
 	"os"
 	"path/filepath"
 	"runtime/debug"
 	"sync/atomic"
 
 	"golang.org/x/sys/unix"
-
-	"frosthub/accounting"
 )
 
 // fileMode is the mode of a file: its group may read it.
--- a/internal/statsfile/format_test.go
+++ b/internal/statsfile/format_test.go
@@ -5,14 +5,13 @@
 	"compress/gzip"
 	"encoding/binary"
 	"encoding/json"
+	"frosthub/accounting"
 	"io"
 	"os"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
-
-	"frosthub/accounting"
 )
 
 // storedFile returns the content of testdata/v1.figures.gz: a file of format version 1 that was written before the
--- a/internal/statsfile/layout.go
+++ b/internal/statsfile/layout.go
@@ -4,7 +4,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-
 	"frosthub/accounting"
 )
 
--- a/internal/statsfile/open.go
+++ b/internal/statsfile/open.go
@@ -3,14 +3,13 @@
 import (
 	"errors"
 	"fmt"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 	"io/fs"
 	"os"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 )
 
 // openResult is what opening a file brings, as far as it got.
--- /dev/null
+++ b/internal/statsfile/recorder_test.go
@@ -0,0 +1,308 @@
+package statsfile
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// countsText returns counts below ten in the form received=served+rejected+failed+open.
+func countsText(c accounting.Counts) string {
+	return fmt.Sprintf("%d=%d+%d+%d+%d", c.Received, c.Served, c.Rejected, c.Failed, c.Open)
+}
+
+// lastIncarnationText returns the ending and counts of the last incarnation in a file, and the total.
+func lastIncarnationText(t *testing.T, path string) string {
+	t.Helper()
+	ledger, _, err := ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	list, _, _ := ledger.Incarnations()
+	last := list[len(list)-1]
+	return strings.Join([]string{last.Ending.String(), countsText(last.Counts), countsText(ledger.Total())}, ", ")
+}
+
+// TestIncarnations checks that the counts of a process that exited, of one that was killed, and of one whose handlers have
+// other names stay on their account.
+func TestIncarnations(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "figures")
+	open := func(ledger *accounting.Ledger, id uint64, handler string) accounting.Ticket {
+		return ledger.Open(noon, id, ledger.Handler(handler), accounting.FastCGI, accounting.CustomerName{})
+	}
+	var got []string
+
+	ledger, recorder, _ := openLedger(t, path)
+	ticket := open(ledger, 1, "file-claim")
+	ledger.Answer(noon, ticket, accounting.Completed)
+	ledger.Sent(noon, ticket)
+	open(ledger, 2, "status")
+	ledger.CloseAll(accounting.OpenAtExit, accounting.Exited)
+	recorder.Close(ledger, noon)
+	got = append(got, lastIncarnationText(t, path))
+
+	ledger, recorder, _ = openLedger(t, path)
+	ticket = open(ledger, 3, "status")
+	open(ledger, 4, "status")
+	ledger.Answer(noon, ticket, accounting.Shed)
+	ledger.Flush(noon, true)
+	recorder.Append(ledger, noon)
+	recorder.Abandon()
+	got = append(got, lastIncarnationText(t, path))
+
+	ledger, recorder, _ = openLedgerWith(t, path, accounting.Config{Handlers: []string{"claims", "status"}})
+	list, _, _ := ledger.Incarnations()
+	killed := list[len(list)-2]
+	got = append(got, killed.Ending.String()+", "+countsText(killed.Counts))
+	if killed.Uncertain != 1 || killed.UncertainIDs[0] != 3 {
+		t.Error("of uncertain delivery: ", killed.UncertainIDs)
+	}
+	open(ledger, 5, "claims")
+	recorder.Append(ledger, noon)
+	for _, row := range ledger.Report(false).Rows {
+		got = append(got, row.Handler+" "+countsText(row.Figures))
+	}
+	recorder.Close(ledger, noon)
+
+	want := []string{
+		"left, 2=1+0+1+0, 2=1+0+1+0",
+		"runs, 2=0+0+0+2, 4=1+0+1+2",
+		"killed, 2=0+0+2+0",
+		"claims 1=0+0+0+1",
+		"status 3=0+0+3+0",
+		"file-claim 1=1+0+0+0",
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// TestLockedFile checks that a second process does not get a file that is in use, and runs without one.
+func TestLockedFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "figures")
+	ledger, recorder, _ := openLedger(t, path)
+	if !Locked(path) {
+		t.Error("it is not locked")
+	}
+	other, second, log := openLedger(t, path)
+	if second.Recording() || !strings.Contains(log.String(), filelock.ErrBusy.Error()) {
+		t.Error(log)
+	}
+	openRequest(other, noon, 9)
+	second.Append(other, noon)
+	second.Close(other, noon)
+	openRequest(ledger, noon, 8)
+	recorder.Append(ledger, noon)
+	if recorded, _, err := ReadFile(path); err != nil || recorded.Total().Received != 1 {
+		t.Error(err)
+	}
+	recorder.Close(ledger, noon)
+	if Locked(path) {
+		t.Error("it is still locked")
+	}
+}
+
+// recording is a ledger and its recorder, whose time goes on with each call.
+type recording struct {
+	*testing.T
+	ledger   *accounting.Ledger
+	recorder *Recorder
+	log      *bytes.Buffer
+	at       time.Duration
+	id       uint64
+}
+
+// awaitRecording goes on opening requests until the ledger is recorded, with nothing left in the background, or no longer.
+func (r *recording) awaitRecording(want bool) {
+	r.Helper()
+	settled := func() bool { return r.recorder.Recording() == want && (!want || !r.recorder.taskRunning) }
+	for end := time.Now().Add(waitTimeout); !settled(); {
+		if time.Now().After(end) {
+			r.Fatal("recording is never ", want, r.log)
+		}
+		r.id++
+		r.at += time.Second
+		openRequest(r.ledger, r.at, r.id)
+		r.recorder.Append(r.ledger, r.at)
+		time.Sleep(time.Millisecond) // what runs in the background gives no other sign
+	}
+}
+
+// awaitLog goes on until the log contains the text.
+func (r *recording) awaitLog(text string) {
+	r.Helper()
+	for end := time.Now().Add(waitTimeout); !strings.Contains(r.log.String(), text); {
+		if time.Now().After(end) {
+			r.Fatal(r.log)
+		}
+		r.at += time.Second
+		r.recorder.Append(r.ledger, r.at)
+	}
+}
+
+// TestFailures checks that a file that is truncated under its mapping, one that is removed and a full disk cost the record
+// alone and are logged, and that recording begins again with all counts.
+func TestFailures(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "disk")
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(dir, "figures")
+	ledger, recorder, log := openLedger(t, path)
+	r := &recording{T: t, ledger: ledger, recorder: recorder, log: log, at: noon}
+
+	r.awaitRecording(true)
+	if err := os.Truncate(path, headerSize); err != nil {
+		t.Fatal(err)
+	}
+	r.awaitRecording(false)
+	if !strings.Contains(log.String(), ErrNotWritable.Error()) {
+		t.Error(log)
+	}
+
+	r.awaitRecording(true)
+	if err := os.RemoveAll(dir); err != nil {
+		t.Fatal(err)
+	}
+	r.awaitRecording(false)
+	r.awaitLog("no such file")
+
+	full := errors.New("no space left on device")
+	replaceAllocate(t, func() error { return full }) // before the directory is there: an attempt may be made at any moment
+	if err := os.Mkdir(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	r.awaitLog(full.Error())
+	for recorder.taskRunning { // the attempt on the full disk
+		r.at += time.Millisecond
+		recorder.Append(ledger, r.at)
+	}
+	allocateOverride.Store(nil)
+
+	r.awaitRecording(true)
+	openRequest(ledger, r.at, r.id+1)
+	recorder.Append(ledger, r.at)
+	recorded, _, err := ReadFile(path)
+	if err != nil || recorded.Total() != ledger.Total() {
+		t.Error(err, recorded.Total(), ledger.Total())
+	}
+	if names := glob(t, path+unpublishedMark+"*"); len(names) > 0 {
+		t.Error("left behind: ", names)
+	}
+	recorder.Close(ledger, r.at)
+}
+
+// TestOutgrown checks that a ledger that no longer fits its file gets a larger one.
+func TestOutgrown(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "figures")
+	ledger, recorder, log := openLedger(t, path)
+	at := noon
+	size := len(recorder.file.data)
+	for i := range 16 * spareOpenRequests {
+		openRequest(ledger, noon, uint64(i))
+		if i%100 == 0 {
+			at += time.Second
+			recorder.Append(ledger, at)
+		}
+	}
+	grown := func() bool {
+		return recorder.Recording() && !recorder.taskRunning && len(recorder.file.data) != size
+	}
+	for end := time.Now().Add(waitTimeout); !grown(); at += time.Second {
+		if time.Now().After(end) {
+			t.Fatal(log)
+		}
+		recorder.Append(ledger, at)
+		time.Sleep(time.Millisecond)
+	}
+	recorder.Append(ledger, at)
+	recorded, _, err := ReadFile(path)
+	logged := strings.Contains(log.String(), ErrTooSmall.Error())
+	if err != nil || recorded.Total() != ledger.Total() || !logged {
+		t.Error(err, log, recorded.Total(), ledger.Total())
+	}
+	recorder.Close(ledger, at)
+}
+
+func heapSize() uint64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// TestFlat checks that a million requests of ever new customers leave memory and disk as they were.
+func TestFlat(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "figures")
+	ledger, recorder, _ := openLedger(t, path)
+	at := noon
+	run := func(requests int) {
+		for i := range requests {
+			if i%1000 == 0 {
+				at += time.Second
+			}
+			customer := accounting.NewCustomerName([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
+			ticket := ledger.Open(at, uint64(i), uint16(i%3), accounting.FastCGI, customer)
+			ledger.Answer(at, ticket, accounting.Shed)
+			ledger.Sent(at, ticket)
+			if i%10 == 0 {
+				recorder.Append(ledger, at)
+			}
+		}
+		recorder.Append(ledger, at)
+	}
+	run(20_000)
+	heapBefore, sizeBefore := heapSize(), len(recorder.file.data)
+	run(1_000_000)
+	heap, size := heapSize(), len(recorder.file.data)
+	if heap > heapBefore+heapBefore/10+100<<10 || size != sizeBefore {
+		t.Errorf("%d bytes of heap, %d before; a file of %d, %d before", heap, heapBefore, size, sizeBefore)
+	}
+	ledger.Audit(at)
+	recorded, _, err := ReadFile(path)
+	if err != nil || recorded.Total().Received != 1_020_000 || ledger.Mismatches() > 0 {
+		t.Error(err, recorded.Total())
+	}
+	recorder.Close(ledger, at)
+}
+
+// TestSlowDisk checks that a disk that does not answer in time costs the record of this process, and that its ledger is
+// not shared with what still waits.
+func TestSlowDisk(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "figures")
+	slow := make(chan struct{})
+	replaceAllocate(t, func() error {
+		<-slow
+		return errors.New("the disk is back, too late")
+	})
+	var log bytes.Buffer
+	recorder := NewRecorder(path, MinEntries, slog.New(slog.NewTextHandler(&log, nil)))
+	fresh, err := accounting.New(testConfig)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ledger := recorder.Open(fresh, testConfig, noon, 50*time.Millisecond)
+	if ledger == fresh || recorder.Recording() || !strings.Contains(log.String(), "does not answer") {
+		t.Error("it waits, or shares its ledger: ", log.String())
+	}
+	openRequest(ledger, noon, 1)
+	recorder.Append(ledger, noon)
+	recorder.Close(ledger, noon)
+	close(slow)
+	for end := time.Now().Add(openTimeout); Locked(path) && len(glob(t, path+unpublishedMark+"*")) > 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("what waited never ends")
+		}
+	}
+}
