--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -2,96 +2,123 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
 )
 
-// Disk is one folder of a file system: what a store asks of it. Tests have one that loses power.
+// Disk is one directory of a file system, as a store needs it. Tests have one that loses power. Its methods are called by one goroutine at a time.
 type Disk interface {
+	// Names returns the names of all files.
 	Names() ([]string, error)
+	// Read returns a file's content. The error is fs.ErrNotExist if there is no such file.
 	Read(name string) ([]byte, error)
-	// Append opens a file to be written on from that size; it is made if it is not there, and cut if it is longer.
+	// Append opens a file to be written to from that size on. It is created if it doesn't exist, and truncated if it is longer.
 	Append(name string, size int64) (File, error)
+	// Rename renames a file, replacing one that has the new name.
 	Rename(from, to string) error
+	// Remove removes a file. It is no error if there is none.
 	Remove(name string) error
-	Sync() error // what files there are, and under which names
+	// Sync makes durable which files there are and under which names.
+	Sync() error
 }
 
-// File is one that is written on.
+// File is a file that is written to.
 type File interface {
 	io.Writer
+	// Sync makes durable what was written.
 	Sync() error
+	// Close closes the file, without making anything durable.
 	Close() error
 }
 
-// folder is a Disk of the system's.
-type folder string
+// dirDisk is a directory of the system's.
+type dirDisk string
 
-func (f folder) path(name string) string { return filepath.Join(string(f), name) }
+func (d dirDisk) path(name string) string { return filepath.Join(string(d), name) }
 
-func (f folder) Names() ([]string, error) {
-	list, err := os.ReadDir(string(f))
-	names := make([]string, 0, len(list))
-	for _, e := range list {
-		names = append(names, e.Name())
+// Names implements Disk.
+func (d dirDisk) Names() ([]string, error) {
+	entries, err := os.ReadDir(string(d))
+	names := make([]string, 0, len(entries))
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	return names, err
 }
 
-func (f folder) Read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
+// Read implements Disk.
+func (d dirDisk) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-func (f folder) Append(name string, size int64) (File, error) {
-	file, err := os.OpenFile(f.path(name), os.O_CREATE|os.O_WRONLY, 0o640)
+// Append implements Disk.
+func (d dirDisk) Append(name string, size int64) (File, error) {
+	file, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_WRONLY, 0o640)
 	if err != nil {
 		return nil, err
 	}
-	if err = file.Truncate(size); err == nil {
+	err = file.Truncate(size)
+	if err == nil {
 		_, err = file.Seek(size, io.SeekStart)
 	}
 	if err != nil {
-		_ = file.Close()
+		_ = file.Close() // nothing was written
 		return nil, err
 	}
 	return file, nil
 }
 
-func (f folder) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
+// Rename implements Disk.
+func (d dirDisk) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-func (f folder) Remove(name string) error {
-	if err := os.Remove(f.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return err
+// Remove implements Disk.
+func (d dirDisk) Remove(name string) error {
+	err := os.Remove(d.path(name))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil
 	}
-	return nil
+	return err
 }
 
-func (f folder) Sync() error {
-	dir, err := os.Open(string(f))
+// Sync implements Disk.
+func (d dirDisk) Sync() error {
+	dir, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }()
+	defer func() { _ = dir.Close() }() // it was only synced
 	return dir.Sync()
 }
 
-// WriteFile writes a whole file under a name, which is there whole or not at all, and is confirmed.
-func WriteFile(d Disk, name string, data []byte) error {
-	f, err := d.Append(name+newMark, 0)
-	if err != nil {
-		return err
+// WriteFile writes a file so that it exists under its name either completely or not at all, and returns when that is durable.
+func WriteFile(disk Disk, name string, data []byte) error {
+	temporary := name + temporarySuffix
+	if err := writeAndSync(disk, temporary, data); err != nil {
+		return fmt.Errorf("write %s: %w", temporary, err)
 	}
-	if _, err = f.Write(data); err == nil {
-		err = f.Sync()
+	if err := disk.Rename(temporary, name); err != nil {
+		return fmt.Errorf("rename %s: %w", temporary, err)
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if err := disk.Sync(); err != nil {
+		return fmt.Errorf("sync the directory of %s: %w", name, err)
+	}
+	return nil
+}
+
+// writeAndSync writes a file anew and makes its content durable.
+func writeAndSync(disk Disk, name string, data []byte) error {
+	file, err := disk.Append(name, 0)
+	if err != nil {
+		return err
 	}
+	_, err = file.Write(data)
 	if err == nil {
-		err = d.Rename(name+newMark, name)
+		err = file.Sync()
 	}
+	closeErr := file.Close()
 	if err == nil {
-		err = d.Sync()
+		err = closeErr
 	}
 	return err
 }
--- a/internal/wal/folder.go
+++ /dev/null
@@ -1,6 +0,0 @@
-//go:build !powerloss
-
-package wal
-
-// DirDisk is the system's file system in that folder.
-func DirDisk(path string) Disk { return folder(path) }
--- /dev/null
+++ b/internal/wal/quarantine.go
@@ -0,0 +1,68 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+	"frosthub/recovery"
+	"strconv"
+	"strings"
+)
+
+// BeginRead notes that a store is about to be read; EndRead ends that. If too many processes in a row have died in between, it quarantines
+// the store's files: they are renamed, so that the store is empty, and what was in it is for a person to look at.
+func BeginRead(disk Disk) (quarantined bool, err error) {
+	attempts := 0
+	text, err := disk.Read(readAttemptsName)
+	if err == nil {
+		attempts, _ = strconv.Atoi(strings.TrimSpace(string(text))) // what can't be read is a first attempt
+	}
+	if recovery.ShouldQuarantine(attempts) {
+		if err := quarantine(disk); err != nil {
+			return false, fmt.Errorf("quarantine the store: %w", err)
+		}
+		quarantined = true
+		attempts = 0
+	}
+	if err := writeAttempts(disk, attempts+1); err != nil {
+		return quarantined, fmt.Errorf("write %s: %w", readAttemptsName, err)
+	}
+	return quarantined, nil
+}
+
+// EndRead notes that reading has come to its end, with or without an error.
+func EndRead(disk Disk) error {
+	if err := disk.Remove(readAttemptsName); err != nil {
+		return fmt.Errorf("remove %s: %w", readAttemptsName, err)
+	}
+	return nil
+}
+
+// writeAttempts writes the number of attempts without making it durable. It outlives the process; a power failure that takes it back costs
+// one more attempt.
+func writeAttempts(disk Disk, attempts int) error {
+	file, err := disk.Append(readAttemptsName, 0)
+	if err != nil {
+		return err
+	}
+	_, err = file.Write(fmt.Appendln(nil, attempts))
+	return errors.Join(err, file.Close())
+}
+
+// quarantine renames the log and fingerprint files of a store.
+func quarantine(disk Disk) error {
+	names, err := disk.Names()
+	if err != nil {
+		return err
+	}
+	for _, name := range names {
+		_, isLog := segmentOf(name, logSuffix)
+		_, isFingerprints := segmentOf(name, fingerprintsSuffix)
+		if !isLog && !isFingerprints {
+			continue
+		}
+		if err := disk.Rename(name, name+quarantineSuffix); err != nil {
+			return err
+		}
+	}
+	return disk.Sync()
+}
