--- a/backend/backend.go
+++ b/backend/backend.go
@@ -172,12 +172,12 @@
 	b.cfg.Upstream = cfg.Upstream
 	b.cfg.ControlPlane = cfg.ControlPlane
 	b.cfg.StopTimeout = cfg.StopTimeout
-	b.processor.changeAddress(cfg.Processor)
+	b.processor.reconfigure(cfg.Processor)
 	if cfg.callsOverAJP() == b.cfg.callsOverAJP() { // else it takes a new process
 		b.cfg.AJPUpstream = cfg.AJPUpstream
 		b.upstream.reconfigure(&cfg)
 	}
-	b.cluster.change(cfg.Cluster)
+	b.cluster.reconfigure(cfg.Cluster)
 	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
--- a/backend/request.go
+++ b/backend/request.go
@@ -152,10 +152,10 @@
 	if r.state.started() {
 		b.stats.Ended++
 	}
-	awaitsDisk := r.guard != nil && b.guard.writes(r, outcome, reason, result)
+	awaitsDisk := r.guard != nil && b.guard.recordEnd(r, outcome, reason, result)
 	b.upstream.cancel(r)
 	if r.probeDue > 0 {
-		b.processor.probes--
+		b.processor.probing--
 		r.probeTag = 0
 		r.probeDue = 0
 	}
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -42,16 +42,16 @@
 	parsed.arrival.Handler = r.handler
 	parsed.arrival.Delay = queueDelay
 	parsed.arrival.Customer = slices.Index(b.customers, parsed.tenant)
-	r.subject = b.results.subjectOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
+	r.subject = b.results.keyOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
 	r.arrival = parsed.arrival
 	r.readAt = b.now
 	r.arrivedAt = b.now - queueDelay
-	r.guard = b.guard.guards(parsed)
+	r.guard = b.guard.stateOf(parsed)
 	b.requests[r.id] = r
 	b.unanswered++
 	client.requests[r.slot] = r
-	verified := client.verified && b.results.repeats(r) == nil
-	if verified || !b.processor.identify(r) {
+	verified := client.verified && b.results.find(r) == nil
+	if verified || !b.processor.verify(r) {
 		b.admit(r)
 	}
 }
@@ -73,7 +73,7 @@
 		problem = "no id of 16 hex digits"
 	case !parsed.hasStart || arrival.Size == 0:
 		problem = "start or memory is missing"
-	case !b.guard.named(parsed):
+	case !b.guard.hasRequiredKey(parsed):
 		problem = "no key, and it must not run twice"
 	case arrival.ValueRank == 1 || arrival.Size == memoryMax || parsed.start > startMax ||
 		arrival.Hint > costMaxFactor*b.handlers[r.handler].timeout:
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -152,7 +152,7 @@
 			bed.inTurn(func() { bed.backend.advice.shallowChecks = false })
 			client := bed.dialClient()
 			client.send(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
-			bed.await(func() bool { return len(bed.backend.processor.trials) == 1 })
+			bed.await(func() bool { return len(bed.backend.processor.pendingTrials) == 1 })
 			bed.beginClosing()
 			client.expect("1"+rejectedLine, "end")
 			bed.expectExit()
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -236,7 +236,7 @@
 	b.loop.Post(func() {
 		bed.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
 			len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.inFlight(), b.upstream.connections(),
-			len(b.results.byID), len(b.processor.trials), b.frontend.partialBytes)
+			len(b.results.byID), len(b.processor.pendingTrials), b.frontend.partialBytes)
 	})
 }
 
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -21,7 +21,7 @@
 	bed.startRun(client, 1)
 	bed.inTurn(func() {
 		r := bed.backend.requests[1]
-		bed.backend.processor.ask(r, []byte("what"))
+		bed.backend.processor.onCallRequest(r, []byte("what"))
 		bed.backend.runController() // its call is being dialled for
 		if !bed.eventually(func() bool {
 			bed.upstream.mu.Lock()
