--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -17,7 +17,7 @@
 	Entries       int           // how many entries the file holds; 0 for the default of package statsfile
 	MaxPeriods    int           // how many past periods are kept
 	PeriodLength  time.Duration // of each
-	MaxCustomers  int           // how many customers are told apart
+	MaxCustomers  int           // how many customers are distinguished
 	CustomerField string        // the header that names a customer; if empty, the number of the calling front end does
 }
 
@@ -66,8 +66,9 @@
 	return nil
 }
 
-// flush sends what was written in the turn that began at that time. The statistics file is told before and after it
-// which answers may have left. It returns when to try again what a peer did not take, 0 for nothing left.
+// flush sends what was written in the turn that began at that time. The statistics file has
+// a mark before and after it, by which the next process knows what may have left. It returns when to retry what a peer
+// did not take, 0 for nothing left.
 func (b *Backend) flush(turn time.Time) (retryAfter time.Duration) {
 	if b.recorder == nil {
 		return b.loop.Flush(turn)
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -19,9 +19,9 @@
 	requests        map[uint16]*request  // without their answer, by slot
 	checks          map[uint16]deepCheck // health checks that wait for the processor, by slot
 	acceptedAt      time.Duration
-	lastUsed        time.Duration // when it last carried a whole request or a response
+	lastUsed        time.Duration // when it last carried a complete request or a response
 	badRequests     int           // malformed requests since the last one that was run
-	hasSentRequest  bool          // it has sent a whole request
+	hasSentRequest  bool          // it has sent a complete request
 	verified        bool          // one of its requests was known to the processor
 	buffersReleased bool          // it is idle and keeps no buffers
 	broken          bool          // nothing more is read of it; it ends once what is open is answered
--- a/backend/config.go
+++ b/backend/config.go
@@ -22,12 +22,12 @@
 	configPathVariable = "PROXY_CONFIG" // the environment variable that names the configuration file
 
 	gcMemoryShare      = 0.75            // of the memory limit, which the garbage collector aims at; the rest is stacks and the program
-	defaultStopTimeout = 3 * time.Second // where the configuration tells none
+	defaultStopTimeout = 3 * time.Second // where the configuration states none
 	defaultSockets     = 1024
 	socketsMin         = 32 // a backend can't serve with fewer descriptors
 )
 
-// Config is all that a backend is told. The first part is the platform's and is read by Parse; the second part is the
+// Config is the configuration of a backend. The first part is the platform's and is read by Parse; the second part is the
 // operator's and is filled in by the program.
 type Config struct {
 	Name         string
@@ -94,7 +94,7 @@
 	return c, nil
 }
 
-// longestTimeout returns the longest client timeout of all handlers, 0 if none is told.
+// longestTimeout returns the longest client timeout of all handlers, 0 if none is stated.
 func (c *Config) longestTimeout() (longest time.Duration) {
 	for i := range c.Settings.Handlers {
 		longest = max(longest, c.Settings.Handlers[i].ClientTimeout.Or(0))
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// reportInterval is how often the control plane is told of this backend. It drops a backend that was silent for 3 s, so
+// reportInterval is how often this backend reports to the control plane. It drops a backend that was silent for 3 s, so
 // fifteen datagrams would have to be lost; each costs little.
 const reportInterval = 200 * time.Millisecond
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// report tells the control plane whether this backend is ready, when that is due and as soon as it has changed.
+// report reports whether this backend is ready, when that is due and as soon as it has changed.
 func (r *controlReporter) report(b *Backend) {
 	if r.address == "" {
 		return
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -21,7 +21,7 @@
 	events         []overload.Event     // what has happened since the last batch, in order
 	controllerWake time.Duration        // when the controller wants a timer event; 0 for none
 	gaugesBy       time.Duration        // the timer event waits for gauges until then; 0 if it does not wait
-	gauges         []float64            // as the processor told them last
+	gauges         []float64            // as the processor reported them last
 }
 
 // timerEvent adds the timer event, with the gauges as they are known.
@@ -32,7 +32,7 @@
 
 // loadAdvice is what the controller last said about the node as a whole.
 type loadAdvice struct {
-	healthy       bool          // what health checks are told
+	healthy       bool          // what health checks are answered
 	shallowChecks bool          // deep health checks are answered without asking the processor
 	signal        []byte        // the load signal as it is written on answers; empty before the first
 	idleTimeout   time.Duration // idle connections are closed after this; 0 for the default
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -45,7 +45,7 @@
 	LinksLost  int64
 	Rejects    int64 // commands that it rejected
 	Remarks    int64
-	Repeated   int64 // commands that were sent again after a break
+	Repeated   int64 // commands that were retried after a break
 	GaugesLate int64 // timer events that did not get fresh gauges
 
 	// The owner.
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -8,7 +8,7 @@
 )
 
 // sweep closes connections that have been idle for too long, or the longest idle ones where places run short. It
-// rejects requests that take too long to come whole, and answers deep health checks that got no word.
+// rejects requests that take too long to be complete, and answers deep health checks that the processor did not answer.
 func (f *frontend) sweep() {
 	idleTimeout := min(idleMax, cmp.Or(f.backend.advice.idleTimeout, idleMax))
 	for client := range f.clients {
@@ -67,7 +67,7 @@
 	slices.SortFunc(idle, func(x, y *clientConn) int { return cmp.Compare(x.lastUsed, y.lastUsed) })
 	for _, client := range idle[:min(len(idle), excess)] {
 		f.backend.stats.ConnsTrimmed++
-		if !client.hasSentRequest && client.protocol.midMessage() { // a client that never sent a whole message would stay for seconds
+		if !client.hasSentRequest && client.protocol.midMessage() { // a client that never sent a complete message would stay for seconds
 			f.stopReading(client)
 		}
 		client.conn.CloseGracefully(errEvicted)
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -18,19 +18,19 @@
 // What the connections of clients may hold.
 const (
 	connUnsentMax   = 192 << 10 // bytes of answers that one client may leave: 32 of the longest are 140 KB
-	partialShare    = 0.15      // of the memory limit, for requests that are not yet whole
+	partialShare    = 0.15      // of the memory limit, for incomplete requests
 	undeliveredKept = 32        // answers of one connection in flight; a longer list is let go once it is empty
 )
 
 // How long connections of clients may stay.
 const (
 	// partialTimeout is how long a connection may take until its first request, and a request from its begin, until it
-	// is whole. Clients may take 3 s.
+	// is complete. Clients may take 3 s.
 	partialTimeout = 2500 * time.Millisecond
 
 	idleMax          = 3 * time.Second        // between requests: some clients never close an idle connection
 	idleBuffersMax   = 300 * time.Millisecond // after that an idle connection keeps no buffers
-	deepCheckTimeout = time.Second            // for the processor's word: clients wait no longer for a health check
+	deepCheckTimeout = time.Second            // for the processor's answer: clients wait no longer for a health check
 )
 
 // Malformed requests of a connection since the last good one that was run.
@@ -41,13 +41,13 @@
 
 // Why connections of clients are closed here.
 var (
-	errEvicted          = errors.New("idle, and the place is needed")
+	errEvicted          = errors.New("idle while connections run short")
 	errIdle             = errors.New("idle")
-	errNotKept          = errors.New("it was not to stay")
+	errNotKept          = errors.New("not kept open")
 	errLeaving          = errors.New("the process ends")
-	errMalformed        = errors.New("it goes on with bad reqs")
-	errIncomplete       = errors.New("a req does not come whole")
-	errPartialsTooLarge = errors.New("too much of reqs that are not whole")
+	errMalformed        = errors.New("too many malformed requests")
+	errIncomplete       = errors.New("a request stays incomplete")
+	errPartialsTooLarge = errors.New("too many bytes of incomplete requests")
 )
 
 // frontend is the side of the clients, whatever protocol they speak: it takes requests that were read, answers each one
@@ -55,7 +55,7 @@
 type frontend struct {
 	backend      *Backend
 	clients      map[*clientConn]struct{}
-	partialBytes int // bytes of requests that are not yet whole, of all clients
+	partialBytes int // bytes of incomplete requests, of all clients
 	accepted     int // connections accepted so far; they are numbered
 
 	// The meanings of header fields, by their names as CGI parameters and in lower case.
@@ -71,12 +71,12 @@
 	// feed parses input. It calls back the front end with each message that is complete.
 	feed(input []byte) error
 
-	partialBytes() int // held of requests that are not yet whole
+	partialBytes() int // held of incomplete requests
 	midMessage() bool  // part of a message was read
 	openSlots() int    // in use: requests being read and requests without their answer
-	discardPartial()   // forgets what was read of requests that are not whole
+	discardPartial()   // forgets what was read of incomplete requests
 
-	// overdue returns a request that began by that time and is not whole yet, if there is one.
+	// overdue returns a request that began by that time and is still incomplete, if there is one.
 	overdue(by time.Duration) (partial exchange, found bool)
 
 	appendResponse(buf []byte, slot uint16, keepOpen bool, r *response) []byte
@@ -119,14 +119,14 @@
 	return func(c *conn.Conn) { f.addConnection(c, newProtocol) }
 }
 
-// updatePartialBytes follows a change in what a connection holds of requests that are not whole.
+// updatePartialBytes follows a change in what a connection holds of incomplete requests.
 func (f *frontend) updatePartialBytes(client *clientConn) {
 	held := client.protocol.partialBytes()
 	f.partialBytes += held - client.partialBytes
 	client.partialBytes = held
 }
 
-// cut reads no more of a connection that does not keep to its protocol. What was read whole of it is still answered;
+// cut reads no more of a connection that does not keep to its protocol. Complete requests that were read are still answered;
 // with nothing to answer the connection is aborted at once.
 func (f *frontend) cut(client *clientConn, reason error) {
 	f.backend.stats.BadConns++
@@ -139,7 +139,7 @@
 	client.conn.CloseGracefully(reason)
 }
 
-// cutLargestPartial cuts the connection that holds most of requests that are not whole.
+// cutLargestPartial cuts the connection that holds most of incomplete requests.
 func (f *frontend) cutLargestPartial() {
 	var largest *clientConn
 	for client := range f.clients {
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -100,7 +100,7 @@
 	case ajp.Shutdown:
 		f.cut(client, errShutdownRequested)
 	case ajp.TooLarge:
-		p.reject(accounting.BadFields, "too large a body")
+		p.reject(accounting.BadFields, "the body is too large")
 	case ajp.Request:
 		p.onRequest(message)
 	}
@@ -111,7 +111,7 @@
 	f := p.frontend
 	secret := f.backend.cfg.AJP.Secret
 	if secret != "" && subtle.ConstantTimeCompare([]byte(secret), message.Secret) != 1 {
-		p.reject(accounting.BadSecret, "a wrong secret, or none")
+		p.reject(accounting.BadSecret, "the secret is wrong or missing")
 		return
 	}
 	parsed := f.newParsedRequest(exchange{client: p.client, slot: ajpSlot, keepOpen: true}, message.Body)
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -15,7 +15,7 @@
 	// stallMin is how late a turn must be to count as a stall. A busy machine keeps a thread waiting for less.
 	stallMin = 100 * time.Millisecond
 
-	// turnIntervalMax is how long the owner sleeps at most.
+	// turnIntervalMax is the longest sleep of the owner.
 	turnIntervalMax = time.Second
 )
 
--- a/backend/request.go
+++ b/backend/request.go
@@ -40,7 +40,7 @@
 
 	// Its arrival.
 	arrival   overload.Event // what the controller hears of it
-	readAt    time.Duration  // when it was read whole
+	readAt    time.Duration  // when it was read completely
 	arrivedAt time.Duration  // when it came to the machine
 	verified  bool           // the processor knows it
 	verifyTag uint64         // the gauge query whose answer proves that it is known, unless it is rejected before
@@ -49,7 +49,7 @@
 	takenOver bool        // from another node of the cluster: no client of this node waits for it
 	accounted bool        // it was taken over, and its account is closed
 
-	clientTimeout time.Duration // how long its client waits from its arrival on, as told; 0 if not told
+	clientTimeout time.Duration // how long its client waits from its arrival on, as stated; 0 if not stated
 	subject       cacheKey
 	originalID    uint64     // the remembered request that it repeats; 0 for none
 	followers     []*request // those that wait for its result
@@ -103,7 +103,7 @@
 	b.events = append(b.events, r.arrival)
 }
 
-// startRun has the processor run a request.
+// startRun has the processor run a request whose start nothing holds back any more.
 func (b *Backend) startRun(r *request) {
 	r.run()
 	b.stats.Begun++
@@ -155,9 +155,7 @@
 	awaitsDisk := r.guard != nil && b.guard.recordEnd(r, outcome, reason, result)
 	b.upstream.cancel(r)
 	if r.probeDue > 0 {
-		b.processor.probing--
-		r.probeTag = 0
-		r.probeDue = 0
+		b.processor.endProbe(r)
 	}
 	b.events = append(b.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: outcome, Took: took})
 	if awaitsDisk {
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -14,7 +14,7 @@
 	memoryMax     = 2000.0                  // kilobytes booked for a request, by the protocol
 	costMaxFactor = 10                      // client timeouts that a stated cost may be: nothing could come of a longer run
 	startMax      = math.MaxInt64 / 2 / 1e6 // milliseconds since 1970 that fit a time.Duration
-	stampMax      = math.MaxInt64 / 2       // of any time that is told in milliseconds
+	stampMax      = math.MaxInt64 / 2       // of any time in milliseconds
 	millisMax     = 1e9                     // milliseconds of a cost or a timeout
 )
 
@@ -72,7 +72,7 @@
 	customerID []byte // the customer's name in full
 	guardKey   []byte // the field that names what must not run twice
 
-	createdAt float64 // when it was first made, in Unix milliseconds; 0 if not told
+	createdAt float64 // when it was first made, in Unix milliseconds; 0 if not stated
 }
 
 func (f *frontend) newParsedRequest(from exchange, body []byte) *parsedRequest {
@@ -128,7 +128,7 @@
 	}
 }
 
-const notANumber = "a field is no number in its range"
+const notANumber = "a field is not a number in its range"
 
 // number reads a number from 0 to limit.
 func (p *parsedRequest) number(value []byte, limit float64) float64 {
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -74,12 +74,12 @@
 	case !parsed.hasStart || arrival.Size == 0:
 		problem = "start or memory is missing"
 	case !b.guard.hasRequiredKey(parsed):
-		problem = "no key, and it must not run twice"
+		problem = "no key for a request that must not run twice"
 	case arrival.ValueRank == 1 || arrival.Size == memoryMax || parsed.start > startMax ||
 		arrival.Hint > costMaxFactor*b.handlers[r.handler].timeout:
 		problem = "a field is out of its range"
 	case b.requests[r.id] != nil:
-		problem = "an id that is in use"
+		problem = "the id is in use"
 	}
 	return reason, problem
 }
@@ -134,7 +134,7 @@
 	return f.backend.ledger.Open(f.backend.wall, 0, 0, client.protocol.kind(), accounting.CustomerName{})
 }
 
-// abort follows a client's word that it no longer waits for what it sent on a slot.
+// abort follows a client's message that it no longer waits for what it sent on a slot.
 func (f *frontend) abort(client *clientConn, slot uint16) {
 	if r := client.requests[slot]; r != nil {
 		delete(client.requests, slot)
@@ -143,12 +143,12 @@
 	delete(client.checks, slot)
 }
 
-// unknown follows the processor's word that it knows no such request. Nobody sent it one, so the client is none of
-// those that the deployment has.
+// unknown answers a request that the processor does not know. The processor knows each
+// request of the deployment's clients, so this client is none of them.
 func (f *frontend) unknown(r *request) {
 	delete(r.client.requests, r.slot)
 	from := r.exchange()
 	from.keepOpen = false
-	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "no req of this machine")
+	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "not a request of this machine")
 	f.backend.finishAnswered(r)
 }
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -5,7 +5,7 @@
 // The allowed transitions, and what makes them:
 //
 //	from              to                when
-//	(new)             unverified        it was read whole, and its fields are good
+//	(new)             unverified        it was read, and its fields are good
 //	(new)             held              it is taken over from another node of the cluster
 //	unverified        held              the processor knows it, or nobody can tell; its group has answered
 //	held              unverified        it must not run twice, and its group in the cluster is asked first
--- a/backend/serve.go
+++ b/backend/serve.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	sweepInterval = 100 * time.Millisecond // between two looks for what is idle or has expired
+	sweepInterval = 100 * time.Millisecond // between two searches for what is idle or has expired
 
 	// Shares of the memory limit.
 	unsentShare = 0.2   // for answers that clients do not take
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// closingInterval is how often a process that ends looks for what may be ended.
+// closingInterval is how often a process that ends checks what may be closed.
 const closingInterval = 10 * time.Millisecond
 
 // drainState is what the end of the process needs beside lifecycle.Process.
 type drainState struct {
 	pending    bool          // the notice came, and the overload controller has not heard of it
 	grace      time.Duration // after the notice, in which a request that is read may still start
-	retryAfter time.Duration // what clients that are rejected at the end are told; 0 for nothing
+	retryAfter time.Duration // the retry-after of requests that are rejected at the end; 0 for none
 }
 
 // startDrain follows the notice to leave. A second one changes nothing.
