--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -11,21 +11,29 @@
 
 // ClusterConfig describes the nodes that take over each other's guarded requests. The zero value is a node alone.
 type ClusterConfig struct {
-	Name               string
-	Listen             string // where the other nodes connect
-	Members            []ClusterMember
-	Previous           []ClusterMember      // while the members change: those before
-	ResumeUnclaimed    bool                 // a request that was held by a lost node goes on although nobody asks for it again
-	MajorityAfter      time.Duration        // how long after a start all that may know more than this node's disk are waited for; then a majority will do; 0 means the default
-	DegradeAfter       time.Duration        // how long a majority is waited for; 0 means the default
-	ReplayableHandlers map[string][]KeyPart // handlers whose requests may run twice and are taken over too, and what their keys are made of
+	Name    string
+	Listen  string // where the other nodes connect
+	Members []ClusterMember
+	// Previous is the members before, while the members change.
+	Previous []ClusterMember
+	// ResumeUnclaimed has a request that a lost node had reserved go on although nobody retries it.
+	ResumeUnclaimed bool
+	// MajorityAfter is how long after a start all nodes that may know more than this node's disk are waited for. After
+	// that a majority will do. 0 means the default.
+	MajorityAfter time.Duration
+	// DegradeAfter is how long a majority is waited for. 0 means the default.
+	DegradeAfter time.Duration
+	// ReplayableHandlers are the handlers whose requests may run twice and are taken over too, and what their keys are
+	// made of.
+	ReplayableHandlers map[string][]KeyPart
 }
 
 // ClusterMember is one of the nodes. This node is among them.
 type ClusterMember struct {
 	failover.Member
 	Address string `json:"address"`
-	// Processor is where other nodes may ask the node's processor how runs ended once the node seems lost. Empty: they don't.
+	// Processor is where other nodes may ask the node's processor how runs ended once the node seems lost. Empty: they
+	// don't.
 	Processor string `json:"processor,omitempty"`
 }
 
@@ -35,15 +43,16 @@
 	// probeInterval and probeTimeout are those of the failure detector: a node is suspected after a few intervals.
 	probeInterval = 100 * time.Millisecond
 	probeTimeout  = 40 * time.Millisecond
-	// notedResultShare is the part of the memory limit for results of replayable requests that are kept for other nodes.
+	// notedResultShare is the part of the memory limit for results of replayable requests that are kept for other
+	// nodes.
 	notedResultShare = 0.02
 )
 
-// cluster connects the backend with the failure detector, the failover node and the recovery node: it carries their messages and does what
-// they decide.
+// cluster connects the backend with the failure detector, the failover node and the recovery node: it carries their
+// messages and does what they decide.
 //
-// A node of a cluster comes up in steps: init; startRecovery once the store is loaded; start once the recovery knows enough of what the
-// others remember of this node. Until then no guarded request is admitted.
+// A node of a cluster comes up in steps: init; startRecovery once the store is loaded; start once the recovery knows
+// enough of what the others remember of this node. Until then no guarded request is admitted.
 //
 // All methods are called by the goroutine that owns the backend.
 type cluster struct {
@@ -92,7 +101,8 @@
 	}
 }
 
-// start has the node take part in the cluster, in the incarnation that its store counts. It is called again when the incarnation is raised.
+// start has the node take part in the cluster, in the incarnation that its store counts. It is called again when the
+// incarnation is raised.
 func (c *cluster) start() {
 	b := c.backend
 	c.incarnation = c.store.Stats().Incarnation
@@ -122,8 +132,8 @@
 		"members", len(roster.Members), "before", len(roster.Previous))
 }
 
-// Alive reports whether a node is believed to be alive. The failover node asks it. A node that is only suspected isn't alive: trying
-// to replace it does no harm.
+// Alive reports whether a node is believed to be alive. The failover node asks it. A node that is only suspected isn't
+// alive: trying to replace it does no harm.
 func (c *cluster) Alive(name string) bool { return c.detector.Lookup(name).State == membership.Alive }
 
 // Dead reports whether a node is believed to be dead or to have left.
@@ -155,7 +165,8 @@
 	b.wakeBy(deadline)
 }
 
-// runPending carries out what the failure detector and the failover node want, and reports whether there was an outcome of a request.
+// runPending carries out what the failure detector and the failover node want, and reports whether there was an outcome
+// of a request.
 func (c *cluster) runPending() bool {
 	c.runRecovery()
 	if c.node == nil {
--- a/backend/cluster_link.go
+++ b/backend/cluster_link.go
@@ -14,8 +14,8 @@
 	maxUnsentToNode = 4 << 20
 )
 
-// nodeLink is the connection on which this node sends to another one. What the other sends comes on a connection that it has opened; see
-// peerConn.
+// nodeLink is the connection on which this node sends to another one. What the other sends comes on a connection that
+// it has opened; see peerConn.
 type nodeLink struct {
 	address    string
 	processor  string
@@ -40,7 +40,8 @@
 	}
 }
 
-// connect makes the links those to the nodes of the roster, at their addresses, and has the failure detector probe those nodes.
+// connect makes the links those to the nodes of the roster, at their addresses, and has the failure detector probe
+// those nodes.
 func (c *cluster) connect() {
 	nodes := append(c.roster.all(), c.departing...)
 	var names []string
@@ -122,7 +123,8 @@
 	link.queryState = false
 }
 
-// hello is the first message on a connection to another node. It is sent again when the roster changes, and when this node's log has grown.
+// hello is the first message on a connection to another node. It is sent again when the roster changes, and when this
+// node's log has grown.
 func (c *cluster) hello(queryState bool) []byte {
 	b := c.backend
 	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -42,7 +42,7 @@
 func (p *peerConn) receive(batch *peerproto.Batch) error {
 	c := p.cluster
 	if c.recovery == nil && batch.Hello == nil {
-		return nil // the store is not loaded yet: the other node asks again
+		return nil // the store is not loaded yet: the other node retries
 	}
 	if hello := batch.Hello; hello != nil && (p.node == "" || p.node == hello.From) {
 		if err := p.identify(hello); err != nil {
@@ -106,7 +106,7 @@
 // onHello takes what a node says of itself, and answers what it asks.
 func (c *cluster) onHello(hello *peerproto.Hello) {
 	if c.recovery == nil {
-		return // the store is not loaded yet: the other node asks again
+		return // the store is not loaded yet: the other node retries
 	}
 	if hello.QueryState {
 		answer := c.peerStates.Answer(hello.From, hello.Mark)
--- a/backend/cluster_operator.go
+++ b/backend/cluster_operator.go
@@ -13,8 +13,9 @@
 	ErrNothingUnknown = errors.New("nothing of this node's disk is in doubt")
 )
 
-// Trust takes an operator's word that this node's disk is all that there is. What it may lack is not asked for any more, and may run twice.
-// The store records it. Trust returns ErrNoCluster or ErrNothingUnknown where it doesn't apply. It may be called from any goroutine.
+// Trust accepts the operator's assurance that this node's disk is all that there is. What it may lack is not asked for
+// any more, and may run twice. The store records it. Trust returns ErrNoCluster or ErrNothingUnknown where it doesn't
+// apply. It may be called from any goroutine.
 func (b *Backend) Trust() (err error) {
 	b.onOwner(func() { err = b.cluster.trustDisk() })
 	return err
@@ -37,9 +38,9 @@
 	return nil
 }
 
-// Forget takes an operator's word that a node of the cluster never comes back: nobody here waits for what it may know. It is recorded beside
-// the store, and ends when that node is heard after all. Forget returns ErrNoCluster, ErrUnknownNode or ErrNodeAlive where it doesn't apply.
-// It may be called from any goroutine.
+// Forget accepts the operator's assurance that a node of the cluster never comes back: nobody here waits for what it
+// may know. It is recorded beside the store, and ends when that node sends a message after all. Forget returns
+// ErrNoCluster, ErrUnknownNode or ErrNodeAlive where it doesn't apply. It may be called from any goroutine.
 func (b *Backend) Forget(name string) (err error) {
 	b.onOwner(func() { err = b.cluster.forgetNode(name) })
 	return err
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -18,7 +18,8 @@
 	deadline time.Duration
 }
 
-// queryProcessor asks the processor of a lost node how runs that were started there have ended: it hands out its notices after the given one.
+// queryProcessor asks the processor of a lost node how runs that were started there have ended: it hands out its
+// notices after the given one.
 func (c *cluster) queryProcessor(wanted failover.ProcessorQuery) {
 	b := c.backend
 	link := c.links[wanted.Node]
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -25,8 +25,8 @@
 	c.changeAt = c.backend.now
 }
 
-// tryReconfigure adopts the roster of the configuration if that is safe. While the members change it also finds out whether all other
-// nodes have adopted both lists.
+// tryReconfigure adopts the roster of the configuration if that is safe. While the members change it also finds out
+// whether all other nodes have adopted both lists.
 func (c *cluster) tryReconfigure() {
 	b := c.backend
 	awaitsOthers := len(c.roster.Previous) > 0 && c.roster.Since <= 0
@@ -128,7 +128,8 @@
 	b.log.Info("members", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
 }
 
-// keepDeparting keeps the links to the nodes that leave with a new roster: those may still hold requests, and have them noted by this one.
+// keepDeparting keeps the links to the nodes that leave with a new roster: those may still have requests in flight, and
+// have them noted by this one.
 func (c *cluster) keepDeparting(next *clusterRoster) {
 	if len(next.Previous) == 0 {
 		for _, member := range c.roster.Previous {
@@ -151,7 +152,8 @@
 	}
 }
 
-// adoptedByAllSince tells since when all nodes have adopted both lists, as far as this one knows. It is empty if they have not.
+// adoptedByAllSince tells since when all nodes have adopted both lists, as far as this one knows. It is empty if they
+// have not.
 func (c *cluster) adoptedByAllSince() string {
 	if c.roster.Since == 0 {
 		return ""
@@ -159,8 +161,8 @@
 	return time.Unix(0, int64(c.roster.Since)).UTC().Format(time.RFC3339)
 }
 
-// dropDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has left may still wait for
-// the ends of its runs.
+// dropDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has
+// left may still wait for the ends of its runs.
 func (c *cluster) dropDeparted(update membership.Update) {
 	if update.State != membership.Dead {
 		return
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -13,7 +13,7 @@
 // defaultSizeKB is the size in kilobytes that is taken for a request whose first node said none.
 const defaultSizeKB = 24.0
 
-// claim asks the group of a guarded request, before the overload controller hears of it.
+// claim asks the group of a guarded request, before it is submitted to the overload controller.
 func (c *cluster) claim(r *request) {
 	r.state = stateUnverified
 	handler := &c.backend.handlers[r.handler]
@@ -29,7 +29,8 @@
 	})
 }
 
-// submitClaimed has the overload controller hear of a request whose group was asked; isRepeat says that another attempt is in flight.
+// submitClaimed submits a request whose group was asked to the overload controller; isRepeat says that another attempt
+// is in flight.
 func (c *cluster) submitClaimed(r *request, isRepeat bool) {
 	b := c.backend
 	r.state = stateHeld
@@ -57,8 +58,8 @@
 	ledger.Sent(c.backend.wall, r.ticket)
 }
 
-// handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does. The client gets the
-// other node's result from here, if it comes in time.
+// handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does.
+// The client gets the other node's result from here, if it comes in time.
 func (c *cluster) handOff(r *request) bool {
 	if c.node == nil || r.guard == nil || r.state != stateHeld {
 		return false
@@ -72,7 +73,8 @@
 	return true
 }
 
-// acceptFailover has the overload controller hear of a request that another node held. Nobody waits for it on a connection here.
+// acceptFailover submits a request of another node, which was lost, to the overload controller. Nobody waits for it on
+// a connection here.
 func (c *cluster) acceptFailover(outcome *failover.Outcome) {
 	b := c.backend
 	work := outcome.Work
@@ -155,7 +157,7 @@
 	}
 }
 
-// applyLater carries out a decision about a request that the overload controller has heard of.
+// applyLater carries out a decision about a request that was submitted to the overload controller.
 func (c *cluster) applyLater(r *request, outcome *failover.Outcome) {
 	b := c.backend
 	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.takenOver
--- a/backend/cluster_stats.go
+++ b/backend/cluster_stats.go
@@ -25,7 +25,7 @@
 	LocalHealth     int                 `json:"unwell"`   // how slow this node takes itself to be, 0 to 8
 	Members         []MemberStats       `json:"members"`
 	Failover        failover.Stats      `json:"work"`
-	Requests        []failover.Request  `json:"reqs"` // some of those that are held, waited for or noted
+	Requests        []failover.Request  `json:"reqs"` // some of those in flight, waited for or noted for others
 }
 
 // MemberStats tells what is believed of a node.
@@ -36,8 +36,8 @@
 	Roster      string `json:"goes"` // how the roster it has adopted stands to this node's; see rosterRelation
 }
 
-// ClusterStats returns the figures of the cluster, nil without one or before the store is loaded. It may be called from any goroutine while
-// Serve runs and after it.
+// ClusterStats returns the figures of the cluster, nil without one or before the store is loaded. It may be called from
+// any goroutine while Serve runs and after it.
 func (b *Backend) ClusterStats() *ClusterStats {
 	var out *ClusterStats
 	b.onOwner(func() {
@@ -81,8 +81,8 @@
 	return out
 }
 
-// rosterRelation tells how the roster that a node has adopted stands to this node's: "as here", "beside" if the two may be used at the
-// same time, "apart" if not, or "unknown".
+// rosterRelation tells how the roster that a node has adopted stands to this node's: "as here", "beside" if the two may
+// be used at the same time, "apart" if not, or "unknown".
 func (c *cluster) rosterRelation(name string) string {
 	digests := c.peerDigests[name]
 	switch {
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -22,61 +22,71 @@
 	"time"
 )
 
-// written is a log that is read while it is written.
-type written struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// safeBuffer is a log that is read while it is written.
+type safeBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
 }
 
-func (w *written) Write(p []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.b.Write(p)
+func (b *safeBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-func (w *written) has(text string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return strings.Contains(w.b.String(), text)
+func (b *safeBuffer) contains(text string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return strings.Contains(b.text.String(), text)
 }
 
-// remembersNothing answers as n1 whoever asks there what it remembers.
-func remembersNothing(ln net.Listener, to string) {
+// emptyPeer is a node n1 that remembers nothing, and says so to whoever asks.
+type emptyPeer struct {
+	listener net.Listener
+	asker    string // address of the node that asks
+}
+
+func (p *emptyPeer) serve() {
 	for {
-		c, err := ln.Accept()
+		accepted, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go func() {
-			defer func() { _ = c.Close() }()
-			p := peerproto.NewParser(func(b *peerproto.Batch) error {
-				if b.Hello == nil || !b.Hello.QueryState {
-					return nil
-				}
-				d, err := net.Dial("tcp", to)
-				if err != nil {
-					return err
-				}
-				_, err = d.Write(peerproto.Append(nil, &peerproto.Batch{
-					Hello:     &peerproto.Hello{Cluster: "north", From: "n1", Incarnation: 1, Lists: b.Hello.Lists},
-					PeerState: &recovery.Answer{Mark: b.Hello.Mark},
-				}))
-				return err
-			})
-			buf := make([]byte, 4<<10)
-			for {
-				n, err := c.Read(buf)
-				if err != nil || p.Feed(buf[:n]) != nil {
-					return
-				}
-			}
-		}()
+		go p.read(accepted)
+	}
+}
+
+func (p *emptyPeer) read(from net.Conn) {
+	defer func() { _ = from.Close() }()
+	parser := peerproto.NewParser(p.answer)
+	buffer := make([]byte, 4<<10)
+	for {
+		n, err := from.Read(buffer)
+		if err != nil || parser.Feed(buffer[:n]) != nil {
+			return
+		}
+	}
+}
+
+func (p *emptyPeer) answer(batch *peerproto.Batch) error {
+	if batch.Hello == nil || !batch.Hello.QueryState {
+		return nil
 	}
+	dialed, err := net.Dial("tcp", p.asker)
+	if err != nil {
+		return err
+	}
+	_, err = dialed.Write(peerproto.Append(nil, &peerproto.Batch{
+		Hello:     &peerproto.Hello{Cluster: "north", From: "n1", Incarnation: 1, Lists: batch.Hello.Lists},
+		PeerState: &recovery.Answer{Mark: batch.Hello.Mark},
+	}))
+	return err
 }
 
-// TestStrangers: who is not of the cluster, does not say who it is, or sends noise is closed, whatever it asks for; ballots of boxes that
-// nobody knows do no harm.
-func TestStrangers(t *testing.T) {
+// startClusterNode starts n3 of the cluster north, whose node n1 remembers nothing and whose node n2 is down. It
+// returns once n3 takes part.
+func startClusterNode(t *testing.T) *Backend {
+	t.Helper()
 	disk := fake.NewDisk()
 	if err := wal.Init(disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 		t.Fatal(err)
@@ -97,19 +107,20 @@
 	for _, name := range []string{"n1", "n2", "n3"} {
 		cfg.Cluster.Members = append(cfg.Cluster.Members, ClusterMember{Member: failover.Member{Name: name}, Address: "127.0.0.1:1"})
 	}
-	other, err := net.Listen("tcp", "127.0.0.1:0") // n1, which tells what it remembers: nothing
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = other.Close() }()
-	cfg.Cluster.Members[0].Address = other.Addr().String()
-	go remembersNothing(other, address[1])
-	var log written
+	t.Cleanup(func() { _ = listener.Close() })
+	cfg.Cluster.Members[0].Address = listener.Addr().String()
+	n1 := &emptyPeer{listener: listener, asker: address[1]}
+	go n1.serve()
+	var log safeBuffer
 	b := New(cfg, slog.New(slog.NewTextHandler(&log, nil)))
-	ctx, stop := context.WithCancel(t.Context())
+	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- b.Serve(ctx) }()
-	defer func() {
+	t.Cleanup(func() {
 		stop()
 		if err := <-ended; err != nil {
 			t.Error(err)
@@ -117,49 +128,81 @@
 		for _, p := range s.peers {
 			p.shut()
 		}
-	}()
-	for end := time.Now().Add(5 * time.Second); !log.has("msg=cluster") && time.Now().Before(end); {
+	})
+	deadline := time.Now().Add(5 * time.Second)
+	for !log.contains("msg=cluster") && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
-	hello := func(cluster, from string, life uint64) []byte {
-		return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
-			Cluster: cluster, From: from, Incarnation: life,
-			Lists: []uint64{failover.Digest(failoverMembers(cfg.Cluster.Members))},
-		}})
+	return b
+}
+
+// claimsOfUnknownNodes is a batch with ballots of nodes that nobody knows, and with a message of an unknown kind.
+func claimsOfUnknownNodes() []byte {
+	unknown := failover.Ballot{Number: 2, Node: "who", Incarnation: 9}
+	return peerproto.Append(nil, &peerproto.Batch{
+		Members: []membership.Message{{Kind: membership.Ping, Number: 1}},
+		Claims: []failover.Message{
+			{
+				Kind:   failover.MsgAcquire,
+				Key:    idempotency.Key{1},
+				Ballot: failover.Ballot{Number: 1, Node: "n1", Incarnation: 1},
+				Work:   &failover.Work{Left: int64(time.Minute)},
+			},
+			{
+				Kind:    failover.MsgFinish,
+				Key:     idempotency.Key{2},
+				Ballot:  unknown,
+				Outcome: idempotency.EntryResult,
+				Result:  []byte("x"),
+			},
+			{Kind: failover.MsgHolderCheck, Key: idempotency.Key{1}, Ballot: unknown},
+			{Kind: 99},
+		},
+	})
+}
+
+// TestForeignConnectionsAreClosed checks that a connection is closed whose sender is no member of the cluster, doesn't
+// say who it is or sends noise, whatever it asks for, and that ballots of nodes that nobody knows do no harm.
+func TestForeignConnectionsAreClosed(t *testing.T) {
+	b := startClusterNode(t)
+	address := b.cfg.Cluster.Listen
+	digests := []uint64{failover.Digest(failoverMembers(b.cfg.Cluster.Members))}
+	hello := func(cluster, from string) []byte {
+		return peerproto.Append(nil, &peerproto.Batch{
+			Hello: &peerproto.Hello{Cluster: cluster, From: from, Incarnation: 1, Lists: digests},
+		})
 	}
-	claim := peerproto.Append(nil, &peerproto.Batch{Members: []membership.Message{{Kind: membership.Ping, Number: 1}}, Claims: []failover.Message{
-		{Kind: failover.MsgAcquire, Key: idempotency.Key{1}, Ballot: failover.Ballot{Number: 1, Node: "n1", Incarnation: 1}, Work: &failover.Work{Left: int64(time.Minute)}},
-		{Kind: failover.MsgFinish, Key: idempotency.Key{2}, Ballot: failover.Ballot{Number: 2, Node: "who", Incarnation: 9}, Outcome: idempotency.EntryResult, Result: []byte("x")},
-		{Kind: failover.MsgHolderCheck, Key: idempotency.Key{1}, Ballot: failover.Ballot{Number: 2, Node: "who", Incarnation: 9}},
-		{Kind: 99},
-	}})
-	for _, c := range []struct {
+	claims := claimsOfUnknownNodes()
+	for _, test := range []struct {
 		name   string
-		text   []byte
+		sent   []byte
 		closed bool
 	}{
-		{"another cluster's", append(hello("south", "n1", 1), claim...), true},
-		{"not on the list", append(hello("north", "n9", 1), claim...), true},
-		{"itself", append(hello("north", "n3", 1), claim...), true},
-		{"nameless", claim, true},
+		{"a node of another cluster", append(hello("south", "n1"), claims...), true},
+		{"a node that is no member", append(hello("north", "n9"), claims...), true},
+		{"the node itself", append(hello("north", "n3"), claims...), true},
+		{"no hello", claims, true},
 		{"noise", []byte("GET / HTTP/1.1\r\n\r\n"), true},
 		{"a long part of nothing", append([]byte{0, 1, 0, 0}, make([]byte, 8000)...), true},
-		{"a box", append(hello("north", "n1", 1), claim...), false},
+		{"a member", append(hello("north", "n1"), claims...), false},
 	} {
-		n, err := net.Dial("tcp", address[1])
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = n.Write(c.text)
-		_ = n.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-		_, err = n.Read(make([]byte, 1))
-		if closed := errors.Is(err, io.EOF) || err != nil && !errors.Is(err, os.ErrDeadlineExceeded); closed != c.closed {
-			t.Errorf("%s: closed %v: %v", c.name, closed, err)
-		}
-		_ = n.Close()
+		t.Run(test.name, func(t *testing.T) {
+			dialed, err := net.Dial("tcp", address)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = dialed.Close() }()
+			_, _ = dialed.Write(test.sent)
+			_ = dialed.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
+			_, err = dialed.Read(make([]byte, 1))
+			closed := errors.Is(err, io.EOF) || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+			if closed != test.closed {
+				t.Errorf("closed %v, want %v: %v", closed, test.closed, err)
+			}
+		})
 	}
-	got := b.ClusterStats()
-	if got == nil || got.Members[0].State != "alive" || got.Members[1].State != "unknown" || got.Failover.Notes != 1 {
-		t.Errorf("%+v", got)
+	stats := b.ClusterStats()
+	if stats == nil || stats.Members[0].State != "alive" || stats.Members[1].State != "unknown" || stats.Failover.Notes != 1 {
+		t.Errorf("stats after all connections: %+v", stats)
 	}
 }
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -12,11 +12,13 @@
 	"time"
 )
 
-// answerMargin is how long before a client's timeout its request is answered at the latest: the answer has to get there.
+// answerMargin is how long before a client's timeout its request is answered at the latest: the answer has to get
+// there.
 const answerMargin = 10 * time.Millisecond
 
-// idempotencyGuard stands between the backend and the idempotency store, or the failover node of a cluster. It asks them before a guarded
-// request is admitted and before it is started, and carries out their decisions. It decides nothing itself.
+// idempotencyGuard stands between the backend and the idempotency store, or the failover node of a cluster. It asks
+// them before a guarded request is admitted and before it is started, and carries out their decisions. It decides
+// nothing itself.
 //
 // Its methods are called by the goroutine that owns the backend.
 type idempotencyGuard struct {
@@ -48,8 +50,9 @@
 	LoadingMS      int64             `json:"reading_ms"`
 }
 
-// init finds out which handlers are guarded, and returns the handlers' settings with those as deduplicated: the overload controller then lets
-// their repeats join the original request, and has a run go on when its client is gone, as its answer is for whoever repeats it.
+// init finds out which handlers are guarded, and returns the handlers' settings with those as deduplicated: the
+// overload controller then lets their repeats join the original request, and has a run go on when its client is gone,
+// as its answer is for whoever repeats it.
 func (g *idempotencyGuard) init(b *Backend) []overload.Handler {
 	g.backend = b
 	cfg := &b.cfg.Idempotency
@@ -76,8 +79,8 @@
 // now is the store's time of day, since 1970.
 func (g *idempotencyGuard) now() time.Duration { return g.startedAtWall + g.backend.now - g.startedAt }
 
-// admit reports whether the overload controller is to hear of a guarded request now. If not, it was answered because nothing of it can be
-// run, or the cluster is asked first.
+// admit reports whether a guarded request is to be submitted to the overload controller now. If not, it was answered
+// because nothing of it can be run, or the cluster is asked first.
 func (g *idempotencyGuard) admit(r *request) bool {
 	b := g.backend
 	r.guard.answerBy = b.now - r.arrival.Delay + b.handlers[r.handler].timeout - answerMargin
@@ -112,8 +115,8 @@
 	return false
 }
 
-// linkToOriginal tells the overload controller which request r repeats. If that is of an earlier incarnation, or has ended, the controller
-// knows nothing of it: it gets an id that is made of the key.
+// linkToOriginal tells the overload controller which request r repeats. If that is of an earlier incarnation, or has
+// ended, the controller knows nothing of it: it gets an id that is made of the key.
 func (g *idempotencyGuard) linkToOriginal(r *request) {
 	r.originalID = g.store.Original(r.guard.key)
 	if r.originalID == 0 || g.backend.requests[r.originalID] == nil {
@@ -175,7 +178,8 @@
 		g.backend.cluster.node.Join(g.now(), r.guard.key, r.id)
 		return
 	}
-	if g.store.Peek(g.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate { // proved never to have run, since the controller heard of it
+	if g.store.Peek(g.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate {
+		// Since this request was submitted, the original was proved never to have run.
 		g.applyOutcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
 		return
 	}
@@ -205,7 +209,8 @@
 	}
 }
 
-// IdempotencyStats returns the figures of the store, nil without one. It may be called from any goroutine while Serve runs and after it.
+// IdempotencyStats returns the figures of the store, nil without one. It may be called from any goroutine while Serve
+// runs and after it.
 func (b *Backend) IdempotencyStats() *IdempotencyStats {
 	if !b.guard.enabled() {
 		return nil
--- a/backend/idempotency_config.go
+++ b/backend/idempotency_config.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// KeyPart is one of the things that the idempotency key of a request is made of. Its number is part of the key, and so of what stands on disk.
+// KeyPart is one of the things that the idempotency key of a request is made of. Its number is part of the key, and so
+// of what stands on disk.
 type KeyPart uint8
 
 // The parts of an idempotency key.
@@ -18,7 +19,7 @@
 	KeyPartBody     KeyPart = 4 // the body
 )
 
-// keyPartNames are the words of the operator's file.
+// keyPartNames are the names in the operator's file.
 var keyPartNames = [...]string{
 	KeyPartID:       "id",
 	KeyPartCustomer: "customer",
@@ -26,7 +27,7 @@
 	KeyPartBody:     "body",
 }
 
-// String returns the part's word in the operator's file.
+// String returns the part's name in the operator's file.
 func (p KeyPart) String() string { return keyPartNames[p] }
 
 // IdempotencyConfig says which requests must not run twice, also across restarts. The zero value guards none.
@@ -79,7 +80,8 @@
 	defaultCommitInterval = 3 * time.Millisecond
 )
 
-// SetDefaults sets the fields of the store that are zero to defaults for a node with so many megabytes of memory; 0 means unlimited.
+// SetDefaults sets the fields of the store that are zero to defaults for a node with so many megabytes of memory; 0
+// means unlimited.
 func (c *IdempotencyConfig) SetDefaults(memoryMB float64) {
 	memory := memoryMB * (1 << 20)
 	if memory <= 0 {
--- a/backend/idempotency_key.go
+++ b/backend/idempotency_key.go
@@ -21,34 +21,34 @@
 }
 
 // hasRequiredKey reports whether a request has the field that its key is made of, if it needs one.
-func (g *idempotencyGuard) hasRequiredKey(a *parsedRequest) bool {
-	return !g.enabled() || len(a.key) > 0 || !slices.Contains(g.keyParts[a.r.handler], KeyPartField)
+func (g *idempotencyGuard) hasRequiredKey(parsed *parsedRequest) bool {
+	return !g.enabled() || len(parsed.key) > 0 || !slices.Contains(g.keyParts[parsed.r.handler], KeyPartField)
 }
 
 // stateOf returns the guard's state for a new request, nil if the request is not guarded.
-func (g *idempotencyGuard) stateOf(a *parsedRequest) *guardState {
+func (g *idempotencyGuard) stateOf(parsed *parsedRequest) *guardState {
 	if !g.enabled() {
 		return nil
 	}
-	parts := g.keyParts[a.r.handler]
+	parts := g.keyParts[parsed.r.handler]
 	replayable := false
 	if parts == nil && g.backend.cluster.enabled() {
-		parts = g.backend.cluster.keyParts[a.r.handler]
+		parts = g.backend.cluster.keyParts[parsed.r.handler]
 		replayable = true
 	}
-	if parts == nil || len(a.key) == 0 && slices.Contains(parts, KeyPartField) {
+	if parts == nil || len(parsed.key) == 0 && slices.Contains(parts, KeyPartField) {
 		return nil
 	}
 	return &guardState{
-		key:        g.keyOf(a, parts),
-		createdAt:  time.Duration(a.made * float64(time.Millisecond)),
+		key:        g.keyOf(parsed, parts),
+		createdAt:  time.Duration(parsed.made * float64(time.Millisecond)),
 		replayable: replayable,
 	}
 }
 
-// keyOf returns the idempotency key of a request: the start of a hash of its handler and the given parts. Each part goes in with its number
-// and length, so that no two different lists of parts make the same input.
-func (g *idempotencyGuard) keyOf(a *parsedRequest, parts []KeyPart) idempotency.Key {
+// keyOf returns the idempotency key of a request: the start of a hash of its handler and the given parts. Each part
+// goes in with its number and length, so that no two different lists of parts make the same input.
+func (g *idempotencyGuard) keyOf(parsed *parsedRequest, parts []KeyPart) idempotency.Key {
 	hash := sha256.New()
 	add := func(part KeyPart, value []byte) {
 		var header [9]byte
@@ -57,17 +57,17 @@
 		_, _ = hash.Write(header[:]) // never an error
 		_, _ = hash.Write(value)
 	}
-	add(0, []byte(g.backend.handlers[a.r.handler].name))
+	add(0, []byte(g.backend.handlers[parsed.r.handler].name))
 	for _, part := range parts {
 		switch part {
 		case KeyPartID:
-			add(part, []byte(a.r.wireID))
+			add(part, []byte(parsed.r.wireID))
 		case KeyPartCustomer:
-			add(part, a.owner)
+			add(part, parsed.owner)
 		case KeyPartField:
-			add(part, a.key)
+			add(part, parsed.key)
 		case KeyPartBody:
-			add(part, a.r.body)
+			add(part, parsed.r.body)
 		}
 	}
 	return idempotency.Key(hash.Sum(nil))
--- a/backend/idempotency_outcome.go
+++ b/backend/idempotency_outcome.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// abandonIntent follows an intent that is on disk but is not to be carried out: nobody waits for the request any more, or the overload
-// controller had it join another meanwhile.
+// abandonIntent follows an intent that is on disk but is not to be carried out: nobody waits for the request any more,
+// or the overload controller had it join another meanwhile.
 func (g *idempotencyGuard) abandonIntent(r *request) {
 	reason := accounting.NeverRan
 	if r.state == stateJoined {
@@ -65,7 +65,8 @@
 	g.applyOutcomes(others)
 }
 
-// recordEnd reports the end of a guarded request to the store, or the cluster, and returns whether its answer has to wait for the disk.
+// recordEnd reports the end of a guarded request to the store, or the cluster, and returns whether its answer has to
+// wait for the disk.
 func (g *idempotencyGuard) recordEnd(r *request, outcome overload.Outcome, reason accounting.Reason, body []byte) bool {
 	if r.guard.replayable {
 		g.recordReplayableEnd(r, outcome, body)
@@ -97,7 +98,8 @@
 	return kind == idempotency.EntryResult
 }
 
-// recordReplayableEnd reports the end of a request that may run twice: to the other nodes only, and its answer doesn't wait.
+// recordReplayableEnd reports the end of a request that may run twice: to the other nodes only, and its answer doesn't
+// wait.
 func (g *idempotencyGuard) recordReplayableEnd(r *request, outcome overload.Outcome, body []byte) {
 	switch {
 	case r.guard.resultDurable:
@@ -124,7 +126,8 @@
 	return idempotency.EntryFailed
 }
 
-// onTimer answers the requests that wait for the disk and can wait no longer. Their results are kept all the same once the disk has them.
+// onTimer answers the requests that wait for the disk and can wait no longer. Their results are kept all the same once
+// the disk has them.
 func (g *idempotencyGuard) onTimer() {
 	b := g.backend
 	for r := range g.awaitingDisk {
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -13,7 +13,7 @@
 
 // Times and limits of opening and closing the store.
 const (
-	// commitRecords is how many waiting records are worth a commit at once.
+	// commitRecords is how many waiting records are committed without waiting for the interval.
 	commitRecords = 64
 	// closeTimeout is how long the disk is waited for when the process ends: all answers have left by then.
 	closeTimeout = 50 * time.Millisecond
@@ -121,7 +121,8 @@
 	return loaded, err
 }
 
-// recordCounter returns a function to call for each record loaded. It logs the progress, and fails once the process ends.
+// recordCounter returns a function to call for each record loaded. It logs the progress, and fails once the process
+// ends.
 func (o *storeOpener) recordCounter() func(idempotency.LogEntry) error {
 	records := 0
 	logged := time.Now()
@@ -137,7 +138,7 @@
 		}
 		if time.Since(logged) >= loadProgressInterval {
 			logged = time.Now()
-			o.log.Info(storeMessage, "dir", o.config.Dir, "reading", records)
+			o.log.Info(storeMessage, "dir", o.config.Dir, "records_loaded", records)
 		}
 		return nil
 	}
@@ -171,8 +172,14 @@
 	g.flushEntries()
 	g.stats.LoadingMS = (b.now - began).Milliseconds()
 	stats := g.store.Stats()
-	b.log.Info(storeMessage, "dir", dir, "life", stats.Incarnation, "keys", stats.Keys, "in_doubt", stats.OutcomeUnknown,
-		"prints", stats.Fingerprints, "segments", stats.Segments, "cut", loaded.contents.TornBytes, "blind", stats.LostBefore > 0,
+	b.log.Info(storeMessage, "dir", dir,
+		"incarnation", stats.Incarnation,
+		"keys", stats.Keys,
+		"outcome_unknown", stats.OutcomeUnknown,
+		"fingerprints", stats.Fingerprints,
+		"segments", stats.Segments,
+		"torn_bytes", loaded.contents.TornBytes,
+		"history_lost", stats.LostBefore > 0,
 		"took", b.now-began)
 }
 
--- a/backend/peer_states.go
+++ b/backend/peer_states.go
@@ -21,7 +21,7 @@
 	*recovery.PeerStates
 	writing      bool
 	nextAt       time.Duration
-	announcedSeq uint64 // the last record of this node's log that the others were told of
+	announcedSeq uint64 // the last record of this node's log that was announced to the others
 }
 
 // readPeerStates returns what is remembered, which is nothing where the node is new.
--- a/backend/processor_commands.go
+++ b/backend/processor_commands.go
@@ -15,8 +15,8 @@
 	return true
 }
 
-// startCheck asks for the work of a deep health check and returns the tag of the query. Where the link is down the processor is asked once
-// the link stands.
+// startCheck asks for the work of a deep health check and returns the tag of the query. Where the link is down the
+// processor is asked once the link stands.
 func (l *processorLink) startCheck() uint64 {
 	l.lastTag++
 	l.pendingTrials = append(l.pendingTrials, l.lastTag)
@@ -51,7 +51,7 @@
 	l.write(l.backend.scratch)
 }
 
-// answer gives the run of r the reply to its call. The reply is kept until more is heard of the run.
+// answer gives the run of r the reply to its call. The reply is kept until the next notice of the run.
 func (l *processorLink) answer(r *request, body []byte) {
 	r.callReply = append(r.callReply[:0], body...)
 	r.callReplied = true
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -15,7 +15,8 @@
 	maxRedialWait = 500 * time.Millisecond
 	// maxQuiesce is how long the last answer on a connection that is to be replaced is waited for.
 	maxQuiesce = 50 * time.Millisecond
-	// oldAddressGrace is how long what is in flight may go on at an address that was replaced: there the connections are closed after 1.5 s.
+	// oldAddressGrace is how long what is in flight may go on at an address that was replaced: there the connections
+	// are closed after 1.5 s.
 	oldAddressGrace = 1400 * time.Millisecond
 	// linkShare is the part of the memory limit for commands that wait to be written, and as much again for notices.
 	linkShare = 0.25
@@ -44,9 +45,9 @@
 // String returns the name of the state.
 func (s linkState) String() string { return linkStateNames[s] }
 
-// processorLink is the link to the processor. It may break; a command that was sent before may or may not have arrived then. The processor
-// numbers and keeps its notices and takes commands in order. So an answered query for gauges proves that all commands before it have
-// arrived, and that all notices before the answer were read.
+// processorLink is the link to the processor. It may break; a command that was sent before may or may not have arrived
+// then. The processor numbers and keeps its notices and takes commands in order. So an answered query for gauges proves
+// that all commands before it have arrived, and that all notices before the answer were read.
 //
 // The state of the link follows from the connection and the queries that are open. These are the transitions:
 //
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// countNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are missing the outcomes
-// of all runs are unknown.
+// countNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are
+// missing the outcomes of all runs are unknown.
 func (l *processorLink) countNotice(n *processor.Notice) bool {
 	switch n.Kind {
 	case processor.Complete, processor.Ask, processor.Remark:
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// probeWait is how long a notice of a run that may never have been started is waited for, and then one of its interrupt: twenty ticks of
-// the processor.
+// probeWait is how long a notice of a run that may never have been started is waited for, and then one of its
+// interrupt: twenty ticks of the processor.
 const probeWait = 100 * time.Millisecond
 
 // requestsByID returns all requests in an order that is the same in each run of the program.
@@ -19,12 +19,12 @@
 	return slices.SortedFunc(maps.Values(b.requests), func(x, y *request) int { return cmp.Compare(x.id, y.id) })
 }
 
-// resync retries the commands that a break of the link may have lost; acked is the tag of the last query that was answered before the
-// break. All notices that the processor kept are read by now.
+// resync retries the commands that a break of the link may have lost; acked is the tag of the last query that was
+// answered before the break. All notices that the processor kept are read by now.
 //
-// A start that is not proved to have arrived is retried at once where the request may run again. Elsewhere a notice of the run is waited
-// for: a start could meet a run that is just ending. Without a notice the run is interrupted, and counts as never started if
-// nothing is heard of it after that either. See probe.
+// A start that is not proved to have arrived is retried at once where the request may run again. Elsewhere a notice of
+// the run is waited for: a start could meet a run that is just ending. Without a notice the run is interrupted, and
+// counts as never started if no notice follows that either. See probe.
 func (l *processorLink) resync(acked uint64) {
 	for _, r := range l.backend.requestsByID() {
 		if r.state >= stateRunning {
@@ -65,9 +65,9 @@
 	r.probeDue = l.backend.now + probeWait
 }
 
-// probe takes the next step of finding out whether a run was ever started; acked is the tag of the query that was just answered. First a
-// notice of the run is waited for, then one that follows its interrupt. If a query sent after that is answered and there was still no
-// notice, the start was lost.
+// probe takes the next step of finding out whether a run was ever started; acked is the tag of the query that was just
+// answered. First a notice of the run is waited for, then one that follows its interrupt. If a query sent after that is
+// answered and there was still no notice, the start was lost.
 func (l *processorLink) probe(r *request, acked uint64) {
 	now := l.backend.now
 	switch {
@@ -101,8 +101,8 @@
 	l.retryStart(r, true, "it is proved never to have run")
 }
 
-// noticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that still run are
-// interrupted.
+// noticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that
+// still run are interrupted.
 func (l *processorLink) noticesLost() {
 	for _, r := range l.backend.requestsByID() {
 		if r.state >= stateRunning && r.startSent {
@@ -112,7 +112,8 @@
 	}
 }
 
-// startCommand describes the start of r for the decision whether it may be retried; neverRan says that the first is proved to be lost.
+// startCommand describes the start of r for the decision whether it may be retried; neverRan says that the first is
+// proved to be lost.
 func (l *processorLink) startCommand(r *request, neverRan bool) lifecycle.Command {
 	return lifecycle.Command{
 		Repeatable: l.backend.handlers[r.handler].replayable,
--- a/backend/processor_verify.go
+++ b/backend/processor_verify.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// maxUnverified is how long the processor's word whether it knows a request is waited for: far past any pause of it.
+// maxUnverified is how long the processor's answer whether it knows a request is waited for: far past any pause of it.
 const maxUnverified = 500 * time.Millisecond
 
-// verify asks whether the processor knows r, and reports whether there is anybody to ask. It is called for the first request of a client
-// connection, and for each that would be answered from the cache, since the processor is not asked to run that one. An interrupt
-// finds no run and does nothing, but is rejected where no such request came to this machine. This keeps clients that are no edge nodes
-// from distorting what the overload controller measures. It costs the first request of a connection one round trip to the processor.
+// verify asks whether the processor knows r, and reports whether there is anybody to ask. It is called for the first
+// request of a client connection, and for each that would be answered from the cache, since the processor is not asked
+// to run that one. An interrupt finds no run and does nothing, but is rejected where no such request came to this
+// machine. This keeps clients that are no edge nodes from distorting what the overload controller measures. It costs
+// the first request of a connection one round trip to the processor.
 func (l *processorLink) verify(r *request) bool {
 	if !l.ready() || !l.backend.canCancel {
 		return false // nobody to ask, or all interrupts are rejected
@@ -29,7 +30,8 @@
 	}
 }
 
-// expireUnverified ends the wait where the processor doesn't answer: the overload controller decides, and knows when an answer is due.
+// expireUnverified ends the wait where the processor doesn't answer: the overload controller decides, and knows when an
+// answer is due.
 func (l *processorLink) expireUnverified() {
 	if len(l.unverified) == 0 {
 		return
@@ -42,7 +44,8 @@
 	}
 }
 
-// admit takes the unverified requests up to a query's tag as known: they were not rejected before that query was answered.
+// admit takes the unverified requests up to a query's tag as known: they were not rejected before that query was
+// answered.
 func (l *processorLink) admit(tag uint64) {
 	for len(l.unverified) > 0 && l.unverified[0].verifyTag <= tag {
 		r := l.unverified[0]
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -12,8 +12,8 @@
 const (
 	// maxWitnesses is how many nodes of a list remember the state of one: two majorities of them overlap.
 	maxWitnesses = 4
-	// peerStateInterval is the time between writes of what this node remembers, and between its announcements of how far its log is. The
-	// loss of the last two intervals of a log is not found.
+	// peerStateInterval is the time between writes of what this node remembers, and between its announcements of how
+	// far its log is. The loss of the last two intervals of a log is not found.
 	peerStateInterval = 250 * time.Millisecond
 )
 
@@ -44,8 +44,8 @@
 	c.runRecovery()
 }
 
-// witnesses returns the nodes that remember how far this node's log is: some of each list, the same whoever computes them, so that what is
-// announced and asked doesn't grow with the fleet.
+// witnesses returns the nodes that remember how far this node's log is: some of each list, the same whoever computes
+// them, so that what is announced and asked doesn't grow with the fleet.
 func (c *cluster) witnesses() (names []string) {
 	own := c.backend.cfg.Name
 	var key idempotency.Key
@@ -120,7 +120,8 @@
 	c.incarnation = c.store.Stats().Incarnation
 }
 
-// recoveryTick does what is due of the recovery, announces how far this node's log is, and has what it remembers of others written.
+// recoveryTick does what is due of the recovery, announces how far this node's log is, and has what it remembers of
+// others written.
 func (c *cluster) recoveryTick() {
 	if c.recovery == nil {
 		return
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -7,11 +7,12 @@
 	"slices"
 )
 
-// maxUnknownKeys is how many keys with an unknown outcome the other nodes are asked for at a start: as many as can have been in flight.
+// maxUnknownKeys is how many keys with an unknown outcome the other nodes are asked for at a start: as many as can have
+// been in flight.
 const maxUnknownKeys = 4096
 
-// refillState is what this node is still to be told by the others: the history that its disk lacks, and the outcomes of runs whose end it does
-// not know.
+// refillState is what this node still asks of the others: the history that its disk lacks, and the outcomes of
+// runs whose end it does not know.
 type refillState struct {
 	from    *recovery.Refill[failover.Cursor] // nil while nothing is lacking
 	unknown *recovery.UnknownOutcomes
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -18,13 +18,13 @@
 	maxCachedResult = 4 << 10
 	// maxRecentRepeats is how many ids of the repeats of an entry are kept.
 	maxRecentRepeats = 8
-	// windowMargin is added to a window: both the start of a request and the time are told in whole milliseconds.
+	// windowMargin is added to a window: both the start of a request and the time come in whole milliseconds.
 	windowMargin = 2 * time.Millisecond
 )
 
-// cacheKey is what requests must have in common so that one may be answered with another's result. For a request that must run once it is
-// the idempotency key, which is its customer's own. For a read it is the object read and the body, since the result is made of both.
-// A key without a name is none.
+// cacheKey is what requests must have in common so that one may be answered with another's result. For a request that
+// must run once it is the idempotency key, which is its customer's own. For a read it is the object read and the body,
+// since the result is made of both. A key without a name is none.
 type cacheKey struct {
 	handler     int
 	owner, name string
@@ -44,8 +44,9 @@
 	bytes         int
 }
 
-// resultCache holds requests that others may repeat. Reads are kept as long as the overload controller says, and their results may be
-// shared. Requests that must run once are kept from their arrival until all that arrived within their window was read.
+// resultCache holds requests that others may repeat. Reads are kept as long as the overload controller says, and their
+// results may be shared. Requests that must run once are kept from their arrival until all that arrived within their
+// window was read.
 //
 // Its methods are called by the goroutine that owns the backend.
 type resultCache struct {
@@ -90,12 +91,13 @@
 	return entry
 }
 
-// lookup marks a request that the overload controller is about to hear of as a repeat of the cached one, if there is one. A request that
-// must run once is cached from then on, since its repeat may come in the same batch.
+// lookup marks a request that is about to be submitted to the overload controller as a repeat of the cached one, if
+// there is one. A request that must run once is cached from then on, since its repeat may come in the same batch.
 //
-// It returns why the request can't be admitted, or accounting.None. There may be no room to cache it, or nobody could be asked whether the
-// processor knows it, or its id is that of an earlier attempt. Each attempt has an id of its own: somebody replays what an edge node
-// sent, and the processor, which knows the id, would not be asked to run what is answered from the cache.
+// It returns why the request can't be admitted, or accounting.None. There may be no room to cache it, or nobody could
+// be asked whether the processor knows it, or its id is that of an earlier attempt. Each attempt has an id of its own:
+// somebody replays what an edge node sent, and the processor, which knows the id, would not be asked to run what is
+// answered from the cache.
 func (c *resultCache) lookup(r *request) accounting.Reason {
 	if r.subject.name == "" {
 		return accounting.None // nothing by which a repeat could be known
@@ -151,7 +153,8 @@
 	return float64(c.resultBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
 }
 
-// remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it says for how long.
+// remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it
+// says for how long.
 func (c *resultCache) remember(r *request, lifetime time.Duration) {
 	if r.subject.name == "" || c.byID[r.id] == nil && !c.add(r) {
 		return
@@ -175,7 +178,8 @@
 	delete(c.byID, entry.id)
 }
 
-// join answers a repeat like the original request, now or when that ends. An original that is no longer cached never ran.
+// join answers a repeat like the original request, now or when that ends. An original that is no longer cached never
+// ran.
 func (c *resultCache) join(r *request) {
 	if original := c.backend.requests[r.originalID]; original != nil {
 		r.state = stateJoined
@@ -201,7 +205,8 @@
 	}
 }
 
-// ended follows the end of an original request: its result is kept for a while if it succeeded, and its followers are answered alike.
+// ended follows the end of an original request: its result is kept for a while if it succeeded, and its followers are
+// answered alike.
 func (c *resultCache) ended(original *request, outcome overload.Outcome, ran bool, result []byte) {
 	ok := outcome == overload.OK
 	if entry := c.byID[original.id]; entry != nil {
@@ -216,8 +221,8 @@
 	}
 }
 
-// storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run once is dropped only
-// if it never ran: otherwise a repeat would be its second run.
+// storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run
+// once is dropped only if it never ran: otherwise a repeat would be its second run.
 func (c *resultCache) storeEnd(entry *cacheEntry, ok, ran bool, result []byte) {
 	entry.ended = true
 	c.resultBytes -= entry.bytes
@@ -237,8 +242,8 @@
 	}
 }
 
-// sweep drops the entries that have expired. A request that must run once stays until all that arrived within its window was read: what lay
-// unread for longer than its client's timeout is rejected on arrival.
+// sweep drops the entries that have expired. A request that must run once stays until all that arrived within its
+// window was read: what lay unread for longer than its client's timeout is rejected on arrival.
 func (c *resultCache) sweep() {
 	for _, entry := range c.byID { // only removals: the order doesn't matter
 		expiresAt := entry.expiresAt
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -6,84 +6,104 @@
 	"frosthub/overload"
 	"testing"
 	"time"
-
-	"github.com/google/go-cmp/cmp"
 )
 
-// keysAt is a table of remembered reqs whose clock the test sets.
-func keysAt(t *testing.T, memoryMB string) *Backend {
+// newCacheBackend returns a backend that doesn't serve, for tests of its result cache that set the clock.
+func newCacheBackend(t *testing.T, memoryMB string) *Backend {
+	t.Helper()
 	s := &stage{t: t, listen: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
 	s.newPeers("")
 	t.Cleanup(func() { s.processor.shut(); s.tier.shut() })
 	return New(s.config(), nil)
 }
 
-// reads gives a req of a handler that came so long before it is read now.
-func (b *Backend) reads(id uint64, h int, name string, unread time.Duration) *request {
-	return &request{id: id, handler: h, subject: cacheKey{handler: h, name: name}, verified: true, arrivedAt: b.now - unread, readAt: b.now}
+// Handlers of the test's settings.
+const (
+	readHandler  = 0 // reads, shared for 0.8 s
+	claimHandler = 1 // runs once, with a window of 60 s
+)
+
+// newCacheRequest returns a request that is read now and arrived some time before.
+func newCacheRequest(b *Backend, id uint64, handler int, name string, unread time.Duration) *request {
+	return &request{
+		id:        id,
+		handler:   handler,
+		subject:   cacheKey{handler: handler, name: name},
+		verified:  true,
+		arrivedAt: b.now - unread,
+		readAt:    b.now,
+	}
 }
 
-// TestWindows: what repeats a req that must run once is told by when it came and not by when it was read; the result of a
-// read is shared until so long after its end. The test's handlers: 0 are reads, shared for 0.8 s; 1 has a window of 60 s.
-func TestWindows(t *testing.T) {
-	b := keysAt(t, "192")
-	var got []string
-	step := func(at time.Duration, id uint64, h int, unread time.Duration) {
-		b.now = at
+// TestCacheWindows checks that whether a request repeats one that must run once depends on when it arrived and not on
+// when it was read, and that the result of a read is shared until some time after its end.
+func TestCacheWindows(t *testing.T) {
+	b := newCacheBackend(t, "192")
+	const second, ms = time.Second, time.Millisecond
+	for _, step := range []struct {
+		at      time.Duration
+		id      uint64
+		handler int
+		unread  time.Duration
+		repeats uint64
+	}{
+		{at: 1 * second, id: 1, handler: claimHandler},
+		{at: 61*second - ms, id: 2, handler: claimHandler, repeats: 1},
+		{at: 61*second + 500*ms, id: 3, handler: claimHandler, unread: 501 * ms, repeats: 1}, // arrived in the window's last moment
+		{at: 62 * second, id: 4, handler: claimHandler, unread: second - 3*ms},               // arrived right after it
+		{at: 62 * second, id: 5, handler: readHandler},
+		{at: 62*second + 799*ms, id: 6, handler: readHandler, repeats: 5},
+		{at: 62*second + 801*ms, id: 7, handler: readHandler, unread: 10 * ms},
+	} {
+		b.now = step.at
 		b.results.sweep()
-		r := b.reads(id, h, "k", unread)
+		r := newCacheRequest(b, step.id, step.handler, "k", step.unread)
 		b.results.lookup(r)
-		got = append(got, fmt.Sprintf("%d repeats %d", id, r.originalID))
+		if r.originalID != step.repeats {
+			t.Errorf("request %d repeats %d, want %d", step.id, r.originalID, step.repeats)
+		}
 		if r.originalID == 0 {
 			b.results.remember(r, time.Hour)
 			b.results.ended(r, overload.OK, true, []byte("x"))
 		}
 	}
-	const s, ms = time.Second, time.Millisecond
-	step(1*s, 1, 1, 0)
-	step(61*s-ms, 2, 1, 0)
-	step(61*s+500*ms, 3, 1, 501*ms) // came in the window's last moment and lay unread
-	step(62*s, 4, 1, s-3*ms)        // came right after it
-	step(62*s, 5, 0, 0)
-	step(62*s+799*ms, 6, 0, 0)
-	step(62*s+801*ms, 7, 0, 10*ms)
-	want := []string{"1 repeats 0", "2 repeats 1", "3 repeats 1", "4 repeats 0", "5 repeats 0", "6 repeats 5", "7 repeats 0"}
-	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
-	}
 	b.now = time.Hour
 	b.results.sweep()
 	if len(b.results.byID) > 0 || len(b.results.entries) > 0 || b.results.resultBytes != 0 {
-		t.Error("not all is let go:", len(b.results.byID), len(b.results.entries), b.results.resultBytes)
+		t.Error("not all has expired:", len(b.results.byID), len(b.results.entries), b.results.resultBytes)
 	}
 }
 
-// TestKeysFull: at the bound of memory what must run once is refused, and none of what is remembered is forgotten.
-func TestKeysFull(t *testing.T) {
-	b := keysAt(t, "1")
-	taken := 0
-	for i := range uint64(100) {
-		if r := b.reads(i+1, 1, fmt.Sprint(i), 0); b.results.lookup(r) == accounting.None {
-			taken++
+// TestCacheFull checks that at the limit of memory requests that must run once are rejected, and none of the cached
+// ones is dropped.
+func TestCacheFull(t *testing.T) {
+	b := newCacheBackend(t, "1")
+	claim := func(id uint64, name int) *request { return newCacheRequest(b, id, claimHandler, fmt.Sprint(name), 0) }
+	admitted := 0
+	for i := range 100 {
+		if b.results.lookup(claim(uint64(i)+1, i)) == accounting.None {
+			admitted++
 		}
 	}
-	if taken == 0 || taken == 100 || float64(b.results.resultBytes) > b.memoryShare(resultCacheShare) {
-		t.Error(taken, "of 100 are taken,", b.results.resultBytes, "bytes are kept")
+	if admitted == 0 || admitted == 100 || float64(b.results.resultBytes) > b.memoryShare(resultCacheShare) {
+		t.Error(admitted, "of 100 are admitted,", b.results.resultBytes, "bytes are kept")
 	}
-	for i := range uint64(taken) {
-		b.results.ended(b.reads(i+1, 1, fmt.Sprint(i), 0), overload.Failed, true, nil)
-		if r := b.reads(i+1000, 1, fmt.Sprint(i), 0); b.results.lookup(r) != accounting.None || r.originalID != i+1 {
+	for i := range admitted {
+		id := uint64(i) + 1
+		b.results.ended(claim(id, i), overload.Failed, true, nil)
+		if r := claim(id+999, i); b.results.lookup(r) != accounting.None || r.originalID != id {
 			t.Fatal(i, "is forgotten")
 		}
 	}
 	b.results.ended(&request{id: 1}, overload.Failed, false, nil)
-	if r := b.reads(2000, 1, "0", 0); b.results.lookup(r) != accounting.None || r.originalID != 0 {
-		t.Error("what never ran is still known")
+	if r := claim(2000, 0); b.results.lookup(r) != accounting.None || r.originalID != 0 {
+		t.Error("a request that never ran is still cached")
 	}
 }
 
-// TestFieldsOfOthers: a customer is known by its name in the settings, and how long a caller waits by what it tells.
-func TestFieldsOfOthers(t *testing.T) {
+// TestOptionalRequestFields checks that a customer is known by its name in the settings, and that a client's timeout is
+// taken from its header.
+func TestOptionalRequestFields(t *testing.T) {
 	for _, front := range []string{"fastcgi", "ajp"} {
 		t.Run(front, func(t *testing.T) {
 			t.Parallel()
@@ -96,12 +116,12 @@
 			s.step([]string{"edge", "a", "sends", "2", "HTTP_X_TENANT=east"})
 			s.settle(2)
 			s.b.onOwner(func() {
-				told, other := s.b.requests[1], s.b.requests[2]
-				if told == nil || told.arrival.Customer != 1 || told.arrival.Remaining <= 0 || told.arrival.Remaining > 700*time.Millisecond {
-					t.Error("a told customer and time:", told)
+				known, unknown := s.b.requests[1], s.b.requests[2]
+				if known == nil || known.arrival.Customer != 1 || known.arrival.Remaining <= 0 || known.arrival.Remaining > 700*time.Millisecond {
+					t.Error("a known customer with a timeout:", known)
 				}
-				if other == nil || other.arrival.Customer != -1 || other.arrival.Remaining != 0 {
-					t.Error("a customer that the settings don't know:", other)
+				if unknown == nil || unknown.arrival.Customer != -1 || unknown.arrival.Remaining != 0 {
+					t.Error("a customer that the settings don't have:", unknown)
 				}
 			})
 		})
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -16,8 +16,9 @@
 // rosterFileName is the file in the directory of the store that holds the roster that this node has adopted.
 const rosterFileName = "cluster.json"
 
-// clusterRoster is the members of a cluster as a node has adopted them, with their addresses. The record of it on disk is as new as
-// what the node acts on, or newer: what the node starts with after a restart is what others may know of it.
+// clusterRoster is the members of a cluster as a node has adopted them, with their addresses. The record of it on disk
+// is as new as what the node acts on, or newer: what the node starts with after a restart is what others may know of
+// it.
 type clusterRoster struct {
 	Members  []ClusterMember `json:"members"`
 	Previous []ClusterMember `json:"before,omitempty"` // while the members change: those before
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -9,7 +9,8 @@
 
 // Limits of calls to the next tier, whichever protocol carries them.
 const (
-	// callGrace is how long past its timeout a call is waited for: the server that runs it should report the timeout first.
+	// callGrace is how long past its timeout a call is waited for: the server that runs it should report the timeout
+	// first.
 	callGrace = 20 * time.Millisecond
 	// upstreamConnShare is the part of the descriptors that connections to the next tier may take.
 	upstreamConnShare = 0.125
@@ -17,8 +18,8 @@
 	maxUnsentCalls = 256 << 10
 )
 
-// upstream makes the calls that runs need from the next tier. The overload controller decides which calls are made; an upstream only
-// carries them. All methods are called by the goroutine that owns the backend.
+// upstream makes the calls that runs need from the next tier. The overload controller decides which calls are made; an
+// upstream only carries them. All methods are called by the goroutine that owns the backend.
 type upstream interface {
 	// reservedConns is the number of connections that the upstream may hold.
 	reservedConns() int
@@ -91,7 +92,8 @@
 	r.state = stateAwaitingCall
 }
 
-// call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried where that does harm.
+// call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried
+// where that does harm.
 func (b *Backend) call(r *request, after time.Duration) {
 	command := lifecycle.Command{
 		Repeatable: b.handlers[r.handler].replayable,
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -19,8 +19,8 @@
 	Secret   string // sent with each call; empty: none
 }
 
-// ajpUpstream makes calls over AJP to the targets that the load balancer picks. A call is retried at another target only where it is
-// proved never to have run. A call that may have run is the overload controller's to retry.
+// ajpUpstream makes calls over AJP to the targets that the load balancer picks. A call is retried at another target
+// only where it is proved never to have run. A call that may have run is the overload controller's to retry.
 type ajpUpstream struct {
 	upstreamCalls
 	balancer *loadbalance.Balancer
@@ -64,8 +64,8 @@
 	u.dial(waiting)
 }
 
-// assign has a connection carry a call. Where it was idle for a while, or its target may be down, the target is asked first whether it is
-// there.
+// assign has a connection carry a call. Where it was idle for a while, or its target may be down, the target is asked
+// first whether it is there.
 func (u *ajpUpstream) assign(carrier *ajpConn, waiting *call) {
 	b := u.backend
 	carrier.call = waiting
@@ -197,7 +197,8 @@
 	u.backend.callEnded(ended, outcome)
 }
 
-// drop takes a call of which nothing is known from its target and closes its connection: AJP has no other way to abort a call.
+// drop takes a call of which nothing is known from its target and closes its connection: AJP has no other way to abort
+// a call.
 func (u *ajpUpstream) drop(dropped *call, outcome loadbalance.Outcome) {
 	carrier := dropped.ajpConn
 	if dropped.target != nil {
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -132,8 +132,8 @@
 	c.CloseAfterSend(conn.ErrClosedLocally)
 }
 
-// onClosed handles the end of a connection by the other side. A call of which no byte had left, or that waited for a CPong, never ran; of
-// any other nothing is proved.
+// onClosed handles the end of a connection by the other side. A call of which no byte had left, or that waited for a
+// CPong, never ran; of any other nothing is proved.
 func (u *ajpUpstream) onClosed(closed *ajpConn) {
 	c := closed.conn
 	if c == nil {
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// proxyMaxIdle is how long a connection may be idle and still be used. Proxies close idle connections after 10 s, some far sooner:
-	// this side closes first.
+	// proxyMaxIdle is how long a connection may be idle and still be used. Proxies close idle connections after 10 s,
+	// some far sooner: this side closes first.
 	proxyMaxIdle = time.Second
-	// idleBackoff is the part of the idle time after which the proxy had dropped a connection that becomes the new maximum.
+	// idleBackoff is the part of the idle time after which the proxy had dropped a connection that becomes the new
+	// maximum.
 	idleBackoff = 0.25
-	// deadConnWindow is how soon after a call was sent the end of its connection shows that the proxy had dropped the connection
-	// before: no call takes so little.
+	// deadConnWindow is how soon after a call was sent the end of its connection shows that the proxy had dropped the
+	// connection before: no call takes so little.
 	deadConnWindow = 2 * time.Millisecond
 )
 
-// proxyUpstream makes calls to a proxy in front of the next tier. As long as there is room for more connections each carries one call at
-// a time, so that a malformed reply, a reset or a reply that never comes costs one call. A connection on which such a thing happened is
-// retired. That covers a proxy that breaks one call in many; where the proxy is sound it costs descriptors.
+// proxyUpstream makes calls to a proxy in front of the next tier. As long as there is room for more connections each
+// carries one call at a time, so that a malformed reply, a reset or a reply that never comes costs one call. A
+// connection on which such a thing happened is retired. That covers a proxy that breaks one call in many; where the
+// proxy is sound it costs descriptors.
 type proxyUpstream struct {
 	upstreamCalls
 	address string
@@ -64,7 +66,8 @@
 	u.place(added)
 }
 
-// place gives a call a connection: a free one, a new one, or where there is no room for more the one with the fewest calls.
+// place gives a call a connection: a free one, a new one, or where there is no room for more the one with the fewest
+// calls.
 func (u *proxyUpstream) place(waiting *call) {
 	b := u.backend
 	for i := len(u.idle) - 1; i >= 0; i-- {
@@ -136,8 +139,8 @@
 	u.release(opened)
 }
 
-// dialFailed ends the call for which the connection was dialed. After a timeout of the dial the calls wait for another dial instead, as
-// long as their own timeouts allow.
+// dialFailed ends the call for which the connection was dialed. After a timeout of the dial the calls wait for another
+// dial instead, as long as their own timeouts allow.
 func (u *proxyUpstream) dialFailed(err error) {
 	u.backend.logLimited("next tier not reached", "why", err)
 	if !errors.Is(err, conn.ErrDialTimeout) {
@@ -203,9 +206,10 @@
 	}
 }
 
-// onClosed handles the end of a connection. A call of which no byte had left never ran and gets another connection; of the others nothing
-// is proved. A connection that broke right after a call was sent on it had been dropped by the proxy while it was idle: from then on
-// connections may be idle for a shorter time, as dialing one costs less than a failed call.
+// onClosed handles the end of a connection. A call of which no byte had left never ran and gets another connection; of
+// the others nothing is proved. A connection that broke right after a call was sent on it had been dropped by the proxy
+// while it was idle: from then on connections may be idle for a shorter time, as dialing one costs less than a failed
+// call.
 func (u *proxyUpstream) onClosed(closed *proxyConn) {
 	u.forget(closed)
 	for _, id := range slices.Sorted(maps.Keys(closed.calls)) {
@@ -257,7 +261,8 @@
 	u.backend.callEnded(ended, outcome)
 }
 
-// cancel gives up the call of r, if there is one. Its reply may be on the way or never come, so its connection takes no more calls.
+// cancel gives up the call of r, if there is one. Its reply may be on the way or never come, so its connection takes no
+// more calls.
 func (u *proxyUpstream) cancel(r *request) {
 	cancelled := r.call
 	if cancelled == nil {
