--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -47,14 +47,14 @@
 // onForeignNotice handles a notice of the processor of a lost node.
 func (c *cluster) onForeignNotice(node string, from *conn.Conn, notice *processor.Notice) {
 	switch notice.Kind {
-	case processor.Hi:
-		from.Write(processor.AppendUsage(nil, 1)) // its answer follows all notices that are kept
+	case processor.Hello:
+		from.Write(processor.AppendGaugeRequest(nil, 1)) // its answer follows all notices that are kept
 	case processor.Complete:
 		switch notice.Outcome {
 		case overload.OK, overload.Failed, overload.Stopped:
 			c.node.FinishFromProcessor(c.backend.guard.now(), node, notice.ID, entryKindOf(notice.Outcome), notice.Body)
 		}
-	case processor.Used:
+	case processor.Gauges:
 		from.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
--- a/backend/idempotency_key.go
+++ b/backend/idempotency_key.go
@@ -22,7 +22,7 @@
 
 // hasRequiredKey reports whether a request has the field that its key is made of, if it needs one.
 func (g *idempotencyGuard) hasRequiredKey(parsed *parsedRequest) bool {
-	return !g.enabled() || len(parsed.key) > 0 || !slices.Contains(g.keyParts[parsed.r.handler], KeyPartField)
+	return !g.enabled() || len(parsed.guardKey) > 0 || !slices.Contains(g.keyParts[parsed.request.handler], KeyPartField)
 }
 
 // stateOf returns the guard's state for a new request, nil if the request is not guarded.
@@ -30,18 +30,18 @@
 	if !g.enabled() {
 		return nil
 	}
-	parts := g.keyParts[parsed.r.handler]
+	parts := g.keyParts[parsed.request.handler]
 	replayable := false
 	if parts == nil && g.backend.cluster.enabled() {
-		parts = g.backend.cluster.keyParts[parsed.r.handler]
+		parts = g.backend.cluster.keyParts[parsed.request.handler]
 		replayable = true
 	}
-	if parts == nil || len(parsed.key) == 0 && slices.Contains(parts, KeyPartField) {
+	if parts == nil || len(parsed.guardKey) == 0 && slices.Contains(parts, KeyPartField) {
 		return nil
 	}
 	return &guardState{
 		key:        g.keyOf(parsed, parts),
-		createdAt:  time.Duration(parsed.made * float64(time.Millisecond)),
+		createdAt:  time.Duration(parsed.createdAt * float64(time.Millisecond)),
 		replayable: replayable,
 	}
 }
@@ -57,17 +57,17 @@
 		_, _ = hash.Write(header[:]) // never an error
 		_, _ = hash.Write(value)
 	}
-	add(0, []byte(g.backend.handlers[parsed.r.handler].name))
+	add(0, []byte(g.backend.handlers[parsed.request.handler].name))
 	for _, part := range parts {
 		switch part {
 		case KeyPartID:
-			add(part, []byte(parsed.r.wireID))
+			add(part, []byte(parsed.request.wireID))
 		case KeyPartCustomer:
-			add(part, parsed.owner)
+			add(part, parsed.customerID)
 		case KeyPartField:
-			add(part, parsed.key)
+			add(part, parsed.guardKey)
 		case KeyPartBody:
-			add(part, parsed.r.body)
+			add(part, parsed.request.body)
 		}
 	}
 	return idempotency.Key(hash.Sum(nil))
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -62,7 +62,7 @@
 			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "why", "no such handler", "handler", name)
 		}
 	}
-	b.clock()
+	b.readClocks()
 	g.startedAtWall = b.wall
 	g.startedAt = b.now
 	g.awaitingDisk = map[*request]struct{}{}
--- a/backend/processor_commands.go
+++ b/backend/processor_commands.go
@@ -10,7 +10,7 @@
 		return false
 	}
 	l.lastTag++
-	l.backend.scratch = processor.AppendUsage(l.backend.scratch[:0], l.lastTag)
+	l.backend.scratch = processor.AppendGaugeRequest(l.backend.scratch[:0], l.lastTag)
 	l.write(l.backend.scratch)
 	return true
 }
@@ -21,7 +21,7 @@
 	l.lastTag++
 	l.pendingTrials = append(l.pendingTrials, l.lastTag)
 	if l.greeted {
-		l.write(processor.AppendTrial(nil, l.lastTag))
+		l.write(processor.AppendCheck(nil, l.lastTag))
 	}
 	return l.lastTag
 }
@@ -64,6 +64,6 @@
 	if !l.ready() {
 		return
 	}
-	l.backend.scratch = processor.AppendAnswer(l.backend.scratch[:0], r.wireID, r.callReply)
+	l.backend.scratch = processor.AppendCallReply(l.backend.scratch[:0], r.wireID, r.callReply)
 	l.write(l.backend.scratch)
 }
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -14,19 +14,19 @@
 		return
 	}
 	switch n.Kind {
-	case processor.Hi:
+	case processor.Hello:
 		l.onHello(&n)
 	case processor.Complete:
 		if r := b.requests[n.ID]; r != nil {
-			b.runEnded(r, n.Outcome, reasonOf(n.Outcome), n.Took, n.Body)
+			b.runEnded(r, n.Outcome, reasonOf(n.Outcome), n.Elapsed, n.Body)
 		}
-	case processor.Ask:
+	case processor.CallRequest:
 		if r := b.requests[n.ID]; r != nil {
 			l.onCallRequest(r, n.Body)
 		}
-	case processor.Used:
+	case processor.Gauges:
 		l.onGauges(&n)
-	case processor.Tried:
+	case processor.CheckDone:
 		l.pendingTrials = slices.DeleteFunc(l.pendingTrials, func(tag uint64) bool { return tag == n.Tag })
 		b.frontend.checkDone(n.Tag, n.Outcome == overload.OK)
 	case processor.Reject:
@@ -40,18 +40,18 @@
 // missing the outcomes of all runs are unknown.
 func (l *processorLink) countNotice(n *processor.Notice) bool {
 	switch n.Kind {
-	case processor.Complete, processor.Ask, processor.Remark:
+	case processor.Complete, processor.CallRequest, processor.Remark:
 	default:
 		return true // not numbered
 	}
-	if n.N <= l.lastNotice {
+	if n.Number <= l.lastNotice {
 		return false // read before the link broke
 	}
-	if n.N != l.lastNotice+1 {
-		l.backend.logLimited("notices missing", "after", l.lastNotice, "got", n.N)
+	if n.Number != l.lastNotice+1 {
+		l.backend.logLimited("notices missing", "after", l.lastNotice, "got", n.Number)
 		l.noticesLost()
 	}
-	l.lastNotice = n.N
+	l.lastNotice = n.Number
 	return true
 }
 
@@ -61,15 +61,15 @@
 	l.greeted = true
 	l.redialWait = firstRedialWait
 	if b.controller == nil {
-		b.processorUp(n.Cold, b.now-min(n.Took, b.now))
-	} else if n.Took < l.processorAge { // one that went on would be older, however long the notice lay unread
-		b.logLimited("processor started anew", "age", n.Took)
+		b.processorUp(n.WarmingUp, b.now-min(n.Elapsed, b.now))
+	} else if n.Elapsed < l.processorAge { // one that went on would be older, however long the notice lay unread
+		b.logLimited("processor started anew", "age", n.Elapsed)
 		l.noticesLost()
 		l.lastNotice = 0
 	}
-	l.processorAge = n.Took
+	l.processorAge = n.Elapsed
 	for _, tag := range l.pendingTrials {
-		l.write(processor.AppendTrial(nil, tag))
+		l.write(processor.AppendCheck(nil, tag))
 	}
 	l.requestGauges()
 	l.resyncTag = l.lastTag
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -87,13 +87,13 @@
 	carrier.pongBy = 0
 	carrier.usedAt = b.now
 	carrier.sentMark = carrier.conn.QueuedTotal()
-	carrier.parser.Waiting = true
+	carrier.parser.AwaitingResponse = true
 	left := max(1, (carrier.call.deadline - b.now).Milliseconds())
-	forward := ajp.Forward{
+	forward := ajp.ForwardRequest{
 		Path:   "/invoke/" + b.handlers[r.handler].name,
 		Secret: b.cfg.AJPUpstream.Secret,
 		Body:   r.callBody,
-		Fields: []ajp.Field{
+		Headers: []ajp.Header{
 			{Name: "X-Request-Id", Value: r.wireID},
 			{Name: "X-Request-Start", Value: strconv.FormatInt(b.wall.Milliseconds(), 10)},
 			{Name: "X-Timeout-Ms", Value: strconv.FormatInt(left, 10)},
@@ -104,12 +104,12 @@
 	}
 	maxPacket := b.cfg.AJP.packet()
 	b.scratch = ajp.AppendForward(b.scratch[:0], &forward, maxPacket)
-	carrier.unsentBody = r.callBody[min(len(r.callBody), ajp.PartMost(maxPacket)):]
+	carrier.unsentBody = r.callBody[min(len(r.callBody), ajp.MaxBodyChunk(maxPacket)):]
 	carrier.conn.Write(b.scratch)
 }
 
 // onAnswer handles a message of a server.
-func (u *ajpUpstream) onAnswer(from *ajpConn, answer ajp.Answer) {
+func (u *ajpUpstream) onAnswer(from *ajpConn, answer ajp.Reply) {
 	b := u.backend
 	answered := from.call
 	switch answer.Kind {
@@ -118,10 +118,10 @@
 			u.send(from)
 		}
 		return
-	case ajp.Wants:
+	case ajp.GetBodyChunk:
 		if answered != nil {
-			maxPart := min(b.cfg.AJP.packet(), answer.Room+ajp.PartAround)
-			b.scratch, from.unsentBody = ajp.AppendPart(b.scratch[:0], from.unsentBody, maxPart)
+			maxPart := min(b.cfg.AJP.packet(), answer.MaxLength+ajp.BodyChunkOverhead)
+			b.scratch, from.unsentBody = ajp.AppendBodyChunk(b.scratch[:0], from.unsentBody, maxPart)
 			from.conn.Write(b.scratch)
 		}
 		return
@@ -141,7 +141,7 @@
 }
 
 // endAnswered ends a call, or retries it at another target, as the answer's status says.
-func (u *ajpUpstream) endAnswered(answered *call, answer *ajp.Answer) {
+func (u *ajpUpstream) endAnswered(answered *call, answer *ajp.Reply) {
 	switch answer.Status {
 	case 200:
 		u.leaveTarget(answered, loadbalance.Succeeded)
@@ -163,8 +163,8 @@
 	}
 }
 
-func forbidsRetry(answer *ajp.Answer) (forbidden bool) {
-	answer.Fields.Each(func(name, value []byte) {
+func forbidsRetry(answer *ajp.Reply) (forbidden bool) {
+	answer.Headers.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, dontRetryName) && string(value) == "1" {
 			forbidden = true
 		}
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -96,7 +96,7 @@
 	opened := &ajpConn{conn: c, parser: ajp.NewClient(b.cfg.AJP.packet()), target: target, usedAt: b.now}
 	c.MaxUnsent = maxUnsentCalls
 	c.OnData = b.parseLogged("bad reply", func(text []byte) error {
-		return opened.parser.Feed(text, func(answer ajp.Answer) { u.onAnswer(opened, answer) })
+		return opened.parser.Feed(text, func(answer ajp.Reply) { u.onAnswer(opened, answer) })
 	})
 	c.OnClosed = func(error) { u.onClosed(opened) }
 	if !stillWaits {
