--- a/backend/request_observer.go
+++ b/backend/request_observer.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func (k *idempotencyGuard) requestWithdrawn(r *request) { k.withdraw(r) }
+func (g *idempotencyGuard) requestWithdrawn(r *request) { g.withdraw(r) }
 
 // requestEnded does nothing: the guard heard of the end before, since the answer may have to wait for it.
 func (g *idempotencyGuard) requestEnded(*request, requestEnd) {}
