--- a/backend/idempotency_key.go
+++ b/backend/idempotency_key.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// keyOf returns the idempotency key of a request: the start of a hash of its handler and the given parts. Each part goes in with its number
-// and length, so that no two different lists of parts make the same input.
+// keyOf returns the idempotency key of a request: the start of a hash of its handler and the given parts. Each part
+// goes in with its number and length, so that no two different lists of parts make the same input.
 func (g *idempotencyGuard) keyOf(parsed *parsedRequest, parts []KeyPart) idempotency.Key {
 	hash := sha256.New()
 	add := func(part KeyPart, value []byte) {
