--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -1,7 +1,10 @@
 package backend
 
 import (
+	"errors"
 	"frosthub/overload"
+	"io/fs"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -9,34 +12,62 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestParse: a configuration that can't be used is rejected with one line that names what is wrong.
+// goodConfig is a configuration file with all fields, and with some that are not known.
+const goodConfig = `{"name":"n3","listen":"127.0.0.1:4100","processor":"127.0.0.1:6100","seed":"ff","stop_ms":3200.5,` +
+	`"limits":{"cores":1.5,"memory_mb":192,"sockets":64},"settings":{"tickUs":1000,"later":[null]},"later":1}`
+
+// TestParse: all fields of a configuration are read, and those that are not known are ignored.
 func TestParse(t *testing.T) {
-	const whole = `{"name":"n3","listen":"127.0.0.1:4100","processor":"127.0.0.1:6100","seed":"ff","stop_ms":3200.5,` +
-		`"limits":{"cores":1.5,"memory_mb":192,"sockets":64},"settings":{"tickUs":1000,"later":[null]},"later":1}`
-	c, err := Parse([]byte(whole))
+	got, err := Parse([]byte(goodConfig))
 	want := Config{
-		Name: "n3", Listen: "127.0.0.1:4100", Processor: "127.0.0.1:6100", Seed: 255,
-		StopTimeout: 3200500 * time.Microsecond, Limits: Limits{Cores: 1.5, MemoryMB: 192, Sockets: 64},
-		Settings: overload.Settings{BatchInterval: time.Millisecond},
+		Name:        "n3",
+		Listen:      "127.0.0.1:4100",
+		Processor:   "127.0.0.1:6100",
+		Seed:        255,
+		StopTimeout: 3200500 * time.Microsecond,
+		Limits:      Limits{Cores: 1.5, MemoryMB: 192, Sockets: 64},
+		Settings:    overload.Settings{BatchInterval: time.Millisecond},
 	}
-	if diff := cmp.Diff(want, c); diff != "" || err != nil {
+	if diff := cmp.Diff(want, got); diff != "" || err != nil {
 		t.Error(diff, err)
 	}
-	for _, c := range []struct{ old, new, err string }{
-		{whole, ``, "not understood: unexpected end of JSON input"},
-		{whole, `[]`, "not understood: json: cannot unmarshal array"},
-		{`"name":"n3",`, ``, `field "name" is missing`},
-		{`"listen":"127.0.0.1:4100"`, `"listen":""`, `field "listen" is missing`},
-		{`"processor":"127.0.0.1:6100",`, ``, `field "processor" is missing`},
-		{`"settings":{"tickUs":1000,"later":[null]}`, `"settings":null`, `field "settings" is missing`},
-		{`"settings":{"tickUs":1000,"later":[null]}`, `"settings":7`, `field "settings" is no object`},
-		{`"seed":"ff"`, `"seed":"xyz"`, `field "seed" is no hexadecimal number`},
-		{`"stop_ms":3200.5`, `"stop_ms":"soon"`, "not understood: json: cannot unmarshal string"},
-		{`"sockets":64`, `"sockets":9`, "9 sockets are too few"},
+}
+
+// TestParseErrors: a configuration that can't be used is rejected with one line that names what is wrong.
+func TestParseErrors(t *testing.T) {
+	for _, test := range []struct{ name, old, new, err string }{
+		{"empty", goodConfig, ``, "not understood: unexpected end of JSON input"},
+		{"no object", goodConfig, `[]`, "not understood: json: cannot unmarshal array"},
+		{"no name", `"name":"n3",`, ``, `field "name" is missing`},
+		{"empty address", `"listen":"127.0.0.1:4100"`, `"listen":""`, `field "listen" is missing`},
+		{"no processor", `"processor":"127.0.0.1:6100",`, ``, `field "processor" is missing`},
+		{"null settings", `"settings":{"tickUs":1000,"later":[null]}`, `"settings":null`, `field "settings" is missing`},
+		{"settings of the wrong type", `"settings":{"tickUs":1000,"later":[null]}`, `"settings":7`, `field "settings" is no object`},
+		{"seed of the wrong type", `"seed":"ff"`, `"seed":"xyz"`, `field "seed" is no hexadecimal number`},
+		{"time of the wrong type", `"stop_ms":3200.5`, `"stop_ms":"soon"`, "not understood: json: cannot unmarshal string"},
+		{"too few sockets", `"sockets":64`, `"sockets":9`, "limits: 9 sockets are too few"},
 	} {
-		_, err := Parse([]byte(strings.Replace(whole, c.old, c.new, 1)))
-		if err == nil || !strings.HasPrefix(strings.TrimPrefix(err.Error(), "limits: "), c.err) {
-			t.Errorf("%s for %s: %v", c.new, c.old, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(goodConfig, test.old, test.new, 1)))
+			if err == nil || !strings.HasPrefix(err.Error(), test.err) {
+				t.Errorf("%s for %s: %v", test.new, test.old, err)
+			}
+		})
+	}
+}
+
+// TestLoadErrors: what can't be read is told apart from what can't be used, since the former may pass.
+func TestLoadErrors(t *testing.T) {
+	t.Setenv(configPathVariable, "")
+	if _, err := Load(); err == nil || isUnreadable(err) {
+		t.Error("without a path:", err)
+	}
+	t.Setenv(configPathVariable, filepath.Join(t.TempDir(), "none.json"))
+	if _, err := Load(); !errors.Is(err, fs.ErrNotExist) || isUnreadable(err) {
+		t.Error("without a file:", err)
+	}
+	t.Setenv(configPathVariable, t.TempDir())
+	if _, err := Load(); !isUnreadable(err) {
+		t.Error("with a directory for a file:", err)
 	}
 }
