--- a/internal/statsfile/crash_test.go
+++ b/internal/statsfile/crash_test.go
@@ -28,8 +28,14 @@
 	s.list = s.list[max(0, len(s.list)-4*MinEntries):]
 }
 
+// contain reports whether the snapshot is one of them: most likely one of the last.
 func (s *snapshots) contain(snapshot []byte) bool {
-	return slices.ContainsFunc(s.list, func(other []byte) bool { return bytes.Equal(snapshot, other) })
+	for _, other := range slices.Backward(s.list) {
+		if bytes.Equal(snapshot, other) {
+			return true
+		}
+	}
+	return false
 }
 
 func (s *snapshots) last() []byte { return s.list[len(s.list)-1] }
