--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -4,8 +4,6 @@
 	"errors"
 	"frosthub/internal/conn"
 	"frosthub/internal/upstreamproto"
-	"frosthub/lifecycle"
-	"frosthub/loadbalance"
 	"frosthub/overload"
 	"maps"
 	"slices"
@@ -13,362 +11,345 @@
 )
 
 const (
-	callGrace  = 20 * time.Millisecond   // past a call's time-out: the far side should say so first
-	wireIdle   = time.Second             // the far side closes idle ones at 10 s, some far sooner: it goes first
-	idleCut    = 0.25                    // of the idle time after which the far side had forgotten a connection
-	atOnce     = 2 * time.Millisecond    // a connection that breaks so soon was dead before: no call takes so little
-	wireShare  = 0.125                   // of the descriptors, for connections to the next tier
-	wireMost   = 256 << 10               // bytes of calls that may wait on a connection
-	linkFinish = 1400 * time.Millisecond // for what is in hand on connections to addresses that are no more: they
-	// are closed there after 1.5 s
+	// proxyMaxIdle is how long a connection may be idle and still be used. Proxies close idle connections after 10 s, some far sooner:
+	// this side closes first.
+	proxyMaxIdle = time.Second
+	// idleBackoff is the part of the idle time after which the proxy had dropped a connection that becomes the new maximum.
+	idleBackoff = 0.25
+	// deadConnWindow is how soon after a call was sent the end of its connection shows that the proxy had dropped the connection
+	// before: no call takes so little.
+	deadConnWindow = 2 * time.Millisecond
 )
 
-// proxyUpstream makes calls to the next tier. As long as there is room for more connections each carries one call at a
-// time: a spoilt reply, a reset or a reply that never comes then costs that call alone. What is in doubt is not
-// used again. Covers any far side that breaks in one call; where it is sound it costs descriptors.
+// proxyUpstream makes calls to a proxy in front of the next tier. As long as there is room for more connections each carries one call at
+// a time, so that a malformed reply, a reset or a reply that never comes costs one call. A connection on which such a thing happened is
+// retired. That covers a proxy that breaks one call in many; where the proxy is sound it costs descriptors.
 type proxyUpstream struct {
-	b       *Backend
+	upstreamCalls
 	address string
-	safe    time.Duration // idle for so long a connection is still used: less once the far side forgot one sooner
-	wires   map[*proxyConn]struct{}
-	idle    []*proxyConn // free ones, the last used at the end
-	queue   []*call      // wait for a connection, in order
-	dialing int          // for those in the queue
-	calls   map[uint64]*call
+	maxIdle time.Duration // a connection that was idle for longer isn't used
+	conns   map[*proxyConn]struct{}
+	idle    []*proxyConn // free connections, the last used at the end
+	queue   []*call      // calls that wait for a connection, in order
+	dialing int          // connections being dialed for the queue
 }
 
-// proxyConn is one connection to the next tier.
+// proxyConn is one connection to the proxy.
 type proxyConn struct {
-	c      *conn.Conn
-	calls  map[uint64]*call // in hand on it
-	last   uint64           // whose call it carried last: a second copy of that reply may follow
-	used   time.Duration
-	doubt  bool          // takes no more calls
-	finish time.Duration // closed then whatever is in hand; 0 not
-}
-
-// call is a call in hand.
-type call struct {
-	request   *request
-	proxyConn *proxyConn // nil while it waits for one
-	began     time.Duration
-	deadline  time.Duration
-	sent      time.Duration // when it was written
-	idle      time.Duration // of the connection before
-	mark      int           // bytes written there before
-
-	at      *loadbalance.Target   // over AJP: its peer
-	ajpConn *ajpConn              // and its connection; nil while that is dialled
-	tried   []*loadbalance.Target // peers at which it is proved never to have run
-	proved  overload.Outcome      // and what the last of them proved
+	conn        *conn.Conn
+	calls       map[uint64]*call // in flight on it, by the id of the request
+	lastRequest uint64           // request whose call it carried last: a duplicate of that reply may follow
+	usedAt      time.Duration
+	retired     bool          // takes no more calls
+	closeAt     time.Duration // when it is closed whatever is in flight; 0 never
 }
 
 func newProxyUpstream(b *Backend) *proxyUpstream {
-	return &proxyUpstream{b: b, address: b.cfg.Upstream, safe: wireIdle, wires: map[*proxyConn]struct{}{}, calls: map[uint64]*call{}}
+	return &proxyUpstream{
+		upstreamCalls: newUpstreamCalls(b),
+		address:       b.cfg.Upstream,
+		maxIdle:       proxyMaxIdle,
+		conns:         map[*proxyConn]struct{}{},
+	}
 }
 
-// reservedConns is how many connections it may hold.
-func (t *proxyUpstream) reservedConns() int { return t.b.wireRoom() }
+func (u *proxyUpstream) connections() int { return len(u.conns) }
 
-func (t *proxyUpstream) invoke(r *request, after time.Duration) {
-	k := t.b.callStarted(r, after)
-	t.calls[r.id] = k
-	if t.address == "" {
-		t.end(k, overload.NoConnection)
+func (u *proxyUpstream) invoke(r *request, after time.Duration) {
+	added := u.add(r, after)
+	if u.address == "" {
+		u.end(added, overload.NoConnection)
 		return
 	}
-	t.place(k)
+	u.place(added)
 }
 
-// place gives a call a connection: a free one, a new one, or where there is no room for more the one with the
-// fewest calls.
-func (t *proxyUpstream) place(k *call) {
-	b := t.b
-	for i := len(t.idle) - 1; i >= 0; i-- {
-		w := t.idle[i]
-		if w.last != k.request.id && b.now-w.used < t.safe {
-			t.send(w, k)
+// place gives a call a connection: a free one, a new one, or where there is no room for more the one with the fewest calls.
+func (u *proxyUpstream) place(waiting *call) {
+	b := u.backend
+	for i := len(u.idle) - 1; i >= 0; i-- {
+		free := u.idle[i]
+		if free.lastRequest != waiting.request.id && b.now-free.usedAt < u.maxIdle {
+			u.send(free, waiting)
 			return
 		}
 	}
-	if len(t.wires)+t.dialing < t.reservedConns() {
-		t.queue = append(t.queue, k)
-		t.dial()
+	if len(u.conns)+u.dialing < u.reservedConns() {
+		u.queue = append(u.queue, waiting)
+		u.dial()
 		return
 	}
-	var least *proxyConn
-	for w := range t.wires { // a minimum of one kind: which of its equals does not matter
-		if !w.doubt && w.last != k.request.id && (least == nil || len(w.calls) < len(least.calls)) {
-			least = w
-		}
-	}
+	least := u.leastLoaded(waiting.request.id)
 	if least == nil {
-		t.queue = append(t.queue, k) // all are being dialled or in doubt
+		u.queue = append(u.queue, waiting) // all are being dialed or retired
 		return
 	}
-	t.send(least, k)
+	u.send(least, waiting)
 }
 
-func (t *proxyUpstream) dial() {
-	t.dialing++
-	address := t.address
-	t.b.loop.Dial(address, func(c *conn.Conn, err error) { t.dialled(address, c, err) })
+// leastLoaded returns the connection with the fewest calls that may carry the call of a request, or nil.
+func (u *proxyUpstream) leastLoaded(requestID uint64) *proxyConn {
+	var least *proxyConn
+	for candidate := range u.conns { // which of several equal ones doesn't matter
+		if candidate.retired || candidate.lastRequest == requestID {
+			continue
+		}
+		if least == nil || len(candidate.calls) < len(least.calls) {
+			least = candidate
+		}
+	}
+	return least
 }
 
-// dialMore dials where more wait than are dialled for.
-func (t *proxyUpstream) dialMore() {
-	if len(t.queue) > t.dialing {
-		t.dial()
+func (u *proxyUpstream) dial() {
+	u.dialing++
+	address := u.address
+	u.backend.loop.Dial(address, func(c *conn.Conn, err error) { u.dialed(address, c, err) })
+}
+
+// dialMore dials if more calls wait than connections are being dialed.
+func (u *proxyUpstream) dialMore() {
+	if len(u.queue) > u.dialing {
+		u.dial()
 	}
 }
 
-func (t *proxyUpstream) dialled(address string, c *conn.Conn, err error) {
-	b := t.b
-	t.dialing--
-	if address != t.address { // replaced meanwhile
+func (u *proxyUpstream) dialed(address string, c *conn.Conn, err error) {
+	u.dialing--
+	if address != u.address { // replaced meanwhile
 		if err == nil {
 			c.CloseAfterSend(conn.ErrClosedLocally)
 		}
-		t.dialMore()
+		u.dialMore()
 		return
 	}
 	if err != nil {
-		b.logLimited("next tier not reached", "why", err)
-		if !errors.Is(err, conn.ErrDialTimeout) { // else its calls may wait for another dial as long as they last
-			if k := t.first(); k != nil {
-				t.end(k, overload.NoConnection)
-			}
-		}
-		t.dialMore()
+		u.dialFailed(err)
 		return
 	}
-	w := &proxyConn{c: c, calls: map[uint64]*call{}, used: b.now}
-	t.wires[w] = struct{}{}
-	c.MaxUnsent = wireMost
-	c.OnData = b.parseLogged("bad reply", upstreamproto.NewParser(func(p upstreamproto.Reply) { t.reply(w, p) }).Feed)
-	c.OnClosed = func(error) { t.closed(w) }
-	t.free(w)
+	opened := &proxyConn{conn: c, calls: map[uint64]*call{}, usedAt: u.backend.now}
+	u.conns[opened] = struct{}{}
+	c.MaxUnsent = maxUnsentCalls
+	parser := upstreamproto.NewParser(func(reply upstreamproto.Reply) { u.onReply(opened, reply) })
+	c.OnData = u.backend.parseLogged("bad reply", parser.Feed)
+	c.OnClosed = func(error) { u.onClosed(opened) }
+	u.release(opened)
+}
+
+// dialFailed ends the call for which the connection was dialed. After a timeout of the dial the calls wait for another dial instead, as
+// long as their own timeouts allow.
+func (u *proxyUpstream) dialFailed(err error) {
+	u.backend.logLimited("next tier not reached", "why", err)
+	if !errors.Is(err, conn.ErrDialTimeout) {
+		if waiting := u.dequeue(); waiting != nil {
+			u.end(waiting, overload.NoConnection)
+		}
+	}
+	u.dialMore()
 }
 
-// first takes the first of the queue that still waits.
-func (t *proxyUpstream) first() *call {
-	for len(t.queue) > 0 {
-		k := t.queue[0]
-		t.queue = t.queue[1:]
-		if k.request.call == k {
-			return k
+// dequeue removes and returns the first call of the queue that still waits, nil if there is none.
+func (u *proxyUpstream) dequeue() *call {
+	for len(u.queue) > 0 {
+		first := u.queue[0]
+		u.queue = u.queue[1:]
+		if first.request.call == first {
+			return first
 		}
 	}
 	return nil
 }
 
-// free has a connection without calls take the next, or wait for one.
-func (t *proxyUpstream) free(w *proxyConn) {
-	if w.doubt {
-		t.close(w)
+// release gives a connection without calls the next one of the queue, or makes it idle.
+func (u *proxyUpstream) release(free *proxyConn) {
+	if free.retired {
+		u.close(free)
 		return
 	}
-	if k := t.first(); k != nil {
-		t.send(w, k)
+	if waiting := u.dequeue(); waiting != nil {
+		u.send(free, waiting)
 		return
 	}
-	t.idle = append(t.idle, w)
+	u.idle = append(u.idle, free)
 }
 
-func (t *proxyUpstream) send(w *proxyConn, k *call) {
-	b := t.b
-	t.notIdle(w)
-	k.sent, k.idle, k.mark = b.now, b.now-w.used, w.c.QueuedTotal()
-	k.proxyConn, w.last, w.used = w, k.request.id, b.now
-	w.calls[k.request.id] = k
-	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], k.request.wireID, k.deadline-b.now, k.request.callBody)
-	w.c.Write(b.scratch)
+func (u *proxyUpstream) send(carrier *proxyConn, sent *call) {
+	b := u.backend
+	r := sent.request
+	u.removeIdle(carrier)
+	sent.sentAt = b.now
+	sent.connIdle = b.now - carrier.usedAt
+	sent.sentMark = carrier.conn.QueuedTotal()
+	sent.proxyConn = carrier
+	carrier.lastRequest = r.id
+	carrier.usedAt = b.now
+	carrier.calls[r.id] = sent
+	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], r.wireID, sent.deadline-b.now, r.callBody)
+	carrier.conn.Write(b.scratch)
 }
 
-func (t *proxyUpstream) reply(w *proxyConn, p upstreamproto.Reply) {
-	k := w.calls[p.ID]
-	if k == nil {
-		return // given up, a second copy, or none of ours
+func (u *proxyUpstream) onReply(from *proxyConn, reply upstreamproto.Reply) {
+	answered := from.calls[reply.ID]
+	if answered == nil {
+		return // given up, a duplicate, or never sent here
 	}
-	w.used = t.b.now
-	if p.Outcome == overload.OK {
-		t.b.processor.answer(k.request, p.Body)
+	from.usedAt = u.backend.now
+	if reply.Outcome == overload.OK {
+		u.backend.processor.answer(answered.request, reply.Body)
 	}
-	t.end(k, p.Outcome)
-	if len(w.calls) == 0 {
-		t.free(w)
+	u.end(answered, reply.Outcome)
+	if len(from.calls) == 0 {
+		u.release(from)
 	}
 }
 
-// closed follows the end of a connection. A call of which no byte had left never ran and goes elsewhere; of the
-// others nothing is proved. One that broke at once after a while of idleness had been forgotten by the far side: such
-// connections are let go sooner from then on, as a new one costs less than a call. Harm: more dials.
-func (t *proxyUpstream) closed(w *proxyConn) {
-	t.forget(w)
-	for _, id := range slices.Sorted(maps.Keys(w.calls)) {
-		k := w.calls[id]
-		if w.c.SentTotal() <= k.mark {
-			delete(w.calls, id)
-			k.proxyConn = nil
-			t.place(k)
+// onClosed handles the end of a connection. A call of which no byte had left never ran and gets another connection; of the others nothing
+// is proved. A connection that broke right after a call was sent on it had been dropped by the proxy while it was idle: from then on
+// connections may be idle for a shorter time, as dialing one costs less than a failed call.
+func (u *proxyUpstream) onClosed(closed *proxyConn) {
+	u.forget(closed)
+	for _, id := range slices.Sorted(maps.Keys(closed.calls)) {
+		broken := closed.calls[id]
+		if closed.conn.SentTotal() <= broken.sentMark {
+			delete(closed.calls, id)
+			broken.proxyConn = nil
+			u.place(broken)
 			continue
 		}
-		if k.mark > 0 && t.b.now-k.sent <= atOnce {
-			t.safe = min(t.safe, time.Duration(idleCut*float64(k.idle)))
+		if broken.sentMark > 0 && u.backend.now-broken.sentAt <= deadConnWindow {
+			u.maxIdle = min(u.maxIdle, time.Duration(idleBackoff*float64(broken.connIdle)))
 		}
-		t.end(k, overload.BrokenOff)
+		u.end(broken, overload.BrokenOff)
 	}
-	t.dialMore()
+	u.dialMore()
 }
 
-func (t *proxyUpstream) forget(w *proxyConn) {
-	w.doubt = true
-	delete(t.wires, w)
-	t.notIdle(w)
+func (u *proxyUpstream) forget(gone *proxyConn) {
+	gone.retired = true
+	delete(u.conns, gone)
+	u.removeIdle(gone)
 }
 
-func (t *proxyUpstream) notIdle(w *proxyConn) {
-	t.idle = slices.DeleteFunc(t.idle, func(o *proxyConn) bool { return o == w })
+func (u *proxyUpstream) removeIdle(used *proxyConn) {
+	u.idle = slices.DeleteFunc(u.idle, func(other *proxyConn) bool { return other == used })
 }
 
-// close ends a connection; what is in hand there is given up by it.
-func (t *proxyUpstream) close(w *proxyConn) {
-	t.forget(w)
-	if len(w.calls) > 0 {
-		w.c.Abort(conn.ErrClosedLocally)
+// close ends a connection and gives up the calls in flight on it.
+func (u *proxyUpstream) close(closed *proxyConn) {
+	u.forget(closed)
+	if len(closed.calls) > 0 {
+		closed.conn.Abort(conn.ErrClosedLocally)
 	} else {
-		w.c.CloseAfterSend(conn.ErrClosedLocally)
+		closed.conn.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
-func (t *proxyUpstream) end(k *call, how overload.Outcome) {
-	b := t.b
-	t.letGo(k)
-	b.callEnded(k, how)
-}
-
-// wireRoom is how many connections to the next tier there may be.
-func (b *Backend) wireRoom() int { return max(1, int(wireShare*float64(b.cfg.Limits.Sockets))) }
-
-// callStarted has the run of a req wait for a call.
-func (b *Backend) callStarted(r *request, after time.Duration) *call {
-	b.stats.Calls++
-	k := &call{request: r, began: b.now, deadline: b.now + after}
-	r.state, r.call = stateCalling, k
-	return k
-}
-
-// call makes the call of a req, if it may be made: one that was made before and may have had its effect is not made again where that does harm.
-func (b *Backend) call(r *request, after time.Duration) {
-	again := lifecycle.Command{Repeatable: b.handlers[r.handler].replayable, NeverRan: !r.callOutcomeUnknown, Wanted: b.isWanted(r)}
-	if v := lifecycle.Repeat(again); v != lifecycle.Allowed {
-		b.recordViolation("call", r, v)
-		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
-		return
-	}
-	b.upstream.invoke(r, after)
-}
-
-// callEnded tells the module of the end of a call.
-func (b *Backend) callEnded(k *call, how overload.Outcome) {
-	r := k.request
-	r.callFailed = how != overload.OK
-	r.callOutcomeUnknown = how != overload.OK && how != overload.Overloaded && how != overload.NeverRan && how != overload.NoConnection
-	if how == overload.OK {
-		b.stats.CallsOK++
-		r.state = stateRunning
-	} else {
-		b.stats.CallsFailed++
+// detach takes a call from its connection and from the calls in flight.
+func (u *proxyUpstream) detach(ended *call) {
+	if ended.proxyConn != nil {
+		delete(ended.proxyConn.calls, ended.request.id)
 	}
-	b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: how, Took: b.now - k.began})
+	u.remove(ended)
 }
 
-func (t *proxyUpstream) letGo(k *call) {
-	delete(t.calls, k.request.id)
-	if k.proxyConn != nil {
-		delete(k.proxyConn.calls, k.request.id)
-	}
-	k.request.call, k.request.state = nil, stateAwaitingCall
+func (u *proxyUpstream) end(ended *call, outcome overload.Outcome) {
+	u.detach(ended)
+	u.backend.callEnded(ended, outcome)
 }
 
-// cancel gives up the call of a req, if there is one. Its reply may be under way or never come, so its
-// connection takes no more.
-func (t *proxyUpstream) cancel(r *request) {
-	k := r.call
-	if k == nil {
+// cancel gives up the call of r, if there is one. Its reply may be on the way or never come, so its connection takes no more calls.
+func (u *proxyUpstream) cancel(r *request) {
+	cancelled := r.call
+	if cancelled == nil {
 		return
 	}
-	t.letGo(k)
-	w := k.proxyConn
-	if w == nil {
+	u.detach(cancelled)
+	carrier := cancelled.proxyConn
+	if carrier == nil {
 		return
 	}
-	w.doubt = true
-	t.b.scratch = upstreamproto.AppendCancel(t.b.scratch[:0], r.wireID)
-	w.c.Write(t.b.scratch)
-	if len(w.calls) == 0 {
-		t.forget(w)
-		w.c.CloseAfterSend(conn.ErrClosedLocally)
+	carrier.retired = true
+	u.backend.scratch = upstreamproto.AppendCancel(u.backend.scratch[:0], r.wireID)
+	carrier.conn.Write(u.backend.scratch)
+	if len(carrier.calls) == 0 {
+		u.forget(carrier)
+		carrier.conn.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
-func (t *proxyUpstream) inFlight() int    { return len(t.calls) }
-func (t *proxyUpstream) connections() int { return len(t.wires) }
-
-// reconfigure has new calls go to another address; what is in hand may finish.
-func (t *proxyUpstream) reconfigure(cfg *Config) {
+func (u *proxyUpstream) reconfigure(cfg *Config) {
 	address := cfg.Upstream
-	if address == t.address {
+	if address == u.address {
 		return
 	}
-	t.address, t.safe = address, wireIdle
-	for address == "" && len(t.queue) > 0 {
-		if k := t.first(); k != nil {
-			t.end(k, overload.NoConnection)
+	u.address = address
+	u.maxIdle = proxyMaxIdle
+	for address == "" && len(u.queue) > 0 {
+		if waiting := u.dequeue(); waiting != nil {
+			u.end(waiting, overload.NoConnection)
 		}
 	}
-	for w := range t.wires { // each alike
-		if w.doubt = true; w.finish == 0 {
-			w.finish = t.b.now + linkFinish
+	for old := range u.conns { // each by itself: the order doesn't matter
+		old.retired = true
+		if old.closeAt == 0 {
+			old.closeAt = u.backend.now + oldAddressGrace
 		}
-		if len(w.calls) == 0 {
-			t.close(w)
+		if len(old.calls) == 0 {
+			u.close(old)
 		}
 	}
 }
 
-// onTimer gives up the calls whose time has passed and closes connections that are idle or out of time.
-func (t *proxyUpstream) onTimer() {
-	b := t.b
-	var late []uint64
-	for id, k := range t.calls {
-		if due := k.deadline + callGrace; b.now >= due {
-			late = append(late, id)
+func (u *proxyUpstream) onTimer() {
+	u.expireCalls()
+	u.closeIdle()
+	u.closeRetired()
+}
+
+// expireCalls gives up the calls whose time has passed.
+func (u *proxyUpstream) expireCalls() {
+	b := u.backend
+	var expired []uint64
+	for id, pending := range u.calls {
+		if at := pending.deadline + callGrace; b.now >= at {
+			expired = append(expired, id)
 		} else {
-			b.wakeBy(due)
+			b.wakeBy(at)
 		}
 	}
-	slices.Sort(late)
-	for _, id := range late {
-		k := t.calls[id]
-		how := overload.TimedOut
-		if k.proxyConn == nil {
-			how = overload.NoConnection // it never left
+	slices.Sort(expired)
+	for _, id := range expired {
+		late := u.calls[id]
+		outcome := overload.TimedOut
+		if late.proxyConn == nil {
+			outcome = overload.NoConnection // it was never sent
 		}
-		t.cancel(k.request)
-		t.end(k, how)
+		u.cancel(late.request)
+		u.end(late, outcome)
 	}
-	for len(t.idle) > 0 && b.now-t.idle[0].used >= t.safe {
-		t.close(t.idle[0])
+}
+
+// closeIdle closes the connections that were idle for too long.
+func (u *proxyUpstream) closeIdle() {
+	b := u.backend
+	for len(u.idle) > 0 && b.now-u.idle[0].usedAt >= u.maxIdle {
+		u.close(u.idle[0])
 	}
-	if len(t.idle) > 0 {
-		b.wakeBy(t.idle[0].used + t.safe)
+	if len(u.idle) > 0 {
+		b.wakeBy(u.idle[0].usedAt + u.maxIdle)
 	}
-	for w := range t.wires { // each alike
-		if w.finish > 0 && b.now >= w.finish {
-			t.close(w)
-		} else if w.finish > 0 {
-			b.wakeBy(w.finish)
+}
+
+// closeRetired closes the connections to replaced addresses whose time has passed.
+func (u *proxyUpstream) closeRetired() {
+	b := u.backend
+	for old := range u.conns { // each by itself: the order doesn't matter
+		switch {
+		case old.closeAt == 0:
+		case b.now >= old.closeAt:
+			u.close(old)
+		default:
+			b.wakeBy(old.closeAt)
 		}
 	}
 }
