--- a/accounting/encode.go
+++ b/accounting/encode.go
@@ -6,7 +6,7 @@
 func (l *Ledger) AppendSnapshot(out []byte) []byte {
 	out = appendUint(out, ledgerSeq, l.seq)
 	for _, name := range l.handlers {
-		out = appendBytes(out, ledgerHandlers, []byte(name))
+		out = appendBytes(out, ledgerHandlers, name)
 	}
 	out = appendCells(out, ledgerCells, l.cells)
 	out = appendCounts(out, ledgerTotal, l.total)
--- a/accounting/wire.go
+++ b/accounting/wire.go
@@ -97,9 +97,11 @@
 	return protowire.AppendFixed64(protowire.AppendTag(b, number, protowire.Fixed64Type), value)
 }
 
-// appendBytes appends a field of bytes.
-func appendBytes(b []byte, number protowire.Number, value []byte) []byte {
-	return protowire.AppendBytes(protowire.AppendTag(b, number, protowire.BytesType), value)
+// appendBytes appends a field of bytes or a string.
+func appendBytes[T ~string | ~[]byte](b []byte, number protowire.Number, value T) []byte {
+	b = protowire.AppendTag(b, number, protowire.BytesType)
+	b = protowire.AppendVarint(b, uint64(len(value)))
+	return append(b, value...)
 }
 
 // appendMessage appends a field with a message, whose content is appended by content. The length of the message, which is
--- a/internal/statsfile/bench_test.go
+++ b/internal/statsfile/bench_test.go
@@ -17,13 +17,14 @@
 		b.Fatal(err)
 	}
 	recorder := NewRecorder(filepath.Join(b.TempDir(), "figures"), 0, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	return recorder.Open(fresh, cfg, noon, openTimeout), recorder
+	ledger := recorder.Open(fresh, cfg, noon, openTimeout)
+	b.Cleanup(func() { recorder.Close(ledger, noon) })
+	return ledger, recorder
 }
 
 // BenchmarkAppend measures what a batch of a hundred requests costs the owner of the ledger.
 func BenchmarkAppend(b *testing.B) {
 	ledger, recorder := benchmarkLedger(b, testConfig)
-	defer recorder.Close(ledger, noon)
 	at := noon
 	b.ReportAllocs()
 	for i := range b.N {
@@ -42,7 +43,6 @@
 	cfg := testConfig
 	cfg.MaxCustomers = 64
 	ledger, recorder := benchmarkLedger(b, cfg)
-	defer recorder.Close(ledger, noon)
 	at := noon
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/statsfile/layout.go
+++ b/internal/statsfile/layout.go
@@ -7,13 +7,13 @@
 	"frosthub/accounting"
 )
 
-// Errors of files. The texts are in the operators' pages.
+// Errors of files. Operators search for the texts: most of them are in docs/operators/figures.md.
 var (
 	ErrNotStatsFile = errors.New("no figures file")
 	ErrVersion      = errors.New("a figures file of another version")
 	ErrDamaged      = errors.New("a damaged figures file")
 	ErrReplaced     = errors.New("it was removed or replaced")
-	ErrTooSmall     = errors.New("the book has outgrown it")
+	ErrTooSmall     = errors.New("the ledger has outgrown it")
 	ErrNotWritable  = errors.New("the mapped file can't be written to")
 )
 
--- a/internal/statsfile/read.go
+++ b/internal/statsfile/read.go
@@ -54,7 +54,7 @@
 	}
 	for place := range l.entries {
 		if entry, ok := readEntry(data, l.ringOffset(place)); ok && entry.Seq > ledger.Seq() {
-			return ledger, fmt.Errorf("%w: ops after %d are missing", ErrDamaged, ledger.Seq())
+			return ledger, fmt.Errorf("%w: entries after %d are missing", ErrDamaged, ledger.Seq())
 		}
 	}
 	return ledger, nil
@@ -112,7 +112,7 @@
 			break
 		}
 		if err := ledger.Apply(entry); err != nil {
-			return fmt.Errorf("%w: op %d: %w", ErrDamaged, entry.Seq, err)
+			return fmt.Errorf("%w: entry %d: %w", ErrDamaged, entry.Seq, err)
 		}
 	}
 	ledger.EndReplay()
