--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -23,7 +23,7 @@
 const fileMode = 0o640
 
 // file is a mapped file that is written to. It belongs to one goroutine at a time. Its methods that write to the mapping
-// must be called by catchFaults.
+// must be called under catchFaults.
 type file struct {
 	layout
 	path string
