--- /dev/null
+++ b/internal/wal/bench_test.go
@@ -0,0 +1,49 @@
+package wal_test
+
+import (
+	"fmt"
+	"frosthub/idempotency"
+	"frosthub/internal/wal"
+	"testing"
+	"time"
+)
+
+// BenchmarkRead measures how fast a store is read, a key's two records as one.
+func BenchmarkRead(b *testing.B) {
+	const keys = 1_000_000
+	cfg := idempotency.Config{
+		MaxEntries:     1 << 21,
+		MaxBytes:       1 << 30,
+		MaxResultBytes: 1 << 16,
+		ResultTTL:      time.Hour,
+		RetryHorizon:   24 * time.Hour,
+		MaxSegments:    64,
+		KeysPerSegment: 1 << 17,
+		SegmentBytes:   64 << 20,
+	}
+	disk := wal.DirDisk(b.TempDir())
+	if err := wal.Init(disk, "n1", noon, 7); err != nil {
+		b.Fatal(err)
+	}
+	store := idempotency.New(cfg)
+	writer, _, err := wal.Open(disk, "n1", store, noon, nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	result := make([]byte, 100)
+	for i := range keys {
+		store.Reserve(noon, 0, keyOf(i), "", uint64(i+1))
+		store.Finish(noon, keyOf(i), idempotency.EntryResult, result)
+		if i%1000 == 999 {
+			commit(b, store, writer)
+		}
+	}
+	b.ResetTimer()
+	for range b.N {
+		restarted := idempotency.New(cfg)
+		if _, err := wal.Read(disk, "n1", restarted, nil); err != nil || restarted.Stats().Keys != keys {
+			b.Fatal(err, fmt.Sprintf("%+v", restarted.Stats()))
+		}
+	}
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/keys, "ns/key")
+}
--- /dev/null
+++ b/internal/wal/helpers_test.go
@@ -0,0 +1,64 @@
+package wal_test
+
+import (
+	"frosthub/idempotency"
+	"frosthub/internal/stand"
+	"frosthub/internal/wal"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// filledDisk returns a disk with the records of a few dozen requests in several segments, some of which are retired.
+func filledDisk(t testing.TB) *stand.Disk {
+	t.Helper()
+	disk := stand.NewDisk()
+	if err := wal.Init(disk, "n1", noon, 7); err != nil {
+		t.Fatal(err)
+	}
+	store, writer := reopen(t, disk, noon)
+	for i := range 60 {
+		at := noon + time.Duration(i)*time.Second
+		store.Reserve(at, at, keyOf(i), "", uint64(i+1))
+		commit(t, store, writer)
+		if i < 20 || i%10 != 9 { // some stay without an end
+			store.Finish(at, keyOf(i), idempotency.EntryResult, resultOf(i))
+		}
+		store.Sweep(at)
+		commit(t, store, writer)
+	}
+	return disk
+}
+
+// reopen begins an incarnation of the store on a disk.
+func reopen(t testing.TB, disk wal.Disk, now time.Duration) (*idempotency.Store, *wal.Writer) {
+	t.Helper()
+	store := idempotency.New(testConfig)
+	writer, _, err := wal.Open(disk, "n1", store, now, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	commit(t, store, writer)
+	return store, writer
+}
+
+// commit makes all entries of a store durable.
+func commit(t testing.TB, store *idempotency.Store, writer *wal.Writer) {
+	t.Helper()
+	seq, err := writer.Commit(store.TakeEntries())
+	if err != nil {
+		t.Fatal(err)
+	}
+	store.MarkDurable(seq)
+}
+
+// names returns the names of files that end in a suffix, in their order.
+func names(t testing.TB, disk wal.Disk, suffix string) []string {
+	t.Helper()
+	all, err := disk.Names()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return slices.DeleteFunc(all, func(name string) bool { return !strings.HasSuffix(name, suffix) })
+}
--- /dev/null
+++ b/internal/wal/identity_test.go
@@ -0,0 +1,84 @@
+package wal_test
+
+import (
+	"errors"
+	"frosthub/idempotency"
+	"frosthub/internal/filelock"
+	"frosthub/internal/wal"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// TestWrongOwner: a directory that is not this node's store is not used, nor one that another process uses.
+func TestWrongOwner(t *testing.T) {
+	dir := t.TempDir()
+	disk := wal.DirDisk(dir)
+	if _, err := wal.Read(disk, "n1", idempotency.New(testConfig), nil); !errors.Is(err, wal.ErrNoStore) {
+		t.Error(err)
+	}
+
+	other := filepath.Join(dir, "letter")
+	if err := os.WriteFile(other, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := wal.Init(disk, "n1", noon, 1); err == nil {
+		t.Error("made in a directory with other files")
+	}
+	if err := os.Remove(other); err != nil {
+		t.Fatal(err)
+	}
+	if err := wal.Init(disk, "n1", noon, 1); err != nil {
+		t.Fatal(err)
+	}
+	if err := wal.Init(disk, "n1", noon, 1); err == nil {
+		t.Error("made over one that is there")
+	}
+	if _, err := wal.Read(disk, "n2", idempotency.New(testConfig), nil); !errors.Is(err, wal.ErrWrongOwner) {
+		t.Error(err)
+	}
+
+	lockPath := filepath.Join(dir, wal.LockName)
+	lock, err := filelock.Acquire(lockPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := filelock.Acquire(lockPath); !errors.Is(err, filelock.ErrBusy) || !filelock.IsLocked(lockPath) {
+		t.Error("two hold it: ", err)
+	}
+	_ = lock.Close()
+}
+
+// TestDamagedIdentity: a file that identifies a store is not taken for one when it is damaged, or of another version.
+func TestDamagedIdentity(t *testing.T) {
+	dir := t.TempDir()
+	disk := wal.DirDisk(dir)
+	if err := wal.Init(disk, "n1", noon, 1); err != nil {
+		t.Fatal(err)
+	}
+	text, err := disk.Read("store")
+	if err != nil {
+		t.Fatal(err)
+	}
+	intact := string(text)
+	for _, c := range []struct {
+		name string
+		text string
+		want error
+	}{
+		{"empty", "", wal.ErrWrongOwner},
+		{"another text", "x", wal.ErrWrongOwner},
+		{"another version", strings.Replace(intact, "keep 1", "keep 2", 1), wal.ErrVersion},
+		{"another node", strings.Replace(intact, "n1", "n2", 1), wal.ErrWrongOwner},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if err := os.WriteFile(filepath.Join(dir, "store"), []byte(c.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := wal.Identify(disk); !errors.Is(err, c.want) {
+				t.Errorf("%q: %v, not %v", c.text, err, c.want)
+			}
+		})
+	}
+}
