--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
 	"frosthub/internal/wal"
 	"strings"
 	"testing"
@@ -17,8 +17,8 @@
 	if len(logs) < 3 || len(fingerprints) < 1 {
 		t.Fatal("too few segments: ", logs, fingerprints)
 	}
-	change := func(name string, f func(data []byte) []byte) func(disk *stand.Disk) {
-		return func(disk *stand.Disk) {
+	change := func(name string, f func(data []byte) []byte) func(disk *fake.Disk) {
+		return func(disk *fake.Disk) {
 			data, err := disk.Read(name)
 			if err != nil {
 				t.Fatal(err)
@@ -32,8 +32,8 @@
 			return data
 		}
 	}
-	remove := func(name string) func(disk *stand.Disk) {
-		return func(disk *stand.Disk) {
+	remove := func(name string) func(disk *fake.Disk) {
+		return func(disk *fake.Disk) {
 			if err := errors.Join(disk.Remove(name), disk.Sync()); err != nil {
 				t.Fatal(err)
 			}
@@ -42,7 +42,7 @@
 	last := logs[len(logs)-1]
 	for _, c := range []struct {
 		name   string
-		damage func(disk *stand.Disk)
+		damage func(disk *fake.Disk)
 	}{
 		{"a bit of a frame's header", change(logs[0], flipBit(140))},
 		{"a bit of a record", change(logs[1], flipBit(70))},
@@ -59,7 +59,7 @@
 			}
 			return data
 		})},
-		{"another segment's file", func(disk *stand.Disk) {
+		{"another segment's file", func(disk *fake.Disk) {
 			data, _ := disk.Read(logs[0]) // it is there: names gave it
 			disk.Put(logs[1], data)
 		}},
@@ -76,7 +76,7 @@
 }
 
 // checkDamaged checks that damage of a filled disk is found, and that over three incarnations nothing is fresh but what was made since.
-func checkDamaged(t *testing.T, disk *stand.Disk) {
+func checkDamaged(t *testing.T, disk *fake.Disk) {
 	t.Helper()
 	contents, err := wal.Read(disk, "n1", idempotency.New(testConfig), nil)
 	if err != nil || contents.Complete() {
--- a/internal/wal/dirdisk_powerloss.go
+++ b/internal/wal/dirdisk_powerloss.go
@@ -14,7 +14,7 @@
 )
 
 // DirDisk returns the directory with that path. It records beside each file how much of it is durable, and which changes of names are not.
-// From that, a test that kills the process can make of the directory what a power failure could have left: see stand.CutPower.
+// From that, a test that kills the process can make of the directory what a power failure could have left: see harness.CutPower.
 func DirDisk(path string) Disk { return &recordingDisk{dirDisk: dirDisk(path)} }
 
 // Names of the files that are recorded. They begin with a dot, as no file of a store does.
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
 	"frosthub/internal/wal"
 	"slices"
 	"strings"
@@ -11,9 +11,9 @@
 )
 
 // filledDisk returns a disk with the records of a few dozen requests in several segments, some of which are retired.
-func filledDisk(t testing.TB) *stand.Disk {
+func filledDisk(t testing.TB) *fake.Disk {
 	t.Helper()
-	disk := stand.NewDisk()
+	disk := fake.NewDisk()
 	if err := wal.Init(disk, "n1", noon, 7); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -7,7 +7,7 @@
 	"flag"
 	"fmt"
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/fake"
 	"frosthub/internal/wal"
 	"math/rand/v2"
 	"testing"
@@ -44,7 +44,7 @@
 	t      *testing.T
 	name   string
 	random *rand.Rand
-	disk   *stand.Disk
+	disk   *fake.Disk
 	now    time.Duration
 
 	store  *idempotency.Store
@@ -67,7 +67,7 @@
 		t:         t,
 		name:      name,
 		random:    rand.New(rand.NewPCG(seed, 3)),
-		disk:      stand.NewDisk(),
+		disk:      fake.NewDisk(),
 		now:       noon,
 		keyOf:     map[uint64]int{},
 		firstMade: map[int]time.Duration{},
@@ -92,7 +92,7 @@
 	s.running = nil
 	s.keyOf = map[uint64]int{}
 	writer, contents, err := wal.Open(s.disk, "n1", s.store, s.now, nil)
-	if err != nil && !errors.Is(err, stand.ErrPower) {
+	if err != nil && !errors.Is(err, fake.ErrPowerLost) {
 		s.fatal("reading: %v", err)
 	}
 	if !contents.Complete() {
@@ -105,7 +105,7 @@
 // commit makes all entries durable, and reports whether the disk kept its power.
 func (s *simulation) commit() bool {
 	seq, err := s.writer.Commit(s.store.TakeEntries())
-	if errors.Is(err, stand.ErrPower) {
+	if errors.Is(err, fake.ErrPowerLost) {
 		return false
 	}
 	if err != nil {
@@ -206,9 +206,9 @@
 			up = s.step()
 		}
 		for !up {
-			s.disk = s.disk.After(s.random)
+			s.disk = s.disk.AfterPowerLoss(s.random)
 			if s.random.IntN(3) == 0 {
-				s.disk.Left = 1 + s.random.IntN(6)
+				s.disk.PowerBudget = 1 + s.random.IntN(6)
 			}
 			s.now += time.Duration(s.random.IntN(5)-1) * time.Second
 			up = s.start()
@@ -221,7 +221,7 @@
 	const steps = 700
 	complete := newSimulation(t, 1, "no power loss")
 	complete.play(steps)
-	operations := complete.disk.Done()
+	operations := complete.disk.Operations()
 	if complete.keys < 100 || operations < 300 ||
 		complete.decisions[idempotency.ResultExpired] == 0 || complete.decisions[idempotency.Replay] == 0 {
 		t.Fatal("the script shows too little: ", complete.keys, operations, complete.decisions)
@@ -229,7 +229,7 @@
 	unknown := 0
 	for operation := 1; operation <= operations; operation++ {
 		s := newSimulation(t, 1, fmt.Sprint("power loss at operation ", operation))
-		s.disk.Left = operation
+		s.disk.PowerBudget = operation
 		s.play(steps)
 		unknown += s.decisions[idempotency.OutcomeUnknown]
 	}
@@ -245,7 +245,7 @@
 	losses, unknown := 0, 0
 	for seed := range uint64(*cuts) {
 		s := newSimulation(t, seed+2, fmt.Sprint("seed ", seed+2))
-		s.disk.Left = 1 + s.random.IntN(60)
+		s.disk.PowerBudget = 1 + s.random.IntN(60)
 		up := s.start()
 		for range 300 {
 			if up {
@@ -253,8 +253,8 @@
 			}
 			for !up {
 				losses++
-				s.disk = s.disk.After(s.random)
-				s.disk.Left = 1 + s.random.IntN(90)
+				s.disk = s.disk.AfterPowerLoss(s.random)
+				s.disk.PowerBudget = 1 + s.random.IntN(90)
 				up = s.start()
 			}
 		}
