--- a/idempotency/entry.go
+++ b/idempotency/entry.go
@@ -5,23 +5,28 @@
 	"time"
 )
 
-// Key identifies a request. It is a hash of whatever the operator configures: handler and customer, a field, the body.
+// Key identifies a request. It is a hash of whatever the operator configures: handler and customer,
+// a field, the body.
 type Key [16]byte
 
-// LogEntry is one thing to be written to the log, in the order in which it was handed over. All but [EntrySegmentRetired] are records of the
-// log, whose sequence numbers follow each other without a gap.
+// LogEntry is one thing to be written to the log, in the order in which it was handed over. All but
+// [EntrySegmentRetired] are records of the log, whose sequence numbers follow each other without a
+// gap.
 type LogEntry struct {
 	// Seq is the sequence number of a record.
 	Seq uint64
 	// Kind says what the entry is about and which of the other fields it uses.
 	Kind EntryKind
-	// Segment is the number of the segment that the record belongs to; of EntrySegmentRetired, the segment that is retired.
+	// Segment is the number of the segment that the record belongs to; of EntrySegmentRetired, the
+	// segment that is retired.
 	Segment uint64
-	// Subject is the oldest segment that still exists for EntrySegmentOpened, and the segment in question for EntrySegmentDropped.
+	// Subject is the oldest segment that still exists for EntrySegmentOpened, and the segment in
+	// question for EntrySegmentDropped.
 	Subject uint64
 	// Key is the key that an intent or an end is about.
 	Key Key
-	// At is when the entry was made, since 1970 began. It never decreases from one entry to the next.
+	// At is when the entry was made, since 1970 began. It never decreases from one entry to the
+	// next.
 	At time.Duration
 	// Data is the result for EntryResult, and the handler's name for EntryIntent.
 	Data []byte
@@ -52,9 +57,11 @@
 	EntryHistoryAccepted EntryKind = 8
 	// EntrySegmentDropped says that the fingerprints of a segment may be deleted.
 	EntrySegmentDropped EntryKind = 9
-	// EntrySegmentRetired says that all keys of a segment have expired, and that its fingerprints replace its records. It is no record itself.
+	// EntrySegmentRetired says that all keys of a segment have expired, and that its fingerprints
+	// replace its records. It is no record itself.
 	EntrySegmentRetired EntryKind = 10
-	// EntryHistoryLost says that the store was found to lack earlier history: no request made before can be proved fresh.
+	// EntryHistoryLost says that the store was found to lack earlier history: no request made
+	// before can be proved fresh.
 	EntryHistoryLost EntryKind = 11
 )
 
@@ -81,16 +88,20 @@
 	return entryKindNames[k]
 }
 
-// Decision is what becomes of a request, either on arrival or after it has waited. Other packages may define further ones, from 100 on.
+// Decision is what becomes of a request, either on arrival or after it has waited. Other packages
+// may define further ones, from 100 on.
 type Decision uint8
 
 // The decisions.
 const (
-	// Fresh means that the request has not run: it may be reserved, or, if it waited, its caller may retry.
+	// Fresh means that the request has not run: it may be reserved, or, if it waited, its caller
+	// may retry.
 	Fresh Decision = iota + 1
-	// Duplicate means that a request with the same key is remembered. [Store.Reserve] and [Store.PeekOutcome] tell more.
+	// Duplicate means that a request with the same key is remembered. [Store.Reserve] and
+	// [Store.PeekOutcome] tell more.
 	Duplicate
-	// Wait means that the request waits for its intent to be durable, or for the original request to end.
+	// Wait means that the request waits for its intent to be durable, or for the original request
+	// to end.
 	Wait
 	// Start means that the request may run: its intent is durable.
 	Start
@@ -100,15 +111,20 @@
 	Replay
 	// OriginalFailed means that the request is answered as failed: the original request failed.
 	OriginalFailed
-	// OutcomeUnknown means that the request is answered as failed: the original request may have run.
+	// OutcomeUnknown means that the request is answered as failed: the original request may have
+	// run.
 	OutcomeUnknown
-	// ResultExpired means that the request is answered as failed: the original request's result has expired or was too long to be kept.
+	// ResultExpired means that the request is answered as failed: the original request's result has
+	// expired or was too long to be kept.
 	ResultExpired
-	// HistoryLost means that the request is answered as failed: history was lost, so it may have run.
+	// HistoryLost means that the request is answered as failed: history was lost, so it may have
+	// run.
 	HistoryLost
-	// StoreFull means that the request is rejected and may be retried later: there is no room for what must be remembered.
+	// StoreFull means that the request is rejected and may be retried later: there is no room for
+	// what must be remembered.
 	StoreFull
-	// StoreFailed means that the request is rejected: the disk has failed, so nothing can be remembered.
+	// StoreFailed means that the request is rejected: the disk has failed, so nothing can be
+	// remembered.
 	StoreFailed
 )
 
--- a/idempotency/expiry.go
+++ b/idempotency/expiry.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Sweep expires results that are past their time, retires and drops segments, and lets go of what is past the retry horizon.
+// Sweep expires results that are past their time, retires and drops segments, and lets go of what
+// is past the retry horizon.
 func (s *Store) Sweep(now time.Duration) {
 	s.advanceClock(now)
 	s.sweepSegments()
@@ -46,7 +47,8 @@
 	return true
 }
 
-// oldest returns the record that expires next, nil if there is none. It drops keys from the queue that are forgotten or in flight again.
+// oldest returns the record that expires next, nil if there is none. It drops keys from the queue
+// that are forgotten or in flight again.
 func (s *Store) oldest() *record {
 	for len(s.expiryQueue) > 0 {
 		if rec := s.records[s.expiryQueue[0]]; rec != nil && rec.flight == nil {
--- a/idempotency/finish.go
+++ b/idempotency/finish.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Finish says how the run of a key ended: EntryResult with its result, EntryFailed or EntryNeverRan. It returns the outcomes of those that
-// wait for it.
+// Finish says how the run of a key ended: EntryResult with its result, EntryFailed or
+// EntryNeverRan. It returns the outcomes of those that wait for it.
 //
-// The answers of a run with a result come from MarkDurable, once its log record is durable. The others come at once: without their log
-// record the outcome is unknown after a restart, which is answered as a failure too.
+// The answers of a run with a result come from MarkDurable, once its log record is durable. The
+// others come at once: without their log record the outcome is unknown after a restart, which is
+// answered as a failure too.
 func (s *Store) Finish(now time.Duration, key Key, end EntryKind, result []byte) []Outcome {
 	s.advanceClock(now)
 	rec := s.records[key]
@@ -47,7 +48,8 @@
 	return nil
 }
 
-// MarkDurable says that all records up to that sequence number are durable, and returns what may happen now.
+// MarkDurable says that all records up to that sequence number are durable, and returns what may
+// happen now.
 func (s *Store) MarkDurable(seq uint64) []Outcome {
 	s.durableSeq = max(s.durableSeq, seq)
 	var outcomes []Outcome
@@ -71,8 +73,9 @@
 	return outcomes
 }
 
-// DiskFailed says that nothing can be written any more. Requests whose intent is not durable never started, and are rejected. Results
-// whose record is lost are answered nevertheless: their requests have run, and retries meet them as long as this process lives.
+// DiskFailed says that nothing can be written any more. Requests whose intent is not durable never
+// started, and are rejected. Results whose record is lost are answered nevertheless: their requests
+// have run, and retries meet them as long as this process lives.
 func (s *Store) DiskFailed() []Outcome {
 	s.failed = true
 	s.unwritten = nil
@@ -94,8 +97,8 @@
 	return outcomes
 }
 
-// MarkUnknown says that nobody will tell how the run of a key ended: its outcome is unknown, as after a restart. Its end may still turn up.
-// It returns the outcomes of those that wait for it.
+// MarkUnknown says that nobody will tell how the run of a key ended: its outcome is unknown, as
+// after a restart. Its end may still turn up. It returns the outcomes of those that wait for it.
 func (s *Store) MarkUnknown(now time.Duration, key Key) []Outcome {
 	s.advanceClock(now)
 	rec := s.records[key]
@@ -105,8 +108,8 @@
 	return s.loseOutcome(key, rec)
 }
 
-// AbandonInFlight says that whoever had requests in flight is gone: their outcomes are unknown, as after a restart, but for ends that are on
-// their way to the disk.
+// AbandonInFlight says that whoever had requests in flight is gone: their outcomes are unknown, as
+// after a restart, but for ends that are on their way to the disk.
 func (s *Store) AbandonInFlight(now time.Duration) {
 	s.advanceClock(now)
 	var keys []Key
@@ -121,8 +124,8 @@
 	}
 }
 
-// Resume puts a key whose outcome is unknown in flight again, for an end that turns up; its completion is that request's. It reports
-// whether the outcome was unknown.
+// Resume puts a key whose outcome is unknown in flight again, for an end that turns up; its
+// completion is that request's. It reports whether the outcome was unknown.
 func (s *Store) Resume(key Key, requestID uint64) bool {
 	rec := s.records[key]
 	if rec == nil || rec.state != stateUnknown {
--- a/idempotency/history.go
+++ b/idempotency/history.go
@@ -8,7 +8,8 @@
 // Forever is the end of a loss that no record follows. FinishLoading ends it.
 const Forever = time.Duration(math.MaxInt64)
 
-// mayBeLost reports whether a request that was made at that time, or later, and is not remembered may have run.
+// mayBeLost reports whether a request that was made at that time, or later, and is not remembered
+// may have run.
 func (s *Store) mayBeLost(madeAt time.Duration, key Key) bool {
 	if s.lostBefore == 0 || madeAt > s.lostBefore {
 		return false
@@ -16,8 +17,8 @@
 	return s.prover == nil || !s.prover(key)
 }
 
-// AddHistoryLoss says that records are missing or unreadable, the last of them no later than that time: no request made before can be
-// proved fresh.
+// AddHistoryLoss says that records are missing or unreadable, the last of them no later than that
+// time: no request made before can be proved fresh.
 func (s *Store) AddHistoryLoss(until time.Duration) {
 	s.lostBefore = max(s.lostBefore, until)
 	// The loss is in the last segment, or in the unreadable ones that end the list.
@@ -31,8 +32,9 @@
 	}
 }
 
-// MarkOutdated says that other nodes know of more than this store had when this incarnation began: a request that was made before now and
-// is not remembered can't be proved fresh. It is written to the log.
+// MarkOutdated says that other nodes know of more than this store had when this incarnation began:
+// a request that was made before now and is not remembered can't be proved fresh. It is written to
+// the log.
 func (s *Store) MarkOutdated(now time.Duration) {
 	s.advanceClock(now)
 	s.AddHistoryLoss(s.now)
@@ -40,7 +42,8 @@
 	s.appendEntry(LogEntry{Kind: EntryHistoryLost})
 }
 
-// AcceptHistory says that an operator vouches for what was lost: all that is not remembered is fresh again. It is written to the log.
+// AcceptHistory says that an operator vouches for what was lost: all that is not remembered is
+// fresh again. It is written to the log.
 func (s *Store) AcceptHistory(now time.Duration) {
 	s.advanceClock(now)
 	s.acceptHistory()
@@ -54,7 +57,8 @@
 	seg.Accepted = true
 }
 
-// SetProver sets a function that reports whether all that may be lost here of a key has been supplied by other nodes.
+// SetProver sets a function that reports whether all that may be lost here of a key has been
+// supplied by other nodes.
 func (s *Store) SetProver(prover func(Key) bool) { s.prover = prover }
 
 // Complete reports whether the store can answer for all that it has ever had.
@@ -67,8 +71,9 @@
 	return s.Complete() || s.prover != nil && s.prover(key)
 }
 
-// MarkComplete says that other nodes have supplied all that was lost, for all keys. It counts like an operator's acceptance, and reports
-// whether that holds in later incarnations too. It doesn't if fingerprints of other nodes were merged, as those are not on this disk.
+// MarkComplete says that other nodes have supplied all that was lost, for all keys. It counts like
+// an operator's acceptance, and reports whether that holds in later incarnations too. It doesn't if
+// fingerprints of other nodes were merged, as those are not on this disk.
 func (s *Store) MarkComplete(now time.Duration) bool {
 	s.refilled = true
 	s.Sweep(now)
--- a/idempotency/load.go
+++ b/idempotency/load.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Load takes a record that an earlier incarnation wrote. Records are loaded in the order in which they were written, between the
-// fingerprints of retired segments and the losses around them. FinishLoading ends that.
+// Load takes a record that an earlier incarnation wrote. Records are loaded in the order in which
+// they were written, between the fingerprints of retired segments and the losses around them.
+// FinishLoading ends that.
 func (s *Store) Load(entry LogEntry) {
 	s.lastSeq = max(s.lastSeq, entry.Seq)
 	s.advanceClock(entry.At)
@@ -61,7 +62,7 @@
 }
 
 func (s *Store) loadIntent(entry LogEntry, seg *segment) {
-	if len(s.records) >= s.cfg.MaxEntries { // the bound may be smaller than that of earlier incarnations
+	if len(s.records) >= s.cfg.MaxEntries { // also where the bound is smaller than that of earlier incarnations
 		s.expireOldest()
 	}
 	s.addUnknown(entry.Key, entry.At, seg)
@@ -80,7 +81,8 @@
 	s.addResult(rec)
 }
 
-// LoadFingerprints takes what an earlier incarnation left of a retired segment, in its place among the others.
+// LoadFingerprints takes what an earlier incarnation left of a retired segment, in its place among
+// the others.
 func (s *Store) LoadFingerprints(fingerprints Fingerprints) {
 	s.advanceClock(fingerprints.Until)
 	s.segments = append(s.segments, &segment{Fingerprints: fingerprints, retired: true})
@@ -90,13 +92,14 @@
 	s.lostBefore = max(s.lostBefore, fingerprints.LostBefore)
 }
 
-// LoadLostSegment takes the place of a segment of which nothing can be read. AddHistoryLoss tells when it ended.
+// LoadLostSegment adds a placeholder for a segment of which nothing can be read. AddHistoryLoss
+// says when it ended.
 func (s *Store) LoadLostSegment(number uint64) {
 	s.segments = append(s.segments, newUnreadableSegment(number, s.now))
 }
 
-// LoadLostPrefix takes the place of the segments from that number on which should stand before all others and are missing. They had ended
-// by the time given. At least one segment must have been loaded.
+// LoadLostPrefix adds placeholders for missing segments before the first one that was loaded, from
+// that number on. They had ended by the time given. At least one segment must have been loaded.
 func (s *Store) LoadLostPrefix(from uint64, until time.Duration) {
 	first := s.segments[0].Segment
 	for number := first - 1; number >= max(1, from); number-- {
@@ -115,7 +118,8 @@
 	}
 }
 
-// queueUnterminated puts intents without an end of an incarnation that is over in the queue of what expires.
+// queueUnterminated puts intents without an end of an incarnation that is over in the queue of what
+// expires.
 func (s *Store) queueUnterminated() {
 	keys := slices.SortedFunc(maps.Keys(s.unterminated), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(s.records[a].at, s.records[b].at), slices.Compare(a[:], b[:]))
@@ -124,9 +128,11 @@
 	s.expiryQueue = append(s.expiryQueue, keys...)
 }
 
-// FinishLoading ends loading and begins an incarnation. The outcome of intents without an end is unknown; they expire like the others.
+// FinishLoading ends loading and begins an incarnation. The outcome of intents without an end is
+// unknown; they expire like the others.
 //
-// needsNewSegment has a new segment opened, numbered after lastSegment, because records that were lost may follow the last ones.
+// needsNewSegment has a new segment opened, numbered after lastSegment, because records that were
+// lost may follow the last ones.
 func (s *Store) FinishLoading(now time.Duration, needsNewSegment bool, lastSegment uint64) {
 	s.advanceClock(now)
 	s.lostBefore = min(s.lostBefore, s.now)
@@ -142,8 +148,9 @@
 	s.beginIncarnation()
 }
 
-// RaiseIncarnation raises the number of this incarnation to at least that. Incarnations are numbered by counting their log records, so it
-// writes as many, and refuses a number that is too far off. It reports whether it did as asked.
+// RaiseIncarnation raises the number of this incarnation to at least that. Incarnations are
+// numbered by counting their log records, so it writes as many, and refuses a number that is too
+// far off. It reports whether it did as asked.
 func (s *Store) RaiseIncarnation(incarnation uint64) bool {
 	if incarnation > s.incarnation+maxIncarnationStep {
 		return false
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -99,8 +99,9 @@
 	lostRun    bool // the disk failed once, so a run's result may be missing
 }
 
-// TestNeverRunsTwice: over any arrivals, ends, withdrawals, losses of what was not yet durable, restarts, failing disks and clocks that go
-// back, no key runs twice unless it was proved never to have run, a retry gets the first result or none, and bounds hold.
+// TestNeverRunsTwice: over any arrivals, ends, withdrawals, losses of what was not yet durable,
+// restarts, failing disks and clocks that go back, no key runs twice unless it was proved never to
+// have run, a retry gets the first result or none, and bounds hold.
 func TestNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &modelTest{
@@ -274,7 +275,9 @@
 
 func (m *modelTest) checkBounds() {
 	stats := m.store.Stats()
-	if stats.Keys > m.cfg.MaxEntries+stats.OutcomeUnknown || stats.Bytes > m.cfg.MaxBytes || stats.Segments > m.cfg.MaxSegments+1 {
+	if stats.Keys > m.cfg.MaxEntries+stats.OutcomeUnknown ||
+		stats.Bytes > m.cfg.MaxBytes ||
+		stats.Segments > m.cfg.MaxSegments+1 {
 		m.t.Fatalf("over its bounds: %+v", stats)
 	}
 }
--- a/idempotency/reserve.go
+++ b/idempotency/reserve.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Peek returns what would become of a request with that key if it were reserved now: Fresh, Duplicate, or why it can't run. madeAt is when
-// its caller first made it; 0 if that is not known, in which case it may be as old as the retry horizon.
+// Peek returns what would become of a request with that key if it were reserved now: Fresh,
+// Duplicate, or why it can't run. madeAt is when its caller first made it; 0 if that is not known,
+// in which case it may be as old as the retry horizon.
 func (s *Store) Peek(now, madeAt time.Duration, key Key) Decision {
 	s.advanceClock(now)
 	oldestRetry := s.now - s.cfg.RetryHorizon
@@ -26,8 +27,8 @@
 	}
 }
 
-// PeekOutcome returns what a request with that key would meet, and reserves nothing: the outcome of the original request if that has one,
-// otherwise the decision of Peek.
+// PeekOutcome returns what a request with that key would meet, and reserves nothing: the outcome of
+// the original request if that has one, otherwise the decision of Peek.
 func (s *Store) PeekOutcome(now, madeAt time.Duration, key Key) Outcome {
 	decision := s.Peek(now, madeAt, key)
 	rec := s.records[key]
@@ -37,10 +38,12 @@
 	return Outcome{Decision: rec.decision(), Result: rec.result}
 }
 
-// Reserve takes a request that is to run. If it is fresh its intent is written, and it waits for that to be durable. If its key is in flight it
-// waits for the original request to end. Otherwise the outcome says why it doesn't run.
+// Reserve takes a request that is to run. If it is fresh its intent is written, and it waits for
+// that to be durable. If its key is in flight it waits for the original request to end. Otherwise
+// the outcome says why it doesn't run.
 //
-// The handler's name is written with the intent, for those who look into unknown outcomes. The request ID is the one of later outcomes.
+// The handler's name is written with the intent, for those who look into unknown outcomes. The
+// request ID is the one of later outcomes.
 func (s *Store) Reserve(now, madeAt time.Duration, key Key, handler string, requestID uint64) Outcome {
 	outcome := Outcome{ID: requestID, Decision: s.Peek(now, madeAt, key)}
 	switch outcome.Decision {
@@ -64,7 +67,8 @@
 	return outcome
 }
 
-// Original returns the request in flight that a retry of the key would wait for, 0 if there is none.
+// Original returns the request in flight that a retry of the key would wait for, 0 if there is
+// none.
 func (s *Store) Original(key Key) uint64 {
 	rec := s.records[key]
 	if rec == nil || rec.flight == nil {
@@ -73,8 +77,8 @@
 	return rec.flight.original
 }
 
-// Withdraw says that a request no longer waits: its caller is gone, or has another answer. If it had not started, the next one that waits
-// takes its place; if none does, its key is fresh again.
+// Withdraw says that a request no longer waits: its caller is gone, or has another answer. If it
+// had not started, the next one that waits takes its place; if none does, its key is fresh again.
 func (s *Store) Withdraw(now time.Duration, key Key, requestID uint64) {
 	s.advanceClock(now)
 	rec := s.records[key]
@@ -95,7 +99,8 @@
 	}
 }
 
-// forgetNeverRan removes a record in flight whose request is proved not to have run, and writes that.
+// forgetNeverRan removes a record in flight whose request is proved not to have run, and writes
+// that.
 func (s *Store) forgetNeverRan(key Key, rec *record) {
 	if !s.failed {
 		s.appendKeyEntry(EntryNeverRan, key, nil)
--- a/idempotency/segment.go
+++ b/idempotency/segment.go
@@ -19,11 +19,13 @@
 	Until time.Duration
 	// Keys is the number of its intents.
 	Keys int
-	// LostBefore is set if records in the segment or after it are lost: requests made before can't be proved fresh. It is 0 if none are.
+	// LostBefore is set if records in the segment or after it are lost: requests made before can't
+	// be proved fresh. It is 0 if none are.
 	LostBefore time.Duration
 	// Accepted says that an operator accepted all history that had been lost until then.
 	Accepted bool
-	// Filter has the keys that expired, nil if there are none. Nothing is added to that of a retired segment.
+	// Filter has the keys that expired, nil if there are none. Nothing is added to that of a
+	// retired segment.
 	Filter *bloom.BloomFilter
 }
 
@@ -45,7 +47,8 @@
 	}
 }
 
-// addFingerprint adds a key that expired. The filter is sized for that many keys, or for those of the segment if they are more.
+// addFingerprint adds a key that expired. The filter is sized for that many keys, or for those of
+// the segment if they are more.
 func (g *segment) addFingerprint(key Key, keysPerSegment int) {
 	if g.Filter == nil {
 		g.Filter = bloom.NewWithEstimates(uint(max(keysPerSegment, g.Keys)), falsePositiveRate)
@@ -58,7 +61,8 @@
 	return s.segments[len(s.segments)-1]
 }
 
-// appendEntry writes a record to the last segment, and returns both the segment and the record's sequence number.
+// appendEntry writes a record to the last segment, and returns both the segment and the record's
+// sequence number.
 func (s *Store) appendEntry(entry LogEntry) (*segment, uint64) {
 	seg := s.lastSegment()
 	s.lastSeq++
@@ -76,7 +80,8 @@
 	return s.appendEntry(LogEntry{Kind: kind, Key: key, Data: data})
 }
 
-// makeRoom makes sure that an intent can be kept, in memory and in a segment. It reports whether that is so.
+// makeRoom makes sure that an intent can be kept, in memory and in a segment. It reports whether
+// that is so.
 func (s *Store) makeRoom() bool {
 	if len(s.records) >= s.cfg.MaxEntries && !s.expireOldest() {
 		return false
@@ -154,7 +159,8 @@
 	}
 }
 
-// MayBeExpired reports whether a key has a fingerprint, here or in those merged from other nodes. It is rarely true for a key that has not.
+// MayBeExpired reports whether a key has a fingerprint, here or in those merged from other nodes.
+// It is rarely true for a key that has not.
 func (s *Store) MayBeExpired(key Key) bool {
 	for _, seg := range s.segments {
 		if seg.Filter != nil && seg.Filter.Test(key[:]) {
--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -35,13 +35,15 @@
 	stateUnknown                      // it has an intent and no end
 )
 
-// Names of states as the operators' commands print them. A finished record has the name of its end instead.
+// Names of states as the operators' commands print them. A finished record has the name of its end
+// instead.
 const (
 	nameInFlight = "in hand"
 	nameUnknown  = "in doubt"
 )
 
-// record is what is remembered of a key. There are millions of them, so what only those in flight need is kept apart.
+// record is what is remembered of a key. There are millions of them, so what only those in flight
+// need is kept apart.
 type record struct {
 	state         recordState
 	end           EntryKind     // how it ended; 0 if that is not known
@@ -60,7 +62,8 @@
 	handler  string
 }
 
-// lateRequest stands in for the original request of an end that turned up after its outcome was unknown: no caller waits for it.
+// lateRequest is the original request of a run whose end turned up after its outcome was unknown:
+// no caller waits for it.
 const lateRequest = math.MaxUint64
 
 // decision is what a retry meets once the record is no longer in flight.
@@ -122,7 +125,7 @@
 	s.awaitingDisk = append(s.awaitingDisk, key)
 }
 
-// addUnknown makes a record for an intent whose end is not known.
+// addUnknown makes a record for an intent in that segment whose end is not known.
 func (s *Store) addUnknown(key Key, at time.Duration, seg *segment) *record {
 	seg.liveRecords++
 	rec := &record{state: stateUnknown, at: at, intentSegment: seg}
@@ -144,7 +147,8 @@
 	s.awaitingDisk = append(s.awaitingDisk, key)
 }
 
-// finish ends a flight and answers all that wait for it, and the original request too if answerOriginal is set.
+// finish ends a flight and answers all that wait for it, and the original request too if
+// answerOriginal is set.
 func (s *Store) finish(key Key, rec *record, answerOriginal bool) []Outcome {
 	var outcomes []Outcome
 	if answerOriginal && rec.flight.original != 0 {
@@ -187,7 +191,7 @@
 	s.inFlight++
 }
 
-// resolve gives a record whose outcome is unknown its end, which stands in that segment.
+// resolve gives a record whose outcome is unknown its end, whose log record is in that segment.
 func (s *Store) resolve(key Key, rec *record, end EntryKind, at time.Duration, seg *segment) {
 	rec.state = stateFinished
 	rec.end = end
--- a/idempotency/stats.go
+++ b/idempotency/stats.go
@@ -49,8 +49,9 @@
 	return stats
 }
 
-// Each calls f for each key that is remembered with more than a fingerprint, in no order. at is when it ended, or when its intent was made;
-// state is how the operators' commands name its state; bytes is the size of its result.
+// Each calls f for each key that is remembered with more than a fingerprint, in no order. at is
+// when it ended, or when its intent was made; state is how the operators' commands name its state;
+// bytes is the size of its result.
 func (s *Store) Each(f func(key Key, at time.Duration, state string, bytes int)) {
 	for key, rec := range s.records {
 		f(key, rec.at, rec.stateName(), len(rec.result))
@@ -71,7 +72,8 @@
 	return keys
 }
 
-// UnknownByHandler returns how many keys have an unknown outcome, by handler; "" stands for those whose handler is not known.
+// UnknownByHandler returns how many keys have an unknown outcome, by handler; "" stands for those
+// whose handler is not known.
 func (s *Store) UnknownByHandler() map[string]int {
 	counts := map[string]int{}
 	for _, handler := range s.unknownHandlers {
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Store remembers keys and what came of their requests. New makes one. Load and the other loading methods bring it to what the disk has,
-// FinishLoading ends that, and from then on it takes requests.
+// Store remembers keys and what came of their requests. New makes one. Load and the other loading
+// methods bring it to what the disk has, FinishLoading ends that, and from then on it takes
+// requests.
 //
 // Times are durations since 1970 began. A Store is not safe for concurrent use.
 type Store struct {
@@ -18,7 +19,8 @@
 	unknown         int            // records in stateUnknown
 	unknownHandlers map[Key]string // handlers of those, where they are known
 
-	// expiryQueue has the keys that ended or whose outcome is unknown, the oldest first. Some may be forgotten already.
+	// expiryQueue has the keys that ended or whose outcome is unknown, the oldest first. Some may
+	// be forgotten already.
 	expiryQueue  []Key
 	queueStart   uint64           // position of the first key in expiryQueue, counted since the store was made
 	unterminated map[Key]struct{} // while loading: intents of the incarnation that is being loaded, without an end so far
@@ -48,7 +50,8 @@
 	}
 }
 
-// advanceClock moves the time forward. It never goes back: a clock that was set back must not make anything younger.
+// advanceClock moves the time forward. It never goes back: a clock that was set back must not make
+// anything younger.
 func (s *Store) advanceClock(now time.Duration) {
 	s.now = max(s.now, now)
 }
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -42,7 +42,8 @@
 	return Completed
 }
 
-// TestExpiry: a result that has expired leaves a fingerprint, also on the disk, and what is past the horizon leaves nothing.
+// TestExpiry: a result that has expired leaves a fingerprint, also on the disk, and what is past
+// the horizon leaves nothing.
 func TestExpiry(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -86,7 +87,8 @@
 	}
 }
 
-// TestBounds: where keys come faster than they may be forgotten, the newest are rejected and none is forgotten early.
+// TestBounds: where keys come faster than they may be forgotten, the newest are rejected and none
+// is forgotten early.
 func TestBounds(t *testing.T) {
 	x := newTestStore(Config{
 		MaxEntries:     20,
@@ -118,8 +120,8 @@
 	}
 }
 
-// TestLostHistory: what is lost is never taken for fresh, over restarts, until the horizon has passed, the caller tells when it made a request,
-// or an operator accepts the loss.
+// TestLostHistory: what is lost is never taken for fresh, over restarts, until the horizon has
+// passed, the caller says when it made a request, or an operator accepts the loss.
 func TestLostHistory(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -185,7 +187,8 @@
 	}
 }
 
-// TestWaitingRequests: a retry of what is in flight hears how that ends, and a withdrawn request makes room for the next.
+// TestWaitingRequests: a retry of what is in flight hears how that ends, and a withdrawn request
+// makes room for the next.
 func TestWaitingRequests(t *testing.T) {
 	const (
 		intentSeq = 9  // past the record of the intent
@@ -269,8 +272,8 @@
 	}
 }
 
-// TestAbandonInFlight: the outcome of what was in flight is unknown once nobody has it any more. That of an end on its way to the disk is
-// not, and an end that turns up counts.
+// TestAbandonInFlight: the outcome of what was in flight is unknown once nobody has it any more.
+// That of an end on its way to the disk is not, and an end that turns up counts.
 func TestAbandonInFlight(t *testing.T) {
 	s := New(Config{
 		MaxEntries:     10,
@@ -304,7 +307,50 @@
 	}
 }
 
-// TestNames: the names that reach operators and their scripts, and the numbers that are on disks, stay as they are.
+// TestUnknownOutcomeExpires: a request without an end, after a restart, is rejected as long as it
+// is remembered, then like one whose result has expired.
+func TestUnknownOutcomeExpires(t *testing.T) {
+	cfg := Config{
+		MaxEntries:     10,
+		MaxBytes:       100,
+		MaxResultBytes: 50,
+		ResultTTL:      time.Minute,
+		RetryHorizon:   time.Hour,
+		MaxSegments:    12,
+		KeysPerSegment: 9,
+		SegmentBytes:   1 << 20,
+	}
+	x := newTestStore(cfg)
+	x.store.Reserve(noon, 0, keyOf(1), "status", 1)
+	x.sync()
+	for incarnation := range 2 {
+		x.store = New(cfg)
+		x.disk.load(x.store)
+		x.store.FinishLoading(noon+time.Second, false, 0)
+		x.sync()
+		if keys := x.store.UnknownKeys(5); !slices.Equal(keys, []Key{keyOf(1)}) {
+			t.Errorf("after %d restarts the outcome of %x is unknown", incarnation+1, keys)
+		}
+	}
+	for _, c := range []struct {
+		after time.Duration
+		want  Decision
+	}{
+		{59 * time.Second, OutcomeUnknown},
+		{61 * time.Second, ResultExpired},
+	} {
+		x.store.Sweep(noon + c.after)
+		if got := x.store.Reserve(noon+c.after, 0, keyOf(1), "status", 2); got.Decision != c.want {
+			t.Errorf("after %s: %s, not %s", c.after, got.Decision, c.want)
+		}
+	}
+	if stats := x.store.Stats(); stats.Keys != 0 || stats.OutcomeUnknown != 0 {
+		t.Errorf("%+v", stats)
+	}
+}
+
+// TestNames: the names that reach operators and their scripts, and the numbers that are on disks,
+// stay as they are.
 func TestNames(t *testing.T) {
 	var kinds []string
 	for kind := range EntryKind(13) {
--- a/idempotency/transfer.go
+++ b/idempotency/transfer.go
@@ -7,7 +7,8 @@
 	"github.com/bits-and-blooms/bloom/v3"
 )
 
-// Record is what one store supplies to another about a key that has ended, or whose outcome is unknown.
+// Record is what one store supplies to another about a key that has ended, or whose outcome is
+// unknown.
 type Record struct {
 	// Key is the key.
 	Key Key
@@ -27,13 +28,15 @@
 	Filter *bloom.BloomFilter
 }
 
-// firstPeerPosition is where the fingerprints that were merged from other nodes begin among those that NextExpired returns. Before it, the
-// position is the number of a segment of the store's own.
+// firstPeerPosition is where the fingerprints that were merged from other nodes begin among those
+// that NextExpired returns. Before it, the position is the number of a segment of the store's own.
 const firstPeerPosition = 1 << 48
 
-// Export returns records of keys that have ended or whose outcome is unknown, in the order in which they did so. It walks the positions from
-// `from` up to `to`, passes over keys that include rejects, and stops early when the records have reached maxBytes. next is the position to
-// go on from, end the one past the last there is. Records that expire during a walk are among the fingerprints, if those are asked for after it.
+// Export returns records of keys that have ended or whose outcome is unknown, in the order in which
+// they did so. It walks the positions from `from` up to `to`, passes over keys that include
+// rejects, and stops early when the records have reached maxBytes. next is the position to go on
+// from, end the one past the last there is. Records that expire during a walk are among the
+// fingerprints, if those are asked for after it.
 func (s *Store) Export(from, to uint64, maxBytes int, include func(Key) bool) (records []Record, next, end uint64) {
 	end = s.queueStart + uint64(len(s.expiryQueue))
 	next = max(from, s.queueStart)
@@ -54,8 +57,9 @@
 	return records, next, end
 }
 
-// NextExpired returns the first fingerprints after a position: those of this store's segments, then those that it merged. The position
-// returned is what to ask with next; 0 begins. ok is false when there are no more.
+// NextExpired returns the first fingerprints after a position: those of this store's segments, then
+// those that it merged. The position returned is what to ask with next; 0 begins. ok is false when
+// there are no more.
 func (s *Store) NextExpired(after uint64) (expired ExpiredKeys, position uint64, ok bool) {
 	for _, seg := range s.segments {
 		if seg.Filter != nil && seg.Segment > after {
@@ -72,8 +76,9 @@
 	return ExpiredKeys{}, 0, false
 }
 
-// Merge takes another store's record of a key of which this one knows nothing, or only that its outcome is unknown. It is written to the
-// log like a request that ran here, and expires from now on: later than where it ran, never earlier. Merge reports whether it was taken.
+// Merge takes another store's record of a key of which this one knows nothing, or only that its
+// outcome is unknown. It is written to the log like a request that ran here, and expires from now
+// on: later than where it ran, never earlier. Merge reports whether it was taken.
 func (s *Store) Merge(now time.Duration, record Record) bool {
 	s.advanceClock(now)
 	if s.failed {
@@ -101,7 +106,8 @@
 	return s.addUnknown(key, s.now, seg)
 }
 
-// mergeEnd writes the end of a record whose outcome was unknown. The record is in the queue of what expires already.
+// mergeEnd writes the end of a record whose outcome was unknown. The record is in the queue of what
+// expires already.
 func (s *Store) mergeEnd(rec *record, merged Record) {
 	end := merged.Kind
 	if end == EntryResult && len(merged.Result) > s.cfg.MaxResultBytes {
--- a/idempotency/transfer_test.go
+++ b/idempotency/transfer_test.go
@@ -19,8 +19,9 @@
 	ran      map[Key]bool
 }
 
-// TestTransfer: a store that has lost all walks through another, while that one goes on and expires keys. Each key then meets here
-// what it meets there, or that it has expired; nothing that ran is fresh. What was merged is there after a restart too.
+// TestTransfer: a store that has lost all walks through another, while that one goes on and expires
+// keys. Each key then meets here what it meets there, or that it has expired; nothing that ran is
+// fresh. What was merged is there after a restart too.
 func TestTransfer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := &transferTest{
@@ -126,7 +127,8 @@
 		here := x.to.PeekOutcome(x.now, 0, key)
 		switch {
 		case binary.BigEndian.Uint64(key[8:]) > last:
-		case here.Decision != Fresh && (there.Decision == ResultExpired || here.Decision == ResultExpired): // it has expired at either
+		case here.Decision != Fresh && (there.Decision == ResultExpired || here.Decision == ResultExpired):
+			// It has expired at either.
 		case there.Decision != here.Decision || string(there.Result) != string(here.Result):
 			x.t.Fatalf("key %x: %s %q there, %s %q here", key, there.Decision, there.Result, here.Decision, here.Result)
 		}
@@ -146,7 +148,8 @@
 	}
 }
 
-// checkRestart checks that a later incarnation has what was merged, unless there were fingerprints, which are not on the disk.
+// checkRestart checks that a later incarnation has what was merged, unless there were fingerprints,
+// which are not on the disk.
 func (x *transferTest) checkRestart() {
 	disk := newFakeDisk()
 	disk.writeAll(x.to.TakeEntries())
--- a/internal/wal/compat_test.go
+++ b/internal/wal/compat_test.go
@@ -15,8 +15,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The store in testdata/store-v1 was written on 2 December 2026 by the program as it was before its types and functions were renamed, and
-// testdata/store-v1.golden is what that program read from it. Neither file is ever made anew: stores of this format exist on disks.
+// The store in testdata/store-v1 was written on 2 December 2026 by the program as it was before its
+// types and functions were renamed, and testdata/store-v1.golden is what that program read from it.
+// Neither file is ever made anew: stores of this format exist on disks.
 const (
 	v1Store  = "testdata/store-v1"
 	v1Golden = "testdata/store-v1.golden"
@@ -39,7 +40,8 @@
 	return key
 }
 
-// TestReadStoreV1 reads a store that an earlier version of the program wrote, and compares all that can be told of it.
+// TestReadStoreV1 reads a store that an earlier version of the program wrote, and compares all that
+// the state machine knows of it.
 func TestReadStoreV1(t *testing.T) {
 	want, err := os.ReadFile(v1Golden)
 	if err != nil {
@@ -51,7 +53,8 @@
 	}
 }
 
-// TestWriteStoreV1 plays the history that the store in testdata was written by, and compares the files byte for byte.
+// TestWriteStoreV1 plays the history that the store in testdata was written by, and compares the
+// files byte for byte.
 func TestWriteStoreV1(t *testing.T) {
 	dir := t.TempDir()
 	h := &v1History{t: t, disk: wal.DirDisk(dir), now: noon}
@@ -79,8 +82,8 @@
 	}
 }
 
-// v1History is the history of the store in testdata: three incarnations whose requests end in each possible way, history that is lost and
-// accepted, segments that are retired and dropped.
+// v1History is the history of the store in testdata: three incarnations whose requests end in each
+// possible way, history that is lost and accepted, segments that are retired and dropped.
 type v1History struct {
 	t      *testing.T
 	disk   wal.Disk
@@ -164,7 +167,8 @@
 	commit(h.t, h.store, h.writer)
 }
 
-// describeStore lists the files and records of a store, and what the state machine knows after it has loaded them.
+// describeStore lists the files and records of a store, and what the state machine knows after it
+// has loaded them.
 func describeStore(t *testing.T, disk wal.Disk, now time.Duration) string {
 	t.Helper()
 	var b strings.Builder
@@ -189,7 +193,8 @@
 	}
 	fmt.Fprintln(&b, "contents:")
 	fmt.Fprintf(&b, "  node %q, created %s, mark %016x\n", found.ID.Node, found.ID.Created, found.ID.Mark)
-	fmt.Fprintf(&b, "  %d records, %d segments, last segment %d, torn bytes %d\n", found.Records, found.Segments, found.LastSegment, found.TornBytes)
+	fmt.Fprintf(&b, "  %d records, %d segments, last segment %d, torn bytes %d\n",
+		found.Records, found.Segments, found.LastSegment, found.TornBytes)
 	fmt.Fprintf(&b, "  damage %q, leftover %q, new segment needed %t\n", found.Damage, found.Leftover, found.NeedsNewSegment())
 
 	store.FinishLoading(now, found.NeedsNewSegment(), found.LastSegment)
@@ -204,7 +209,8 @@
 	for n := range 45 {
 		recent := store.PeekOutcome(now, now, v1Key(n))
 		undated := store.PeekOutcome(now, 0, v1Key(n))
-		fmt.Fprintf(&b, "  key %d: decision %d, result %q; decision %d, result %q\n", n, recent.Decision, recent.Result, undated.Decision, undated.Result)
+		fmt.Fprintf(&b, "  key %d: decision %d, result %q; decision %d, result %q\n",
+			n, recent.Decision, recent.Result, undated.Decision, undated.Result)
 	}
 	fmt.Fprintln(&b, "unknown outcomes:")
 	for _, key := range store.UnknownKeys(100) {
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// TestDamage: what is lost of what was durable is found and reported, and none of it runs again, also after another start.
+// TestDamage: what is lost of what was durable is found and reported, and none of it runs again,
+// also after another start.
 func TestDamage(t *testing.T) {
 	logs := names(t, filledDisk(t), ".log")
 	fingerprints := names(t, filledDisk(t), ".prints")
@@ -75,7 +76,8 @@
 	}
 }
 
-// checkDamaged checks that damage of a filled disk is found, and that over three incarnations nothing is fresh but what was made since.
+// checkDamaged checks that damage of a filled disk is found, and that over three incarnations
+// nothing is fresh but what was made since.
 func checkDamaged(t *testing.T, disk *fake.Disk) {
 	t.Helper()
 	contents, err := wal.Read(disk, "n1", idempotency.New(testConfig), nil)
@@ -100,7 +102,8 @@
 	}
 }
 
-// TestDiskFailure: an error of each operation ends the writing, and what is not durable is not reported as such.
+// TestDiskFailure: an error of each operation ends the writing, and what is not durable is not
+// reported as such.
 func TestDiskFailure(t *testing.T) {
 	for _, operation := range []string{"open", "write", "fsync", "rename", "remove", "sync"} {
 		t.Run(operation, func(t *testing.T) { testDiskFailure(t, operation) })
@@ -157,7 +160,8 @@
 	}
 }
 
-// FuzzRead: whatever the files contain is read without harm, and changes of what is durable don't go unnoticed.
+// FuzzRead: whatever the files contain is read without harm, and changes of what is durable don't
+// go unnoticed.
 func FuzzRead(f *testing.F) {
 	base := filledDisk(f)
 	logs := names(f, base, ".log")
--- a/internal/wal/dirdisk_powerloss.go
+++ b/internal/wal/dirdisk_powerloss.go
@@ -13,23 +13,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// DirDisk returns the directory with that path. It records beside each file how much of it is durable, and which changes of names are not.
-// From that, a test that kills the process can make of the directory what a power failure could have left: see harness.CutPower.
+// DirDisk returns the directory with that path. It records beside each file how much of it is
+// durable, and which changes of names are not. From that, a test that kills the process can make of
+// the directory what a power failure could have left: see harness.CutPower.
 func DirDisk(path string) Disk { return &recordingDisk{dirDisk: dirDisk(path)} }
 
 // Names of the files that are recorded. They begin with a dot, as no file of a store does.
 const (
-	// DurableMark begins the name of a file with the durable size of another one, whose name follows.
+	// DurableMark begins the name of a file with the durable size of another one, whose name
+	// follows.
 	DurableMark = ".durable."
 	// PendingName is the file with the changes of names that are not durable, a line each.
 	PendingName = ".pending"
 	// OldMark begins the name of a file that was removed or replaced, until that is durable.
 	OldMark = ".old."
-	// FaultName is the file that says how the disk fails: "full", "read-only", or how long each write takes.
+	// FaultName is the file that says how the disk fails: "full", "read-only", or how long each
+	// write takes.
 	FaultName = ".fault"
 )
 
-// noFile stands in PendingName for a name that no file had before.
+// noFile is written to PendingName for a name that no file had before.
 const noFile = "-"
 
 // recordingDisk is a directory that records what is durable.
@@ -114,7 +117,8 @@
 	return errors.Join(err, file.Close())
 }
 
-// recordDurableSize records how much of a file is durable. The record is replaced at once, as the process may be killed meanwhile.
+// recordDurableSize records how much of a file is durable. The record is replaced at once, as the
+// process may be killed meanwhile.
 func (d *recordingDisk) recordDurableSize(name string, size int64) error {
 	path := d.path(DurableMark + name)
 	if err := os.WriteFile(path+"~", fmt.Append(nil, size), 0o600); err != nil {
@@ -123,7 +127,8 @@
 	return os.Rename(path+"~", path)
 }
 
-// keepOld renames the file that has a name, so that it is there until its end is durable. It returns the new name, noFile if there is no file.
+// keepOld renames the file that has a name, so that it is there until its end is durable. It
+// returns the new name, noFile if there is no file.
 func (d *recordingDisk) keepOld(name string) (string, error) {
 	if _, err := os.Stat(d.path(name)); errors.Is(err, fs.ErrNotExist) {
 		return noFile, nil
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -9,13 +9,15 @@
 	"path/filepath"
 )
 
-// Disk is one directory of a file system, as a store needs it. Tests have one that loses power. Its methods are called by one goroutine at a time.
+// Disk is one directory of a file system, as a store needs it. Tests have one that loses power. Its
+// methods are called by one goroutine at a time.
 type Disk interface {
 	// Names returns the names of all files.
 	Names() ([]string, error)
 	// Read returns a file's content. The error is fs.ErrNotExist if there is no such file.
 	Read(name string) ([]byte, error)
-	// Append opens a file to be written to from that size on. It is created if it doesn't exist, and truncated if it is longer.
+	// Append opens a file to be written to from that size on. It is created if it doesn't exist,
+	// and truncated if it is longer.
 	Append(name string, size int64) (File, error)
 	// Rename renames a file, replacing one that has the new name.
 	Rename(from, to string) error
@@ -91,7 +93,8 @@
 	return dir.Sync()
 }
 
-// WriteFile writes a file so that it exists under its name either completely or not at all, and returns when that is durable.
+// WriteFile writes a file so that it exists under its name either completely or not at all, and
+// returns when that is durable.
 func WriteFile(disk Disk, name string, data []byte) error {
 	temporary := name + temporarySuffix
 	if err := writeAndSync(disk, temporary, data); err != nil {
--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -6,7 +6,8 @@
 var (
 	// ErrNoStore means that the directory has no store. Init makes one.
 	ErrNoStore = errors.New("no store: one is made by keep init")
-	// ErrWrongOwner means that the directory has the store of another node, or that the file which says so is damaged.
+	// ErrWrongOwner means that the directory has the store of another node, or that the file which
+	// says so is damaged.
 	ErrWrongOwner = errors.New("not this store's")
 	// ErrVersion means that the store has a format that this program doesn't know.
 	ErrVersion = errors.New("a store of another version")
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -62,7 +62,8 @@
 	return kind == idempotency.EntrySegmentOpened || kind == idempotency.EntrySegmentDropped
 }
 
-// appendFrame appends the records as one frame. They are of one segment, and their sequence numbers follow each other.
+// appendFrame appends the records as one frame. They are of one segment, and their sequence numbers
+// follow each other.
 func (id ID) appendFrame(buf []byte, records []idempotency.LogEntry) []byte {
 	start := len(buf)
 	buf = append(buf, make([]byte, frameHeaderSize)...)
@@ -95,8 +96,8 @@
 	return append(buf, record.Data...)
 }
 
-// readFrame reads the frame that data begins with, calls f for each of its records, and returns its size. The error is errCorrupt, or
-// errTruncated if data is shorter than the frame's header says.
+// readFrame reads the frame that data begins with, calls f for each of its records, and returns its
+// size. The error is errCorrupt, or errTruncated if data is shorter than the frame's header says.
 func (id ID) readFrame(data []byte, segment uint64, f func(idempotency.LogEntry)) (int, error) {
 	if len(data) < frameHeaderSize {
 		return 0, errTruncated
@@ -137,7 +138,8 @@
 	return size, nil
 }
 
-// readRecord reads the record that data begins with, and returns its size. The record's data is not copied.
+// readRecord reads the record that data begins with, and returns its size. The record's data is not
+// copied.
 func readRecord(data []byte) (record idempotency.LogEntry, size int, err error) {
 	if len(data) < recordHeaderSize {
 		return record, 0, errCorrupt
@@ -162,8 +164,9 @@
 	return record, size, nil
 }
 
-// isTorn reports whether the rest of a file, which begins at that offset and fails to be read with that error, may be a write that was never
-// durable: it is cut short, or one of its sectors was never written. What is complete and wrong was complete once.
+// isTorn reports whether the rest of a file, which begins at that offset and fails to be read with
+// that error, may be a write that was never durable: it is cut short, or one of its sectors was
+// never written. What is complete and wrong was complete once.
 func isTorn(rest []byte, offset int, err error) bool {
 	if errors.Is(err, errTruncated) {
 		return true
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// filledDisk returns a disk with the records of a few dozen requests in several segments, some of which are retired.
+// filledDisk returns a disk with the records of a few dozen requests in several segments, some of
+// which are retired.
 func filledDisk(t testing.TB) *fake.Disk {
 	t.Helper()
 	disk := fake.NewDisk()
--- a/internal/wal/identity.go
+++ b/internal/wal/identity.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID tells stores apart: a file of another store is never taken for one of this.
+// ID identifies a store. A file of another store is never taken for one of this.
 type ID struct {
 	// Node is the name of the node that the store belongs to.
 	Node string
@@ -34,7 +34,8 @@
 	checksumField  = "sum"
 )
 
-// Init makes an empty store in a directory that has none. Its caller vouches that nothing which ran under this name before is retried.
+// Init makes an empty store in a directory that has none. Its caller vouches that nothing which ran
+// under this name before is retried.
 func Init(disk Disk, node string, created time.Duration, mark uint64) error {
 	names, err := disk.Names()
 	if err != nil {
@@ -49,7 +50,8 @@
 	return WriteFile(disk, identityName, id.encode())
 }
 
-// Identify returns whose store it is. The error is ErrNoStore, ErrWrongOwner, ErrVersion or one of the disk.
+// Identify returns whose store it is. The error is ErrNoStore, ErrWrongOwner, ErrVersion or one of
+// the disk.
 func Identify(disk Disk) (ID, error) {
 	text, err := disk.Read(identityName)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/wal/identity_test.go
+++ b/internal/wal/identity_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// TestWrongOwner: a directory that is not this node's store is not used, nor one that another process uses.
+// TestWrongOwner: a directory that is not this node's store is not used, nor one that another
+// process uses.
 func TestWrongOwner(t *testing.T) {
 	dir := t.TempDir()
 	disk := wal.DirDisk(dir)
@@ -45,12 +46,13 @@
 		t.Fatal(err)
 	}
 	if _, err := filelock.Acquire(lockPath); !errors.Is(err, filelock.ErrBusy) || !filelock.IsLocked(lockPath) {
-		t.Error("two hold it: ", err)
+		t.Error("locked twice: ", err)
 	}
 	_ = lock.Close()
 }
 
-// TestDamagedIdentity: a file that identifies a store is not taken for one when it is damaged, or of another version.
+// TestDamagedIdentity: a file that identifies a store is not taken for one when it is damaged, or
+// of another version.
 func TestDamagedIdentity(t *testing.T) {
 	dir := t.TempDir()
 	disk := wal.DirDisk(dir)
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Log commits entries on a goroutine of its own, all that wait at once, so that one sync of the disk covers many (group commit). Its methods
-// may be called concurrently.
+// Log commits entries on a goroutine of its own, all that wait at once, so that one sync of the
+// disk covers many (group commit). Its methods may be called concurrently.
 type Log struct {
 	writer   *Writer // of the goroutine
 	interval time.Duration
@@ -33,8 +33,9 @@
 	Longest time.Duration `json:"longest"`
 }
 
-// NewLog starts a log. notify is called on its goroutine, with the sequence number up to which all is durable, or with the error after which
-// nothing more will be. Commits begin no closer to each other than interval, unless at least `enough` entries wait.
+// NewLog starts a log. notify is called on its goroutine, with the sequence number up to which all
+// is durable, or with the error after which nothing more will be. Commits begin no closer to each
+// other than interval, unless at least `enough` entries wait.
 func NewLog(writer *Writer, interval time.Duration, enough int, notify func(seq uint64, err error)) *Log {
 	l := &Log{
 		writer:   writer,
@@ -66,7 +67,8 @@
 	return l.stats
 }
 
-// Close commits what waits and ends the goroutine. If the disk takes longer than the timeout it returns an error and leaves it to itself.
+// Close commits what waits and ends the goroutine. If the disk takes longer than the timeout it
+// returns an error and leaves it to itself.
 func (l *Log) Close(timeout time.Duration) error {
 	l.mu.Lock()
 	l.closed = true
@@ -103,7 +105,8 @@
 	_ = l.writer.Close() // all of it is durable, or an error was reported
 }
 
-// awaitEntries waits until there is something to commit. It returns false when there is nothing and the log is closed.
+// awaitEntries waits until there is something to commit. It returns false when there is nothing and
+// the log is closed.
 func (l *Log) awaitEntries() bool {
 	for {
 		waiting, closed := l.state()
@@ -117,7 +120,8 @@
 	}
 }
 
-// awaitMore waits for so long for more entries, but not when enough of them wait or the log is closed.
+// awaitMore waits for so long for more entries, but not when enough of them wait or the log is
+// closed.
 func (l *Log) awaitMore(timeout time.Duration) {
 	if timeout <= 0 {
 		return
--- a/internal/wal/names.go
+++ b/internal/wal/names.go
@@ -30,7 +30,8 @@
 	return fmt.Sprintf("%0*d%s", segmentDigits, segment, fingerprintsSuffix)
 }
 
-// segmentOf returns the segment's number in the name of a file with that suffix. ok is false if it isn't the name of one.
+// segmentOf returns the segment's number in the name of a file with that suffix. ok is false if it
+// isn't the name of one.
 func segmentOf(name, suffix string) (segment uint64, ok bool) {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != segmentDigits {
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -39,7 +39,8 @@
 // resultOf returns the result of the request with that key.
 func resultOf(key int) []byte { return fmt.Appendf(nil, "claim %d is filed, %x", key, key*key) }
 
-// simulation is a node without sockets: a store on a disk that loses power, a processor that counts effects, and callers that retry.
+// simulation is a node without sockets: a store on a disk that loses power, a processor that counts
+// effects, and callers that retry.
 type simulation struct {
 	t      *testing.T
 	name   string
@@ -198,7 +199,8 @@
 	}
 }
 
-// play takes so many steps. After a power failure the power comes back, perhaps to fail again soon, and all goes on.
+// play takes so many steps. After a power failure the power comes back, perhaps to fail again soon,
+// and all goes on.
 func (s *simulation) play(steps int) {
 	up := s.start()
 	for range steps {
@@ -216,7 +218,8 @@
 	}
 }
 
-// TestPowerLossAtEachOperation loses power at each operation of a scripted history of some hundred requests, and goes on.
+// TestPowerLossAtEachOperation loses power at each operation of a scripted history of some hundred
+// requests, and goes on.
 func TestPowerLossAtEachOperation(t *testing.T) {
 	const steps = 700
 	complete := newSimulation(t, 1, "no power loss")
--- a/internal/wal/quarantine.go
+++ b/internal/wal/quarantine.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// BeginRead notes that a store is about to be read; EndRead ends that. If too many processes in a row have died in between, it quarantines
-// the store's files: they are renamed, so that the store is empty, and what was in it is for a person to look at.
+// BeginRead notes that a store is about to be read; EndRead ends that. If too many processes in a
+// row have died in between, it quarantines the store's files: they are renamed, so that the store
+// is empty, and what was in it is for a person to look at.
 func BeginRead(disk Disk) (quarantined bool, err error) {
 	attempts := 0
 	text, err := disk.Read(readAttemptsName)
@@ -37,8 +38,8 @@
 	return nil
 }
 
-// writeAttempts writes the number of attempts without making it durable. It outlives the process; a power failure that takes it back costs
-// one more attempt.
+// writeAttempts writes the number of attempts without making it durable. It outlives the process; a
+// power failure that takes it back costs one more attempt.
 func writeAttempts(disk Disk, attempts int) error {
 	file, err := disk.Append(readAttemptsName, 0)
 	if err != nil {
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// maxMissingSegments bounds how many missing segments the store is told of. More are never kept.
+// maxMissingSegments bounds how many missing segments are reported to the store. More are never
+// kept.
 const maxMissingSegments = 1024
 
 // Contents is what was found on a disk.
@@ -43,9 +44,10 @@
 
 // Read reads what is on the disk into a store. It changes nothing on the disk.
 //
-// node is the name that the store must have been made for; "" takes any. onRecord, unless it is nil, is called for each record in order, and
-// ends the reading by an error, which Read returns. Damage is no error: the store is told of it as lost history. Errors are those of Identify
-// and of the disk.
+// node is the name that the store must have been made for; "" takes any. onRecord, unless it is
+// nil, is called for each record in order, and ends the reading by an error, which Read returns.
+// Damage is no error: it is reported to the store as lost history. Errors are those of Identify and
+// of the disk.
 func Read(disk Disk, node string, store *idempotency.Store, onRecord func(idempotency.LogEntry) error) (Contents, error) {
 	r := reader{disk: disk, store: store, onRecord: onRecord}
 	err := r.read(node)
@@ -64,7 +66,7 @@
 	inLoss          bool          // what was read last is damaged: the next record ends the loss
 	recordSegment   uint64        // the last segment that a record was read of
 	firstSegment    uint64        // the first segment of which there is a file
-	requiredSegment uint64        // the oldest segment that must exist, as far as records tell
+	requiredSegment uint64        // the oldest segment that must exist according to the records
 	firstReadableAt time.Duration // when the first segment of which anything can be read was opened
 }
 
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// list returns the segments of which there are files, in their order, and notes leftover temporary files.
+// list returns the segments of which there are files, in their order, and notes leftover temporary
+// files.
 func (r *reader) list() ([]segmentFiles, error) {
 	names, err := r.disk.Names()
 	if err != nil {
@@ -159,7 +162,7 @@
 	}
 }
 
-// finish tells the store of losses at either end.
+// finish reports losses at either end to the store.
 func (r *reader) finish() {
 	if r.inLoss {
 		r.store.AddHistoryLoss(idempotency.Forever)
@@ -177,7 +180,7 @@
 	r.inLoss = true
 }
 
-// addMissing tells the store of segments that are missing, from one up to before another.
+// addMissing reports segments that are missing to the store, from one up to before another.
 func (r *reader) addMissing(from, before uint64) {
 	r.addDamage("segments %d to %d are missing", from, before-1)
 	for segment := from; segment < before && segment < from+maxMissingSegments; segment++ {
@@ -185,7 +188,7 @@
 	}
 }
 
-// endLoss tells the store that what was lost ended by that time.
+// endLoss reports to the store that what was lost ended by that time.
 func (r *reader) endLoss(at time.Duration) {
 	if r.inLoss {
 		r.store.AddHistoryLoss(at)
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -7,14 +7,16 @@
 )
 
 const (
-	// maxFrameData is the size of the data of records in one frame, in bytes, after which another frame begins.
+	// maxFrameData is the size of the data of records in one frame, in bytes, after which another
+	// frame begins.
 	maxFrameData = 4 << 20
 	// maxKeptBuffer is the size of the buffer that is kept for the next frame, in bytes.
 	maxKeptBuffer = 1 << 20
 )
 
-// Writer writes log entries to a disk, one batch after the other. After an error it must not be used but to close it, as it is not known
-// what the disk has then. A Writer is not safe for concurrent use.
+// Writer writes log entries to a disk, one batch after the other. After an error it must not be
+// used but to close it, as it is not known what the disk has then. A Writer is not safe for
+// concurrent use.
 type Writer struct {
 	disk     Disk
 	id       ID
@@ -25,7 +27,8 @@
 	buffer   []byte // for a frame
 }
 
-// NewWriter returns a writer that goes on after what was read into the store whose entries it will write.
+// NewWriter returns a writer that goes on after what was read into the store whose entries it will
+// write.
 func NewWriter(disk Disk, contents *Contents) *Writer {
 	return &Writer{
 		disk:     disk,
@@ -36,8 +39,9 @@
 	}
 }
 
-// Open begins an incarnation of a store. It reads what is on the disk as Read does, removes what earlier incarnations left over, finishes
-// loading the store, and returns the writer for the store's entries.
+// Open begins an incarnation of a store. It reads what is on the disk as Read does, removes what
+// earlier incarnations left over, finishes loading the store, and returns the writer for the
+// store's entries.
 func Open(
 	disk Disk,
 	node string,
@@ -58,7 +62,8 @@
 	return NewWriter(disk, &contents), contents, nil
 }
 
-// Commit writes entries and returns when they are durable, with the highest sequence number among them.
+// Commit writes entries and returns when they are durable, with the highest sequence number among
+// them.
 func (w *Writer) Commit(entries []idempotency.LogEntry) (seq uint64, err error) {
 	for i := range entries {
 		seq = max(seq, entries[i].Seq)
@@ -123,7 +128,8 @@
 	return nil
 }
 
-// openSegment has the writer's file be that of a segment. It reports whether it created the file, whose name is not durable then.
+// openSegment has the writer's file be that of a segment. It reports whether it created the file,
+// whose name is not durable then.
 func (w *Writer) openSegment(segment uint64) (created bool, err error) {
 	if w.file != nil && segment == w.segment {
 		return false, nil
