--- a/lab/outage/main.go
+++ b/lab/outage/main.go
@@ -1,90 +1,85 @@
+// Command outage simulates the return of a fleet after a loss of power: many nodes in one process, from a seed. The overload controller and the
+// recovery state machine are those of the product; processors, clients and the network are simple models. It compares strategies of coming
+// back, prints a table and plots the service over time.
 package main
 
 import (
 	"flag"
 	"fmt"
+	"io"
 	"log"
 	"os"
 	"strings"
 	"sync"
 	"text/tabwriter"
 	"time"
-
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
 )
 
 func main() {
-	boxes := flag.Int("boxes", 300, "in the fleet")
-	never := flag.Float64("never", 0, "share of them that never comes back")
-	times := flag.Float64("times", 10, "the load at the return, times the usual one")
-	flood := flag.Duration("flood", 10*time.Second, "how long")
-	seed := flag.Uint64("seed", 1, "of all chance")
-	heeds := flag.Bool("heed", false, "callers heed the time that they are told")
-	out := flag.String("plot", "", "a file for the plot, .png or .svg; empty: none")
+	var cfg config
+	flag.IntVar(&cfg.nodes, "boxes", 300, "nodes of the fleet")
+	flag.Float64Var(&cfg.lost, "never", 0, "share of the nodes that never come back")
+	flag.Float64Var(&cfg.loadFactor, "times", 10, "load after the outage, as a multiple of the load before")
+	flag.DurationVar(&cfg.floodFor, "flood", 10*time.Second, "how long the load is that high")
+	flag.Uint64Var(&cfg.seed, "seed", 1, "seed of all random choices")
+	flag.BoolVar(&cfg.honorRetryAfter, "heed", false, "rejected clients wait as long as they are told")
+	plotFile := flag.String("plot", "", "file for the plot, .png or .svg; empty: none")
 	flag.Parse()
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%d boxes lose power at 5 s and come back from 8 s on, under %.0f times the load", *boxes, *times)
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "worth served, of before the loss"
-	p.Legend.YOffs = vg.Centimeter // over the line of those that serve nothing
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "way\tuntil 0.9 of before, by handler\tworth in the first 10 s\tmessages a box\ttries a req")
-	var fleets [noLimit + 1]*fleet
-	var all sync.WaitGroup
-	for i := range fleets { // each is its own world
-		all.Go(func() {
-			fleets[i] = play(config{boxes: *boxes, never: *never, times: *times, flood: *flood, way: way(i), seed: *seed, heeds: *heeds, witness: min(4, *boxes-1)})
-		})
+	cfg.witnesses = min(4, cfg.nodes-1)
+
+	fleets := simulateAll(cfg)
+	if err := writeReport(os.Stdout, fleets); err != nil {
+		log.Fatal(fmt.Errorf("writing the report: %w", err))
 	}
-	all.Wait()
-	for i, f := range fleets {
-		x := f.result()
-		var until []string
-		for h, d := range x.until {
-			word := "never"
-			if d > 0 {
-				word = fmt.Sprintf("%.1f s", d.Seconds())
-			}
-			until = append(until, handlers[h].name+" "+word)
+	if *plotFile != "" {
+		if err := savePlot(*plotFile, cfg, fleets); err != nil {
+			log.Fatal(fmt.Errorf("plotting: %w", err))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.2f\t%.1f, %d at most\t%.1f\n", wayNames[i], strings.Join(until, ", "), x.first, x.mean, x.most, x.tries)
-		line, err := plotter.NewLine(f.curve(x))
-		if err != nil {
-			log.Fatal(err)
-		}
-		line.Color, line.Width = plotutil.Color(i), vg.Points(1.5)
-		line.Dashes = plotutil.Dashes(i)
-		p.Add(line)
-		p.Legend.Add(wayNames[i], line)
 	}
-	if err := w.Flush(); err != nil {
-		log.Fatal(err)
+}
+
+// simulateAll runs a fleet of each strategy, all at the same time.
+func simulateAll(cfg config) []*fleet {
+	fleets := make([]*fleet, strategyCount)
+	var running sync.WaitGroup
+	for i := range fleets {
+		running.Go(func() {
+			own := cfg
+			own.strategy = strategy(i)
+			fleets[i] = simulate(own)
+		})
+	}
+	running.Wait()
+	return fleets
+}
+
+// writeReport prints a row for each strategy. The words are those of the tables in docs/notes.
+func writeReport(out io.Writer, fleets []*fleet) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	header := "way\tuntil 0.9 of before, by handler\tworth in the first 10 s\tmessages a box\ttries a req"
+	if _, err := fmt.Fprintln(w, header); err != nil {
+		return err
 	}
-	if *out != "" {
-		if err := p.Save(18*vg.Centimeter, 10*vg.Centimeter, *out); err != nil {
-			log.Fatal(err)
+	for i, f := range fleets {
+		r := f.result()
+		_, err := fmt.Fprintf(w, "%s\t%s\t%.2f\t%.1f, %d at most\t%.1f\n", strategyNames[i], formatRecoveryTimes(r.recoveryTimes), r.firstSeconds,
+			r.meanMessages, r.maxMessages, r.attempts)
+		if err != nil {
+			return err
 		}
 	}
+	return w.Flush()
 }
 
-// curve is the worth served over time, of that before the loss.
-func (f *fleet) curve(x result) plotter.XYs {
-	before := 0.0
-	for h, rate := range x.before {
-		before += rate * handlers[h].worth
-	}
-	var out plotter.XYs
-	const wide = 5 // buckets that are taken together: a second
-	for i := wide; i < int(end/bucket); i++ {
-		sum := 0.0
-		for h := range handlers {
-			for k := i - wide; k < i; k++ {
-				sum += f.served[h][k] * handlers[h].worth
-			}
+// formatRecoveryTimes lists the times of the handlers.
+func formatRecoveryTimes(times []time.Duration) string {
+	var words []string
+	for i, recoveryTime := range times {
+		word := "never"
+		if recoveryTime > 0 {
+			word = fmt.Sprintf("%.1f s", recoveryTime.Seconds())
 		}
-		out = append(out, plotter.XY{X: (time.Duration(i) * bucket).Seconds(), Y: sum / (wide * bucket).Seconds() / before})
+		words = append(words, handlers[i].name+" "+word)
 	}
-	return out
+	return strings.Join(words, ", ")
 }
