--- a/internal/ajp/client.go
+++ b/internal/ajp/client.go
@@ -1,182 +1,236 @@
 package ajp
 
-import (
-	"errors"
-	"strconv"
-)
-
-// ErrOutOfOrder is an answer whose parts come in an order that can't be.
-var ErrOutOfOrder = errors.New("an answer whose parts do not follow each other")
+import "strconv"
 
-// ReplyKind tells what an Answer is.
+// ReplyKind is what a Reply is.
 type ReplyKind uint8
 
 // The messages of a server.
 const (
-	Response     ReplyKind = iota + 1 // a whole answer
-	GetBodyChunk                      // it wants the next part of the body
-	CPong                             // it is here
+	Response     ReplyKind = iota + 1 // a complete response
+	GetBodyChunk                      // the server asks for the next part of the body: AppendBodyChunk is due
+	CPong                             // the answer to AppendCPing
 )
 
-// Reply is one thing that a server said. Its bytes are valid during the call only.
+// Reply is something that a server has sent. Its bytes are valid during the call
+// only.
 type Reply struct {
 	Kind      ReplyKind
-	Status    int
-	Body      []byte
-	Reuse     bool
-	MaxLength int     // Wants: bytes it takes
-	Headers   Headers // Whole
+	Status    int     // Response
+	Headers   Headers // Response
+	Body      []byte  // Response
+	Reuse     bool    // Response: the connection may be used again
+	MaxLength int     // GetBodyChunk: bytes that the server takes
 }
 
-// Client follows a connection to a server.
+// Client follows a connection to a server. It is not safe for concurrent use.
 type Client struct {
-	p                packets
-	head             []byte // the headers' packet, empty before it
-	status           int
-	body             []byte
-	AwaitingResponse bool // a req was sent and is not answered
+	// AwaitingResponse is set by the user once a request is sent, and reset with
+	// its response.
+	AwaitingResponse bool
+
+	packets packetReader
+	status  int
+	headers []byte // the packet of the headers, empty before it
+	body    []byte
 }
 
-// NewClient follows packets of at most so many bytes.
-func NewClient(most int) *Client {
-	return &Client{p: packets{magic: [2]byte{toClient0, toClient1}, most: most}}
+// NewClient returns a client that reads packets of at most maxPacketSize bytes.
+func NewClient(maxPacketSize int) *Client {
+	return &Client{packets: packetReader{magic: magicToClient, maxSize: maxPacketSize}}
 }
 
-// Buffered is the number of bytes of an answer that is not whole.
-func (c *Client) Buffered() int { return c.p.held() + len(c.body) + len(c.head) }
+// Buffered returns the bytes kept of a response that is not complete.
+func (c *Client) Buffered() int { return c.packets.buffered() + len(c.headers) + len(c.body) }
 
-// Feed takes the next bytes and hands each message to f.
-func (c *Client) Feed(b []byte, f func(Reply)) error {
-	return c.p.feed(b, func(content []byte) error { return c.packet(content, f) })
+// Feed takes the next bytes and passes each message to handle. After an error the
+// stream can't be followed.
+func (c *Client) Feed(b []byte, handle func(Reply)) error {
+	return c.packets.feed(b, func(content []byte) error { return c.handlePacket(content, handle) })
 }
 
-func (c *Client) packet(p []byte, f func(Reply)) error {
-	if len(p) == 0 {
+func (c *Client) handlePacket(content []byte, handle func(Reply)) error {
+	if len(content) == 0 {
 		return ErrUnexpectedPacket
 	}
-	r := reader{b: p[1:]}
-	if p[0] != codeCPong && !c.AwaitingResponse {
+	code := content[0]
+	if code != codeCPong && !c.AwaitingResponse {
 		return ErrPipelined
 	}
-	switch p[0] {
+	d := decoder{data: content[1:]}
+	switch code {
 	case codeCPong:
-		if len(r.b) > 0 || c.AwaitingResponse {
-			return ErrOutOfOrder
-		}
-		f(Reply{Kind: CPong})
-	case codeHeaders:
-		status := r.uint16()
-		r.text()
-		r.headers(answerHeaders)
-		if r.bad || len(r.b) > 0 {
-			return ErrHeaders
-		}
-		if len(c.head) > 0 {
-			return ErrOutOfOrder
-		}
-		c.status, c.head = status, append(c.head[:0], p...)
-	case codeChunk:
-		n := r.uint16()
-		if r.bad || len(r.b) < n || len(r.b) > n+1 || len(r.b) == n+1 && r.b[n] != 0 {
-			return ErrBody
-		}
-		if len(c.head) == 0 {
+		if c.AwaitingResponse || !d.empty() {
 			return ErrOutOfOrder
 		}
-		if len(c.body)+n > MaxResultSize {
+		handle(Reply{Kind: CPong})
+		return nil
+	case codeSendHeaders:
+		return c.onHeaders(content)
+	case codeSendBodyChunk:
+		return c.onBodyChunk(&d)
+	case codeGetBodyChunk:
+		maxLength := d.uint16()
+		if !d.empty() {
 			return ErrBody
 		}
-		c.body = append(c.body, r.b[:n]...)
-	case codeGetChunk:
-		room := r.uint16()
-		if r.bad || len(r.b) > 0 {
-			return ErrBody
-		}
-		f(Reply{Kind: GetBodyChunk, MaxLength: room})
-	case codeEnd:
-		reuse := r.byte()
-		if r.bad || len(r.b) > 0 || len(c.head) == 0 {
-			return ErrOutOfOrder
-		}
-		h := reader{b: c.head[1:]}
-		h.uint16()
-		h.text()
-		a := Reply{Kind: Response, Status: c.status, Body: c.body, Reuse: reuse == 1, Headers: h.headers(answerHeaders)}
-		c.AwaitingResponse = false
-		f(a)
-		c.head, c.body = c.head[:0], c.body[:0]
-	default:
-		return ErrUnexpectedPacket
+		handle(Reply{Kind: GetBodyChunk, MaxLength: maxLength})
+		return nil
+	case codeEndResponse:
+		return c.onEnd(&d, handle)
+	}
+	return ErrUnexpectedPacket
+}
+
+func (c *Client) onHeaders(content []byte) error {
+	d := decoder{data: content[1:]}
+	status := d.uint16()
+	d.string() // the reason
+	d.headers(responseHeaderNames)
+	if !d.empty() {
+		return ErrHeaders
+	}
+	if c.hasHeaders() {
+		return ErrOutOfOrder
+	}
+	c.status = status
+	c.headers = append(c.headers[:0], content...)
+	return nil
+}
+
+// hasHeaders reports whether the headers of the response were received.
+func (c *Client) hasHeaders() bool { return len(c.headers) > 0 }
+
+func (c *Client) onBodyChunk(d *decoder) error {
+	n := d.uint16()
+	if d.failed || len(d.data) < n {
+		return ErrBody
 	}
+	chunk, rest := d.data[:n], d.data[n:]
+	terminated := len(rest) == 1 && rest[0] == 0
+	if len(rest) > 0 && !terminated { // the zero at the end is optional
+		return ErrBody
+	}
+	if !c.hasHeaders() {
+		return ErrOutOfOrder
+	}
+	if len(c.body)+n > MaxResultSize {
+		return ErrBody
+	}
+	c.body = append(c.body, chunk...)
+	return nil
+}
+
+func (c *Client) onEnd(d *decoder, handle func(Reply)) error {
+	reuse := d.byte()
+	if !d.empty() || !c.hasHeaders() {
+		return ErrOutOfOrder
+	}
+	headers := decoder{data: c.headers[1:]}
+	headers.uint16() // the status
+	headers.string() // the reason
+	reply := Reply{
+		Kind:    Response,
+		Status:  c.status,
+		Headers: headers.headers(responseHeaderNames),
+		Body:    c.body,
+		Reuse:   reuse == 1,
+	}
+	c.AwaitingResponse = false
+	handle(reply)
+	c.headers = c.headers[:0]
+	c.body = c.body[:0]
 	return nil
 }
 
-// ForwardRequest is a req as a client sends it.
+// ForwardRequest is a POST request as a client sends it.
 type ForwardRequest struct {
-	Path          string
-	Query         string
-	Route         string
-	Secret        string
-	Headers       []Header
-	Body          []byte
-	UnknownLength bool // its length is not told, and its body comes when it is asked for
+	Path    string
+	Query   string // empty for none
+	Route   string // empty for none
+	Secret  string // empty for none
+	Headers []Header
+	Body    []byte
+	// UnknownLength leaves the length of the body out: the server asks for its
+	// parts until it ends.
+	UnknownLength bool
 }
 
-// AppendForward adds a req: its first packet, and the first part of its body where that comes unasked.
-func AppendForward(b []byte, f *ForwardRequest, most int) []byte {
-	const post = 4
-	b = packet(b, toServer0, toServer1, func(b []byte) []byte {
-		b = appendText(append(b, codeForward, post), "HTTP/1.1")
-		b = appendText(b, f.Path)
-		b = appendText(appendText(appendText(b, "127.0.0.1"), "localhost"), "localhost")
-		b = append(appendUint16(b, 80), 0)
-		n := len(f.Headers)
-		if f.UnknownLength || len(f.Body) > 0 {
-			n++
-		}
-		b = appendUint16(b, n)
-		for _, x := range f.Headers {
-			b = appendText(appendText(b, x.Name), x.Value)
-		}
-		if f.UnknownLength {
-			b = appendText(appendText(b, "transfer-encoding"), "chunked")
-		} else if len(f.Body) > 0 {
-			b = appendText(append(b, coded, 8), strconv.Itoa(len(f.Body)))
-		}
-		for _, x := range []struct {
-			code byte
-			text string
-		}{{attrQuery, f.Query}, {attrRoute, f.Route}, {attrSecret, f.Secret}} {
-			if x.text != "" {
-				b = appendText(append(b, x.code), x.text)
-			}
-		}
-		return append(b, attrDone)
-	})
-	if len(f.Body) > 0 && !f.UnknownLength {
-		b, _ = AppendBodyChunk(b, f.Body, most)
+// AppendForward appends a request: its packet, and the first part of its body where
+// the server does not ask for that. Packets have at most maxPacketSize bytes.
+func AppendForward(b []byte, r *ForwardRequest, maxPacketSize int) []byte {
+	b = appendPacket(b, magicToServer, r.appendTo)
+	if len(r.Body) > 0 && !r.UnknownLength {
+		b, _ = AppendBodyChunk(b, r.Body, maxPacketSize)
 	}
 	return b
 }
 
-// AppendBodyChunk adds the next part of a body and gives the rest; of an empty one the packet that ends it.
-func AppendBodyChunk(b, body []byte, most int) (out, rest []byte) {
-	k := min(len(body), MaxBodyChunk(most))
-	return packet(b, toServer0, toServer1, func(b []byte) []byte {
-		if k == 0 {
+func (r *ForwardRequest) appendTo(b []byte) []byte {
+	const (
+		port  = 80
+		noTLS = 0
+	)
+	b = append(b, codeForwardRequest, methodPost)
+	b = appendString(b, "HTTP/1.1")
+	b = appendString(b, r.Path)
+	b = appendString(b, "127.0.0.1") // the client's address
+	b = appendString(b, "localhost") // the client's host
+	b = appendString(b, "localhost") // the server's name
+	b = appendUint16(b, port)
+	b = append(b, noTLS)
+	count := len(r.Headers)
+	if r.UnknownLength || len(r.Body) > 0 {
+		count++
+	}
+	b = appendUint16(b, count)
+	b = appendHeaders(b, r.Headers)
+	if r.UnknownLength {
+		b = appendString(b, "transfer-encoding")
+		b = appendString(b, "chunked")
+	} else if len(r.Body) > 0 {
+		b = append(b, codedName, codeContentLength)
+		b = appendString(b, strconv.Itoa(len(r.Body)))
+	}
+	b = appendAttribute(b, attributeQuery, r.Query)
+	b = appendAttribute(b, attributeRoute, r.Route)
+	b = appendAttribute(b, attributeSecret, r.Secret)
+	return append(b, attributesDone)
+}
+
+// appendAttribute appends an attribute unless it is empty.
+func appendAttribute(b []byte, code byte, value string) []byte {
+	if value == "" {
+		return b
+	}
+	b = append(b, code)
+	return appendString(b, value)
+}
+
+// AppendBodyChunk appends the next part of a request body, in a packet of at most
+// maxPacketSize bytes, and returns the rest of the body. For an empty body it
+// appends the packet that ends one.
+func AppendBodyChunk(b, body []byte, maxPacketSize int) (out, rest []byte) {
+	n := min(len(body), MaxBodyChunk(maxPacketSize))
+	out = appendPacket(b, magicToServer, func(b []byte) []byte {
+		if n == 0 {
 			return b
 		}
-		return append(appendUint16(b, k), body[:k]...)
-	}), body[k:]
+		b = appendUint16(b, n)
+		return append(b, body[:n]...)
+	})
+	return out, body[n:]
 }
 
-// AppendCPing asks whether anybody is there.
+// AppendCPing checks the connection.
 func AppendCPing(b []byte) []byte {
-	return packet(b, toServer0, toServer1, func(b []byte) []byte { return append(b, codeCPing) })
+	return appendPacket(b, magicToServer, func(b []byte) []byte { return append(b, codeCPing) })
 }
 
-// BodyChunkOverhead is what stands around a part of a body, in bytes; PartMost how much of one a packet of that size takes.
-const BodyChunkOverhead = headLen + 2
+// BodyChunkOverhead is the size of a packet with a part of a request body, without
+// that part, in bytes.
+const BodyChunkOverhead = packetHeaderSize + 2
 
-// MaxBodyChunk is how many bytes of a body a packet of at most so many bytes takes.
-func MaxBodyChunk(most int) int { return most - BodyChunkOverhead }
+// MaxBodyChunk returns how many bytes of a request body fit into a packet of
+// maxPacketSize bytes.
+func MaxBodyChunk(maxPacketSize int) int { return maxPacketSize - BodyChunkOverhead }
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -1,214 +1,148 @@
 package ajp
 
-import (
-	"bytes"
-	"errors"
-	"math"
-	"strconv"
-)
+import "errors"
 
-// Kind tells what a Message is.
+// Kind is what a Message is.
 type Kind uint8
 
 // The messages of a front end.
 const (
-	Request       Kind = iota + 1 // a whole req
-	TooLarge                      // a req past a limit; it is owed an answer and nothing more is read of it
-	NeedBodyChunk                 // the next part of the body must be asked for
-	CPing                         // it asks whether anybody is here
-	Shutdown                      // it wishes an end, which it can't have
+	Request       Kind = iota + 1 // a complete request
+	TooLarge                      // a request past a limit, of which nothing more is read: a response is due
+	NeedBodyChunk                 // the next part of the body must be asked for, by AppendGetBodyChunk
+	CPing                         // the front end checks the connection: AppendCPong is due
+	Shutdown                      // the front end asks the server to end
 )
 
-// Message is one thing that was read. Its bytes are valid during the call only, but for the body's.
+// Message is something that a front end has sent. Its bytes are valid during the
+// call only, except for those of Body.
 type Message struct {
 	Kind    Kind
-	Method  string // empty where it is none that is known
+	Method  string // empty for an unknown one
 	Path    []byte
 	Query   []byte
-	Route   []byte // the worker's, for sticky ones
+	Route   []byte // the name of the worker of a sticky session
 	Secret  []byte
 	Headers Headers
-	Body    []byte // the receiver's
-}
-
-// Headers are those of a req or an answer.
-type Headers struct {
-	b     []byte
-	n     int
-	known [][]byte
-}
-
-// Each calls f for each header; coded names are in small letters, others as they came.
-func (h Headers) Each(f func(name, value []byte)) {
-	r := reader{b: h.b}
-	for range h.n {
-		name := r.name(h.known)
-		f(name, r.text())
-	}
-}
-
-// headers reads past headers, and tells by bad whether they are whole.
-func (r *reader) headers(known [][]byte) Headers {
-	h := Headers{n: r.uint16(), known: known}
-	start := r.b
-	if h.n > headersMost {
-		r.bad = true
-	}
-	for i := 0; i < h.n && !r.bad; i++ {
-		r.name(known)
-		if r.text() == nil {
-			r.bad = true
-		}
-	}
-	h.b = start[:len(start)-len(r.b)]
-	return h
+	Body    []byte // owned by the receiver
 }
 
-// place of a server's parser.
-type place uint8
+// serverState is where a Server stands in the exchange of a request. The
+// transitions:
+//
+//	from           to             by
+//	idle           answering      onForwardRequest: without a body
+//	idle           receivingBody  onForwardRequest: with a body
+//	receivingBody  answering      onBodyChunk: the body is complete
+//	any            rejected       Reject
+//	answering      idle           Done
+//	rejected       closing        Done
+type serverState uint8
 
 const (
-	idle      place = iota
-	body            // parts of a body come
-	answering       // a req is whole, and waits for its answer
-	spoilt          // a req past a limit waits for its answer: what comes is not read
-	over            // it has it: the connection is to end
+	stateIdle          serverState = iota
+	stateReceivingBody             // parts of a body follow
+	stateAnswering                 // a request is complete, and its response is due
+	stateRejected                  // a response is due, and no more input is read
+	stateClosing                   // the connection is to end, and no more input is read
 )
 
-// Server follows a connection of a front end.
+// Server follows a connection of a front end. It is not safe for concurrent use.
 type Server struct {
-	p     packets
-	at    place
-	left  int // bytes of the body still to come, -1 unknown
-	first bool
-	body  []byte
-	kept  []byte // the packet of the req, while its body comes
-
-	out  func(Message) // of the present Feed
-	take func(content []byte) error
+	packets   packetReader
+	state     serverState
+	remaining int // bytes of the body that are still to come, or unknownLength
+	body      []byte
+	request   []byte // the encoded request, while its body is received
+
+	handle   func(Message)              // the callback of the present Feed
+	onPacket func(content []byte) error // handlePacket; kept so that Feed allocates nothing
 }
 
-// NewServer follows packets of at most so many bytes.
-func NewServer(most int) *Server {
-	s := &Server{p: packets{magic: [2]byte{toServer0, toServer1}, most: most}}
-	s.take = s.packet
+// NewServer returns a server that reads packets of at most maxPacketSize bytes.
+func NewServer(maxPacketSize int) *Server {
+	s := &Server{packets: packetReader{magic: magicToServer, maxSize: maxPacketSize}}
+	s.onPacket = s.handlePacket
 	return s
 }
 
-// Buffered is the number of bytes of a req that is not whole.
-func (s *Server) Buffered() int { return s.p.held() + len(s.body) + len(s.kept) }
-
-// Receiving tells whether a req is being read, Open whether one is read or not yet answered.
-func (s *Server) Receiving() bool { return s.at == body || s.p.have > 0 && s.at == idle }
+// Buffered returns the bytes kept of a request that is not complete.
+func (s *Server) Buffered() int { return s.packets.buffered() + len(s.body) + len(s.request) }
 
-// InProgress tells whether a req is being read, or read and not yet answered.
-func (s *Server) InProgress() bool { return s.at != idle && s.at != over }
+// Receiving reports whether part of a request was received.
+func (s *Server) Receiving() bool {
+	return s.state == stateReceivingBody || s.state == stateIdle && s.packets.midPacket()
+}
 
-// Reject has nothing more read of the req that is being read.
-func (s *Server) Reject() { s.at, s.body, s.kept, s.p.part = spoilt, nil, nil, nil }
+// InProgress reports whether a request is being received, or was and has no
+// response yet.
+func (s *Server) InProgress() bool { return s.state != stateIdle && s.state != stateClosing }
+
+// Reject stops reading: the request that is being received is answered early, and
+// the connection ends with the response.
+func (s *Server) Reject() {
+	s.state = stateRejected
+	s.body = nil
+	s.request = nil
+	s.packets.partial = nil
+}
 
-// Done ends a req: its answer is written.
+// Done ends the exchange of a request, whose response is written.
 func (s *Server) Done() {
-	switch s.at {
-	case answering:
-		s.at = idle
-	case spoilt:
-		s.at = over
+	switch s.state {
+	case stateAnswering:
+		s.state = stateIdle
+	case stateRejected:
+		s.state = stateClosing
 	}
 }
 
-// Feed takes the next bytes and hands each message to f.
-func (s *Server) Feed(b []byte, f func(Message)) error {
-	if s.at >= spoilt {
-		return nil // the connection ends with the answer
+// Feed takes the next bytes and passes each message to handle. After an error the
+// stream can't be followed.
+func (s *Server) Feed(b []byte, handle func(Message)) error {
+	if s.state >= stateRejected {
+		return nil // the connection ends with the response
 	}
-	s.out = f
-	if err := s.p.feed(b, s.take); err != errRest {
-		return err
+	s.handle = handle
+	err := s.packets.feed(b, s.onPacket)
+	if errors.Is(err, errInputIgnored) {
+		return nil
 	}
-	return nil
+	return err
 }
 
-func (s *Server) packet(c []byte) error {
-	f := s.out
-	switch s.at {
-	case spoilt, over: // refused from outside while this was being read
-		return errRest
-	case answering:
+// errInputIgnored stops the reading of a stream whose rest does not matter.
+var errInputIgnored = errors.New("input ignored")
+
+func (s *Server) handlePacket(content []byte) error {
+	switch s.state {
+	case stateRejected, stateClosing: // since the packet before
+		return errInputIgnored
+	case stateAnswering:
 		return ErrPipelined
-	case body:
-		return s.part(c, f)
+	case stateReceivingBody:
+		return s.onBodyChunk(content)
 	}
-	if len(c) == 0 {
+	if len(content) == 0 {
 		return ErrUnexpectedPacket
 	}
-	switch c[0] {
-	case codeForward:
-		return s.forward(c[1:], f)
+	switch content[0] {
+	case codeForwardRequest:
+		return s.onForwardRequest(content[1:])
 	case codeCPing:
-		f(Message{Kind: CPing})
-	case codePing: // of a front end that wants no answer
+		s.handle(Message{Kind: CPing})
+	case codePing: // the front end expects no answer
 	case codeShutdown:
-		f(Message{Kind: Shutdown})
+		s.handle(Message{Kind: Shutdown})
 	default:
 		return ErrUnexpectedPacket
 	}
 	return nil
 }
 
-// read takes a req's values from the content of its packet after the code.
-func (m *Message) read(c []byte) error {
-	r := reader{b: c}
-	method := r.byte()
-	r.text() // protocol
-	m.Path = r.text()
-	r.text() // address
-	r.text() // host
-	r.text() // server
-	r.uint16()
-	r.byte()
-	m.Headers = r.headers(reqHeaders)
-	var stored []byte
-	for !r.bad {
-		switch a := r.byte(); a {
-		case attrDone:
-			if len(r.b) > 0 {
-				return ErrHeaders
-			}
-			switch {
-			case method == storedMethod:
-				m.Method = string(stored)
-			case int(method) < len(methods):
-				m.Method = methods[method]
-			}
-			return nil
-		case attrQuery:
-			m.Query = r.text()
-		case attrRoute:
-			m.Route = r.text()
-		case attrSecret:
-			m.Secret = r.text()
-		case attrMethod:
-			stored = r.text()
-		case attrAttribute:
-			r.text()
-			r.text()
-		case attrKeySize:
-			r.uint16()
-		default:
-			if a == 0 || a > attrLast {
-				r.bad = true
-			} else {
-				r.text()
-			}
-		}
-	}
-	return ErrHeaders
-}
-
-func (s *Server) forward(c []byte, f func(Message)) error {
+func (s *Server) onForwardRequest(encoded []byte) error {
 	m := Message{Kind: Request}
-	if err := m.read(c); err != nil {
+	if err := m.decode(encoded); err != nil {
 		return err
 	}
 	length, err := bodyLength(m.Headers)
@@ -216,137 +150,183 @@
 		return err
 	}
 	if length == 0 {
-		s.at = answering
-		f(m)
+		s.state = stateAnswering
+		s.handle(m)
 		return nil
 	}
-	s.kept = append(s.kept[:0], c...) // what follows comes in packets of its own
-	s.left, s.first, s.at = length, length > 0, body
+	s.state = stateReceivingBody
+	s.remaining = length
+	s.request = append(s.request[:0], encoded...) // the packet is gone once the body is there
 	if length > MaxBodySize {
-		return s.refuse(f)
+		return s.rejectTooLarge()
 	}
-	if length < 0 {
-		f(Message{Kind: NeedBodyChunk}) // of an unknown length nothing comes unasked
+	if length == unknownLength {
+		s.handle(Message{Kind: NeedBodyChunk}) // otherwise the first part comes unasked
 	}
 	return nil
 }
 
-// bodyLength is what headers announce, -1 for a body of an unknown length.
-func bodyLength(h Headers) (int, error) {
-	length, chunked, twice := -1, false, false
-	h.Each(func(name, value []byte) {
-		switch {
-		case bytes.EqualFold(name, contentLength):
-			n, err := strconv.ParseUint(string(value), 10, 62)
-			twice = twice || length >= 0 || err != nil
-			length = int(min(n, math.MaxInt32))
-		case bytes.EqualFold(name, transferEncoding):
-			chunked = true
-		}
-	})
-	if twice || chunked && length >= 0 {
-		return 0, ErrBody
-	}
-	if chunked {
-		return -1, nil
-	}
-	return max(0, length), nil
-}
-
-var contentLength, transferEncoding = []byte("content-length"), []byte("transfer-encoding")
-
-// errRest ends the reading of a stream whose rest does not matter.
-var errRest = errors.New("the rest does not matter")
-
-func (s *Server) refuse(f func(Message)) error {
+func (s *Server) rejectTooLarge() error {
 	s.Reject()
-	f(Message{Kind: TooLarge})
-	return errRest
+	s.handle(Message{Kind: TooLarge})
+	return errInputIgnored
 }
 
-// part takes a part of the body.
-func (s *Server) part(c []byte, f func(Message)) error {
-	first := s.first
-	s.first = false
-	n := 0
-	if len(c) > 0 {
-		r := reader{b: c}
-		if n = r.uint16(); r.bad || n != len(r.b) {
-			return ErrBody
-		}
-		c = r.b
+// onBodyChunk takes a part of the body: a length and as many bytes, or nothing at
+// the end of a body of unknown length.
+func (s *Server) onBodyChunk(content []byte) error {
+	chunk, err := decodeBodyChunk(content)
+	if err != nil {
+		return err
 	}
+	knownLength := s.remaining != unknownLength
 	switch {
-	case n == 0 && s.left > 0, n > s.left && s.left >= 0, n == 0 && first:
+	case knownLength && len(chunk) == 0, knownLength && len(chunk) > s.remaining:
 		return ErrBody
-	case len(s.body)+n > MaxBodySize:
-		return s.refuse(f)
+	case len(s.body)+len(chunk) > MaxBodySize:
+		return s.rejectTooLarge()
 	}
-	s.body = append(s.body, c...)
-	if s.left > 0 {
-		s.left -= n
+	s.body = append(s.body, chunk...)
+	complete := len(chunk) == 0
+	if knownLength {
+		s.remaining -= len(chunk)
+		complete = s.remaining == 0
 	}
-	if s.left > 0 || s.left < 0 && n > 0 {
-		f(Message{Kind: NeedBodyChunk})
+	if !complete {
+		s.handle(Message{Kind: NeedBodyChunk})
 		return nil
 	}
-	m := Message{Kind: Request} // the packet itself is gone: its values are read again where it was kept
-	if err := m.read(s.kept); err != nil {
+	return s.completeRequest()
+}
+
+func decodeBodyChunk(content []byte) ([]byte, error) {
+	if len(content) == 0 {
+		return nil, nil
+	}
+	d := decoder{data: content}
+	if n := d.uint16(); d.failed || n != len(d.data) {
+		return nil, ErrBody
+	}
+	return d.data, nil
+}
+
+func (s *Server) completeRequest() error {
+	m := Message{Kind: Request}
+	if err := m.decode(s.request); err != nil {
 		return err
 	}
 	m.Body = s.body
-	s.body, s.at = nil, answering
-	f(m)
-	s.kept = s.kept[:0]
+	s.body = nil
+	s.state = stateAnswering
+	s.handle(m)
+	s.request = s.request[:0]
 	return nil
 }
 
-// Header is a header of an answer.
-type Header struct{ Name, Value string }
+// decode reads the values of a request from its packet, without the code.
+func (m *Message) decode(encoded []byte) error {
+	d := decoder{data: encoded}
+	method := d.byte()
+	d.string() // the protocol
+	m.Path = d.string()
+	d.string() // the client's address
+	d.string() // the client's host
+	d.string() // the server's name
+	d.uint16() // the server's port
+	d.byte()   // whether the front end was reached by TLS
+	m.Headers = d.headers(requestHeaderNames)
+	stored := m.decodeAttributes(&d)
+	if !d.empty() {
+		return ErrHeaders
+	}
+	switch {
+	case method == storedMethod:
+		m.Method = string(stored)
+	case int(method) < len(methods):
+		m.Method = methods[method]
+	}
+	return nil
+}
 
-// AppendHeaders begins an answer.
-func AppendHeaders(b []byte, status int, reason string, fields []Header) []byte {
-	return packet(b, toClient0, toClient1, func(b []byte) []byte {
-		b = appendText(appendUint16(append(b, codeHeaders), status), reason)
-		b = appendUint16(b, len(fields))
-		for _, f := range fields {
-			b = appendText(appendText(b, f.Name), f.Value)
+// decodeAttributes reads the attributes up to their end, and returns the stored
+// method.
+func (m *Message) decodeAttributes(d *decoder) (method []byte) {
+	for !d.failed {
+		switch code := d.byte(); code {
+		case attributesDone:
+			return method
+		case attributeQuery:
+			m.Query = d.string()
+		case attributeRoute:
+			m.Route = d.string()
+		case attributeSecret:
+			m.Secret = d.string()
+		case attributeStoredMethod:
+			method = d.string()
+		case attributeNamed:
+			d.string()
+			d.string()
+		case attributeKeySize:
+			d.uint16()
+		default:
+			if code == 0 || code > maxStringAttribute {
+				d.failed = true
+				return nil
+			}
+			d.string()
 		}
-		return b
+	}
+	return nil
+}
+
+// AppendHeaders begins a response.
+func AppendHeaders(b []byte, status int, reason string, headers []Header) []byte {
+	return appendPacket(b, magicToClient, func(b []byte) []byte {
+		b = append(b, codeSendHeaders)
+		b = appendUint16(b, status)
+		b = appendString(b, reason)
+		b = appendUint16(b, len(headers))
+		return appendHeaders(b, headers)
 	})
 }
 
-// AppendResponseBody adds the body of an answer, in packets of at most so many bytes.
-func AppendResponseBody(b []byte, most int, content []byte) []byte {
-	const around = headLen + 4 // the head, the code, the length, a zero
-	for len(content) > 0 {
-		k := min(len(content), most-around)
-		b = packet(b, toClient0, toClient1, func(b []byte) []byte {
-			return append(append(appendUint16(append(b, codeChunk), k), content[:k]...), 0)
+// AppendResponseBody appends the body of a response, in packets of at most
+// maxPacketSize bytes.
+func AppendResponseBody(b []byte, maxPacketSize int, body []byte) []byte {
+	const overhead = packetHeaderSize + 4 // the code, the length and a zero at the end
+	for len(body) > 0 {
+		n := min(len(body), maxPacketSize-overhead)
+		b = appendPacket(b, magicToClient, func(b []byte) []byte {
+			b = append(b, codeSendBodyChunk)
+			b = appendUint16(b, n)
+			b = append(b, body[:n]...)
+			return append(b, 0)
 		})
-		content = content[k:]
+		body = body[n:]
 	}
 	return b
 }
 
-// AppendEnd ends an answer; the connection is used again or not.
+// AppendEnd ends a response, and says whether the connection may be used again.
 func AppendEnd(b []byte, reuse bool) []byte {
-	return packet(b, toClient0, toClient1, func(b []byte) []byte {
+	return appendPacket(b, magicToClient, func(b []byte) []byte {
 		if reuse {
-			return append(b, codeEnd, 1)
+			return append(b, codeEndResponse, 1)
 		}
-		return append(b, codeEnd, 0)
+		return append(b, codeEndResponse, 0)
 	})
 }
 
-// AppendGetBodyChunk asks for the next part of a body.
-func AppendGetBodyChunk(b []byte, most int) []byte {
-	return packet(b, toClient0, toClient1, func(b []byte) []byte {
-		return appendUint16(append(b, codeGetChunk), min(MaxBodyChunk(most), MaxBodySize+1))
+// AppendGetBodyChunk asks for the next part of a request body, in a packet of at
+// most maxPacketSize bytes.
+func AppendGetBodyChunk(b []byte, maxPacketSize int) []byte {
+	return appendPacket(b, magicToClient, func(b []byte) []byte {
+		b = append(b, codeGetBodyChunk)
+		return appendUint16(b, min(MaxBodyChunk(maxPacketSize), MaxBodySize+1)) // more than the limit shows what exceeds it
 	})
 }
 
 // AppendCPong answers a CPing.
 func AppendCPong(b []byte) []byte {
-	return packet(b, toClient0, toClient1, func(b []byte) []byte { return append(b, codeCPong) })
+	return appendPacket(b, magicToClient, func(b []byte) []byte { return append(b, codeCPong) })
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,9 +1,12 @@
-// Package control writes the reports to the control plane. It answers nothing, so there is nothing to parse.
+// Package control writes the reports to the control plane, which answers nothing.
 package control
 
-// AppendReport adds the report of a backend: one datagram of three words.
+// AppendReport appends the report of a backend: one datagram of three words, which
+// are those of the platform.
 func AppendReport(b []byte, name string, ready bool) []byte {
-	b = append(append(append(b, "lease "...), name...), ' ')
+	b = append(b, "lease "...)
+	b = append(b, name...)
+	b = append(b, ' ')
 	if ready {
 		return append(b, "Ready"...)
 	}
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -7,13 +7,23 @@
 	"testing"
 )
 
-// open has a parser print its messages. Even slots are answered at once, odd ones stay open.
+// kindNames are the kinds of messages as they stand in traces.
+var kindNames = map[Kind]string{
+	Request:  "request",
+	Invalid:  "bad",
+	Abort:    "abort",
+	Rejected: "refuse",
+	Reply:    "reply",
+}
+
+// open has a parser print its messages. Requests with an even id are answered at
+// once, others stay open.
 func open(print func(string, ...any)) func([]byte) error {
 	var p Parser
 	return func(b []byte) error {
 		return p.Feed(b, func(m Message) {
-			kind := []string{"", "request", "bad", "abort", "refuse", "reply"}[m.Kind]
-			print("%s %d keep=%v status=%d body=%q, %d open, %d held", kind, m.RequestID, m.KeepConn, m.Status, m.Body, p.OpenRequests(), p.Buffered())
+			print("%s %d keep=%v status=%d body=%q, %d open, %d held", kindNames[m.Kind], m.RequestID, m.KeepConn, m.Status, m.Body,
+				p.OpenRequests(), p.Buffered())
 			if !EachParam(m.Params, func(name, value []byte) { print("  %q=%.40q", name, value) }) {
 				print("  parameters cut short")
 			}
@@ -28,26 +38,28 @@
 
 func FuzzParser(f *testing.F) { golden.Fuzz(f, open) }
 
-func TestAnswer(t *testing.T) {
+// TestResponse checks the records of a response.
+func TestResponse(t *testing.T) {
 	got := AppendEnd(AppendStdout(nil, 0x102, []byte("hello")), 0x102, StatusComplete)
 	want := "\x01\x06\x01\x02\x00\x05\x00\x00hello" + "\x01\x06\x01\x02\x00\x00\x00\x00" +
 		"\x01\x03\x01\x02\x00\x08\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00"
 	if string(got) != want {
 		t.Errorf("got %q", got)
 	}
-	if got := len(AppendStdout(nil, 1, make([]byte, contentMost+1))); got != contentMost+1+2*headerLen {
-		t.Error("a long answer takes two records, not", got)
+	if got := len(AppendStdout(nil, 1, make([]byte, maxContentSize+1))); got != maxContentSize+1+2*headerSize {
+		t.Error("a long response takes two records, not of length", got)
 	}
 }
 
-// TestRefused: a body past its limit is refused at once, and who goes on sending it is told of.
-func TestRefused(t *testing.T) {
+// TestBodyTooLarge checks that a body past its limit is refused at once, and that it
+// is an error to go on sending it.
+func TestBodyTooLarge(t *testing.T) {
 	var p Parser
-	bad := 0
+	invalid := 0
 	feed := func(b string) error {
 		return p.Feed([]byte(b), func(m Message) {
 			if m.Kind == Invalid {
-				bad++
+				invalid++
 				p.Done(m.RequestID)
 			}
 		})
@@ -56,11 +68,11 @@
 	piece := "\x01\x05\x00\x01\x04\x00\x00\x00" + strings.Repeat("x", 1<<10)
 	sent := 0
 	for ; err == nil && sent < 1000; sent++ {
-		if err = feed(piece); sent == 2 && (bad != 1 || p.Buffered() != 0 || p.OpenRequests() != 0) {
+		if err = feed(piece); sent == 2 && (invalid != 1 || p.Buffered() != 0 || p.OpenRequests() != 0) {
 			t.Error("not refused at once")
 		}
 	}
-	if !errors.Is(err, ErrTooMuchSkipped) || bad != 1 || sent > 80 {
-		t.Error(err, "after", sent, "records,", bad, "refused")
+	if !errors.Is(err, ErrTooMuchSkipped) || invalid != 1 || sent > 80 {
+		t.Error(err, "after", sent, "records,", invalid, "refused")
 	}
 }
--- /dev/null
+++ b/internal/fastcgi/response.go
@@ -0,0 +1,66 @@
+package fastcgi
+
+// knownValues are the answers to queries for values.
+var knownValues = map[string]string{
+	"FCGI_MAX_CONNS":  "512",
+	"FCGI_MAX_REQS":   "16384", // 32 on each of 512 connections
+	"FCGI_MPXS_CONNS": "1",     // requests are multiplexed
+}
+
+// AppendStdout appends a response, or a part of one, in as many records as needed.
+func AppendStdout(b []byte, requestID uint16, content []byte) []byte {
+	for len(content) > 0 {
+		n := min(len(content), maxContentSize)
+		b = appendHeader(b, typeStdout, requestID, n)
+		b = append(b, content[:n]...)
+		content = content[n:]
+	}
+	return b
+}
+
+// AppendEnd ends a response with one of the protocol's statuses.
+func AppendEnd(b []byte, requestID uint16, status byte) []byte {
+	if status == StatusComplete {
+		b = appendHeader(b, typeStdout, requestID, 0) // the end of the stream
+	}
+	b = appendHeader(b, typeEndRequest, requestID, headerSize)
+	b = append(b, 0, 0, 0, 0) // the application's status
+	return append(b, status, 0, 0, 0)
+}
+
+// appendValuesResult answers a query for values. Each known name is answered once.
+func appendValuesResult(b, query []byte) []byte {
+	var content []byte
+	answered := map[string]bool{}
+	EachParam(query, func(name, _ []byte) {
+		value, ok := knownValues[string(name)]
+		if !ok || answered[string(name)] {
+			return
+		}
+		answered[string(name)] = true
+		content = append(content, byte(len(name)), byte(len(value)))
+		content = append(content, name...)
+		content = append(content, value...)
+	})
+	b = appendHeader(b, typeGetValuesResult, 0, len(content))
+	return append(b, content...)
+}
+
+// appendUnknownType answers a record of a type that is not known.
+func appendUnknownType(b []byte, recordType byte) []byte {
+	content := []byte{recordType, 0, 0, 0, 0, 0, 0, 0}
+	b = appendHeader(b, typeUnknownType, 0, len(content))
+	return append(b, content...)
+}
+
+func appendHeader(b []byte, recordType byte, requestID uint16, contentLength int) []byte {
+	const (
+		paddingLength = 0
+		reserved      = 0
+	)
+	return append(b,
+		protocolVersion, recordType,
+		byte(requestID>>8), byte(requestID),
+		byte(contentLength>>8), byte(contentLength),
+		paddingLength, reserved)
+}
--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -1,4 +1,6 @@
-// Package processor speaks to the processor that owns the cores: its notices in, the backend's commands out.
+// Package processor speaks the protocol of the processor, which owns the cores and
+// runs the handlers: it reads the processor's notices and writes the backend's
+// commands. The words on the wire are those of the platform.
 package processor
 
 import (
@@ -10,146 +12,124 @@
 	"time"
 )
 
-// ErrMalformed is a line that is no notice.
+// ErrMalformed is the error of a line that is no notice.
 var ErrMalformed = errors.New("a line that is no notice of the processor")
 
-// Kind tells what a Notice is.
+// Kind is what a Notice says.
 type Kind uint8
 
-// The notices.
+// The kinds of notices, with their words on the wire.
 const (
-	Hello Kind = iota + 1
-	Complete
-	CallRequest
-	Gauges
-	CheckDone
-	Reject
-	Remark
+	Hello       Kind = iota + 1 // "hi": it accepts commands
+	Complete                    // "complete": a run has ended
+	CallRequest                 // "ask": a run makes a call to the next tier
+	Gauges                      // "used": the answer to AppendGaugeRequest
+	CheckDone                   // "tried": the answer to AppendCheck
+	Reject                      // "reject": a command was not accepted
+	Remark                      // "remark": a line of text for the log
 )
 
-// Notice is one message of the processor. Fields that do not belong to its kind are zero.
+// Notice is one message of the processor. Fields that do not belong to its kind are
+// zero.
 type Notice struct {
 	Kind      Kind
-	Number    uint64           // Complete, Ask, Remark: its number
-	ID        uint64           // Complete, Ask, Reject
-	Outcome   overload.Outcome // Complete, Tried
-	Elapsed   time.Duration    // Complete; Hi: since the start of the processor
-	WarmingUp bool             // Hi
-	Tag       uint64           // Used, Tried
-	Gauges    []float64        // Used
+	Number    uint64           // Complete, CallRequest, Remark: its sequence number
+	ID        uint64           // Complete, CallRequest, Reject: of the request
+	Outcome   overload.Outcome // Complete, CheckDone
+	Elapsed   time.Duration    // Complete: how long it ran; Hello: time since the processor's start
+	WarmingUp bool             // Hello
+	Tag       uint64           // Gauges, CheckDone: that of the command
+	Gauges    []float64        // Gauges
 	Text      string           // Reject: the command; Remark
-	Body      []byte           // Complete, Ask; valid during the call only
+	Body      []byte           // Complete, CallRequest; valid during the call only
 }
 
-var ends = map[string]overload.Outcome{
-	"ok": overload.OK, "failed": overload.Failed, "halted": overload.Stopped, "void": overload.NeverRan,
+// outcomes are the ends of runs and checks by their words on the wire.
+var outcomes = map[string]overload.Outcome{
+	"ok":     overload.OK,
+	"failed": overload.Failed,
+	"halted": overload.Stopped,
+	"void":   overload.NeverRan,
 }
 
-// NewParser returns a parser that hands each notice to f.
-func NewParser(f func(Notice)) *lineproto.Reader {
-	return lineproto.NewMessageReader(parse, func(n *Notice, body []byte) { n.Body = body }, f)
+// NewParser returns a parser that passes each notice to handle. Its errors are
+// ErrMalformed and those of package lineproto.
+func NewParser(handle func(Notice)) *lineproto.Reader {
+	setBody := func(n *Notice, body []byte) { n.Body = body }
+	return lineproto.NewMessageReader(parse, setBody, handle)
 }
 
 func parse(line []byte) (Notice, int, error) {
-	var n Notice
-	good := true
-	word := func() []byte {
-		w, rest := lineproto.NextWord(line)
-		line = rest
-		return w
+	var notice Notice
+	words := lineproto.NewWords(line)
+	bodyLength := notice.parse(&words)
+	complete := words.Empty() || notice.Kind == Reject // what follows there is for people
+	if words.Malformed() || !complete {
+		return notice, 0, ErrMalformed
 	}
-	number := func() uint64 {
-		v, ok := lineproto.ParseUint(word())
-		good = good && ok
-		return v
-	}
-	id := func() uint64 {
-		v, ok := lineproto.ParseID(word())
-		good = good && ok
-		return v
-	}
-	millis := func() time.Duration {
-		v, ok := lineproto.ParseMillis(word())
-		good = good && ok
-		return v
-	}
-	outcome := func() overload.Outcome {
-		v := ends[string(word())]
-		good = good && v != 0
-		return v
-	}
-	body := -1
-	switch string(word()) {
+	return notice, bodyLength, nil
+}
+
+// parse reads the notice, and returns the length of its body.
+func (n *Notice) parse(words *lineproto.Words) (bodyLength int) {
+	bodyLength = lineproto.NoBody
+	switch string(words.Next()) {
 	case "hi":
 		n.Kind = Hello
-		state := string(word())
-		n.WarmingUp = state == "cold"
-		good = state == "cold" || state == "warm"
-		n.Elapsed = millis()
+		n.WarmingUp = parseWarmingUp(words)
+		n.Elapsed = words.Millis()
 	case "complete":
-		n.Kind, n.Number, n.ID, n.Outcome, n.Elapsed = Complete, number(), id(), outcome(), millis()
-		body = int(number())
+		n.Kind = Complete
+		n.Number = words.Uint()
+		n.ID = words.ID()
+		n.Outcome = parseOutcome(words)
+		n.Elapsed = words.Millis()
+		bodyLength = int(words.Uint())
 	case "ask":
-		n.Kind, n.Number, n.ID = CallRequest, number(), id()
-		body = int(number())
+		n.Kind = CallRequest
+		n.Number = words.Uint()
+		n.ID = words.ID()
+		bodyLength = int(words.Uint())
 	case "used":
-		n.Kind, n.Tag = Gauges, number()
-		for len(line) > 0 {
-			v, err := strconv.ParseFloat(string(word()), 64)
-			good = good && err == nil && !math.IsNaN(v) && !math.IsInf(v, 0)
-			n.Gauges = append(n.Gauges, v)
-		}
+		n.Kind = Gauges
+		n.Tag = words.Uint()
+		n.Gauges = parseGauges(words)
 	case "tried":
-		n.Kind, n.Tag, n.Outcome = CheckDone, number(), outcome()
+		n.Kind = CheckDone
+		n.Tag = words.Uint()
+		n.Outcome = parseOutcome(words)
 	case "reject":
-		n.Kind, n.Text = Reject, string(word())
-		n.ID, _ = lineproto.ParseID(word())
+		n.Kind = Reject
+		n.Text = string(words.Next())
+		n.ID, _ = lineproto.ParseID(words.Next()) // commands without a request have none
 	case "remark":
-		n.Kind, n.Number, n.Text = Remark, number(), string(line)
-		line = nil
+		n.Kind = Remark
+		n.Number = words.Uint()
+		n.Text = string(words.Rest())
 	default:
-		good = false
-	}
-	if !good || n.Kind != Reject && len(line) > 0 {
-		return n, 0, ErrMalformed
+		words.Expect(false)
 	}
-	return n, body, nil
+	return bodyLength
 }
 
-func end(b []byte) []byte { return append(b, '\r', '\n') }
-
-func withBody(b, body []byte) []byte {
-	b = end(strconv.AppendInt(append(b, ' '), int64(len(body)), 10))
-	return end(append(b, body...))
+func parseWarmingUp(words *lineproto.Words) bool {
+	state := string(words.Next())
+	words.Expect(state == "cold" || state == "warm")
+	return state == "cold"
 }
 
-// AppendHello begins a link: last is the number of the last notice read.
-func AppendHello(b []byte, last uint64) []byte {
-	return end(strconv.AppendUint(append(b, "hello "...), last, 10))
+func parseOutcome(words *lineproto.Words) overload.Outcome {
+	outcome, ok := outcomes[string(words.Next())]
+	words.Expect(ok)
+	return outcome
 }
 
-// AppendBegin has a req run.
-func AppendBegin(b []byte, id, handler string, body []byte) []byte {
-	b = append(append(append(b, "begin "...), id...), ' ')
-	return withBody(append(b, handler...), body)
-}
-
-// AppendInterrupt has a run stopped.
-func AppendInterrupt(b []byte, id string) []byte {
-	return end(append(append(b, "interrupt "...), id...))
-}
-
-// AppendCallReply hands a run the reply to its call.
-func AppendCallReply(b []byte, id string, body []byte) []byte {
-	return withBody(append(append(b, "answer "...), id...), body)
-}
-
-// AppendGaugeRequest asks for the gauges.
-func AppendGaugeRequest(b []byte, tag uint64) []byte {
-	return end(strconv.AppendUint(append(b, "usage "...), tag, 10))
-}
-
-// AppendCheck has the work of a deep health check done.
-func AppendCheck(b []byte, tag uint64) []byte {
-	return end(strconv.AppendUint(append(b, "trial "...), tag, 10))
+func parseGauges(words *lineproto.Words) []float64 {
+	var gauges []float64
+	for !words.Empty() {
+		value, err := strconv.ParseFloat(string(words.Next()), 64)
+		words.Expect(err == nil && !math.IsNaN(value) && !math.IsInf(value, 0))
+		gauges = append(gauges, value)
+	}
+	return gauges
 }
--- a/internal/processor/processor_test.go
+++ b/internal/processor/processor_test.go
@@ -5,10 +5,21 @@
 	"testing"
 )
 
+// kindNames are the kinds of notices as they stand in traces.
+var kindNames = map[Kind]string{
+	Hello:       "hi",
+	Complete:    "complete",
+	CallRequest: "ask",
+	Gauges:      "used",
+	CheckDone:   "tried",
+	Reject:      "reject",
+	Remark:      "remark",
+}
+
+// open has a parser print its notices.
 func open(print func(string, ...any)) func([]byte) error {
-	kinds := []string{"", "hi", "complete", "ask", "used", "tried", "reject", "remark"}
 	return NewParser(func(n Notice) {
-		print("%s n=%d id=%x outcome=%d took=%v cold=%v tag=%d gauges=%v text=%q body=%q", kinds[n.Kind], n.Number, n.ID,
+		print("%s n=%d id=%x outcome=%d took=%v cold=%v tag=%d gauges=%v text=%q body=%q", kindNames[n.Kind], n.Number, n.ID,
 			n.Outcome, n.Elapsed, n.WarmingUp, n.Tag, n.Gauges, n.Text, n.Body)
 	}).Feed
 }
@@ -17,12 +28,14 @@
 
 func FuzzParser(f *testing.F) { golden.Fuzz(f, open) }
 
+// TestCommands checks the commands on the wire.
 func TestCommands(t *testing.T) {
 	b := AppendHello(nil, 7)
 	b = AppendBegin(b, "00000000000000aa", "status", []byte("a\r\n"))
 	b = AppendInterrupt(b, "00000000000000aa")
 	b = AppendCallReply(b, "00000000000000aa", nil)
-	b = AppendCheck(AppendGaugeRequest(b, 3), 4)
+	b = AppendGaugeRequest(b, 3)
+	b = AppendCheck(b, 4)
 	want := "hello 7\r\nbegin 00000000000000aa status 3\r\na\r\n\r\ninterrupt 00000000000000aa\r\n" +
 		"answer 00000000000000aa 0\r\n\r\nusage 3\r\ntrial 4\r\n"
 	if string(b) != want {
--- a/internal/upstreamproto/nexttier_test.go
+++ b/internal/upstreamproto/upstreamproto_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// open has a parser print its replies.
 func open(print func(string, ...any)) func([]byte) error {
 	return NewParser(func(r Reply) { print("%x outcome=%d body=%q", r.ID, r.Outcome, r.Body) }).Feed
 }
@@ -14,6 +15,7 @@
 
 func FuzzParser(f *testing.F) { golden.Fuzz(f, open) }
 
+// TestCommands checks the commands on the wire.
 func TestCommands(t *testing.T) {
 	b := AppendInvoke(nil, "00000000000000aa", 250*time.Millisecond, []byte("q\x00"))
 	b = AppendInvoke(b, "00000000000000ab", time.Microsecond, nil)
