--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -15,7 +15,7 @@
 
 // claim asks the group of a guarded request, before it is submitted to the overload controller.
 func (c *cluster) claim(r *request) {
-	r.state = stateUnverified
+	r.unverify()
 	handler := &c.backend.handlers[r.handler]
 	c.node.Claim(c.backend.guard.now(), r.guard.key, r.guard.createdAt, r.id, failover.Work{
 		Handler:    handler.name,
@@ -33,7 +33,7 @@
 // is in flight.
 func (c *cluster) submitClaimed(r *request, isRepeat bool) {
 	b := c.backend
-	r.state = stateHeld
+	r.hold()
 	r.arrival.Delay += b.now - r.guard.askedAt
 	if isRepeat {
 		r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
@@ -68,7 +68,7 @@
 		return false
 	}
 	c.backend.stats.HandedOff++
-	r.state = stateAwaitingResult
+	r.awaitResult()
 	c.backend.guard.awaitingDisk[r] = struct{}{}
 	return true
 }
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -163,7 +163,7 @@
 		b.startRun(r)
 		return
 	}
-	r.state = stateAwaitingIntent
+	r.awaitIntent()
 	if b.cluster.enabled() {
 		b.cluster.node.Start(g.now(), r.guard.key, r.id, b.processor.lastNotice)
 		return
@@ -174,7 +174,7 @@
 // join has a repeat wait for the outcome of the original request.
 func (g *idempotencyGuard) join(r *request) {
 	if g.backend.cluster.enabled() {
-		r.state = stateJoined
+		r.joinOriginal()
 		g.backend.cluster.node.Join(g.now(), r.guard.key, r.id)
 		return
 	}
@@ -183,7 +183,7 @@
 		g.applyOutcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
 		return
 	}
-	r.state = stateJoined
+	r.joinOriginal()
 	g.reserve(r)
 }
 
--- a/backend/idempotency_outcome.go
+++ b/backend/idempotency_outcome.go
@@ -35,8 +35,7 @@
 		delete(b.requests, r.id)
 		if b.hasClient(r) {
 			b.frontend.succeeded(r, r.guard.reason, outcome.Result)
-			b.unanswered--
-			r.client = nil
+			b.answered(r)
 		}
 	case idempotency.Replay:
 		r.guard.resultDurable = true
@@ -87,7 +86,7 @@
 	kind := entryKindOf(outcome)
 	if kind == idempotency.EntryResult {
 		r.guard.reason = reason
-		r.state = stateAwaitingResult
+		r.awaitResult()
 		g.awaitingDisk[r] = struct{}{}
 	}
 	if g.backend.cluster.enabled() {
@@ -103,7 +102,7 @@
 func (g *idempotencyGuard) recordReplayableEnd(r *request, outcome overload.Outcome, body []byte) {
 	switch {
 	case r.guard.resultDurable:
-	case r.state < stateRunning:
+	case !r.state.started():
 		g.withdraw(r)
 	default:
 		r.guard.resultDurable = true
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -82,7 +82,7 @@
 	r.callReplied = false
 	r.callReply = nil
 	r.callBody = append(r.callBody[:0], body...)
-	r.state = stateAwaitingCall
+	r.awaitCall()
 	b.stats.Asked++
 	if !b.isWanted(r) {
 		b.cancelRun(r)
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -27,7 +27,7 @@
 // counts as never started if no notice follows that either. See probe.
 func (l *processorLink) resync(acked uint64) {
 	for _, r := range l.backend.requestsByID() {
-		if r.state >= stateRunning {
+		if r.state.started() {
 			l.resyncRun(r, acked)
 		}
 	}
@@ -105,7 +105,7 @@
 // still run are interrupted.
 func (l *processorLink) noticesLost() {
 	for _, r := range l.backend.requestsByID() {
-		if r.state >= stateRunning && r.startSent {
+		if r.state.started() && r.startSent {
 			l.cancel(r)
 			l.backend.runEnded(r, overload.Failed, accounting.ProcessorLost, 0, nil)
 		}
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -63,3 +63,22 @@
 
 // run makes the transition to running, from held or from awaiting intent.
 func (r *request) run() { r.state = stateRunning }
+
+// unverify makes the transition to unverified, from held: the request's group in the cluster is asked first.
+func (r *request) unverify() { r.state = stateUnverified }
+
+// joinOriginal makes the transition to joined, from held.
+func (r *request) joinOriginal() { r.state = stateJoined }
+
+// awaitIntent makes the transition to awaiting intent, from held.
+func (r *request) awaitIntent() { r.state = stateAwaitingIntent }
+
+// awaitResult makes the transition to awaiting result, from running or, if another node takes the request over, from
+// held.
+func (r *request) awaitResult() { r.state = stateAwaitingResult }
+
+// awaitCall makes the transition to awaiting call, from running or calling.
+func (r *request) awaitCall() { r.state = stateAwaitingCall }
+
+// startCall makes the transition to calling, from awaiting call.
+func (r *request) startCall() { r.state = stateCalling }
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -182,7 +182,7 @@
 // ran.
 func (c *resultCache) join(r *request) {
 	if original := c.backend.requests[r.originalID]; original != nil {
-		r.state = stateJoined
+		r.joinOriginal()
 		original.followers = append(original.followers, r)
 		return
 	}
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -78,7 +78,7 @@
 	b := u.backend
 	b.stats.Calls++
 	added := &call{request: r, startedAt: b.now, deadline: b.now + after}
-	r.state = stateCalling
+	r.startCall()
 	r.call = added
 	u.calls[r.id] = added
 	return added
@@ -89,7 +89,7 @@
 	r := ended.request
 	delete(u.calls, r.id)
 	r.call = nil
-	r.state = stateAwaitingCall
+	r.awaitCall()
 }
 
 // call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried
@@ -115,7 +115,7 @@
 	r.callOutcomeUnknown = !provesCallOutcome(outcome)
 	if outcome == overload.OK {
 		b.stats.CallsOK++
-		r.state = stateRunning
+		r.run()
 	} else {
 		b.stats.CallsFailed++
 	}
