--- a/backend/audit.go
+++ b/backend/audit.go
@@ -21,7 +21,7 @@
 func (b *Backend) compareLedger() {
 	b.ledger.Compare(b.wall, func(open func(accounting.Ticket, uint64)) {
 		for _, r := range b.requests { // a sum: the order does not matter
-			if b.hasClient(r) || r.takenOver && !r.accounted {
+			if b.hasClient(r) || r.failedOver && !r.accounted {
 				open(r.ticket, r.id)
 			}
 		}
@@ -60,7 +60,7 @@
 			asked := r.guard != nil || slices.Contains(b.processor.unverified, r)
 			invariant.Check(r.state != stateUnverified || asked, "an unverified request is asked for")
 		} else {
-			invariant.Check(r.takenOver || r.state >= stateAwaitingIntent, "a request for which nobody waits runs")
+			invariant.Check(r.failedOver || r.state >= stateAwaitingIntent, "a request for which nobody waits runs")
 		}
 		if r.call != nil {
 			calls++
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -104,7 +104,7 @@
 		b.upstream = newProxyUpstream(b)
 	}
 	b.results.init(b)
-	b.observe()
+	b.registerObservers()
 	return b
 }
 
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -70,10 +70,10 @@
 // addConnection takes a connection that was accepted.
 func (f *frontend) addConnection(accepted *conn.Conn, newProtocol func(*clientConn) protocol) {
 	b := f.backend
-	f.accepted++
+	f.acceptedCount++
 	client := &clientConn{
 		conn:       accepted,
-		number:     f.accepted,
+		number:     f.acceptedCount,
 		requests:   map[uint16]*request{},
 		acceptedAt: b.now,
 		lastUsed:   b.now,
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -49,7 +49,7 @@
 
 // closeAccount closes the account of a request that was taken over: its answer is the group's.
 func (c *cluster) closeAccount(r *request, reason accounting.Reason) {
-	if !r.takenOver || r.accounted {
+	if !r.failedOver || r.accounted {
 		return
 	}
 	r.accounted = true
@@ -85,13 +85,13 @@
 		return
 	}
 	r := &request{
-		id:        outcome.ID,
-		wireID:    fmt.Sprintf("%016x", outcome.ID),
-		handler:   handler,
-		body:      work.Body,
-		state:     stateHeld,
-		takenOver: true,
-		readAt:    b.now,
+		id:         outcome.ID,
+		wireID:     fmt.Sprintf("%016x", outcome.ID),
+		handler:    handler,
+		body:       work.Body,
+		state:      stateHeld,
+		failedOver: true,
+		readAt:     b.now,
 		guard: &guardState{
 			key:        outcome.Key,
 			createdAt:  outcome.Made,
@@ -160,7 +160,7 @@
 // applyLater carries out a decision about a request that was submitted to the overload controller.
 func (c *cluster) applyLater(r *request, outcome *failover.Outcome) {
 	b := c.backend
-	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.takenOver
+	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.failedOver
 	switch {
 	case outcome.Decision == idempotency.Duplicate: // it goes on where it is, or waits for the node that has taken it over
 	case controllerDecides && outcome.Decision != idempotency.Replay:
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -72,9 +72,9 @@
 
 // runController hands the controller what has happened and carries out its actions, until these cause no more events.
 func (b *Backend) runController() {
-	for b.controller != nil && (b.drain.pending || len(b.events) > 0) {
-		if b.drain.pending {
-			b.drain.pending = false
+	for b.controller != nil && (b.drain.unreported || len(b.events) > 0) {
+		if b.drain.unreported {
+			b.drain.unreported = false
 			b.events = slices.Insert(b.events, 0, b.drainEvent())
 		}
 		b.stats.Batches++
@@ -151,7 +151,7 @@
 	if !invariant.Check(r.state == stateHeld && b.isWanted(r), "a request that is started is held") {
 		return
 	}
-	if verdict := b.process.Start(r.readAt); verdict != lifecycle.Allowed && !r.takenOver {
+	if verdict := b.process.Start(r.readAt); verdict != lifecycle.Allowed && !r.failedOver {
 		b.recordViolation("start", r, verdict)
 		b.runEnded(r, overload.NeverRan, accounting.NotReady, 0, nil)
 		return
@@ -176,7 +176,7 @@
 
 // applyReject answers a request that is shed. While the process ends, another node of the cluster may take it instead.
 func (b *Backend) applyReject(r *request, action *overload.Action) {
-	if r.takenOver {
+	if r.failedOver {
 		b.cluster.closeAccount(r, accounting.Shed)
 		b.releaseUnstarted(r)
 		return
@@ -202,7 +202,7 @@
 		}
 		b.frontend.failed(r, reason)
 		b.finishAnswered(r)
-	case r.takenOver && r.state < stateAwaitingIntent:
+	case r.failedOver && r.state < stateAwaitingIntent:
 		b.cluster.closeAccount(r, accounting.Cancelled)
 		b.releaseUnstarted(r)
 	case r.state >= stateAwaitingCall: // nobody waits for its answer, but the run waits for its call
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -1,7 +1,6 @@
 package backend
 
 import (
-	"fmt"
 	"frosthub/accounting"
 	"frosthub/internal/fake"
 	"frosthub/overload"
@@ -36,7 +35,7 @@
 	bed.serve(client, 20)
 	const parts = 4
 	for slot := range uint16(parts) {
-		client.send(fake.FastCGIRecord(1, slot+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + fake.FastCGIRecord(4, slot+1, strings.Repeat("x", 1000)))
+		client.send(beginText(slot+1) + fake.FastCGIRecord(paramsRecord, slot+1, strings.Repeat("x", 1000)))
 	}
 	bed.await(func() bool { return bed.backend.frontend.partialBytes == parts*1000 })
 	for range parts {
@@ -73,71 +72,6 @@
 	}
 }
 
-// TestForms: every legal form of a request, written byte by byte, is answered as if it had come whole; what no slot of the
-// connection has begun, and what the protocol does not know, does no harm to a request that is open beside it.
-func TestForms(t *testing.T) {
-	t.Parallel()
-	params := func(slot uint16, text string, step int) (out string) {
-		for i := 0; i < len(text); i += step {
-			out += fake.FastCGIRecord(4, slot, text[i:min(len(text), i+step)])
-		}
-		return out + fake.FastCGIRecord(4, slot, "")
-	}
-	text := func(slot uint16) (out string) {
-		for k, v := range defaultFields(slot, nil) {
-			out += fake.FastCGIPair(k, v)
-		}
-		return out
-	}
-	begin := func(slot uint16) string { return fake.FastCGIRecord(1, slot, "\x00\x01\x01\x00\x00\x00\x00\x00") }
-	body := func(slot uint16, text string) string {
-		return fake.FastCGIRecord(5, slot, text) + fake.FastCGIRecord(5, slot, "")
-	}
-	a, b := text(3), text(4)
-	forms := []struct {
-		name, in string
-		done     []uint16
-		records  int // others than answers
-	}{
-		{"in one piece", fastcgiRequest(2, nil), []uint16{2}, 0},
-		{"parameters of one byte a record", begin(3) + params(3, a, 1) + body(3, "x"), []uint16{3}, 0},
-		{"two requests whose records alternate", begin(3) + begin(4) + fake.FastCGIRecord(4, 3, a) + fake.FastCGIRecord(4, 4, b) + fake.FastCGIRecord(4, 3, "") +
-			fake.FastCGIRecord(4, 4, "") + fake.FastCGIRecord(5, 4, "y") + fake.FastCGIRecord(5, 3, "x") + fake.FastCGIRecord(5, 4, "") + fake.FastCGIRecord(5, 3, ""), []uint16{3, 4}, 0},
-		{"a question for values and an unknown type between", begin(3) + fake.FastCGIRecord(9, 0, "\x0f\x00FCGI_MPXS_CONNS") + params(3, a, 100) +
-			fake.FastCGIRecord(77, 0, "what") + body(3, "x"), []uint16{3}, 2},
-		{"records of slots that never began, and an end of its own", fake.FastCGIRecord(2, 9, "") + fake.FastCGIRecord(5, 9, "z") + fake.FastCGIRecord(4, 9, "z") +
-			fake.FastCGIRecord(3, 9, "\x00\x00\x00\x00\x00\x00\x00\x00") + fake.FastCGIRecord(8, 9, "z") + fastcgiRequest(5, nil), []uint16{5}, 1},
-		{"requests one after the other in one piece", fastcgiRequest(6, nil) + fastcgiRequest(7, nil) + fastcgiRequest(8, nil), []uint16{6, 7, 8}, 0},
-	}
-	bed := startReady(t, nil)
-	for i, form := range forms {
-		open := uint16(20 + i) // a request that is open all the while
-		client := bed.dialClient()
-		bed.startRun(client, open)
-		for k := range form.in {
-			client.send(form.in[k : k+1])
-		}
-		for _, slot := range form.done {
-			bed.eventually(func() bool { _, runs := bed.takeLine(fmt.Sprintf("processor: begin %016x status", slot)); return runs })
-			bed.completeRun(slot)
-			got := client.readAnswer()
-			for range form.records {
-				if strings.HasPrefix(got, "record") {
-					got = client.readAnswer()
-				}
-			}
-			if want := fmt.Sprintf("%d%s", slot, succeededLine); got != want {
-				t.Errorf("%s: %q, not %q", form.name, got, want)
-			}
-		}
-		bed.completeRun(open)
-		if got, want := client.readAnswer(), fmt.Sprintf("%d%s", open, succeededLine); got != want {
-			t.Errorf("%s, the request beside it: %q, not %q", form.name, got, want)
-		}
-		_ = client.conn.Close()
-	}
-}
-
 // TestResetInAnswer: a connection that ends while an answer is on its way leaves nothing behind, and is logged.
 func TestResetInAnswer(t *testing.T) {
 	t.Parallel()
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -53,10 +53,10 @@
 // frontend is the side of the clients, whatever protocol they speak: it takes requests that were read, answers each one
 // once, and decides which connections are closed. It belongs to the owner goroutine.
 type frontend struct {
-	backend      *Backend
-	clients      map[*clientConn]struct{}
-	partialBytes int // bytes of incomplete requests, of all clients
-	accepted     int // connections accepted so far; they are numbered
+	backend       *Backend
+	clients       map[*clientConn]struct{}
+	partialBytes  int // bytes of incomplete requests, of all clients
+	acceptedCount int // connections accepted so far; they are numbered
 
 	// The meanings of header fields, by their names as CGI parameters and in lower case.
 	cgiFields  map[string][]requestField
--- a/backend/health_check.go
+++ b/backend/health_check.go
@@ -8,7 +8,7 @@
 
 // deepCheck is a health check that waits for the processor.
 type deepCheck struct {
-	tag      uint64        // of the trial at the processor
+	trial    uint64        // of the trial at the processor
 	deadline time.Duration // it is answered by then
 	keepOpen bool
 }
@@ -27,7 +27,7 @@
 		from.client.checks = map[uint16]deepCheck{}
 	}
 	from.client.checks[from.slot] = deepCheck{
-		tag:      b.processor.startCheck(),
+		trial:    b.processor.startCheck(),
 		deadline: b.now + deepCheckTimeout,
 		keepOpen: from.keepOpen,
 	}
@@ -37,7 +37,7 @@
 func (f *frontend) checkDone(tag uint64, healthy bool) {
 	for client := range f.clients {
 		for slot, check := range client.checks {
-			if check.tag == tag {
+			if check.trial == tag {
 				f.finishCheck(client, slot, check, healthy)
 			}
 		}
--- a/backend/idempotency_outcome.go
+++ b/backend/idempotency_outcome.go
@@ -35,7 +35,7 @@
 		delete(b.requests, r.id)
 		if b.hasClient(r) {
 			b.frontend.succeeded(r, r.guard.reason, outcome.Result)
-			b.answered(r)
+			b.releaseClient(r)
 		}
 	case idempotency.Replay:
 		r.guard.resultDurable = true
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -124,7 +124,7 @@
 	switch {
 	case r == nil:
 	case n.Text == "interrupt" && r.state == stateUnverified:
-		b.frontend.unknown(r)
+		b.frontend.rejectUnknown(r)
 	case n.Text == "begin" && r.state == stateRunning && r.startSent && !r.runHeard:
 		if b.hasClient(r) {
 			r.client.verified = false
--- a/backend/request.go
+++ b/backend/request.go
@@ -45,12 +45,12 @@
 	verified  bool           // the processor knows it
 	verifyTag uint64         // the gauge query whose answer proves that it is known, unless it is rejected before
 
-	guard     *guardState // nil where it may run twice
-	takenOver bool        // from another node of the cluster: no client of this node waits for it
-	accounted bool        // it was taken over, and its account is closed
+	guard      *guardState // nil where it may run twice
+	failedOver bool        // from another node of the cluster: no client of this node waits for it
+	accounted  bool        // it was taken over, and its account is closed
 
 	clientTimeout time.Duration // how long its client waits from its arrival on, as stated; 0 if not stated
-	subject       cacheKey
+	cacheKey      cacheKey
 	originalID    uint64     // the remembered request that it repeats; 0 for none
 	followers     []*request // those that wait for its result
 }
@@ -61,8 +61,8 @@
 	unanswered int                 // those that a client waits for
 }
 
-// answered counts that a client no longer waits for a request: it has its answer, or has gone.
-func (t *requestTable) answered(r *request) {
+// releaseClient counts that a client no longer waits for a request: it has its answer, or has gone.
+func (t *requestTable) releaseClient(r *request) {
 	t.unanswered--
 	r.client = nil
 }
@@ -71,7 +71,7 @@
 func (b *Backend) hasClient(r *request) bool { return r.client != nil }
 
 // isWanted reports whether anybody waits for a request, here or at another node.
-func (b *Backend) isWanted(r *request) bool { return b.hasClient(r) || r.takenOver }
+func (b *Backend) isWanted(r *request) bool { return b.hasClient(r) || r.failedOver }
 
 // admit hands a request to the controller, unless it can be answered without.
 func (b *Backend) admit(r *request) {
@@ -88,7 +88,7 @@
 	case accounting.None:
 		b.submitArrival(r)
 	case accounting.UnknownRequest:
-		b.frontend.unknown(r)
+		b.frontend.rejectUnknown(r)
 	default:
 		b.frontend.declined(r, reason)
 		b.finishAnswered(r)
@@ -112,7 +112,7 @@
 
 // finishAnswered follows the final answer of a request. Its run may go on.
 func (b *Backend) finishAnswered(r *request) {
-	b.answered(r)
+	b.releaseClient(r)
 	b.releaseUnstarted(r)
 }
 
@@ -123,7 +123,7 @@
 		reason = accounting.ConnectionLost
 	}
 	b.ledger.Close(b.wall, r.ticket, reason)
-	b.answered(r)
+	b.releaseClient(r)
 	if r.state != stateUnverified && r.state != stateAwaitingResult {
 		b.events = append(b.events, overload.Event{Kind: overload.ClientGone, ID: r.id, Outcome: outcome})
 	}
@@ -134,7 +134,7 @@
 func (b *Backend) releaseUnstarted(r *request) {
 	switch r.state {
 	case stateUnverified, stateHeld, stateJoined:
-		b.withdraw(r)
+		b.withdrawRequest(r)
 	case stateAwaitingCall, stateCalling:
 		b.cancelRun(r)
 	}
@@ -167,10 +167,10 @@
 		} else {
 			b.frontend.declined(r, reason)
 		}
-		b.answered(r)
+		b.releaseClient(r)
 	}
 	ran := r.startSent && reason != accounting.NeverRan
-	b.end(r, requestEnd{outcome: outcome, reason: reason, ran: ran, result: result})
+	b.endRequest(r, requestEnd{outcome: outcome, reason: reason, ran: ran, result: result})
 }
 
 // reasonOf returns how the end of a run is accounted for.
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -42,7 +42,7 @@
 	parsed.arrival.Handler = r.handler
 	parsed.arrival.Delay = queueDelay
 	parsed.arrival.Customer = slices.Index(b.customers, parsed.tenant)
-	r.subject = b.results.keyOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
+	r.cacheKey = b.results.keyOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
 	r.arrival = parsed.arrival
 	r.readAt = b.now
 	r.arrivedAt = b.now - queueDelay
@@ -143,9 +143,9 @@
 	delete(client.checks, slot)
 }
 
-// unknown answers a request that the processor does not know. The processor knows each
+// rejectUnknown answers a request that the processor does not know. The processor knows each
 // request of the deployment's clients, so this client is none of them.
-func (f *frontend) unknown(r *request) {
+func (f *frontend) rejectUnknown(r *request) {
 	delete(r.client.requests, r.slot)
 	from := r.exchange()
 	from.keepOpen = false
--- a/backend/request_observer.go
+++ b/backend/request_observer.go
@@ -5,9 +5,9 @@
 	"frosthub/overload"
 )
 
-// requestObserver is a part of the backend that keeps state of its own for requests. The core alone lets go of requests,
-// and tells each observer in the order of Backend.observers. Both methods are called once r is no longer in the table
-// of requests; exactly one of them is called for each request that the core lets go.
+// requestObserver is a part of the backend that keeps state of its own for requests. The core notifies each observer when
+// it lets go of a request, in the order of Backend.observers: one of the two methods is called once, when r is no longer
+// in the table of requests. Requests whose answer waited for the disk are the exception: the guard lets go of them.
 type requestObserver interface {
 	// requestWithdrawn follows a request that never ran: it was answered without, or its client has gone.
 	requestWithdrawn(r *request)
@@ -24,22 +24,22 @@
 	result  []byte            // valid until the observer returns
 }
 
-// observe has the parts that keep state for requests hear of their ends. Their order is part of the behaviour: the last
-// one answers the repeats that have joined a request.
-func (b *Backend) observe() {
+// registerObservers lists the parts that are notified of the ends of requests. Their order is part of the behaviour: the
+// last one answers the repeats that have joined a request.
+func (b *Backend) registerObservers() {
 	b.observers = [...]requestObserver{&b.guard, &b.cluster, &b.results}
 }
 
-// withdraw lets go of a request that never ran.
-func (b *Backend) withdraw(r *request) {
+// withdrawRequest lets go of a request that never ran.
+func (b *Backend) withdrawRequest(r *request) {
 	delete(b.requests, r.id)
 	for _, observer := range b.observers {
 		observer.requestWithdrawn(r)
 	}
 }
 
-// end lets go of a request whose run has ended and whose answer is given.
-func (b *Backend) end(r *request, end requestEnd) {
+// endRequest lets go of a request whose run has ended and whose answer is given.
+func (b *Backend) endRequest(r *request, end requestEnd) {
 	delete(b.requests, r.id)
 	for _, observer := range b.observers {
 		observer.requestEnded(r, end)
@@ -51,13 +51,13 @@
 // requestEnded does nothing: the guard heard of the end before, since the answer may have to wait for it.
 func (g *idempotencyGuard) requestEnded(*request, requestEnd) {}
 
-// requestWithdrawn does nothing: what was taken over is settled by whoever withdraws it.
+// requestWithdrawn does nothing: the account of a request that was failed over is closed by whoever withdraws it.
 func (c *cluster) requestWithdrawn(*request) {}
 
 func (c *cluster) requestEnded(r *request, end requestEnd) { c.closeAccount(r, end.reason) }
 
-func (k *resultCache) requestWithdrawn(r *request) { k.ended(r, overload.Failed, false, nil) }
+func (c *resultCache) requestWithdrawn(r *request) { c.ended(r, overload.Failed, false, nil) }
 
-func (k *resultCache) requestEnded(r *request, end requestEnd) {
-	k.ended(r, end.outcome, end.ran, end.result)
+func (c *resultCache) requestEnded(r *request, end requestEnd) {
+	c.ended(r, end.outcome, end.ran, end.result)
 }
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -77,7 +77,7 @@
 
 // find returns the entry that a request repeats, nil if there is none.
 func (c *resultCache) find(r *request) *cacheEntry {
-	entry := c.entries[r.subject]
+	entry := c.entries[r.cacheKey]
 	if entry == nil {
 		return nil
 	}
@@ -99,7 +99,7 @@
 // somebody replays what an edge node sent, and the processor, which knows the id, would not be asked to run what is
 // answered from the cache.
 func (c *resultCache) lookup(r *request) accounting.Reason {
-	if r.subject.name == "" {
+	if r.cacheKey.name == "" {
 		return accounting.None // nothing by which a repeat could be known
 	}
 	if entry := c.find(r); entry != nil {
@@ -128,11 +128,11 @@
 
 // add caches a request and reports whether there was room, also for the result of one that must run once.
 func (c *resultCache) add(r *request) bool {
-	c.drop(c.entries[r.subject])
+	c.drop(c.entries[r.cacheKey])
 	handler := &c.backend.handlers[r.handler]
 	entry := &cacheEntry{
 		id:        r.id,
-		key:       r.subject,
+		key:       r.cacheKey,
 		runsOnce:  handler.uniqued,
 		expiresAt: r.arrivedAt + handler.window + windowMargin,
 	}
@@ -143,7 +143,7 @@
 	if !c.hasRoom(entry.bytes) {
 		return false
 	}
-	c.entries[r.subject] = entry
+	c.entries[r.cacheKey] = entry
 	c.byID[r.id] = entry
 	c.resultBytes += entry.bytes
 	return true
@@ -156,7 +156,7 @@
 // remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it
 // says for how long.
 func (c *resultCache) remember(r *request, lifetime time.Duration) {
-	if r.subject.name == "" || c.byID[r.id] == nil && !c.add(r) {
+	if r.cacheKey.name == "" || c.byID[r.id] == nil && !c.add(r) {
 		return
 	}
 	if entry := c.byID[r.id]; !entry.runsOnce {
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -28,7 +28,7 @@
 	return &request{
 		id:        id,
 		handler:   handler,
-		subject:   cacheKey{handler: handler, name: name},
+		cacheKey:  cacheKey{handler: handler, name: name},
 		verified:  true,
 		arrivedAt: b.now - unread,
 		readAt:    b.now,
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -14,7 +14,7 @@
 
 // drainState is what the end of the process needs beside lifecycle.Process.
 type drainState struct {
-	pending    bool          // the notice came, and the overload controller has not heard of it
+	unreported bool          // the notice came, and the overload controller has not heard of it
 	grace      time.Duration // after the notice, in which a request that is read may still start
 	retryAfter time.Duration // the retry-after of requests that are rejected at the end; 0 for none
 }
@@ -27,7 +27,7 @@
 	b.log.Info("leaving", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.Notified())
 	b.logPhase()
 	b.cluster.leave()
-	b.drain.pending = true
+	b.drain.unreported = true
 }
 
 // drainEvent returns the event by which the overload controller hears of the notice: first in its batch, and dated by
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -22,184 +22,187 @@
 	bed.backend.loop.Post(func() { bed.backend.process.SetKillTime(bed.backend.now + time.Minute) })
 }
 
-// TestShutdownCrossings: SIGTERM and the closing that follows it, with a request in each place.
+// shutdownCrossings are plays of SIGTERM and the closing that follows it, with a request in each place.
+var shutdownCrossings = []struct {
+	name string
+	play func(bed *testbed)
+}{
+	{"at rest: ended in order, a request that crosses it is not run", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.serve(client, 1)
+		bed.beginClosing()
+		client.send(fastcgiRequest(2, nil))
+		client.expect("end")
+		bed.expectExit()
+		bed.expectNone("processor: begin 0000000000000002")
+	}},
+	{"in the ring when the closing begins: rejected, and never run", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.serve(client, 1)
+		release := bed.holdOwner(bed.beginClosingNow)
+		client.send(fastcgiRequest(2, nil))
+		bed.awaitInput()
+		release()
+		client.expect("2"+rejectedLine, "end")
+		bed.expectExit()
+		bed.expectNone("processor: begin 0000000000000002")
+	}},
+	{"several, beside a run: each is rejected, the connection ends after the run", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.startRun(client, 1)
+		bed.beginClosing()
+		for slot := uint16(2); slot < 6; slot++ {
+			client.send(fastcgiRequest(slot, nil))
+			client.expect(fmt.Sprintf("%d%s", slot, rejectedLine))
+		}
+		bed.completeRun(1)
+		client.expect("1"+succeededLine, "end")
+		bed.expectExit()
+		bed.expectNone("processor: begin 0000000000000003")
+	}},
+	{"one that asks for the end of its connection, beside a run: what follows is answered", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.startRun(client, 1)
+		client.send(strings.Replace(fastcgiRequest(2, map[string]string{"HTTP_X_RANK": "soon"}), "\x00\x01\x01", "\x00\x01\x00", 1))
+		client.expect("2 Status: 400 Bad Request")
+		bed.startRun(client, 3)
+		bed.completeRun(3)
+		client.expect("3" + succeededLine)
+		bed.completeRun(1)
+		client.expect("1"+succeededLine, "end")
+		bed.beginClosing()
+		bed.expectExit()
+	}},
+	{"half read: its rest comes in the closing and is rejected", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.serve(client, 1)
+		complete := fastcgiRequest(2, nil)
+		client.send(complete[:len(complete)-20])
+		bed.awaitPartial(1)
+		bed.beginClosing()
+		client.send(complete[len(complete)-20:])
+		client.expect("2"+rejectedLine, "end")
+		bed.expectExit()
+		bed.expectNone("processor: begin 0000000000000002")
+	}},
+	{"half read for good: rejected, and the connection ends", func(bed *testbed) {
+		client := bed.dialClient()
+		client.send(fastcgiRequest(2, nil)[:30])
+		bed.awaitPartial(1)
+		bed.beginClosing()
+		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.EndingBefore) })
+		client.expect("2"+rejectedLine, "end")
+		bed.expectExit()
+	}},
+	{"complete and not handled, in the same batch as the notice: taken on, within the grace", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.serve(client, 1)
+		release := bed.holdOwner()
+		bed.leave()
+		client.send(fastcgiRequest(2, nil))
+		release()
+		bed.expect(`processor: begin 0000000000000002 status ""`)
+		bed.completeRun(2)
+		client.expect("2" + succeededLine)
+		bed.beginClosing()
+		client.expect("end")
+		bed.expectExit()
+	}},
+	{"in the accept queue: taken, and rejected", func(bed *testbed) {
+		release := bed.holdOwner(bed.beginClosingNow)
+		client := bed.dialClient()
+		client.send(fastcgiRequest(2, nil))
+		release()
+		if got := client.readAnswer(); got != "2"+rejectedLine && got != "end" { // the latter if its bytes came after it was ended
+			bed.t.Error(got)
+		}
+		bed.expectExit()
+		bed.expectNone("processor: begin 0000000000000002")
+	}},
+	{"running: its end in the closing is answered, then its connection ends", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.startRun(client, 1)
+		bed.beginClosing()
+		bed.completeRun(1)
+		client.expect("1"+succeededLine, "end")
+		bed.expectExit()
+	}},
+	{"running for good: answered before the stop", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.startRun(client, 1)
+		bed.beginClosing()
+		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ExitBefore) })
+		client.expect("1" + failedLine)
+		bed.expectExit()
+	}},
+	{"unverified, and the processor says nothing: not waited for in the closing", func(bed *testbed) {
+		bed.step([]string{"processor", "mute"})
+		client := bed.dialClient()
+		client.send(fastcgiRequest(1, nil))
+		bed.awaitUnverified(1)
+		bed.beginClosing()
+		bed.expect(`processor: begin 0000000000000001 status ""`)
+		bed.completeRun(1)
+		client.expect("1"+succeededLine, "end")
+		bed.expectExit()
+	}},
+	{"a deep check at the processor: answered in the closing", func(bed *testbed) {
+		bed.inTurn(func() { bed.backend.advice.shallowChecks = false })
+		client := bed.dialClient()
+		client.send(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
+		bed.await(func() bool { return len(bed.backend.processor.pendingTrials) == 1 })
+		bed.beginClosing()
+		client.expect("1"+rejectedLine, "end")
+		bed.expectExit()
+	}},
+	{"a second notice changes nothing", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.startRun(client, 1)
+		bed.beginClosing()
+		var before, after time.Duration
+		bed.inTurn(func() {
+			before = bed.backend.process.KillTime()
+			bed.backend.now += time.Millisecond
+			bed.backend.startDrain()
+			after = bed.backend.process.KillTime()
+		})
+		if before != after {
+			bed.t.Error("the stop moved by", after-before)
+		}
+		bed.completeRun(1)
+		client.expect("1"+succeededLine, "end")
+		bed.expectExit()
+	}},
+	{"SIGHUP in the drain and in the closing: what runs goes on", func(bed *testbed) {
+		client := bed.dialClient()
+		bed.startRun(client, 1)
+		bed.inTurn(bed.backend.startDrain)
+		bed.step([]string{"moves"})
+		bed.expect("new processor: hello 0")
+		bed.step([]string{"processor", "says", "hi warm 500100"})
+		bed.beginClosing()
+		bed.step([]string{"moves"})
+		bed.expect("new processor: hello 0")
+		bed.step([]string{"processor", "says", "hi warm 500200"})
+		bed.completeRun(1)
+		client.expect("1"+succeededLine, "end")
+		bed.expectExit()
+	}},
+}
+
+// TestShutdownCrossings: each request is answered or its connection is ended in order, and the process exits.
 func TestShutdownCrossings(t *testing.T) {
-	long := map[string]string{"stop_ms": "60000"}
-	for _, test := range []struct {
-		name string
-		play func(bed *testbed)
-	}{
-		{"at rest: ended in order, a request that crosses it is not run", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.serve(client, 1)
-			bed.beginClosing()
-			client.send(fastcgiRequest(2, nil))
-			client.expect("end")
-			bed.expectExit()
-			bed.expectNone("processor: begin 0000000000000002")
-		}},
-		{"in the ring when the closing begins: rejected, and never run", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.serve(client, 1)
-			release := bed.holdOwner(bed.beginClosingNow)
-			client.send(fastcgiRequest(2, nil))
-			bed.awaitInput()
-			release()
-			client.expect("2"+rejectedLine, "end")
-			bed.expectExit()
-			bed.expectNone("processor: begin 0000000000000002")
-		}},
-		{"several, beside a run: each is rejected, the connection ends after the run", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.startRun(client, 1)
-			bed.beginClosing()
-			for slot := uint16(2); slot < 6; slot++ {
-				client.send(fastcgiRequest(slot, nil))
-				client.expect(fmt.Sprintf("%d%s", slot, rejectedLine))
-			}
-			bed.completeRun(1)
-			client.expect("1"+succeededLine, "end")
-			bed.expectExit()
-			bed.expectNone("processor: begin 0000000000000003")
-		}},
-		{"one that asks for the end of its connection, beside a run: what follows is answered", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.startRun(client, 1)
-			client.send(strings.Replace(fastcgiRequest(2, map[string]string{"HTTP_X_RANK": "soon"}), "\x00\x01\x01", "\x00\x01\x00", 1))
-			client.expect("2 Status: 400 Bad Request")
-			bed.startRun(client, 3)
-			bed.completeRun(3)
-			client.expect("3" + succeededLine)
-			bed.completeRun(1)
-			client.expect("1"+succeededLine, "end")
-			bed.beginClosing()
-			bed.expectExit()
-		}},
-		{"half read: its rest comes in the closing and is rejected", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.serve(client, 1)
-			complete := fastcgiRequest(2, nil)
-			client.send(complete[:len(complete)-20])
-			bed.awaitPartial(1)
-			bed.beginClosing()
-			client.send(complete[len(complete)-20:])
-			client.expect("2"+rejectedLine, "end")
-			bed.expectExit()
-			bed.expectNone("processor: begin 0000000000000002")
-		}},
-		{"half read for good: rejected, and the connection ends", func(bed *testbed) {
-			client := bed.dialClient()
-			client.send(fastcgiRequest(2, nil)[:30])
-			bed.awaitPartial(1)
-			bed.beginClosing()
-			bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.EndingBefore) })
-			client.expect("2"+rejectedLine, "end")
-			bed.expectExit()
-		}},
-		{"complete and not handled, in the same batch as the notice: taken on, within the grace", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.serve(client, 1)
-			release := bed.holdOwner()
-			bed.leave()
-			client.send(fastcgiRequest(2, nil))
-			release()
-			bed.expect(`processor: begin 0000000000000002 status ""`)
-			bed.completeRun(2)
-			client.expect("2" + succeededLine)
-			bed.beginClosing()
-			client.expect("end")
-			bed.expectExit()
-		}},
-		{"in the accept queue: taken, and rejected", func(bed *testbed) {
-			release := bed.holdOwner(bed.beginClosingNow)
-			client := bed.dialClient()
-			client.send(fastcgiRequest(2, nil))
-			release()
-			if got := client.readAnswer(); got != "2"+rejectedLine && got != "end" { // the latter if its bytes came after it was ended
-				bed.t.Error(got)
-			}
-			bed.expectExit()
-			bed.expectNone("processor: begin 0000000000000002")
-		}},
-		{"running: its end in the closing is answered, then its connection ends", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.startRun(client, 1)
-			bed.beginClosing()
-			bed.completeRun(1)
-			client.expect("1"+succeededLine, "end")
-			bed.expectExit()
-		}},
-		{"running for good: answered before the stop", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.startRun(client, 1)
-			bed.beginClosing()
-			bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ExitBefore) })
-			client.expect("1" + failedLine)
-			bed.expectExit()
-		}},
-		{"unverified, and the processor says nothing: not waited for in the closing", func(bed *testbed) {
-			bed.step([]string{"processor", "mute"})
-			client := bed.dialClient()
-			client.send(fastcgiRequest(1, nil))
-			bed.awaitUnverified(1)
-			bed.beginClosing()
-			bed.expect(`processor: begin 0000000000000001 status ""`)
-			bed.completeRun(1)
-			client.expect("1"+succeededLine, "end")
-			bed.expectExit()
-		}},
-		{"a deep check at the processor: answered in the closing", func(bed *testbed) {
-			bed.inTurn(func() { bed.backend.advice.shallowChecks = false })
-			client := bed.dialClient()
-			client.send(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
-			bed.await(func() bool { return len(bed.backend.processor.pendingTrials) == 1 })
-			bed.beginClosing()
-			client.expect("1"+rejectedLine, "end")
-			bed.expectExit()
-		}},
-		{"a second notice changes nothing", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.startRun(client, 1)
-			bed.beginClosing()
-			var before, after time.Duration
-			bed.inTurn(func() {
-				before = bed.backend.process.KillTime()
-				bed.backend.now += time.Millisecond
-				bed.backend.startDrain()
-				after = bed.backend.process.KillTime()
-			})
-			if before != after {
-				bed.t.Error("the stop moved by", after-before)
-			}
-			bed.completeRun(1)
-			client.expect("1"+succeededLine, "end")
-			bed.expectExit()
-		}},
-		{"SIGHUP in the drain and in the closing: what runs goes on", func(bed *testbed) {
-			client := bed.dialClient()
-			bed.startRun(client, 1)
-			bed.inTurn(bed.backend.startDrain)
-			bed.step([]string{"moves"})
-			bed.expect("new processor: hello 0")
-			bed.step([]string{"processor", "says", "hi warm 500100"})
-			bed.beginClosing()
-			bed.step([]string{"moves"})
-			bed.expect("new processor: hello 0")
-			bed.step([]string{"processor", "says", "hi warm 500200"})
-			bed.completeRun(1)
-			client.expect("1"+succeededLine, "end")
-			bed.expectExit()
-		}},
-	} {
+	options := map[string]string{"stop_ms": "60000"}
+	for _, test := range shutdownCrossings {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			test.play(startReady(t, long))
+			test.play(startReady(t, options))
 		})
 	}
 	t.Run("before the processor is up: rejected, and the process ends", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t)
-		bed.start(withLongTimeouts(long))
+		bed.start(withLongTimeouts(options))
 		bed.expect("processor: hello 0")
 		client := bed.dialClient()
 		client.send(fastcgiRequest(1, nil))
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -367,7 +367,7 @@
 		}
 	case "starts": // so many requests that never come whole
 		for i := range slot {
-			text += fake.FastCGIRecord(1, i+1, "\x00\x01\x01\x00\x00\x00\x00\x00") + fake.FastCGIRecord(4, i+1, strings.Repeat("x", 4000))
+			text += beginText(i+1) + fake.FastCGIRecord(paramsRecord, i+1, strings.Repeat("x", 4000))
 		}
 	case "half": // a request over AJP whose body stops in its middle
 		whole := ajpRequest(slot, map[string]string{"body": "a body that is cut"})
