--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -11,9 +11,9 @@
 // newCacheBackend returns a backend that doesn't serve, for tests of its result cache that set the clock.
 func newCacheBackend(t *testing.T, memoryMB string) *Backend {
 	t.Helper()
-	s := &stage{t: t, listen: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
-	s.newPeers("")
-	t.Cleanup(func() { s.processor.shut(); s.tier.shut() })
+	s := &testbed{t: t, listen: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
+	s.startPeers("")
+	t.Cleanup(func() { s.processor.stop(); s.upstream.stop() })
 	return New(s.config(), nil)
 }
 
@@ -107,16 +107,16 @@
 	for _, front := range []string{"fastcgi", "ajp"} {
 		t.Run(front, func(t *testing.T) {
 			t.Parallel()
-			s := &stage{t: t, edges: map[string]*edgeNode{}, known: map[string]bool{}, ajp: front == "ajp"}
+			s := &testbed{t: t, clients: map[string]*clientSocket{}, begunIDs: map[string]bool{}, ajp: front == "ajp"}
 			s.start(map[string]string{})
-			s.settle(2)
+			s.awaitQuiet(2)
 			s.step([]string{"processor", "says", "hi warm 500000"})
-			s.settle(1)
+			s.awaitQuiet(1)
 			s.step([]string{"edge", "a", "sends", "1", "HTTP_X_TENANT=south", "HTTP_X_TIMEOUT_MS=700"})
 			s.step([]string{"edge", "a", "sends", "2", "HTTP_X_TENANT=east"})
-			s.settle(2)
-			s.b.onOwner(func() {
-				known, unknown := s.b.requests[1], s.b.requests[2]
+			s.awaitQuiet(2)
+			s.backend.onOwner(func() {
+				known, unknown := s.backend.requests[1], s.backend.requests[2]
 				if known == nil || known.arrival.Customer != 1 || known.arrival.Remaining <= 0 || known.arrival.Remaining > 700*time.Millisecond {
 					t.Error("a known customer with a timeout:", known)
 				}
