--- a/internal/peerproto/fields.go
+++ b/internal/peerproto/fields.go
@@ -30,8 +30,8 @@
 
 // PeerState: what the sender remembers of the receiver.
 const (
-	peerStateIncarnation fieldNumber = 1 // uint64: highest that it was told
-	peerStateSeq         fieldNumber = 2 // uint64: last durable record that it was told of
+	peerStateIncarnation fieldNumber = 1 // uint64: highest that was reported to it
+	peerStateSeq         fieldNumber = 2 // uint64: last durable record that was reported to it
 	peerStateEmpty       fieldNumber = 3 // bool: it remembers nothing from before its own start
 	peerStateMark        fieldNumber = 4 // fixed64: of the process that asked
 )
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -3,7 +3,8 @@
 const (
 	// maxPiggybackedUpdates bounds the updates on one message, to keep it within a packet.
 	maxPiggybackedUpdates = 12
-	// retransmitFactor is how many times an update is passed on, times the logarithm of the cluster's size: SWIM's dissemination limit.
+	// retransmitFactor, times the logarithm of the cluster's size, is SWIM's dissemination limit: an update is dropped once it was passed on
+	// more often.
 	retransmitFactor = 3
 )
 
--- a/recovery/node_test.go
+++ b/recovery/node_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// model is a node that loses its disk or parts of it, and its peers, which remember what it told them as far as their own disks do.
+// model is a node that loses its disk or parts of it, and its peers, which remember what it reported to them as far as their own disks do.
 type model struct {
-	names []string      // of the peers
-	peers []*PeerStates // what each remembers
-	told  []PeerState   // the furthest that each was told and has not forgotten
-	empty []bool        // whether each has forgotten what was before, and was told nothing since
-	disk  DiskState     // as the node would read it
-	mark  uint64        // of the node's present process
-	now   time.Duration
+	names    []string      // of the peers
+	peers    []*PeerStates // what each remembers
+	reported []PeerState   // the furthest state that was reported to each and that it has not forgotten
+	empty    []bool        // whether each has forgotten what was before, and nothing was reported to it since
+	disk     DiskState     // as the node would read it
+	mark     uint64        // of the node's present process
+	now      time.Duration
 }
 
 // rule is one of the rules that the test switches off to show that it finds what is wrong without it.
@@ -46,7 +46,7 @@
 }
 
 func newModel(peers int) *model {
-	m := &model{told: make([]PeerState, peers), empty: make([]bool, peers), now: time.Hour}
+	m := &model{reported: make([]PeerState, peers), empty: make([]bool, peers), now: time.Hour}
 	for i := range peers {
 		m.names = append(m.names, fmt.Sprint("n", i))
 		m.peers = append(m.peers, NewPeerStates(false))
@@ -68,13 +68,13 @@
 	return ""
 }
 
-// provesOutdated reports whether a peer was told more than the disk holds.
+// provesOutdated tells whether the node reported more to a peer than the disk holds.
 func (m *model) provesOutdated(peer int) bool {
-	told := m.told[peer]
-	if told == (PeerState{}) || m.empty[peer] {
+	reported := m.reported[peer]
+	if reported == (PeerState{}) || m.empty[peer] {
 		return false
 	}
-	return told.Incarnation >= m.disk.Incarnation || told.Incarnation+1 == m.disk.Incarnation && told.Seq > m.disk.Seq
+	return reported.Incarnation >= m.disk.Incarnation || reported.Incarnation+1 == m.disk.Incarnation && reported.Seq > m.disk.Seq
 }
 
 // restart starts the node's next process, with answers of some of the peers.
@@ -132,7 +132,7 @@
 		incarnation = max(incarnation, action.Incarnation)
 	}
 	for i := range m.peers {
-		if outdated && !m.empty[i] && m.told[i].Incarnation >= incarnation && answered == peers {
+		if outdated && !m.empty[i] && m.reported[i].Incarnation >= incarnation && answered == peers {
 			return "its incarnation is that of an earlier process"
 		}
 	}
@@ -145,10 +145,10 @@
 	for range rapid.IntRange(0, 5).Draw(t, "records") {
 		m.disk.Seq++
 		for i, peer := range m.peers {
-			if rapid.Bool().Draw(t, "told") {
+			if rapid.Bool().Draw(t, "reported") {
 				state := PeerState{Incarnation: m.disk.Incarnation, Seq: m.disk.Seq}
 				peer.Update("me", m.mark, state)
-				m.told[i] = state
+				m.reported[i] = state
 				m.empty[i] = false
 			}
 		}
@@ -166,12 +166,12 @@
 	case 2: // a peer's disk
 		peer := rapid.IntRange(0, len(m.peers)-1).Draw(t, "forgets")
 		m.peers[peer] = NewPeerStates(true)
-		m.told[peer] = PeerState{}
+		m.reported[peer] = PeerState{}
 		m.empty[peer] = true
 	}
 }
 
-// TestRestarts checks that a loss is found if any peer that was told more answers, that peers which remember nothing don't confirm a disk, and
+// TestRestarts checks that a loss is found if a peer answers to which more was reported, that peers which remember nothing don't confirm a disk, and
 // that the node always comes back.
 func TestRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/recovery/peer_state.go
+++ b/recovery/peer_state.go
@@ -1,6 +1,6 @@
 package recovery
 
-// PeerState is how far a node's durable history goes, as the node told it to a peer.
+// PeerState is how far a node's durable history goes, as the node reported it to a peer.
 type PeerState struct {
 	Incarnation uint64 `json:"life"`
 	Seq         uint64 `json:"seq"` // number of the last durable record
@@ -22,7 +22,7 @@
 	return y
 }
 
-// Answer is what a peer remembers of the node that asked: the furthest state that processes of the node before the asking one told it.
+// Answer is what a peer remembers of the node that asked: the furthest state that processes of the node before the asking one reported.
 type Answer struct {
 	PeerState
 	Mark  uint64 // identifies the process that asked
--- a/recovery/peer_states.go
+++ b/recovery/peer_states.go
@@ -14,7 +14,7 @@
 // PeerStates is what a node remembers of the others across its own restarts. Its JSON form is a stored format: the keys stay as they are. Make
 // it with NewPeerStates, and decode into what that returns. It is not safe for concurrent use.
 type PeerStates struct {
-	// Of has what each node told, by its name.
+	// Of has what each node has reported, by its name.
 	Of map[string]*peerRecord `json:"of"`
 	// Fences has the nodes that were sent again what they had lost, with the incarnation in which that was.
 	Fences map[string]uint64 `json:"fences,omitempty"`
@@ -25,7 +25,7 @@
 	changed bool // since the last call of Changed
 }
 
-// peerRecord is what one other node has told of itself.
+// peerRecord is what one other node has reported of itself.
 type peerRecord struct {
 	PeerState              // the furthest of its latest process
 	Mark         uint64    `json:"mark"`   // identifies that process
