--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -226,6 +226,7 @@
 		delete(s.unknownHandlers, key)
 	}
 	delete(s.records, key)
+	delete(s.unterminated, key)
 	rec.intentSegment.addFingerprint(key, s.cfg.KeysPerSegment)
 	rec.intentSegment.liveRecords--
 	if rec.endSegment != nil {
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -364,3 +364,44 @@
 		t.Error(got)
 	}
 }
+
+// TestExpiryWhileLoading: a key that is reserved again after it was proved never to have run may expire while it is loaded, as its earlier
+// incarnation is still in the queue. Loading goes on.
+func TestExpiryWhileLoading(t *testing.T) {
+	cfg := Config{
+		MaxEntries:     3,
+		MaxBytes:       1000,
+		MaxResultBytes: 100,
+		ResultTTL:      time.Hour,
+		RetryHorizon:   24 * time.Hour,
+		MaxSegments:    10,
+		KeysPerSegment: 100,
+		SegmentBytes:   1 << 20,
+	}
+	x := newTestStore(cfg)
+	restart := func() {
+		x.store = New(cfg)
+		x.disk.load(x.store)
+		x.store.FinishLoading(noon, false, 0)
+		x.sync()
+	}
+	x.store.Reserve(noon, 0, keyOf(1), "", 1)
+	x.sync()
+	restart() // its outcome is unknown now
+	x.store.Finish(noon, keyOf(1), EntryNeverRan, nil)
+	x.store.Reserve(noon, 0, keyOf(1), "", 2)
+	x.sync()
+	for key := uint64(2); key <= 4; key++ {
+		if got := x.run(noon, key, "filed"); got != Completed {
+			t.Fatal(key, got)
+		}
+	}
+	x.store.Reserve(noon, 0, keyOf(5), "", 3)
+	x.sync()
+	restart()
+	for _, key := range []uint64{1, 5} { // both were in flight
+		if got := x.store.Peek(noon, 0, keyOf(key)); got == Fresh {
+			t.Errorf("key %d is fresh", key)
+		}
+	}
+}
