--- a/accounting/apply.go
+++ b/accounting/apply.go
@@ -60,7 +60,7 @@
 func (l *Ledger) fits(entry *Entry) bool {
 	switch entry.Kind {
 	case EntryOpen:
-		known := int(entry.Handler) < len(l.handlers) && entry.Front < frontendCount
+		known := int(entry.Handler) < len(l.handlers) && entry.Frontend < frontendCount
 		return known && entry.Slot < maxOpenSlots && entry.Kind.allowedIn(l.stateOf(entry.Slot))
 	case EntryAnswer, EntryClose:
 		return entry.Reason.Category() != 0 && entry.Kind.allowedIn(l.stateOf(entry.Slot))
@@ -88,7 +88,7 @@
 		openedAt:   entry.At,
 		generation: max(1, request.generation+1), // 0 is for tickets of no request
 		handler:    entry.Handler,
-		frontend:   entry.Front,
+		frontend:   entry.Frontend,
 		customer:   l.customers.assign(entry.Customer),
 		state:      awaitingAnswer,
 	}
--- a/accounting/entry.go
+++ b/accounting/entry.go
@@ -50,7 +50,7 @@
 	Slot     uint32        // where the ledger keeps the request while it is open; reused after its end
 	Kind     EntryKind
 	Reason   Reason       // EntryAnswer, EntryClose
-	Front    Frontend     // EntryOpen
+	Frontend Frontend     // EntryOpen
 	Handler  uint16       // EntryOpen
 	Customer CustomerName // EntryOpen
 }
@@ -90,8 +90,8 @@
 // Checksum returns the CRC-32C that guards all parts of a stored ledger.
 func Checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// Put encodes the entry into the first EntrySize bytes of b.
-func (e *Entry) Put(b []byte) {
+// Encode encodes the entry into the first EntrySize bytes of b.
+func (e *Entry) Encode(b []byte) {
 	b = b[:EntrySize]
 	le := binary.LittleEndian
 	le.PutUint64(b[offsetSeq:], e.Seq)
@@ -100,7 +100,7 @@
 	le.PutUint32(b[offsetSlot:], e.Slot)
 	b[offsetKind] = byte(e.Kind)
 	b[offsetReason] = byte(e.Reason)
-	b[offsetFrontend] = byte(e.Front)
+	b[offsetFrontend] = byte(e.Frontend)
 	b[offsetNameLength] = e.Customer.length
 	le.PutUint16(b[offsetHandler:], e.Handler)
 	copy(b[offsetName:offsetPadding], e.Customer.bytes[:])
@@ -108,9 +108,9 @@
 	le.PutUint32(b[offsetChecksum:], Checksum(b[:offsetChecksum]))
 }
 
-// Get decodes an entry and reports whether b begins with a complete one. Otherwise it leaves the entry alone, except that
+// Decode decodes an entry and reports whether b begins with a complete one. Otherwise it leaves the entry alone, except that
 // an entry without a sequence number is decoded and not complete.
-func (e *Entry) Get(b []byte) bool {
+func (e *Entry) Decode(b []byte) bool {
 	if len(b) < EntrySize {
 		return false
 	}
@@ -119,14 +119,14 @@
 		return false
 	}
 	*e = Entry{
-		Seq:     le.Uint64(b[offsetSeq:]),
-		At:      time.Duration(le.Uint64(b[offsetAt:])),
-		ID:      le.Uint64(b[offsetID:]),
-		Slot:    le.Uint32(b[offsetSlot:]),
-		Kind:    EntryKind(b[offsetKind]),
-		Reason:  Reason(b[offsetReason]),
-		Front:   Frontend(b[offsetFrontend]),
-		Handler: le.Uint16(b[offsetHandler:]),
+		Seq:      le.Uint64(b[offsetSeq:]),
+		At:       time.Duration(le.Uint64(b[offsetAt:])),
+		ID:       le.Uint64(b[offsetID:]),
+		Slot:     le.Uint32(b[offsetSlot:]),
+		Kind:     EntryKind(b[offsetKind]),
+		Reason:   Reason(b[offsetReason]),
+		Frontend: Frontend(b[offsetFrontend]),
+		Handler:  le.Uint16(b[offsetHandler:]),
 	}
 	e.Customer.length = min(b[offsetNameLength], maxNameLength)
 	copy(e.Customer.bytes[:], b[offsetName:offsetPadding])
--- a/accounting/reason.go
+++ b/accounting/reason.go
@@ -80,15 +80,15 @@
 	reasonCount = 39 // numbers, those not in use included: cells in a row
 )
 
-// ReasonInfo describes a reason.
-type ReasonInfo struct {
+// reasonInfo describes a reason.
+type reasonInfo struct {
 	Category Category
 	Word     string // in reports and metrics, never changed
 	Text     string // what it says
 }
 
-// ReasonTable describes each reason in use. The other numbers have an empty entry.
-var ReasonTable = [reasonCount]ReasonInfo{
+// reasonTable describes each reason in use. The other numbers have an empty entry.
+var reasonTable = [reasonCount]reasonInfo{
 	Completed: {Served, "ran", "the result of its own run"},
 	Replayed:  {Served, "repeated", "the stored result of the request that it retries"},
 
@@ -132,7 +132,7 @@
 	if r >= reasonCount {
 		return 0
 	}
-	return ReasonTable[r].Category
+	return reasonTable[r].Category
 }
 
 // String returns the reason's word.
@@ -140,12 +140,12 @@
 	if r.Category() == 0 {
 		return "none"
 	}
-	return ReasonTable[r].Word
+	return reasonTable[r].Word
 }
 
-// ReasonOf returns the reason of the given word, None if there is none.
-func ReasonOf(word string) Reason {
-	for reason, info := range ReasonTable {
+// ParseReason returns the reason of the given word, None if there is none.
+func ParseReason(word string) Reason {
+	for reason, info := range reasonTable {
 		if info.Category != 0 && info.Word == word {
 			return Reason(reason)
 		}
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -23,23 +23,23 @@
 // Row holds the counts of a handler over a front end, and the reasons behind them. In the row of a period Open is what was
 // received and not closed in that period; it is negative where more was closed.
 type Row struct {
-	Handler string           `json:"handler"`
-	Front   string           `json:"front"`
-	Figures Counts           `json:"figures"`
-	Reasons map[string]int64 `json:"reasons"` // closed requests by the word of their reason
+	Handler  string           `json:"handler"`
+	Frontend string           `json:"front"`
+	Counts   Counts           `json:"figures"`
+	Reasons  map[string]int64 `json:"reasons"` // closed requests by the word of their reason
 }
 
 // Customer holds the counts of a customer since it has a row of its own.
 type Customer struct {
-	Name    string `json:"name"`
-	Figures Counts `json:"figures"`
+	Name   string `json:"name"`
+	Counts Counts `json:"figures"`
 }
 
 // Period holds the counts of one period.
 type Period struct {
-	Start time.Duration `json:"start"` // since the start of 1970
-	Span  time.Duration `json:"span"`
-	Rows  []Row         `json:"rows"`
+	Start  time.Duration `json:"start"` // since the start of 1970
+	Length time.Duration `json:"span"`
+	Rows   []Row         `json:"rows"`
 }
 
 // Report returns a report of the ledger, with its periods or without.
@@ -68,10 +68,10 @@
 			continue
 		}
 		rows = append(rows, Row{
-			Handler: l.handlers[row/frontendCount],
-			Front:   Frontend(row % frontendCount).String(),
-			Figures: sumCells(cells, row),
-			Reasons: reasonsOf(rowCells(cells, row)),
+			Handler:  l.handlers[row/frontendCount],
+			Frontend: Frontend(row % frontendCount).String(),
+			Counts:   sumCells(cells, row),
+			Reasons:  reasonsOf(rowCells(cells, row)),
 		})
 	}
 	return rows
@@ -93,11 +93,11 @@
 	var customers []Customer
 	for _, row := range l.customers.rows {
 		if row.Received != 0 {
-			customers = append(customers, Customer{Name: row.name.String(), Figures: row.Counts})
+			customers = append(customers, Customer{Name: row.name.String(), Counts: row.Counts})
 		}
 	}
 	slices.SortStableFunc(customers, func(x, y Customer) int {
-		return cmp.Compare(y.Figures.Received, x.Figures.Received)
+		return cmp.Compare(y.Counts.Received, x.Counts.Received)
 	})
 	return customers
 }
@@ -116,10 +116,10 @@
 		if err != nil || addCells(cells, period.cells) != nil {
 			continue // it was checked when it was restored: it does not happen
 		}
-		periods = append(periods, Period{Start: period.start, Span: period.length, Rows: l.reportRows(cells)})
+		periods = append(periods, Period{Start: period.start, Length: period.length, Rows: l.reportRows(cells)})
 	}
 	if p.start != 0 {
-		periods = append(periods, Period{Start: p.start, Span: p.length, Rows: l.reportRows(p.current)})
+		periods = append(periods, Period{Start: p.start, Length: p.length, Rows: l.reportRows(p.current)})
 	}
 	return periods
 }
@@ -146,21 +146,21 @@
 	for _, n := range r.Reasons {
 		closed += n
 	}
-	if r.Figures.balanced() && closed+r.Figures.Open == r.Figures.Received {
+	if r.Counts.balanced() && closed+r.Counts.Open == r.Counts.Received {
 		return ""
 	}
 	return fmt.Sprintf("%s over %s: taken %d, reasons and open %d",
-		r.Handler, r.Front, r.Figures.Received, closed+r.Figures.Open)
+		r.Handler, r.Frontend, r.Counts.Received, closed+r.Counts.Open)
 }
 
 // checkSums returns a description of the first sum that differs from the total.
 func (r *Report) checkSums() string {
 	var byRow, byCustomer Counts
 	for _, row := range r.Rows {
-		byRow = byRow.Plus(row.Figures)
+		byRow = byRow.Plus(row.Counts)
 	}
 	for _, customer := range r.Customers {
-		byCustomer = byCustomer.Plus(customer.Figures)
+		byCustomer = byCustomer.Plus(customer.Counts)
 	}
 	byIncarnation := r.Earlier
 	for _, incarnation := range r.Incarnations {
--- a/accounting/request.go
+++ b/accounting/request.go
@@ -73,7 +73,7 @@
 		ID:       id,
 		Slot:     slot,
 		Handler:  handler,
-		Front:    frontend,
+		Frontend: frontend,
 		Customer: customer,
 	})
 	return Ticket{slot: slot, generation: l.requests[slot].generation}
--- a/accounting/words_test.go
+++ b/accounting/words_test.go
@@ -59,8 +59,8 @@
 		if reason.String() != want.word || reason.Category().String() != want.category {
 			t.Errorf("%d: %v, %v; not %s, %s", want.number, reason, reason.Category(), want.word, want.category)
 		}
-		if want.category != "none" && ReasonOf(want.word) != reason {
-			t.Errorf("%s: %d, not %d", want.word, ReasonOf(want.word), reason)
+		if want.category != "none" && ParseReason(want.word) != reason {
+			t.Errorf("%s: %d, not %d", want.word, ParseReason(want.word), reason)
 		}
 	}
 }
--- a/backend/cluster_link.go
+++ b/backend/cluster_link.go
@@ -128,13 +128,13 @@
 func (c *cluster) hello(queryState bool) []byte {
 	b := c.backend
 	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
-		Cluster:     b.cfg.Cluster.Name,
-		From:        b.cfg.Name,
-		Incarnation: c.incarnation,
-		Lists:       c.ownDigests,
-		Seq:         c.store.LastSeq(),
-		Mark:        c.mark,
-		QueryState:  queryState,
-		Features:    recovery.FeatureFences,
+		Cluster:       b.cfg.Cluster.Name,
+		From:          b.cfg.Name,
+		Incarnation:   c.incarnation,
+		RosterDigests: c.ownDigests,
+		Seq:           c.store.LastSeq(),
+		Mark:          c.mark,
+		QueryState:    queryState,
+		Features:      recovery.FeatureFences,
 	}})
 }
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -30,7 +30,7 @@
 	parser := peerproto.NewParser(peer.receive)
 	accepted.OnData = c.backend.parseLogged("bad node", func(text []byte) error {
 		err := parser.Feed(text)
-		if err == nil && peer.node == "" && parser.Held() > maxHelloBytes {
+		if err == nil && peer.node == "" && parser.Buffered() > maxHelloBytes {
 			return errNoHello
 		}
 		return err
@@ -73,7 +73,7 @@
 	}
 	p.node = hello.From
 	p.incarnation = hello.Incarnation
-	c.peerDigests[p.node] = hello.Lists
+	c.peerDigests[p.node] = hello.RosterDigests
 	c.onHello(hello)
 	return nil
 }
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	_, err = dialed.Write(peerproto.Append(nil, &peerproto.Batch{
-		Hello:     &peerproto.Hello{Cluster: "north", From: "n1", Incarnation: 1, Lists: batch.Hello.Lists},
+		Hello:     &peerproto.Hello{Cluster: "north", From: "n1", Incarnation: 1, RosterDigests: batch.Hello.RosterDigests},
 		PeerState: &recovery.Answer{Mark: batch.Hello.Mark},
 	}))
 	return err
@@ -169,7 +169,7 @@
 	digests := []uint64{failover.Digest(failoverMembers(b.cfg.Cluster.Members))}
 	hello := func(cluster, from string) []byte {
 		return peerproto.Append(nil, &peerproto.Batch{
-			Hello: &peerproto.Hello{Cluster: cluster, From: from, Incarnation: 1, Lists: digests},
+			Hello: &peerproto.Hello{Cluster: cluster, From: from, Incarnation: 1, RosterDigests: digests},
 		})
 	}
 	claims := claimsOfUnknownNodes()
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -41,7 +41,7 @@
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	case !r.startSent:
 		l.start(r)
-	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Repeat(l.startCommand(r, false)) == lifecycle.Allowed:
+	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Retry(l.startCommand(r, false)) == lifecycle.Allowed:
 		l.retryStart(r, false, "it may run again")
 	case maybeLost && !r.runHeard:
 		l.beginProbe(r)
@@ -94,7 +94,7 @@
 func (l *processorLink) startLost(r *request) {
 	l.endProbe(r)
 	r.cancelRequested = false
-	if lifecycle.Repeat(l.startCommand(r, true)) == lifecycle.NobodyWaits {
+	if lifecycle.Retry(l.startCommand(r, true)) == lifecycle.ClientGone {
 		l.backend.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		return
 	}
@@ -116,7 +116,7 @@
 // proved to be lost.
 func (l *processorLink) startCommand(r *request, neverRan bool) lifecycle.Command {
 	return lifecycle.Command{
-		Repeatable: l.backend.handlers[r.handler].replayable,
+		Idempotent: l.backend.handlers[r.handler].replayable,
 		NeverRan:   neverRan,
 		Wanted:     l.backend.hasClient(r),
 	}
@@ -124,7 +124,7 @@
 
 // retryStart sends a start again if that is allowed.
 func (l *processorLink) retryStart(r *request, neverRan bool, reason string) {
-	if verdict := lifecycle.Repeat(l.startCommand(r, neverRan)); verdict != lifecycle.Allowed {
+	if verdict := lifecycle.Retry(l.startCommand(r, neverRan)); verdict != lifecycle.Allowed {
 		l.backend.recordViolation("begin again", r, verdict)
 		return
 	}
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -39,7 +39,7 @@
 	c.recovery.DiskLoaded(b.now, recovery.DiskState{
 		Incarnation: c.incarnation,
 		Seq:         store.LastSeq(),
-		New:         c.incarnation == 1 && !loaded.setAside,
+		NewStore:    c.incarnation == 1 && !loaded.setAside,
 	})
 	c.runRecovery()
 }
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -96,11 +96,11 @@
 // where that does harm.
 func (b *Backend) call(r *request, after time.Duration) {
 	command := lifecycle.Command{
-		Repeatable: b.handlers[r.handler].replayable,
+		Idempotent: b.handlers[r.handler].replayable,
 		NeverRan:   !r.callOutcomeUnknown,
 		Wanted:     b.isWanted(r),
 	}
-	if verdict := lifecycle.Repeat(command); verdict != lifecycle.Allowed {
+	if verdict := lifecycle.Retry(command); verdict != lifecycle.Allowed {
 		b.recordViolation("call", r, verdict)
 		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
 		return
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -97,18 +97,18 @@
 
 func (s sink) sendAccounting(report accounting.Report, recorded bool) {
 	for _, row := range report.Rows {
-		s.counter(requestsReceived, row.Figures.Received, row.Handler, row.Front)
-		s.gauge(requestsOpen, float64(row.Figures.Open), row.Handler, row.Front)
+		s.counter(requestsReceived, row.Counts.Received, row.Handler, row.Frontend)
+		s.gauge(requestsOpen, float64(row.Counts.Open), row.Handler, row.Frontend)
 		for reason, n := range row.Reasons {
-			category := accounting.ReasonOf(reason).Category().String()
-			s.counter(requestsClosed, n, category, reason, row.Handler, row.Front)
+			category := accounting.ParseReason(reason).Category().String()
+			s.counter(requestsClosed, n, category, reason, row.Handler, row.Frontend)
 		}
 	}
 	for _, customer := range report.Customers {
-		s.counter(customerRequests, customer.Figures.Received, customer.Name, "taken")
-		s.counter(customerRequests, customer.Figures.Served, customer.Name, "served")
-		s.counter(customerRequests, customer.Figures.Rejected, customer.Name, "refused")
-		s.counter(customerRequests, customer.Figures.Failed, customer.Name, "failed")
+		s.counter(customerRequests, customer.Counts.Received, customer.Name, "taken")
+		s.counter(customerRequests, customer.Counts.Served, customer.Name, "served")
+		s.counter(customerRequests, customer.Counts.Rejected, customer.Name, "refused")
+		s.counter(customerRequests, customer.Counts.Failed, customer.Name, "failed")
 	}
 	s.counter(accountingMismatch, report.Mismatches)
 	s.flag(accountingRecorded, recorded)
--- a/internal/cli/figures_table.go
+++ b/internal/cli/figures_table.go
@@ -85,7 +85,7 @@
 
 func (t *figuresTable) addCustomers(node *nodeFigures) {
 	for _, customer := range node.Report.Customers {
-		t.add(customer.Name, customer.Figures)
+		t.add(customer.Name, customer.Counts)
 	}
 }
 
@@ -103,7 +103,7 @@
 	for _, period := range node.Report.Periods {
 		var counts accounting.Counts
 		for _, row := range period.Rows {
-			counts = counts.Plus(row.Figures)
+			counts = counts.Plus(row.Counts)
 		}
 		t.add(timestampSeconds(period.Start), counts)
 	}
@@ -115,11 +115,11 @@
 		row := &rows[i]
 		switch by {
 		case byFrontEnd:
-			t.add(row.Front, row.Figures)
+			t.add(row.Frontend, row.Counts)
 		case byReason:
 			t.addReasons(row)
 		default:
-			t.add(row.Handler, row.Figures)
+			t.add(row.Handler, row.Counts)
 		}
 	}
 }
@@ -127,10 +127,10 @@
 func (t *figuresTable) addReasons(row *accounting.Row) {
 	for reason, n := range row.Reasons {
 		counts := accounting.Counts{Received: n}
-		counts.Add(accounting.ReasonOf(reason), n)
+		counts.Add(accounting.ParseReason(reason), n)
 		t.add(reason, counts)
 	}
-	if open := row.Figures.Open; open != 0 {
+	if open := row.Counts.Open; open != 0 {
 		t.add("(open)", accounting.Counts{Received: open, Open: open})
 	}
 }
--- a/internal/peerproto/batch.go
+++ b/internal/peerproto/batch.go
@@ -12,14 +12,14 @@
 
 // Hello says who sends.
 type Hello struct {
-	Cluster     string
-	From        string
-	Incarnation uint64
-	Lists       []uint64 // digests of the member lists that the node has adopted
-	Seq         uint64   // its last durable record
-	Mark        uint64   // random number of its process
-	QueryState  bool     // it asks what the receiver remembers of it
-	Features    uint64   // feature level of its program: see recovery.FeatureFences
+	Cluster       string
+	From          string
+	Incarnation   uint64
+	RosterDigests []uint64 // digests of the member lists that the node has adopted
+	Seq           uint64   // its last durable record
+	Mark          uint64   // random number of its process
+	QueryState    bool     // it asks what the receiver remembers of it
+	Features      uint64   // feature level of its program: see recovery.FeatureFences
 }
 
 // Batch is what one frame carries: what a node has to say to another at a time.
@@ -109,7 +109,7 @@
 	b = appendBytes(b, helloCluster, hello.Cluster)
 	b = appendBytes(b, helloFrom, hello.From)
 	b = appendUint(b, helloIncarnation, hello.Incarnation)
-	for _, digest := range hello.Lists {
+	for _, digest := range hello.RosterDigests {
 		b = appendFixedElement(b, helloList, digest)
 	}
 	b = appendUint(b, helloSeq, hello.Seq)
@@ -130,8 +130,8 @@
 		case helloIncarnation:
 			hello.Incarnation = f.uint
 		case helloList:
-			if len(hello.Lists) < maxLists {
-				hello.Lists = append(hello.Lists, f.uint)
+			if len(hello.RosterDigests) < maxLists {
+				hello.RosterDigests = append(hello.RosterDigests, f.uint)
 			}
 		case helloSeq:
 			hello.Seq = f.uint
--- a/internal/peerproto/frame.go
+++ b/internal/peerproto/frame.go
@@ -37,8 +37,8 @@
 // NewParser returns a Parser that passes each batch to handle. Its error ends the parsing, and Feed returns it.
 func NewParser(handle func(*Batch) error) *Parser { return &Parser{handle: handle} }
 
-// Held returns the number of bytes of the last frame, which is not complete yet.
-func (p *Parser) Held() int { return len(p.buffer) }
+// Buffered returns the number of bytes of the last frame, which is not complete yet.
+func (p *Parser) Buffered() int { return len(p.buffer) }
 
 // Feed takes the next bytes of the connection, which it copies, and handles the frames that are complete. It returns ErrTooLarge, an error that
 // wraps ErrMalformed, or the error of the function that handles the batches; no more bytes may be fed then.
--- a/internal/peerproto/peerproto_test.go
+++ b/internal/peerproto/peerproto_test.go
@@ -20,14 +20,14 @@
 // complete has a value in each field.
 var complete = Batch{
 	Hello: &Hello{
-		Cluster:     "north",
-		From:        "n1",
-		Incarnation: 3,
-		Lists:       []uint64{5, 0},
-		Seq:         70,
-		Mark:        9,
-		QueryState:  true,
-		Features:    1,
+		Cluster:       "north",
+		From:          "n1",
+		Incarnation:   3,
+		RosterDigests: []uint64{5, 0},
+		Seq:           70,
+		Mark:          9,
+		QueryState:    true,
+		Features:      1,
 	},
 	PeerState: &recovery.Answer{PeerState: recovery.PeerState{Incarnation: 4, Seq: 11}, Mark: 9, Empty: true},
 	Members: []membership.Message{{
@@ -106,7 +106,7 @@
 		if err := p.Feed(text[:cut]); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Feed(text[cut:]); err != nil || p.Held() != 0 || len(got) != 2 {
+		if err := p.Feed(text[cut:]); err != nil || p.Buffered() != 0 || len(got) != 2 {
 			t.Fatal(cut, err, len(got))
 		}
 		if diff := cmp.Diff(&complete, got[0], sameFilter); diff != "" {
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -170,7 +170,7 @@
 func (f *file) writeEntries(entries []accounting.Entry) {
 	for i := range entries {
 		offset := f.entryOffset(entries[i].Seq)
-		entries[i].Put(f.data[offset : offset+accounting.EntrySize])
+		entries[i].Encode(f.data[offset : offset+accounting.EntrySize])
 	}
 }
 
--- a/internal/statsfile/format_test.go
+++ b/internal/statsfile/format_test.go
@@ -98,7 +98,7 @@
 	}
 	for i := range entries {
 		var encoded [accounting.EntrySize]byte
-		entries[i].Put(encoded[:])
+		entries[i].Encode(encoded[:])
 		offset := stored.entryOffset(entries[i].Seq)
 		if !bytes.Equal(encoded[:], data[offset:offset+accounting.EntrySize]) {
 			t.Errorf("entry %d is encoded differently", entries[i].Seq)
--- a/internal/statsfile/read.go
+++ b/internal/statsfile/read.go
@@ -121,7 +121,7 @@
 
 // readEntry returns the entry at an offset, and whether there is a complete one.
 func readEntry(data []byte, offset int) (entry accounting.Entry, ok bool) {
-	ok = entry.Get(data[offset : offset+accounting.EntrySize])
+	ok = entry.Decode(data[offset : offset+accounting.EntrySize])
 	return entry, ok
 }
 
--- a/internal/statsfile/recorder_test.go
+++ b/internal/statsfile/recorder_test.go
@@ -71,7 +71,7 @@
 	open(ledger, 5, "claims")
 	recorder.Append(ledger, noon)
 	for _, row := range ledger.Report(false).Rows {
-		got = append(got, row.Handler+" "+countsText(row.Figures))
+		got = append(got, row.Handler+" "+countsText(row.Counts))
 	}
 	recorder.Close(ledger, noon)
 
--- a/internal/wal/dirdisk_powerloss.go
+++ b/internal/wal/dirdisk_powerloss.go
@@ -20,16 +20,16 @@
 
 // Names of the files that are recorded. They begin with a dot, as no file of a store does.
 const (
-	// DurableMark begins the name of a file with the durable size of another one, whose name
+	// durableMark begins the name of a file with the durable size of another one, whose name
 	// follows.
-	DurableMark = ".durable."
-	// PendingName is the file with the changes of names that are not durable, a line each.
-	PendingName = ".pending"
-	// OldMark begins the name of a file that was removed or replaced, until that is durable.
-	OldMark = ".old."
-	// FaultName is the file that says how the disk fails: "full", "read-only", or how long each
+	durableMark = ".durable."
+	// pendingName is the file with the changes of names that are not durable, a line each.
+	pendingName = ".pending"
+	// oldMark begins the name of a file that was removed or replaced, until that is durable.
+	oldMark = ".old."
+	// faultName is the file that says how the disk fails: "full", "read-only", or how long each
 	// write takes.
-	FaultName = ".fault"
+	faultName = ".fault"
 )
 
 // noFile is written to PendingName for a name that no file had before.
@@ -77,7 +77,7 @@
 	}
 	return errors.Join(
 		d.dirDisk.Rename(from, to),
-		renameIfExists(d.path(DurableMark+from), d.path(DurableMark+to)),
+		renameIfExists(d.path(durableMark+from), d.path(durableMark+to)),
 	)
 }
 
@@ -95,12 +95,12 @@
 	if err := d.dirDisk.Sync(); err != nil {
 		return err
 	}
-	if err := d.dirDisk.Remove(PendingName); err != nil {
+	if err := d.dirDisk.Remove(pendingName); err != nil {
 		return err
 	}
 	all, err := d.dirDisk.Names()
 	for _, name := range all {
-		if strings.HasPrefix(name, OldMark) || strings.HasPrefix(name, DurableMark+OldMark) {
+		if strings.HasPrefix(name, oldMark) || strings.HasPrefix(name, durableMark+oldMark) {
 			err = errors.Join(err, d.dirDisk.Remove(name))
 		}
 	}
@@ -109,7 +109,7 @@
 
 // recordPending records a change of names that is not durable.
 func (d *recordingDisk) recordPending(words ...string) error {
-	file, err := os.OpenFile(d.path(PendingName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(d.path(pendingName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 // recordDurableSize records how much of a file is durable. The record is replaced at once, as the
 // process may be killed meanwhile.
 func (d *recordingDisk) recordDurableSize(name string, size int64) error {
-	path := d.path(DurableMark + name)
+	path := d.path(durableMark + name)
 	if err := os.WriteFile(path+"~", fmt.Append(nil, size), 0o600); err != nil {
 		return err
 	}
@@ -134,10 +134,10 @@
 		return noFile, nil
 	}
 	d.oldFiles++
-	old := fmt.Sprintf("%s%d.%d", OldMark, os.Getpid(), d.oldFiles)
+	old := fmt.Sprintf("%s%d.%d", oldMark, os.Getpid(), d.oldFiles)
 	return old, errors.Join(
 		os.Rename(d.path(name), d.path(old)),
-		renameIfExists(d.path(DurableMark+name), d.path(DurableMark+old)),
+		renameIfExists(d.path(durableMark+name), d.path(durableMark+old)),
 	)
 }
 
@@ -151,7 +151,7 @@
 
 // fault returns the error that the disk is to fail with. If it is to be slow it takes its time.
 func (d *recordingDisk) fault() error {
-	text, err := os.ReadFile(d.path(FaultName))
+	text, err := os.ReadFile(d.path(faultName))
 	if err != nil {
 		return nil // there is no fault
 	}
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -113,7 +113,7 @@
 	}{
 		{Connection{}, Allowed},
 		{Connection{OpenRequests: 1}, RequestOpen},
-		{Connection{HalfRead: true}, HalfRead},
+		{Connection{HalfRead: true}, PartiallyRead},
 		{Connection{Unread: true}, InputUnread},
 		{Connection{Unsent: true}, OutputUnsent},
 		{Connection{Broken: true, HalfRead: true, Unread: true}, Allowed},
@@ -135,12 +135,12 @@
 		want    Verdict
 	}{
 		{Command{Wanted: true}, MayHaveRun},
-		{Command{Wanted: true, Repeatable: true}, Allowed},
+		{Command{Wanted: true, Idempotent: true}, Allowed},
 		{Command{Wanted: true, NeverRan: true}, Allowed},
-		{Command{Repeatable: true, NeverRan: true}, NobodyWaits},
+		{Command{Idempotent: true, NeverRan: true}, ClientGone},
 	} {
 		t.Run(fmt.Sprintf("%+v", test.command), func(t *testing.T) {
-			if got := Repeat(test.command); got != test.want {
+			if got := Retry(test.command); got != test.want {
 				t.Error(got)
 			}
 		})
@@ -149,7 +149,7 @@
 
 // TestAnswer checks that a request is answered once, and only while its client waits.
 func TestAnswer(t *testing.T) {
-	if Answer(false, true) != Allowed || Answer(true, true) != AlreadyAnswered || Answer(false, false) != NobodyWaits {
+	if Answer(false, true) != Allowed || Answer(true, true) != AlreadyAnswered || Answer(false, false) != ClientGone {
 		t.Error("a request is not answered once, or without a client")
 	}
 }
--- a/lifecycle/permission.go
+++ b/lifecycle/permission.go
@@ -11,13 +11,13 @@
 	AfterGrace              // the request was read after the grace period that follows the termination notice
 	ProcessEnds             // the process closes: what is read now is rejected
 	RequestOpen             // a request on the connection has no response
-	HalfRead                // part of a request was received, its rest may be on the way
+	PartiallyRead           // part of a request was received, its rest may be on the way
 	InputUnread             // received bytes were not looked at: there may be a request in them
 	OutputUnsent            // part of a response was not handed to the operating system
 	MayHaveRun              // it may have run, and must not run twice
 	AlreadyAnswered         // the request was answered before
 	WorkLeft                // work is pending
-	NobodyWaits             // the client has gone
+	ClientGone              // the client has gone
 )
 
 // verdictNames are the words of the verdicts in log lines.
@@ -26,13 +26,13 @@
 	AfterGrace:      "read after the grace",
 	ProcessEnds:     "the process ends",
 	RequestOpen:     "a request is open",
-	HalfRead:        "a request is half read",
+	PartiallyRead:   "a request is half read",
 	InputUnread:     "input is unread",
 	OutputUnsent:    "output is unsent",
 	MayHaveRun:      "it may have run",
 	AlreadyAnswered: "it was answered",
 	WorkLeft:        "work is left",
-	NobodyWaits:     "nobody waits",
+	ClientGone:      "nobody waits",
 }
 
 // String returns the verdict's words.
@@ -110,7 +110,7 @@
 	case c.Broken:
 		return Allowed
 	case c.HalfRead:
-		return HalfRead
+		return PartiallyRead
 	case c.Unread:
 		return InputUnread
 	}
@@ -119,22 +119,22 @@
 
 // Command is a command to the processor, or a call to the next tier, that is to be sent again.
 type Command struct {
-	Repeatable bool // it is idempotent: it does no harm if the first one had its effect
+	Idempotent bool // it is idempotent: it does no harm if the first one had its effect
 	NeverRan   bool // the first one is proved to have had no effect
 	Wanted     bool // a client waits for its outcome
 }
 
-// Repeat decides whether a command may be sent again:
+// Retry decides whether a command may be sent again:
 //
 //	wanted  repeatable or never ran  verdict
 //	no      any                      NobodyWaits
 //	yes     yes                      Allowed
 //	yes     no                       MayHaveRun
-func Repeat(c Command) Verdict {
+func Retry(c Command) Verdict {
 	switch {
 	case !c.Wanted:
-		return NobodyWaits
-	case c.Repeatable, c.NeverRan:
+		return ClientGone
+	case c.Idempotent, c.NeverRan:
 		return Allowed
 	}
 	return MayHaveRun
@@ -151,7 +151,7 @@
 	case answered:
 		return AlreadyAnswered
 	case !clientWaits:
-		return NobodyWaits
+		return ClientGone
 	}
 	return Allowed
 }
--- a/recovery/node.go
+++ b/recovery/node.go
@@ -39,7 +39,7 @@
 type DiskState struct {
 	Incarnation uint64 // of the process that has read it
 	Seq         uint64 // number of the last record; 0 if there is none
-	New         bool   // the store was made by this process, under a name without history
+	NewStore    bool   // the store was made by this process, under a name without history
 }
 
 // Action is something that the caller has to do. Each Action has one of the three parts.
@@ -252,7 +252,7 @@
 func (n *Node) confirmations() int {
 	count := 0
 	for _, name := range n.cfg.Others {
-		if answer, answered := n.answers[name]; answered && (!answer.Empty || n.disk.New) {
+		if answer, answered := n.answers[name]; answered && (!answer.Empty || n.disk.NewStore) {
 			count++
 		}
 	}
--- a/recovery/node_test.go
+++ b/recovery/node_test.go
@@ -83,7 +83,7 @@
 	n := New(Config{Mark: m.mark, Others: m.names, MajorityAfter: time.Second, DegradeAfter: time.Minute, RetryHorizon: time.Hour}, m.mark)
 	n.StartLoading()
 	m.disk.Incarnation++
-	m.disk.New = m.disk.Incarnation == 1
+	m.disk.NewStore = m.disk.Incarnation == 1
 	n.DiskLoaded(m.now, m.disk)
 	outdated := false
 	confirmed, answered := 0, 0
@@ -98,7 +98,7 @@
 		if m.provesOutdated(i) {
 			outdated = true
 		}
-		if !m.empty[i] || m.disk.New {
+		if !m.empty[i] || m.disk.NewStore {
 			confirmed++
 		}
 		if n.Phase() == Serving && outdated {
--- a/recovery/peer_states.go
+++ b/recovery/peer_states.go
@@ -14,12 +14,12 @@
 // PeerStates is what a node remembers of the others across its own restarts. Its JSON form is a stored format: the keys stay as they are. Make
 // it with NewPeerStates, and decode into what that returns. It is not safe for concurrent use.
 type PeerStates struct {
-	// Of has what each node has reported, by its name.
-	Of map[string]*peerRecord `json:"of"`
+	// Peers has what each node has reported, by its name.
+	Peers map[string]*peerRecord `json:"of"`
 	// Fences has the nodes that were sent again what they had lost, with the incarnation in which that was.
 	Fences map[string]uint64 `json:"fences,omitempty"`
-	// Gone has the nodes of which an operator said that they never come back, with the time of that since 1970.
-	Gone map[string]time.Duration `json:"gone,omitempty"`
+	// ForgottenAt has the nodes of which an operator said that they never come back, with the time of that since 1970.
+	ForgottenAt map[string]time.Duration `json:"gone,omitempty"`
 
 	empty   bool // nothing is remembered from before this process
 	changed bool // since the last call of Changed
@@ -37,7 +37,7 @@
 // NewPeerStates returns a PeerStates without content. empty tells that this is all there is; it is false where the content from before is about
 // to be decoded.
 func NewPeerStates(empty bool) *PeerStates {
-	return &PeerStates{Of: map[string]*peerRecord{}, empty: empty}
+	return &PeerStates{Peers: map[string]*peerRecord{}, empty: empty}
 }
 
 // Changed reports whether there is anything to be saved since the last call.
@@ -50,10 +50,10 @@
 // Update takes what a process of a node, identified by its mark, says of itself. Only the furthest state is kept: one of the latest process,
 // and one of all processes before.
 func (s *PeerStates) Update(name string, mark uint64, state PeerState) {
-	record := s.Of[name]
+	record := s.Peers[name]
 	switch {
 	case record == nil:
-		s.Of[name] = &peerRecord{PeerState: state, Mark: mark}
+		s.Peers[name] = &peerRecord{PeerState: state, Mark: mark}
 	case record.Mark == mark:
 		if record.Covers(state) {
 			return
@@ -82,7 +82,7 @@
 // Answer returns the answer to a process of a node that asks what is remembered of the processes before it.
 func (s *PeerStates) Answer(name string, mark uint64) Answer {
 	answer := Answer{Mark: mark}
-	switch record := s.Of[name]; {
+	switch record := s.Peers[name]; {
 	case record == nil:
 		answer.Empty = s.empty
 	case record.Mark == mark:
@@ -96,7 +96,7 @@
 
 // SetFeatures records the feature level of a node's program. A program of a higher level has all features of the lower ones.
 func (s *PeerStates) SetFeatures(name string, level uint64) {
-	if record := s.Of[name]; record != nil && record.Features != level {
+	if record := s.Peers[name]; record != nil && record.Features != level {
 		record.Features = level
 		s.changed = true
 	}
@@ -108,7 +108,7 @@
 		if s.Forgotten(name) {
 			return false
 		}
-		record := s.Of[name]
+		record := s.Peers[name]
 		return record == nil || record.Features < level
 	})
 }
@@ -127,21 +127,21 @@
 // Forget records an operator's statement, made at that time since 1970, that a node never comes back: nobody waits any longer for what it may
 // know.
 func (s *PeerStates) Forget(name string, at time.Duration) {
-	if s.Gone == nil {
-		s.Gone = map[string]time.Duration{}
+	if s.ForgottenAt == nil {
+		s.ForgottenAt = map[string]time.Duration{}
 	}
-	s.Gone[name] = at
+	s.ForgottenAt[name] = at
 	s.changed = true
 }
 
 // Forgotten reports whether Forget was called for a node and Returned was not since.
-func (s *PeerStates) Forgotten(name string) bool { return s.Gone[name] > 0 }
+func (s *PeerStates) Forgotten(name string) bool { return s.ForgottenAt[name] > 0 }
 
 // Returned records that a node was heard, and reports whether it had been forgotten.
 func (s *PeerStates) Returned(name string) bool {
 	forgotten := s.Forgotten(name)
 	if forgotten {
-		delete(s.Gone, name)
+		delete(s.ForgottenAt, name)
 		s.changed = true
 	}
 	return forgotten
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -70,8 +70,8 @@
 	keys        int
 }
 
-// Question is a query to a node for a page.
-type Question[C comparable] struct {
+// PageQuery is a query to a node for a page.
+type PageQuery[C comparable] struct {
 	To   string
 	From C // where the page begins, as that node said
 }
@@ -135,8 +135,8 @@
 }
 
 // Tick returns the queries that are due. alive reports whether a node seems to be running: the first query to a node waits for that.
-func (r *Refill[C]) Tick(now time.Duration, alive func(string) bool) []Question[C] {
-	var queries []Question[C]
+func (r *Refill[C]) Tick(now time.Duration, alive func(string) bool) []PageQuery[C] {
+	var queries []PageQuery[C]
 	concurrent := r.concurrent()
 	for _, name := range r.order {
 		s := r.sources[name]
@@ -150,7 +150,7 @@
 			concurrent++
 		}
 		r.query(now, s)
-		queries = append(queries, Question[C]{To: name, From: s.cursor})
+		queries = append(queries, PageQuery[C]{To: name, From: s.cursor})
 	}
 	return queries
 }
