--- a/cmd/frosthub/main.go
+++ b/cmd/frosthub/main.go
@@ -1,4 +1,5 @@
-// Command frosthub is one backend, and what its operators ask of it.
+// Command frosthub runs one backend, and the commands with which operators inspect
+// and change it.
 package main
 
 import (
--- a/internal/conn/netpoll.go
+++ b/internal/conn/netpoll.go
@@ -71,8 +71,8 @@
 func (w *logWriter) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if leftOut, ok := w.limiter.Allow(); ok {
-		w.log.Warn("netpoll", "line", string(bytes.TrimSpace(p)), "left_out", leftOut)
+	if suppressed, ok := w.limiter.Allow(); ok {
+		w.log.Warn("netpoll", "line", string(bytes.TrimSpace(p)), "left_out", suppressed)
 	}
 	return len(p), nil
 }
--- a/internal/conn/passing_errors_test.go
+++ b/internal/conn/passing_errors_test.go
@@ -15,8 +15,8 @@
 		t.Run(fault, func(t *testing.T) {
 			l := NewLoop()
 			server := serveEcho(t, l, 10)
-			faultinject.Tell(fault)
-			t.Cleanup(func() { faultinject.Tell("") })
+			faultinject.Set(fault)
+			t.Cleanup(func() { faultinject.Set("") })
 			peer := connect(t, server.address)
 			_, _ = peer.Write([]byte("hello"))
 			echoed := make(chan error, 1)
@@ -27,7 +27,7 @@
 			runLoop(l, func() bool { // until a call has failed
 				return len(server.rejected) > 0 || l.Stalled() > 0 || len(server.closeErrors) > 0
 			})
-			faultinject.Tell("")
+			faultinject.Set("")
 			received := false
 			if !runLoop(l, func() bool {
 				select {
@@ -49,8 +49,8 @@
 func TestPassingDialError(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 10)
-	faultinject.Tell("connect ENOBUFS")
-	t.Cleanup(func() { faultinject.Tell("") })
+	faultinject.Set("connect ENOBUFS")
+	t.Cleanup(func() { faultinject.Set("") })
 	result := make(chan error, 1)
 	dialOnce := func() error {
 		l.Dial(server.address, func(_ *Conn, err error) { result <- err })
@@ -60,7 +60,7 @@
 	if err := dialOnce(); err == nil {
 		t.Error("the dial did not fail: the test shows nothing")
 	}
-	faultinject.Tell("")
+	faultinject.Set("")
 	if err := dialOnce(); err != nil {
 		t.Error(err)
 	}
--- a/internal/faultinject/call.go
+++ b/internal/faultinject/call.go
@@ -1,6 +1,6 @@
 package faultinject
 
-// Call is a kind of call of the system that may be told to fail.
+// Call is a kind of system call that can be made to fail.
 type Call uint8
 
 // The calls.
@@ -8,10 +8,19 @@
 	Accept Call = iota
 	Connect
 	Write
-	Send     // a datagram
-	ReadFile // a configuration
-	calls
+	Send     // of a datagram
+	ReadFile // of a configuration
+	callCount
 )
 
-// String is the call's word in the file.
-func (c Call) String() string { return [...]string{"accept", "connect", "write", "send", "read"}[c] }
+// callNames are the names of the calls in the faults file.
+var callNames = [callCount]string{
+	Accept:   "accept",
+	Connect:  "connect",
+	Write:    "write",
+	Send:     "send",
+	ReadFile: "read",
+}
+
+// String returns the name of the call in the faults file.
+func (c Call) String() string { return callNames[c] }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,17 +1,19 @@
-// Package invariant holds what must be true: a debug build stops where it is not, others count.
+// Package invariant checks conditions that must always hold. A debug build panics
+// where one does not; other builds count the violations.
 package invariant
 
 import "sync/atomic"
 
-var broken atomic.Int64
+var violations atomic.Int64
 
-// Broken is how often something that must hold did not.
-func Broken() int64 { return broken.Load() }
+// Broken returns how often a condition did not hold. Any goroutine may call it.
+func Broken() int64 { return violations.Load() }
 
-// Check takes note if holds is false, and returns it.
+// Check records a violation unless the condition holds, and returns whether it
+// does. The text says what must hold. Any goroutine may call it.
 func Check(holds bool, what string) bool {
 	if !holds {
-		broken.Add(1)
+		violations.Add(1)
 		fail(what)
 	}
 	return holds
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Debug tells whether this build stops at what does not hold; checks that cost much are made only then.
+// Debug reports whether this is a debug build. Expensive checks are made only there.
 const Debug = false
 
 func fail(string) {}
