--- a/backend/audit.go
+++ b/backend/audit.go
@@ -48,7 +48,7 @@
 	b.compareLedger()
 	b.ledger.Audit(b.wall)
 	b.logMismatches()
-	invariant.Check(float64(b.results.resultBytes) <= b.memoryShare(keptShare), "kept results stay within their bound")
+	invariant.Check(float64(b.results.resultBytes) <= b.memoryShare(resultCacheShare), "kept results stay within their bound")
 }
 
 func (b *Backend) checkRequests() {
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -52,6 +52,7 @@
 	results   resultCache
 	guard     idempotencyGuard
 	cluster   cluster
+	observers [3]requestObserver // the parts that follow the ends of requests, in order
 
 	stats         Counters
 	connsRejected atomic.Int64 // connections for which there was no room; also written by the accepting goroutine
@@ -103,6 +104,7 @@
 		b.upstream = newProxyUpstream(b)
 	}
 	b.results.init(b)
+	b.observe()
 	return b
 }
 
@@ -170,12 +172,12 @@
 	b.cfg.Upstream = cfg.Upstream
 	b.cfg.ControlPlane = cfg.ControlPlane
 	b.cfg.StopTimeout = cfg.StopTimeout
-	b.processor.changeAddress(cfg.Processor)
+	b.processor.reconfigure(cfg.Processor)
 	if cfg.callsOverAJP() == b.cfg.callsOverAJP() { // else it takes a new process
 		b.cfg.AJPUpstream = cfg.AJPUpstream
 		b.upstream.reconfigure(&cfg)
 	}
-	b.cluster.change(cfg.Cluster)
+	b.cluster.reconfigure(cfg.Cluster)
 	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -177,7 +177,7 @@
 // applyReject answers a request that is shed. While the process ends, another node of the cluster may take it instead.
 func (b *Backend) applyReject(r *request, action *overload.Action) {
 	if r.takenOver {
-		b.cluster.settled(r, accounting.Shed)
+		b.cluster.closeAccount(r, accounting.Shed)
 		b.releaseUnstarted(r)
 		return
 	}
@@ -203,7 +203,7 @@
 		b.frontend.failed(r, reason)
 		b.finishAnswered(r)
 	case r.takenOver && r.state < stateAwaitingIntent:
-		b.cluster.settled(r, accounting.Cancelled)
+		b.cluster.closeAccount(r, accounting.Cancelled)
 		b.releaseUnstarted(r)
 	case r.state >= stateAwaitingCall: // nobody waits for its answer, but the run waits for its call
 		b.cancelRun(r)
--- a/backend/listen.go
+++ b/backend/listen.go
@@ -38,7 +38,7 @@
 // listenAll listens for the other nodes of the cluster and for the clients of each protocol.
 func (b *Backend) listenAll(ctx context.Context) error {
 	if b.cluster.enabled() {
-		if err := b.listen(ctx, b.cfg.Cluster.Listen, b.cluster.take); err != nil {
+		if err := b.listen(ctx, b.cfg.Cluster.Listen, b.cluster.accept); err != nil {
 			return err
 		}
 	}
--- a/backend/request.go
+++ b/backend/request.go
@@ -134,9 +134,7 @@
 func (b *Backend) releaseUnstarted(r *request) {
 	switch r.state {
 	case stateUnverified, stateHeld, stateJoined:
-		delete(b.requests, r.id)
-		b.guard.leave(r)
-		b.results.ended(r, overload.Failed, false, nil)
+		b.withdraw(r)
 	case stateAwaitingCall, stateCalling:
 		b.cancelRun(r)
 	}
@@ -154,10 +152,10 @@
 	if r.state.started() {
 		b.stats.Ended++
 	}
-	awaitsDisk := r.guard != nil && b.guard.writes(r, outcome, reason, result)
+	awaitsDisk := r.guard != nil && b.guard.recordEnd(r, outcome, reason, result)
 	b.upstream.cancel(r)
 	if r.probeDue > 0 {
-		b.processor.probes--
+		b.processor.probing--
 		r.probeTag = 0
 		r.probeDue = 0
 	}
@@ -173,9 +171,8 @@
 		}
 		b.answered(r)
 	}
-	b.cluster.settled(r, reason)
-	delete(b.requests, r.id)
-	b.results.ended(r, outcome, r.startSent && reason != accounting.NeverRan, result)
+	ran := r.startSent && reason != accounting.NeverRan
+	b.end(r, requestEnd{outcome: outcome, reason: reason, ran: ran, result: result})
 }
 
 // reasonOf returns how the end of a run is accounted for.
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -95,7 +95,7 @@
 
 // failAll answers what is still unanswered, so that nothing which was read goes without a final answer.
 func (b *Backend) failAll() {
-	for _, r := range b.known() {
+	for _, r := range b.requestsByID() {
 		if !b.hasClient(r) {
 			continue
 		}
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -10,21 +10,20 @@
 import (
 	"encoding/binary"
 	"fmt"
+	"frosthub/accounting"
 	"os"
 	"path/filepath"
 	"runtime/debug"
 	"sync/atomic"
 
 	"golang.org/x/sys/unix"
-
-	"frosthub/accounting"
 )
 
 // fileMode is the mode of a file: its group may read it.
 const fileMode = 0o640
 
 // file is a mapped file that is written to. It belongs to one goroutine at a time. Its methods that write to the mapping
-// must be called by catchFaults.
+// must be called under catchFaults.
 type file struct {
 	layout
 	path string
