--- a/internal/conffile/directive.go
+++ b/internal/conffile/directive.go
@@ -27,7 +27,6 @@
 	// check returns what is wrong with the directive beside the others, nil for
 	// nothing. It is called once everything is read.
 	check func(*Config) *conflict
-	help  string // what it does, for people
 }
 
 // argument is a value of a directive, or a fixed word between values.
--- a/internal/conffile/directives_accounting.go
+++ b/internal/conffile/directives_accounting.go
@@ -15,43 +15,43 @@
 )
 
 var accountingDirectives = []directive{
+	// Records the accounting on disk, so that it outlives the process.
 	{
 		name: "figures file",
-		help: "record the figures there, so that they outlive the process",
 		args: []argument{
 			absolutePath(func(c *Config) *string { return &c.Accounting.File }),
 		},
 	},
+	// How many of the last changes the file holds one by one.
 	{
 		name:     "figures trail",
 		requires: "figures file",
-		help:     "how many of the last changes the file holds one by one",
 		args: []argument{{
 			name: "number",
 			kind: fmt.Sprintf("a number from %d to %d, a power of two", statsfile.MinEntries, maxTrailEntries),
 			set:  (*Config).setTrailEntries,
 		}},
 	},
+	// Keeps the accounting of past periods as well.
 	{
 		name: "figures periods",
-		help: "keep the figures of so many past periods as well",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.Accounting.MaxPeriods }, 1, maxPeriods),
 			keyword("every"),
 			duration(func(c *Config) *time.Duration { return &c.Accounting.PeriodLength }, time.Second, time.Hour).withExample("1m"),
 		},
 	},
+	// How many customers are told apart; all others are counted as one.
 	{
 		name: "figures customers",
-		help: "tell so many customers apart, all others are one",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.Accounting.MaxCustomers }, 1, maxCustomers),
 		},
 	},
+	// The header that names the customer; without it the front end does.
 	{
 		name:     "figures customer-field",
 		requires: "figures customers",
-		help:     "the header that names the customer, instead of the edge node",
 		args: []argument{
 			headerName(func(c *Config) *string { return &c.Accounting.CustomerField }, "X-Customer"),
 		},
--- a/internal/conffile/directives_admin.go
+++ b/internal/conffile/directives_admin.go
@@ -3,9 +3,9 @@
 import "net"
 
 var adminDirectives = []directive{
+	// Serves metrics and figures to programs on this machine.
 	{
 		name: "admin listen",
-		help: "serve /metrics and /figures to programs on this machine",
 		args: []argument{{
 			name: "address",
 			kind: "a loopback address and a port, as 127.0.0.1:9180",
--- a/internal/conffile/directives_ajp.go
+++ b/internal/conffile/directives_ajp.go
@@ -7,25 +7,25 @@
 )
 
 var ajpDirectives = []directive{
+	// Serves front ends that speak AJP/1.3.
 	{
 		name: "ajp listen",
-		help: "serve front ends that speak AJP/1.3 there",
 		args: []argument{
 			listenAddress(func(c *Config) *string { return &c.AJP.Listen }, "127.0.0.1:8009"),
 		},
 	},
+	// What each request over AJP must carry.
 	{
 		name:     "ajp secret file",
 		requires: "ajp listen",
-		help:     "what each req over AJP must bring; the file's first line",
 		args: []argument{
 			secretFile(func(c *Config) *string { return &c.AJP.Secret }),
 		},
 	},
+	// The size of an AJP packet, in bytes; front ends must be set to the same.
 	{
 		name:     "ajp packet",
 		requires: "ajp listen",
-		help:     "bytes of a packet of AJP at most, as the front ends have it",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.AJP.MaxPacket }, minAJPPacket, maxAJPPacket),
 		},
--- a/internal/conffile/directives_cluster.go
+++ b/internal/conffile/directives_cluster.go
@@ -11,10 +11,11 @@
 const minMembers = 3
 
 var clusterDirectives = []directive{
+	// The cluster whose nodes hold guarded requests in groups, and take over those
+	// of lost nodes.
 	{
 		name:     "cluster name",
 		requires: "keep dir",
-		help:     "guarded reqs are held by groups of boxes of this cluster, and taken over from lost ones",
 		args: []argument{
 			shortName("name", "a name, the same for all boxes", func(c *Config) *string { return &c.Cluster.Name }),
 		},
@@ -25,34 +26,35 @@
 			return nil
 		},
 	},
+	// Where the other nodes of the cluster connect.
 	{
 		name:     "cluster listen",
 		requires: "cluster name",
-		help:     "where the other boxes of the cluster connect",
 		args: []argument{
 			listenAddress(func(c *Config) *string { return &c.Cluster.Listen }, "127.0.0.1:9700"),
 		},
 	},
+	// A node of the cluster, this one included. All nodes have the same lines.
 	{
 		name:       "cluster member",
 		repeatable: true,
 		requires:   "cluster name",
-		help:       "a box of the cluster, this one too; the same lines for all boxes",
 		args:       memberArguments(currentMembers),
 		options:    memberOptions(currentMembers),
 	},
+	// A node of the previous list of members, while that changes: the complete list
+	// as it was.
 	{
 		name:       "cluster former",
 		repeatable: true,
 		requires:   "cluster name",
-		help:       "a box of the list before, while the members change: that list whole, as it was",
 		args:       memberArguments(previousMembers),
 		options:    append(memberOptions(previousMembers), removedOption),
 	},
+	// Whether requests that a lost node held are resumed without a retry.
 	{
 		name:     "cluster promise",
 		requires: "cluster name",
-		help:     "whether what a lost box held goes on although nobody asks for it again",
 		args: []argument{{
 			name: "word",
 			kind: "yes or no",
@@ -65,21 +67,23 @@
 			},
 		}},
 	},
+	// How long a started node waits for all that may know more than its disk, and
+	// then for a majority of them.
 	{
 		name:     "cluster wait",
 		requires: "cluster name",
-		help:     "after a start, for all that may know more than its disk, then for most of them",
 		args: []argument{
 			duration(majorityAfter, time.Millisecond, time.Hour),
 			keyword("alone"),
 			durationFrom(majorityAfter, func(c *Config) *time.Duration { return &c.Cluster.DegradeAfter }, time.Hour),
 		},
 	},
+	// A handler whose requests may run again, and are taken over too. The parts
+	// identify a request.
 	{
 		name:       "cluster replay",
 		repeatable: true,
 		requires:   "cluster name",
-		help:       "this handler's reqs may run again, and are taken over too; what tells them apart",
 		args:       handlerKey(func(c *Config) *handlerKeys { return &c.Cluster.ReplayableHandlers }),
 		check: func(c *Config) *conflict {
 			for handler, parts := range c.Cluster.ReplayableHandlers {
--- a/internal/conffile/directives_idempotency.go
+++ b/internal/conffile/directives_idempotency.go
@@ -19,9 +19,9 @@
 )
 
 var idempotencyDirectives = []directive{
+	// The idempotency store, created by frosthub keep init.
 	{
 		name: "keep dir",
-		help: "keep there what must not run twice, and its results; made by frosthub keep init",
 		args: []argument{
 			absolutePath(func(c *Config) *string { return &c.Idempotency.Dir }),
 		},
@@ -32,11 +32,12 @@
 			return nil
 		},
 	},
+	// A guarded handler: its requests must not run twice. The parts identify a
+	// request.
 	{
 		name:       "keep handler",
 		repeatable: true,
 		requires:   "keep dir",
-		help:       "this handler's reqs must not run twice, and what tells them apart",
 		args:       handlerKey(func(c *Config) *handlerKeys { return &c.Idempotency.Handlers }),
 		check: func(c *Config) *conflict {
 			for handler, parts := range c.Idempotency.Handlers {
@@ -47,50 +48,51 @@
 			return nil
 		},
 	},
+	// The header that identifies a request, for handlers guarded by field.
 	{
 		name:     "keep key-field",
 		requires: "keep handler",
-		help:     "the header that names what must not run twice",
 		args: []argument{
 			headerName(func(c *Config) *string { return &c.Idempotency.KeyField }, "X-Claim"),
 		},
 	},
+	// The header with the time at which a request was first made, in Unix
+	// milliseconds.
 	{
 		name:     "keep made-field",
 		requires: "keep handler",
-		help:     "the header with the time at which a req was first made, in Unix milliseconds",
 		args: []argument{
 			headerName(func(c *Config) *string { return &c.Idempotency.CreatedField }, "X-First-Made"),
 		},
 	},
+	// How many keys are kept with their results.
 	{
 		name:     "keep entries",
 		requires: "keep dir",
-		help:     "keys kept with their results at most",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.Idempotency.Store.MaxEntries }, minStoreEntries, maxStoreEntries),
 		},
 	},
+	// The size of all results kept, in bytes.
 	{
 		name:     "keep bytes",
 		requires: "keep dir",
-		help:     "bytes of all results kept at most",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.Idempotency.Store.MaxBytes }, minStoreBytes, maxStoreBytes),
 		},
 	},
+	// The size of one result, in bytes; larger ones are not kept.
 	{
 		name:     "keep result",
 		requires: "keep dir",
-		help:     "bytes of one result at most; longer ones are not kept",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.Idempotency.Store.MaxResultBytes }, minResultBytes, maxResultBytes),
 		},
 	},
+	// How long a result is kept.
 	{
 		name:     "keep lifetime",
 		requires: "keep dir",
-		help:     "how long a result is kept",
 		args: []argument{
 			duration(func(c *Config) *time.Duration { return &c.Idempotency.Store.ResultTTL }, time.Second, 720*time.Hour),
 		},
@@ -102,18 +104,19 @@
 			return nil
 		},
 	},
+	// How long after it was first made a request may be retried.
 	{
 		name:     "keep horizon",
 		requires: "keep dir",
-		help:     "how long after a req was first made it may still be repeated",
 		args: []argument{
 			duration(func(c *Config) *time.Duration { return &c.Idempotency.Store.RetryHorizon }, time.Second, 8760*time.Hour),
 		},
 	},
+	// The least time from one commit to the next, so that one write of the disk
+	// confirms more records.
 	{
 		name:     "keep gather",
 		requires: "keep dir",
-		help:     "least time from one commit to the next, so that the disk confirms more at once",
 		args: []argument{
 			duration(func(c *Config) *time.Duration { return &c.Idempotency.CommitInterval }, time.Microsecond, 100*time.Millisecond),
 		},
--- a/internal/conffile/directives_upstream.go
+++ b/internal/conffile/directives_upstream.go
@@ -8,10 +8,10 @@
 const exampleAJPAddress = "127.0.0.1:8009"
 
 var upstreamDirectives = []directive{
+	// A server of the next tier that takes calls over AJP.
 	{
 		name:       "next-tier ajp",
 		repeatable: true,
-		help:       "make calls to this server over AJP; one line for each",
 		args: []argument{{
 			name: "address",
 			kind: "an address and a port, as " + exampleAJPAddress,
@@ -23,18 +23,19 @@
 			integer(func(c *Config) *int { return &c.lastUpstreamPeer().MaxCalls }, 1, 10000).named("most"),
 		},
 	},
+	// What each call carries.
 	{
 		name:     "next-tier secret file",
 		requires: "next-tier ajp",
-		help:     "what each call brings; the file's first line",
 		args: []argument{
 			secretFile(func(c *Config) *string { return &c.AJPUpstream.Secret }),
 		},
 	},
+	// How many consecutive faults eject a peer, for how long at first, and for how
+	// long at most: the time doubles with each ejection.
 	{
 		name:     "route eject",
 		requires: "next-tier ajp",
-		help:     "faults in a row that put a peer out of service, and for how long: doubled each time",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.AJPUpstream.Balancer.MaxConsecutiveFaults }, 1, 100),
 			keyword("for"),
@@ -43,28 +44,29 @@
 			durationFrom(ejectionTime, func(c *Config) *time.Duration { return &c.AJPUpstream.Balancer.MaxEjectionTime }, time.Hour),
 		},
 	},
+	// The share of the calls that a returning peer gets, and how many of them must
+	// succeed.
 	{
 		name:     "route trial",
 		requires: "next-tier ajp",
-		help:     "share of the calls that a returning peer gets, and how many must go well",
 		args: []argument{
 			percentage(func(c *Config) *float64 { return &c.AJPUpstream.Balancer.TrialShare }),
 			keyword("passes"),
 			integer(func(c *Config) *int { return &c.AJPUpstream.Balancer.TrialSuccesses }, 1, 1000),
 		},
 	},
+	// The share of the peers that stay in service whatever their faults.
 	{
 		name:     "route floor",
 		requires: "next-tier ajp",
-		help:     "share of the peers that stay in service whatever their faults",
 		args: []argument{
 			percentage(func(c *Config) *float64 { return &c.AJPUpstream.Balancer.MinHealthyShare }),
 		},
 	},
+	// Retries as a share of first attempts.
 	{
 		name:     "route budget",
 		requires: "next-tier ajp",
-		help:     "further tries as a share of first ones",
 		args: []argument{
 			percentage(func(c *Config) *float64 { return &c.AJPUpstream.Balancer.RetryBudget }),
 		},
