--- a/internal/fake/accept.go
+++ b/internal/fake/accept.go
@@ -2,20 +2,20 @@
 
 import "net"
 
-// AcceptAll hands each connection of a listener to serve, in a goroutine of its own, until it is closed.
-func AcceptAll(ln net.Listener, serve func(net.Conn)) {
+// AcceptAll accepts connections until the listener is closed and calls serve with each in a goroutine of its own.
+func AcceptAll(listener net.Listener, serve func(net.Conn)) {
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go serve(c)
+		go serve(conn)
 	}
 }
 
-// ResetConn closes a connection with a reset.
-func ResetConn(c net.Conn) {
-	if tcp, ok := c.(*net.TCPConn); ok {
+// ResetConn closes a TCP connection with a reset. It does nothing to any other connection, or none.
+func ResetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 		_ = tcp.Close()
 	}
--- a/internal/fake/ajp_server.go
+++ b/internal/fake/ajp_server.go
@@ -2,199 +2,224 @@
 
 import (
 	"frosthub/internal/ajp"
+	"maps"
 	"net"
 	"strconv"
 	"sync"
 	"time"
 )
 
-// Fault is what an AJP server does with a call.
+// Fault is how an AJPServer treats a call.
 type Fault uint8
 
 // The faults.
 const (
 	NoFault           Fault = iota
-	TenTimesSlower          // it takes ten times as long
-	NeverResponds           // it runs the call and never answers
-	ResetBefore             // the connection ends, nothing ran
-	ResetAfter              // it runs the call, and the connection ends
-	TruncatedResponse       // it runs the call, and the connection ends in the middle of the answer
-	WrongLength             // it runs the call, and answers with a chunk longer than its packet
-	Rejects                 // 503: it never ran
-	Fails                   // 500
-	NoPong                  // CPing is not answered, nor is anything else
+	TenTimesSlower          // the call takes ten times as long
+	NeverResponds           // the call runs; no response
+	ResetBefore             // the call does not run; the connection ends
+	ResetAfter              // the call runs; the connection ends
+	TruncatedResponse       // the call runs; the connection ends within the response
+	WrongLength             // the call runs; the response has a chunk longer than its packet
+	Rejects                 // the call does not run; status 503
+	Fails                   // the call runs; status 500
+	NoPong                  // the call does not run; neither it nor CPing is answered
 )
 
-// AJPServer is a stand-in for a server of the next tier. It counts how often each call ran.
+// runs reports whether a call runs under the fault.
+func (f Fault) runs() bool { return f != ResetBefore && f != Rejects && f != NoPong }
+
+// AJPServer is a test double of an upstream AJP server. It counts how often each call runs. Its methods are safe for concurrent use.
 type AJPServer struct {
-	Work  time.Duration
-	Fault func(id uint64) Fault // nil: none
+	Work  time.Duration         // of each call
+	Fault func(id uint64) Fault // the fault of a call; nil: none. Set it before the first connection, or use SetFault.
 
 	address string
-	mu      sync.Mutex
-	ln      net.Listener
-	conns   map[net.Conn]bool
-	ran     map[uint64]int
-	got     int
-	pings   int
+
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[net.Conn]bool
+	runs     map[uint64]int // by request ID
+	received int
+	pings    int
 }
 
-// NewAJPServer listens on loopback.
+// NewAJPServer returns a server that listens on a loopback address.
 func NewAJPServer(work time.Duration) (*AJPServer, error) {
-	s := &AJPServer{Work: work, conns: map[net.Conn]bool{}, ran: map[uint64]int{}}
-	return s, s.open("127.0.0.1:0")
+	s := &AJPServer{Work: work, conns: map[net.Conn]bool{}, runs: map[uint64]int{}}
+	return s, s.listen("127.0.0.1:0")
 }
 
-func (s *AJPServer) open(address string) error {
-	ln, err := net.Listen("tcp", address)
+func (s *AJPServer) listen(address string) error {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.ln, s.address = ln, ln.Addr().String()
+	s.listener = listener
+	s.address = listener.Addr().String()
 	s.mu.Unlock()
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			s.mu.Lock()
-			s.conns[c] = true
-			s.mu.Unlock()
-			go s.serve(c)
-		}
-	}()
+	go s.accept(listener)
 	return nil
 }
 
-// Address is where it listens, also while it is away.
+// accept serves connections until the listener is closed. Each is known to Stop before the next is accepted.
+func (s *AJPServer) accept(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		s.mu.Lock()
+		s.conns[conn] = true
+		s.mu.Unlock()
+		go s.serve(conn)
+	}
+}
+
+// Address returns the address that the server listens on, also while it is stopped.
 func (s *AJPServer) Address() string { return s.address }
 
-// Stop ends it, with all that is open; Return has it back at its address.
+// Stop closes the listener and all connections. Restart makes the server listen again.
 func (s *AJPServer) Stop() {
-	_ = s.ln.Close()
+	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		_ = c.Close()
+	for conn := range s.conns {
+		_ = conn.Close()
 	}
 }
 
-// Restart has it listen again.
-func (s *AJPServer) Restart() error { return s.open(s.address) }
+// Restart makes a stopped server listen on its address again.
+func (s *AJPServer) Restart() error { return s.listen(s.address) }
 
-// SetFault has it behave so from now on.
-func (s *AJPServer) SetFault(f Fault) {
+// SetFault sets the fault of all further calls.
+func (s *AJPServer) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Fault = func(uint64) Fault { return f }
+	s.Fault = func(uint64) Fault { return fault }
 }
 
-// CallCounts gives how often each call ran; Got how many came, Pings how many CPings did.
+// CallCounts returns how often the call of each request has run, by request ID.
 func (s *AJPServer) CallCounts() map[uint64]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[uint64]int, len(s.ran))
-	for id, n := range s.ran {
-		out[id] = n
-	}
-	return out
+	return maps.Clone(s.runs)
 }
 
-// Received is how many calls came.
+// Received returns the number of calls received.
 func (s *AJPServer) Received() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got
+	return s.received
 }
 
-// Pings is how many CPings came.
+// Pings returns the number of CPings received.
 func (s *AJPServer) Pings() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pings
 }
 
-func (s *AJPServer) serve(c net.Conn) {
+func (s *AJPServer) serve(conn net.Conn) {
 	defer func() {
-		_ = c.Close()
+		_ = conn.Close()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
-	p := ajp.NewServer(ajp.DefaultPacketSize)
+	parser := ajp.NewServer(ajp.DefaultPacketSize)
 	buf := make([]byte, 4<<10)
 	for {
-		n, err := c.Read(buf)
+		n, err := conn.Read(buf)
 		if err != nil {
 			return
 		}
-		good := true
-		if p.Feed(buf[:n], func(m ajp.Message) { good = s.message(c, p, m) && good }) != nil || !good {
+		keep := true
+		err = parser.Feed(buf[:n], func(message ajp.Message) { keep = s.handle(conn, parser, message) && keep })
+		if err != nil || !keep {
 			return
 		}
 	}
 }
 
-// message answers one, and tells whether the connection goes on.
-func (s *AJPServer) message(c net.Conn, p *ajp.Server, m ajp.Message) bool {
-	var id uint64
-	m.Headers.Each(func(name, value []byte) {
-		if string(name) == "X-Request-Id" {
-			id, _ = strconv.ParseUint(string(value), 16, 64)
-		}
-	})
+// handle answers one message and reports whether the connection stays open.
+func (s *AJPServer) handle(conn net.Conn, parser *ajp.Server, message ajp.Message) bool {
+	id := requestID(message)
 	s.mu.Lock()
 	fault := NoFault
 	if s.Fault != nil {
 		fault = s.Fault(id)
 	}
 	s.mu.Unlock()
-	write := func(b []byte) bool { _, err := c.Write(b); return err == nil }
-	switch m.Kind {
+	switch message.Kind {
 	case ajp.CPing:
 		s.mu.Lock()
 		s.pings++
 		s.mu.Unlock()
-		return fault == NoPong || write(ajp.AppendCPong(nil))
+		return fault == NoPong || write(conn, ajp.AppendCPong(nil))
 	case ajp.NeedBodyChunk:
-		return write(ajp.AppendGetBodyChunk(nil, ajp.DefaultPacketSize))
+		return write(conn, ajp.AppendGetBodyChunk(nil, ajp.DefaultPacketSize))
 	case ajp.Request:
+		s.call(id, fault)
+		body := []byte("reply to " + string(message.Body))
+		parser.Done()
+		return respond(conn, fault, body)
 	default:
 		return false
 	}
+}
+
+// requestID returns the request ID of a message, 0 if it has none.
+func requestID(message ajp.Message) (id uint64) {
+	message.Headers.Each(func(name, value []byte) {
+		if string(name) == "X-Request-Id" {
+			id, _ = strconv.ParseUint(string(value), 16, 64)
+		}
+	})
+	return id
+}
+
+// call counts a call and runs it unless the fault prevents that.
+func (s *AJPServer) call(id uint64, fault Fault) {
 	s.mu.Lock()
-	s.got++
-	runs := fault != ResetBefore && fault != Rejects && fault != NoPong
-	if runs {
-		s.ran[id]++
+	s.received++
+	if fault.runs() {
+		s.runs[id]++
 	}
 	s.mu.Unlock()
 	work := s.Work
 	if fault == TenTimesSlower {
 		work *= 10
 	}
-	if runs {
+	if fault.runs() {
 		time.Sleep(work)
 	}
-	body := []byte("reply to " + string(m.Body))
-	answer := ajp.AppendHeaders(nil, 200, "OK", nil)
-	p.Done()
+}
+
+// respond writes the response to a call and reports whether the connection stays open.
+func respond(conn net.Conn, fault Fault, body []byte) bool {
+	headers := ajp.AppendHeaders(nil, 200, "OK", nil)
 	switch fault {
 	case NeverResponds, NoPong:
 		return true
 	case ResetBefore, ResetAfter:
 		return false
 	case TruncatedResponse:
-		write(answer)
+		write(conn, headers)
 		return false
 	case WrongLength:
-		return write(append(answer, 'A', 'B', 0, 4, 3, 0, 99, 'x'))
+		return write(conn, append(headers, 'A', 'B', 0, 4, 3, 0, 99, 'x'))
 	case Rejects:
-		return write(ajp.AppendEnd(ajp.AppendHeaders(nil, 503, "No", nil), true))
+		return write(conn, ajp.AppendEnd(ajp.AppendHeaders(nil, 503, "No", nil), true))
 	case Fails:
-		return write(ajp.AppendEnd(ajp.AppendHeaders(nil, 500, "No", nil), true))
+		return write(conn, ajp.AppendEnd(ajp.AppendHeaders(nil, 500, "No", nil), true))
 	}
-	return write(ajp.AppendEnd(ajp.AppendResponseBody(answer, ajp.DefaultPacketSize, body), true))
+	return write(conn, ajp.AppendEnd(ajp.AppendResponseBody(headers, ajp.DefaultPacketSize, body), true))
+}
+
+// write writes packets and reports whether that succeeded.
+func write(conn net.Conn, packets []byte) bool {
+	_, err := conn.Write(packets)
+	return err == nil
 }
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -10,53 +10,60 @@
 	"sync"
 )
 
-// ErrPowerLost is what a disk without power answers.
+// ErrPowerLost is returned by each operation of a Disk whose power is cut.
 var ErrPowerLost = errors.New("the power is gone")
 
-// Disk is a folder that loses power after so many operations. What it then still has is drawn from a seed, within what a file
-// system may do: of what was not confirmed any sectors, any length, and of the changes of names as many as came first.
+// SectorSize is the size in bytes of the unit that a disk writes completely or not at all.
+const SectorSize = 512
+
+// Disk is an in-memory wal.Disk that loses power after a number of operations. What it holds afterwards is drawn at random within what
+// a file system may leave: of unsynced data any sectors and any length, of unsynced changes of names any prefix. Its methods except
+// Put are safe for concurrent use.
 type Disk struct {
-	PowerBudget int                           // operations until the power goes; under 0 it stays
-	Fail        func(what, name string) error // an operation that is to fail; nil none
-	Slow        func(what string, number int) // called before each
-	mu          sync.Mutex
-	done        int
-	now         map[string]*inode // as the process sees it
-	safe        map[string]*inode // as confirmed
-	ops         []func(names map[string]*inode)
+	PowerBudget int                           // operations until the power is cut; negative: never
+	Fail        func(what, name string) error // returns the error of an operation on a file; may be nil
+	Slow        func(what string, number int) // called before each operation, without the lock; may be nil
+
+	mu         sync.Mutex
+	operations int
+	files      map[string]*inode // as the process sees them
+	synced     map[string]*inode // as last synced
+	unsynced   []nameChange      // since the last sync
 }
 
+// nameChange is a change of the names of files.
+type nameChange func(names map[string]*inode)
+
 type inode struct {
-	data, safe []byte // as the process sees it, as confirmed
+	data   []byte // as the process sees it
+	synced []byte // as last synced
 }
 
-const SectorSize = 512
-
-// NewDisk returns an empty one.
+// NewDisk returns an empty disk whose power stays on.
 func NewDisk() *Disk {
-	return &Disk{PowerBudget: -1, now: map[string]*inode{}, safe: map[string]*inode{}}
+	return &Disk{PowerBudget: -1, files: map[string]*inode{}, synced: map[string]*inode{}}
 }
 
-// CutPower has the power go now.
+// CutPower cuts the power.
 func (d *Disk) CutPower() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.PowerBudget = 0
 }
 
-// Operations is how many operations it has seen.
+// Operations returns the number of operations so far.
 func (d *Disk) Operations() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.done
+	return d.operations
 }
 
-// op counts one; dies tells that the power goes in its middle.
-func (d *Disk) op(what, name string) (dies bool, err error) {
-	d.done++
+// begin counts an operation and returns the error that it fails with; interrupted reports that the power is cut in the middle of it.
+func (d *Disk) begin(what, name string) (interrupted bool, err error) {
+	d.operations++
 	if slow := d.Slow; slow != nil {
-		d.mu.Unlock() // it may stand still while others look
-		slow(what, d.done)
+		d.mu.Unlock() // others may use the disk while this operation waits
+		slow(what, d.operations)
 		d.mu.Lock()
 	}
 	if d.PowerBudget == 0 {
@@ -74,149 +81,153 @@
 	return false, nil
 }
 
-// name changes what files there are, confirmed by the next Sync.
-func (d *Disk) name(change func(names map[string]*inode)) {
-	change(d.now)
-	d.ops = append(d.ops, change)
+// rename applies a change of names, which the next Sync makes durable.
+func (d *Disk) rename(change nameChange) {
+	change(d.files)
+	d.unsynced = append(d.unsynced, change)
 }
 
-// Names gives those of all files.
+// Names returns the names of all files in order.
 func (d *Disk) Names() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Sorted(maps.Keys(d.now)), nil
+	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-// Read gives a file's content.
+// Read returns the content of a file.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.now[name]
-	if f == nil {
+	file := d.files[name]
+	if file == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(f.data), nil
+	return slices.Clone(file.data), nil
 }
 
-// Put sets a file's content as if it had always been so.
+// Put sets the content of a file, and syncs it.
 func (d *Disk) Put(name string, data []byte) {
-	f := &inode{data: slices.Clone(data), safe: slices.Clone(data)}
-	d.now[name], d.safe[name] = f, f
+	file := &inode{data: slices.Clone(data), synced: slices.Clone(data)}
+	d.files[name] = file
+	d.synced[name] = file
 }
 
-// Append opens a file.
+// Append opens a file for appending after size bytes. It creates the file if there is none.
 func (d *Disk) Append(name string, size int64) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	dies, err := d.op("open", name)
-	if err != nil && !dies {
+	interrupted, err := d.begin("open", name)
+	if err != nil && !interrupted {
 		return nil, err
 	}
-	f := d.now[name]
-	if f == nil {
-		f = &inode{}
-		d.name(func(names map[string]*inode) { names[name] = f })
+	file := d.files[name]
+	if file == nil {
+		file = &inode{}
+		d.rename(func(names map[string]*inode) { names[name] = file })
 	}
-	if len(f.data) > int(size) {
-		f.data = f.data[:size:size]
+	if len(file.data) > int(size) {
+		file.data = file.data[:size:size]
 	}
-	return &diskFile{d, f, name}, err
+	return &diskFile{disk: d, inode: file, name: name}, err
 }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (d *Disk) Rename(from, to string) error {
 	return d.change("rename", to, func(names map[string]*inode) {
-		if f := names[from]; f != nil {
-			names[to] = f
+		if file := names[from]; file != nil {
+			names[to] = file
 			delete(names, from)
 		}
 	})
 }
 
-// Remove removes one.
+// Remove removes a file.
 func (d *Disk) Remove(name string) error {
 	return d.change("remove", name, func(names map[string]*inode) { delete(names, name) })
 }
 
-func (d *Disk) change(what, name string, change func(names map[string]*inode)) error {
+// change is an operation that changes names.
+func (d *Disk) change(what, name string, change nameChange) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	dies, err := d.op(what, name)
-	if err == nil || dies {
-		d.name(change)
+	interrupted, err := d.begin(what, name)
+	if err == nil || interrupted {
+		d.rename(change)
 	}
 	return err
 }
 
-// Sync confirms the names.
+// Sync makes the names of files durable.
 func (d *Disk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.op("sync", ""); err != nil {
+	if _, err := d.begin("sync", ""); err != nil {
 		return err
 	}
-	d.safe, d.ops = maps.Clone(d.now), nil
+	d.synced = maps.Clone(d.files)
+	d.unsynced = nil
 	return nil
 }
 
-// AfterPowerLoss is the disk as it is found when the power is back.
-func (d *Disk) AfterPowerLoss(r *rand.Rand) *Disk {
+// AfterPowerLoss returns the disk as it may be found when the power is back.
+func (d *Disk) AfterPowerLoss(random *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := NewDisk()
-	names := maps.Clone(d.safe)
-	for _, change := range d.ops[:r.IntN(len(d.ops)+1)] {
+	after := NewDisk()
+	names := maps.Clone(d.synced)
+	for _, change := range d.unsynced[:random.IntN(len(d.unsynced)+1)] {
 		change(names)
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		out.Put(name, names[name].after(r))
+		after.Put(name, names[name].afterPowerLoss(random))
 	}
-	return out
+	return after
 }
 
-func (f *inode) after(r *rand.Rand) []byte {
-	if slices.Equal(f.data, f.safe) {
-		return f.safe
-	}
-	least, most := len(f.safe), len(f.data)
-	if least > most {
-		least, most = most, least
+// afterPowerLoss draws what a loss of power leaves of a file.
+func (f *inode) afterPowerLoss(random *rand.Rand) []byte {
+	if slices.Equal(f.data, f.synced) {
+		return f.synced
 	}
-	out := make([]byte, least+r.IntN(most-least+1))
-	copy(out, f.safe)
-	share := r.Float64() // of the sectors that got there
-	for at := 0; at < len(out) && at < len(f.data); at += SectorSize {
-		if end := min(at+SectorSize, len(out), len(f.data)); r.Float64() < share {
-			copy(out[at:end], f.data[at:end])
+	shorter := min(len(f.synced), len(f.data))
+	longer := max(len(f.synced), len(f.data))
+	left := make([]byte, shorter+random.IntN(longer-shorter+1))
+	copy(left, f.synced)
+	writtenShare := random.Float64() // of the sectors
+	for start := 0; start < len(left) && start < len(f.data); start += SectorSize {
+		end := min(start+SectorSize, len(left), len(f.data))
+		if random.Float64() < writtenShare {
+			copy(left[start:end], f.data[start:end])
 		}
 	}
-	return out
+	return left
 }
 
+// diskFile is an open file of a Disk.
 type diskFile struct {
-	d    *Disk
-	f    *inode
-	name string
+	disk  *Disk
+	inode *inode
+	name  string
 }
 
-// Write writes on.
-func (f *diskFile) Write(p []byte) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	dies, err := f.d.op("write", f.name)
-	if err == nil || dies {
-		f.f.data = append(f.f.data, p...)
+// Write appends to the file.
+func (f *diskFile) Write(data []byte) (int, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	interrupted, err := f.disk.begin("write", f.name)
+	if err == nil || interrupted {
+		f.inode.data = append(f.inode.data, data...)
 	}
-	return len(p), err
+	return len(data), err
 }
 
-// Sync confirms what was written.
+// Sync makes the file's content durable.
 func (f *diskFile) Sync() error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	_, err := f.d.op("fsync", f.name)
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	_, err := f.disk.begin("fsync", f.name)
 	if err == nil {
-		f.f.safe = slices.Clone(f.f.data)
+		f.inode.synced = slices.Clone(f.inode.data)
 	}
 	return err
 }
--- a/internal/fake/fastcgi.go
+++ b/internal/fake/fastcgi.go
@@ -2,12 +2,11 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"io"
 	"strings"
 )
 
-// Records of FastCGI as an edge node writes them, padded to be of odd lengths.
+// Types of FastCGI records.
 const (
 	fcgiBegin  = 1
 	fcgiAbort  = 2
@@ -17,115 +16,93 @@
 	fcgiStdout = 6
 )
 
-// FastCGIRecord is one record of FastCGI.
+// fcgiHeaderSize is the length of a record's header in bytes.
+const fcgiHeaderSize = 8
+
+// fcgiPadding ends each record that is written, so that records have odd lengths.
+const fcgiPadding = "pad"
+
+// fcgiOverloaded is the protocol status FCGI_OVERLOADED: the request was rejected.
+const fcgiOverloaded = 2
+
+// FastCGIRecord returns one FastCGI record with padding.
 func FastCGIRecord(kind byte, slot uint16, content string) string {
-	head := []byte{1, kind, 0, 0, 0, 0, 3, 0}
-	binary.BigEndian.PutUint16(head[2:], slot)
-	binary.BigEndian.PutUint16(head[4:], uint16(len(content)))
-	return string(head) + content + "pad"
+	header := []byte{1, kind, 0, 0, 0, 0, byte(len(fcgiPadding)), 0}
+	binary.BigEndian.PutUint16(header[2:], slot)
+	binary.BigEndian.PutUint16(header[4:], uint16(len(content)))
+	return string(header) + content + fcgiPadding
 }
 
-// FastCGIAbort takes a req back.
+// FastCGIAbort returns the record that aborts a request.
 func FastCGIAbort(slot uint16) string { return FastCGIRecord(fcgiAbort, slot, "") }
 
-// FastCGIPair is a name and a value.
+// FastCGIPair returns a name and a value as a FastCGI parameter. The name must be shorter than 128 bytes.
 func FastCGIPair(name, value string) string {
-	b := []byte{byte(len(name))}
+	pair := []byte{byte(len(name))}
 	if len(value) < 128 {
-		b = append(b, byte(len(value)))
+		pair = append(pair, byte(len(value)))
 	} else {
-		b = binary.BigEndian.AppendUint32(b, uint32(len(value))|1<<31)
+		pair = binary.BigEndian.AppendUint32(pair, uint32(len(value))|1<<31)
 	}
-	return string(b) + name + value
+	return string(pair) + name + value
 }
 
-// FastCGIRequest are those of a whole req: its parameters in two pieces, and its body if it has one.
+// FastCGIRequest returns the records of a complete request: its parameters in two records, and its body unless it is empty.
 func FastCGIRequest(slot uint16, params, body string) string {
 	half := len(params) / 2
-	out := FastCGIRecord(fcgiBegin, slot, "\x00\x01\x01\x00\x00\x00\x00\x00") + FastCGIRecord(fcgiParams, slot, params[:half]) +
-		FastCGIRecord(fcgiParams, slot, params[half:]) + FastCGIRecord(fcgiParams, slot, "")
+	var records strings.Builder
+	records.WriteString(FastCGIRecord(fcgiBegin, slot, "\x00\x01\x01\x00\x00\x00\x00\x00"))
+	records.WriteString(FastCGIRecord(fcgiParams, slot, params[:half]))
+	records.WriteString(FastCGIRecord(fcgiParams, slot, params[half:]))
+	records.WriteString(FastCGIRecord(fcgiParams, slot, ""))
 	if body != "" {
-		out += FastCGIRecord(fcgiStdin, slot, body)
+		records.WriteString(FastCGIRecord(fcgiStdin, slot, body))
 	}
-	return out + FastCGIRecord(fcgiStdin, slot, "")
-}
-
-// Request is a req as an edge node sends it.
-type Request struct {
-	ID        uint64
-	Handler   string
-	Caller    int
-	Start     int64 // Unix milliseconds
-	CostMS    float64
-	Customer  string
-	CreatedAt int64 // when it was first made, in Unix milliseconds; 0 not told
-	Body      string
-}
-
-// fields of it, in the names of headers.
-func (r *Request) fields(put func(name, value string)) {
-	put("X-Request-Id", fmt.Sprintf("%016x", r.ID))
-	put("X-Request-Start", fmt.Sprint(r.Start))
-	put("X-Caller", fmt.Sprint(r.Caller))
-	put("X-Cost-Ms", fmt.Sprintf("%.2f", max(0.01, r.CostMS)))
-	put("X-Memory-Kb", "24.5")
-	put("X-Rank", "0.6250")
-	if r.Customer != "" {
-		put("X-Customer", r.Customer)
-	}
-	if r.CreatedAt > 0 {
-		put("X-First-Made", fmt.Sprint(r.CreatedAt))
-	}
-}
-
-// FastCGI writes the req.
-func (r *Request) FastCGI(slot uint16) string {
-	var p strings.Builder
-	p.WriteString(FastCGIPair("REQUEST_METHOD", "POST") + FastCGIPair("SCRIPT_NAME", "/invoke/"+r.Handler))
-	r.fields(func(name, value string) {
-		p.WriteString(FastCGIPair("HTTP_"+strings.ToUpper(strings.ReplaceAll(name, "-", "_")), value))
-	})
-	return FastCGIRequest(slot, p.String(), r.Body)
+	records.WriteString(FastCGIRecord(fcgiStdin, slot, ""))
+	return records.String()
 }
 
-// FastCGIResponse is one whole answer.
+// FastCGIResponse is one complete FastCGI response.
 type FastCGIResponse struct {
 	Slot           uint16
-	NoBody         bool // END_REQUEST without a word before it
+	NoBody         bool // nothing came before END_REQUEST
 	ProtocolStatus byte
 	Text           string
 }
 
-// ReadFastCGI hands each whole answer to f until the stream ends.
-func ReadFastCGI(r io.Reader, f func(FastCGIResponse)) error {
-	parts := map[uint16]*strings.Builder{}
-	head := make([]byte, 8)
+// ReadFastCGI calls handle with each complete response until the stream ends, and returns the read error that ended it.
+func ReadFastCGI(r io.Reader, handle func(FastCGIResponse)) error {
+	bodies := map[uint16]*strings.Builder{}
+	header := make([]byte, fcgiHeaderSize)
 	for {
-		if _, err := io.ReadFull(r, head); err != nil {
+		if _, err := io.ReadFull(r, header); err != nil {
 			return err
 		}
-		slot, content := binary.BigEndian.Uint16(head[2:]), make([]byte, int(binary.BigEndian.Uint16(head[4:]))+int(head[6]))
+		slot := binary.BigEndian.Uint16(header[2:])
+		length := int(binary.BigEndian.Uint16(header[4:]))
+		padding := int(header[6])
+		content := make([]byte, length+padding)
 		if _, err := io.ReadFull(r, content); err != nil {
 			return err
 		}
-		content = content[:len(content)-int(head[6])]
-		switch head[1] {
+		content = content[:length]
+		switch header[1] {
 		case fcgiStdout:
-			if parts[slot] == nil {
-				parts[slot] = &strings.Builder{}
+			if bodies[slot] == nil {
+				bodies[slot] = &strings.Builder{}
 			}
-			parts[slot].Write(content)
+			bodies[slot].Write(content)
 		case fcgiEnd:
-			a := FastCGIResponse{Slot: slot}
+			response := FastCGIResponse{Slot: slot}
 			if len(content) > 4 {
-				a.ProtocolStatus = content[4]
+				response.ProtocolStatus = content[4]
 			}
-			if part := parts[slot]; part != nil {
-				a.Text = part.String()
-				delete(parts, slot)
+			if body := bodies[slot]; body != nil {
+				response.Text = body.String()
+				delete(bodies, slot)
 			}
-			a.NoBody = a.Text == ""
-			f(a)
+			response.NoBody = response.Text == ""
+			handle(response)
 		}
 	}
 }
--- a/internal/fake/processor.go
+++ b/internal/fake/processor.go
@@ -1,295 +1,234 @@
 package fake
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"maps"
 	"net"
 	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 )
 
-// Processor is a stand-in for the processor: some cores shared alike by all runs, so that its capacity is a known
-// figure. It judges too: it counts how often each id was run.
+// Processor is a test double of the processor: a number of cores shared equally by all runs, so that its capacity is known. It counts
+// how often each request is run, so that a test can tell duplicates. Its methods are safe for concurrent use; the fields may not change
+// once a node has connected.
 type Processor struct {
 	Cores     float64
-	Work      func(id uint64, handler string) time.Duration // on one core
-	Knows     func(id uint64) bool                          // nil: all
-	MakesCall func(id uint64, handler string) bool          // whose runs begin with a call; nil: none
+	Work      func(id uint64, handler string) time.Duration // time a run takes on one core
+	Knows     func(id uint64) bool                          // whether a request's commands are accepted; nil: always
+	MakesCall func(id uint64, handler string) bool          // whether a run begins with an upstream call; nil: never
 
-	ln net.Listener
+	listener net.Listener
+	wake     chan struct{} // the runs changed
+	done     chan struct{} // closed by Close
 
-	mu      sync.Mutex
-	c       net.Conn // the present link
-	started time.Time
-	notices []string
-	running []*job
-	last    time.Time
-	busy    float64 // seconds of cores
-	runs    map[uint64]int
-	ids     map[uint64]string    // begun ones and their handlers
-	first   map[uint64]time.Time // when each was first begun
-	effects map[string]int       // how often a body was begun, under whatever id; over all Resets
-	wake    chan struct{}
-	done    chan struct{}
+	mu       sync.Mutex
+	conn     net.Conn // the present connection
+	started  time.Time
+	notices  []string // all sent, replayed to a node that reconnects
+	running  []*run
+	advanced time.Time // until when the cores' time has been shared
+
+	runs        map[uint64]int
+	handlers    map[uint64]string
+	firstStarts map[uint64]time.Time
+	effects     map[string]int // runs by body; Reset keeps it
 }
 
-type job struct {
-	id    uint64
-	calls bool // waits for the reply to its call
-	body  string
-	left  float64 // seconds on one core
-	took  time.Time
+// run is one run of a request.
+type run struct {
+	id      uint64
+	body    string
+	calling bool    // waits for the reply to its upstream call
+	left    float64 // seconds on one core
+	started time.Time
 }
 
-// NewProcessor listens on loopback and runs until Close.
+// NewProcessor returns a processor that listens on a loopback address and runs until Close.
 func NewProcessor(cores float64, work func(id uint64, handler string) time.Duration) (*Processor, error) {
 	return NewProcessorAt("127.0.0.1:0", cores, work)
 }
 
-// NewProcessorAt listens at an address.
+// NewProcessorAt returns a processor that listens on the given address and runs until Close.
 func NewProcessorAt(address string, cores float64, work func(id uint64, handler string) time.Duration) (*Processor, error) {
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	p := &Processor{
-		Cores: cores, Work: work, ln: ln, started: now, last: now, runs: map[uint64]int{},
-		ids: map[uint64]string{}, first: map[uint64]time.Time{}, effects: map[string]int{}, wake: make(chan struct{}, 1), done: make(chan struct{}),
+		Cores:       cores,
+		Work:        work,
+		listener:    listener,
+		wake:        make(chan struct{}, 1),
+		done:        make(chan struct{}),
+		started:     now,
+		advanced:    now,
+		runs:        map[uint64]int{},
+		handlers:    map[uint64]string{},
+		firstStarts: map[uint64]time.Time{},
+		effects:     map[string]int{},
 	}
 	go p.accept()
-	go p.run()
+	go p.schedule()
 	return p, nil
 }
 
-// Address is where it listens.
-func (p *Processor) Address() string { return p.ln.Addr().String() }
+// Address returns the address that the processor listens on.
+func (p *Processor) Address() string { return p.listener.Addr().String() }
 
-// Close ends it.
+// Close closes the listener and the connection, and stops all runs.
 func (p *Processor) Close() {
-	_ = p.ln.Close()
+	_ = p.listener.Close()
 	close(p.done)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.c != nil {
-		_ = p.c.Close()
-	}
+	p.Break()
 }
 
-// Break ends the link; runs go on.
+// Break closes the connection; runs go on.
 func (p *Processor) Break() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.c != nil {
-		_ = p.c.Close()
+	if p.conn != nil {
+		_ = p.conn.Close()
 	}
 }
 
-// Runs gives how often each id was begun.
+// Runs returns how often each request was started, by request ID.
 func (p *Processor) Runs() map[uint64]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[uint64]int, len(p.runs))
-	for id, n := range p.runs {
-		out[id] = n
-	}
-	return out
+	return maps.Clone(p.runs)
 }
 
-// Effects gives how often each body was begun, under whatever id.
+// Effects returns how often each body was started, under whatever request ID.
 func (p *Processor) Effects() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.effects)
 }
 
-// Handlers gives the handler of each id that was begun.
+// Handlers returns the handler of each request that was started, by request ID.
 func (p *Processor) Handlers() map[uint64]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make(map[uint64]string, len(p.ids))
-	for id, h := range p.ids {
-		out[id] = h
-	}
-	return out
+	return maps.Clone(p.handlers)
 }
 
-// FirstStarts gives when each id was first begun.
+// FirstStarts returns when each request was first started, by request ID.
 func (p *Processor) FirstStarts() map[uint64]time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.first)
+	return maps.Clone(p.firstStarts)
 }
 
-// Reset forgets what was run: the machine died with its box, or the counts are read.
+// Reset forgets all runs and counts except those of Effects, as if the machine had been lost with its node.
 func (p *Processor) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.running, p.notices, p.runs, p.ids, p.first = nil, nil, map[uint64]int{}, map[uint64]string{}, map[uint64]time.Time{}
+	p.running = nil
+	p.notices = nil
+	p.runs = map[uint64]int{}
+	p.handlers = map[uint64]string{}
+	p.firstStarts = map[uint64]time.Time{}
 	p.started = time.Now()
 }
 
-func (p *Processor) accept() {
-	for {
-		c, err := p.ln.Accept()
-		if err != nil {
-			return
-		}
-		p.mu.Lock()
-		if p.c != nil {
-			_ = p.c.Close()
-		}
-		p.c = c
-		p.mu.Unlock()
-		go p.read(c)
+// start starts a run. The caller holds the mutex.
+func (p *Processor) start(id uint64, handler, body string) {
+	if slices.ContainsFunc(p.running, func(r *run) bool { return r.id == id }) {
+		return
+	}
+	p.advance()
+	p.runs[id]++
+	if p.runs[id] == 1 {
+		p.firstStarts[id] = time.Now()
+	}
+	p.handlers[id] = handler
+	p.effects[body]++
+	r := &run{id: id, body: body, left: p.Work(id, handler).Seconds(), started: time.Now()}
+	p.running = append(p.running, r)
+	if p.MakesCall != nil && p.MakesCall(id, handler) {
+		r.calling = true
+		p.notify(fmt.Sprintf("ask %d %016x %d\r\n%s\r\n", len(p.notices)+1, id, len(body), body))
 	}
+	p.reschedule()
 }
 
-func (p *Processor) read(c net.Conn) {
-	defer func() { _ = c.Close() }()
-	r := bufio.NewReader(c)
-	for {
-		line, err := r.ReadString('\n')
-		if err != nil {
-			return
+// endCall lets a run go on whose upstream call is answered. The caller holds the mutex.
+func (p *Processor) endCall(id uint64) {
+	p.advance()
+	for _, r := range p.running {
+		if r.id == id {
+			r.calling = false
 		}
-		w := strings.Fields(line)
-		body := ""
-		if len(w) > 1 && (w[0] == "begin" || w[0] == "answer") {
-			n, _ := strconv.Atoi(w[len(w)-1])
-			b := make([]byte, n+2)
-			if _, err := io.ReadFull(r, b); err != nil {
-				return
-			}
-			body = string(b[:n])
-		}
-		p.mu.Lock()
-		if p.c == c {
-			p.command(w, body)
-		}
-		p.mu.Unlock()
 	}
+	p.reschedule()
 }
 
-func (p *Processor) command(w []string, body string) {
-	id := uint64(0)
-	if len(w) > 1 {
-		id, _ = strconv.ParseUint(w[1], 16, 64)
-	}
-	say := func(format string, args ...any) { fmt.Fprintf(p.c, format+"\r\n", args...) }
-	switch w[0] {
-	case "hello":
-		last, _ := strconv.Atoi(w[1])
-		if last == 0 && len(p.notices) > 0 { // a box that started anew: what it began is nobody's
-			p.running, p.notices = nil, nil
-		}
-		say("hi warm %d", time.Since(p.started).Milliseconds())
-		for i := last; i < len(p.notices); i++ {
-			_, _ = io.WriteString(p.c, p.notices[i])
+// interrupt ends a run. The caller holds the mutex.
+func (p *Processor) interrupt(id uint64) {
+	p.advance()
+	for i, r := range p.running {
+		if r.id == id {
+			p.running = slices.Delete(p.running, i, i+1)
+			p.complete(r, "halted", "")
+			break
 		}
-	case "begin":
-		if p.Knows != nil && !p.Knows(id) {
-			say("reject begin %s", w[1])
-			return
-		}
-		if slices.ContainsFunc(p.running, func(j *job) bool { return j.id == id }) {
-			return
-		}
-		p.advance()
-		if p.runs[id]++; p.runs[id] == 1 {
-			p.first[id] = time.Now()
-		}
-		p.ids[id] = w[2]
-		p.effects[body]++
-		j := &job{id: id, body: body, left: p.Work(id, w[2]).Seconds(), took: time.Now()}
-		p.running = append(p.running, j)
-		if p.MakesCall != nil && p.MakesCall(id, w[2]) {
-			j.calls = true
-			p.notice(fmt.Sprintf("ask %d %016x %d\r\n%s\r\n", len(p.notices)+1, id, len(body), body))
-		}
-		p.kick()
-	case "answer":
-		p.advance()
-		for _, j := range p.running {
-			if j.id == id {
-				j.calls = false
-			}
-		}
-		p.kick()
-	case "interrupt":
-		if p.Knows != nil && !p.Knows(id) {
-			say("reject interrupt %s", w[1])
-			return
-		}
-		p.advance()
-		for i, j := range p.running {
-			if j.id == id {
-				p.running = slices.Delete(p.running, i, i+1)
-				p.complete(j, "halted", "")
-				break
-			}
-		}
-		p.kick()
-	case "usage":
-		p.advance()
-		n := float64(p.working())
-		say("used %s %.3f %.0f 0.01 3", w[1], min(1, n/p.Cores), n)
-	case "trial":
-		say("tried %s ok", w[1])
 	}
+	p.reschedule()
 }
 
-// advance shares the cores among all runs since the last time.
+// advance shares the cores' time since the last call among all runs. The caller holds the mutex.
 func (p *Processor) advance() {
 	now := time.Now()
-	if n := float64(p.working()); n > 0 {
-		each := now.Sub(p.last).Seconds() * min(1, p.Cores/n)
-		for _, j := range p.running {
-			if !j.calls {
-				j.left -= each
+	if n := float64(p.runnable()); n > 0 {
+		share := now.Sub(p.advanced).Seconds() * min(1, p.Cores/n)
+		for _, r := range p.running {
+			if !r.calling {
+				r.left -= share
 			}
 		}
-		p.busy += each * n
 	}
-	p.last = now
+	p.advanced = now
 }
 
-// working is how many runs want a core.
-func (p *Processor) working() (n int) {
-	for _, j := range p.running {
-		if !j.calls {
+// runnable returns the number of runs that want a core.
+func (p *Processor) runnable() int {
+	n := 0
+	for _, r := range p.running {
+		if !r.calling {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *Processor) kick() {
+// reschedule makes schedule look at the runs again.
+func (p *Processor) reschedule() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (p *Processor) complete(j *job, end, body string) {
-	n := len(p.notices) + 1
-	p.notice(fmt.Sprintf("complete %d %016x %s %.2f %d\r\n%s\r\n", n, j.id, end, time.Since(j.took).Seconds()*1000, len(body), body))
+// complete notifies the node of the end of a run.
+func (p *Processor) complete(r *run, result, body string) {
+	number := len(p.notices) + 1
+	ms := time.Since(r.started).Seconds() * 1000
+	p.notify(fmt.Sprintf("complete %d %016x %s %.2f %d\r\n%s\r\n", number, r.id, result, ms, len(body), body))
 }
 
-func (p *Processor) notice(text string) {
+// notify sends a notice to the node and keeps it for a later connection.
+func (p *Processor) notify(text string) {
 	p.notices = append(p.notices, text)
-	if p.c != nil {
-		_, _ = io.WriteString(p.c, text)
+	if p.conn != nil {
+		_, _ = io.WriteString(p.conn, text)
 	}
 }
 
-// run ends what is done.
-func (p *Processor) run() {
+// schedule completes each run when its work is done, until Close.
+func (p *Processor) schedule() {
 	timer := time.NewTimer(time.Hour)
 	for {
 		select {
@@ -298,24 +237,28 @@
 		case <-p.wake:
 		case <-timer.C:
 		}
-		p.mu.Lock()
-		p.advance()
-		next := time.Hour
-		p.running = slices.DeleteFunc(p.running, func(j *job) bool {
-			if j.left > 0 || j.calls {
-				return false
-			}
-			p.complete(j, "ok", ProcessorResult(j.id, j.body))
-			return true
-		})
-		n := float64(p.working())
-		for _, j := range p.running {
-			if j.calls {
-				continue
-			}
-			next = min(next, time.Duration(j.left*max(1, n/p.Cores)*float64(time.Second))+50*time.Microsecond)
+		timer.Reset(p.completeFinished())
+	}
+}
+
+// completeFinished completes the runs whose work is done and returns the time until the next one may be.
+func (p *Processor) completeFinished() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.advance()
+	p.running = slices.DeleteFunc(p.running, func(r *run) bool {
+		if r.left > 0 || r.calling {
+			return false
+		}
+		p.complete(r, "ok", ProcessorResult(r.id, r.body))
+		return true
+	})
+	next := time.Hour
+	slowdown := max(1, float64(p.runnable())/p.Cores)
+	for _, r := range p.running {
+		if !r.calling {
+			next = min(next, time.Duration(r.left*slowdown*float64(time.Second))+50*time.Microsecond)
 		}
-		p.mu.Unlock()
-		timer.Reset(next)
 	}
+	return next
 }
--- /dev/null
+++ b/internal/fake/processor_protocol.go
@@ -0,0 +1,113 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// accept serves connections until the listener is closed. A new connection replaces the one before.
+func (p *Processor) accept() {
+	for {
+		conn, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		p.mu.Lock()
+		if p.conn != nil {
+			_ = p.conn.Close()
+		}
+		p.conn = conn
+		p.mu.Unlock()
+		go p.readCommands(conn)
+	}
+}
+
+// readCommands executes the commands of a connection until it ends or is replaced.
+func (p *Processor) readCommands(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		words := strings.Fields(line)
+		body := ""
+		if len(words) > 1 && (words[0] == "begin" || words[0] == "answer") {
+			length, _ := strconv.Atoi(words[len(words)-1])
+			buf := make([]byte, length+2)
+			if _, err := io.ReadFull(reader, buf); err != nil {
+				return
+			}
+			body = string(buf[:length])
+		}
+		p.mu.Lock()
+		if p.conn == conn {
+			p.execute(words, body)
+		}
+		p.mu.Unlock()
+	}
+}
+
+// execute executes one command, split into its words. The caller holds the mutex.
+func (p *Processor) execute(words []string, body string) {
+	id := uint64(0)
+	if len(words) > 1 {
+		id, _ = strconv.ParseUint(words[1], 16, 64)
+	}
+	switch words[0] {
+	case "hello":
+		p.greet(words[1])
+	case "begin":
+		if p.reject(id, words) {
+			return
+		}
+		p.start(id, words[2], body)
+	case "answer":
+		p.endCall(id)
+	case "interrupt":
+		if p.reject(id, words) {
+			return
+		}
+		p.interrupt(id)
+	case "usage":
+		p.advance()
+		n := float64(p.runnable())
+		p.reply("used %s %.3f %.0f 0.01 3", words[1], min(1, n/p.Cores), n)
+	case "trial":
+		p.reply("tried %s ok", words[1])
+	}
+}
+
+// greet answers a node's greeting and replays the notices after the last one it has seen. A node that has seen none has restarted:
+// the runs and notices of its former incarnation are dropped.
+func (p *Processor) greet(lastSeen string) {
+	last, _ := strconv.Atoi(lastSeen)
+	if last == 0 && len(p.notices) > 0 {
+		p.running = nil
+		p.notices = nil
+	}
+	p.reply("hi warm %d", time.Since(p.started).Milliseconds())
+	for i := last; i < len(p.notices); i++ {
+		_, _ = io.WriteString(p.conn, p.notices[i])
+	}
+}
+
+// reject rejects a command for a request that the processor does not know, and reports whether it did.
+func (p *Processor) reject(id uint64, words []string) bool {
+	if p.Knows == nil || p.Knows(id) {
+		return false
+	}
+	p.reply("reject %s %s", words[0], words[1])
+	return true
+}
+
+// reply writes a line to the node.
+func (p *Processor) reply(format string, args ...any) {
+	_, _ = fmt.Fprintf(p.conn, format+"\r\n", args...)
+}
--- a/internal/fake/upstream.go
+++ b/internal/fake/upstream.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net"
 	"strconv"
@@ -11,94 +12,108 @@
 	"sync"
 )
 
-// Upstream is a stand-in for the proxy of the next tier: it runs each call at once, and its replies fail by chance.
+// replyFault is a way in which a reply of an Upstream fails.
+type replyFault int
+
+const (
+	replyReset     replyFault = iota // the connection is reset
+	replyMissing                     // no reply
+	replyMalformed                   // a line that is not a reply
+	replyTooLong                     // a length that no reply may have
+	replyFaults                      // number of faults
+
+	replyOK replyFault = -1
+)
+
+// Upstream is a test double of the upstream proxy: it runs each call at once, and a share of its replies, drawn at random, fails.
+// Its methods are safe for concurrent use.
 type Upstream struct {
-	ln net.Listener
+	listener net.Listener
 
-	mu     sync.Mutex
-	random *rand.Rand
-	spoilt float64        // share of the replies that can't be read, never come, or come with a reset
-	ran    map[uint64]int // how often a call was run for a request
+	mu           sync.Mutex
+	random       *rand.Rand
+	failureShare float64
+	runs         map[uint64]int // calls run, by request ID
 }
 
-// NewUpstream listens on loopback until Close.
+// NewUpstream returns an upstream that listens on a loopback address until Close.
 func NewUpstream(seed uint64) (*Upstream, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	t := &Upstream{ln: ln, random: rand.New(rand.NewPCG(seed, 3)), ran: map[uint64]int{}}
-	go AcceptAll(ln, t.serve)
-	return t, nil
+	u := &Upstream{listener: listener, random: rand.New(rand.NewPCG(seed, 3)), runs: map[uint64]int{}}
+	go AcceptAll(listener, u.serve)
+	return u, nil
 }
 
-// Address is where it listens.
-func (t *Upstream) Address() string { return t.ln.Addr().String() }
+// Address returns the address that the upstream listens on.
+func (u *Upstream) Address() string { return u.listener.Addr().String() }
 
-// Close ends the listening.
-func (t *Upstream) Close() { _ = t.ln.Close() }
+// Close closes the listener. Open connections stay.
+func (u *Upstream) Close() { _ = u.listener.Close() }
 
-// SetFailureShare has that share of the replies fail from now on.
-func (t *Upstream) SetFailureShare(share float64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.spoilt = share
+// SetFailureShare sets the share of the replies that fail from now on.
+func (u *Upstream) SetFailureShare(share float64) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.failureShare = share
 }
 
-// CallCounts gives how often calls were run, by request.
-func (t *Upstream) CallCounts() map[uint64]int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := make(map[uint64]int, len(t.ran))
-	for id, n := range t.ran {
-		out[id] = n
-	}
-	return out
+// CallCounts returns how often the call of each request has run, by request ID.
+func (u *Upstream) CallCounts() map[uint64]int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return maps.Clone(u.runs)
 }
 
-func (t *Upstream) serve(c net.Conn) {
-	defer func() { _ = c.Close() }()
-	r := bufio.NewReader(c)
+func (u *Upstream) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	for {
-		line, err := r.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
-		w := strings.Fields(line)
-		if len(w) != 4 || w[0] != "invoke" {
+		words := strings.Fields(line)
+		if len(words) != 4 || words[0] != "invoke" {
 			continue
 		}
-		n, _ := strconv.Atoi(w[3])
-		if _, err := io.CopyN(io.Discard, r, int64(n)+2); err != nil {
+		length, _ := strconv.Atoi(words[3])
+		if _, err := io.CopyN(io.Discard, reader, int64(length)+2); err != nil {
 			return
 		}
-		if !t.reply(c, w[1]) {
-			ResetConn(c)
+		if !u.reply(conn, words[1]) {
+			ResetConn(conn)
 			return
 		}
 	}
 }
 
-// reply runs a call and answers it, and tells whether the connection stays.
-func (t *Upstream) reply(c net.Conn, id string) bool {
-	t.mu.Lock()
-	number, _ := strconv.ParseUint(id, 16, 64)
-	t.ran[number]++
-	kind := -1
-	if t.random.Float64() < t.spoilt {
-		kind = t.random.IntN(4)
-	}
-	t.mu.Unlock()
-	switch kind {
-	case 0:
+// reply runs a call, replies to it, and reports whether the connection stays open.
+func (u *Upstream) reply(conn net.Conn, id string) bool {
+	switch u.run(id) {
+	case replyReset:
 		return false
-	case 1: // never
-	case 2:
-		_, _ = io.WriteString(c, "what is this\r\n")
-	case 3:
-		fmt.Fprintf(c, "%s ok 3000000000\r\nand so on", id)
+	case replyMissing:
+	case replyMalformed:
+		_, _ = io.WriteString(conn, "what is this\r\n")
+	case replyTooLong:
+		_, _ = fmt.Fprintf(conn, "%s ok 3000000000\r\nand so on", id)
 	default:
-		fmt.Fprintf(c, "%s ok 2\r\nok\r\n", id)
+		_, _ = fmt.Fprintf(conn, "%s ok 2\r\nok\r\n", id)
 	}
 	return true
 }
+
+// run counts a call and draws the fault of its reply.
+func (u *Upstream) run(id string) replyFault {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	number, _ := strconv.ParseUint(id, 16, 64)
+	u.runs[number]++
+	if u.random.Float64() < u.failureShare {
+		return replyFault(u.random.IntN(int(replyFaults)))
+	}
+	return replyOK
+}
