--- a/internal/faultproxy/doc.go
+++ b/internal/faultproxy/doc.go
@@ -1,5 +1,5 @@
-// Package faultproxy carries TCP connections between the processes of a test and fails as it is told: resets, stalls, delays, and
-// cuts in the middle of a message.
+// Package faultproxy has TCP proxies that inject network faults between the processes of a test: resets, stalls, delays, and
+// connections that end in the middle of a message.
 //
 // Only tests and the laboratory may import it; CI checks that.
 package faultproxy
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -8,113 +8,129 @@
 	"time"
 )
 
-// Link is the way from one box to another: it carries connections to an address, and fails as it is told.
+// linkBufferSize is the most that a Link forwards at once, in bytes.
+const linkBufferSize = 4 << 10
+
+// Link is a proxy for the connections from one node to another, which carry data in one direction. Its methods are safe for
+// concurrent use.
 type Link struct {
-	to string
-	ln net.Listener
+	target   string
+	listener net.Listener
 
-	mu    sync.Mutex
-	cut   bool
-	stall bool
-	delay time.Duration
-	conns map[net.Conn]bool
-	wake  *sync.Cond
+	mu      sync.Mutex
+	cut     bool
+	stalled bool
+	delay   time.Duration
+	conns   map[net.Conn]bool
+	changed *sync.Cond // cut or stalled changed
 }
 
-// NewLink listens on loopback for connections to that address.
-func NewLink(to string) (*Link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// NewLink returns a link to the given address that listens on a loopback address until Close.
+func NewLink(target string) (*Link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{to: to, ln: ln, conns: map[net.Conn]bool{}}
-	l.wake = sync.NewCond(&l.mu)
-	go fake.AcceptAll(ln, l.carry)
+	l := &Link{target: target, listener: listener, conns: map[net.Conn]bool{}}
+	l.changed = sync.NewCond(&l.mu)
+	go fake.AcceptAll(listener, l.forward)
 	return l, nil
 }
 
-// Address is where it listens.
-func (l *Link) Address() string { return l.ln.Addr().String() }
+// Address returns the address that the link listens on.
+func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Reset ends what is open, in the middle of a message if one is on its way, and lets nothing through until it is mended.
+// Reset closes all connections, in the middle of a message if one is on its way, and refuses new ones until Heal.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = true
-	for c := range l.conns {
-		_ = c.Close()
+	for conn := range l.conns {
+		_ = conn.Close()
 	}
 	clear(l.conns)
-	l.wake.Broadcast()
+	l.changed.Broadcast()
 }
 
-// Stall keeps connections open and lets nothing through.
+// Stall keeps connections open and forwards nothing until Heal.
 func (l *Link) Stall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stall = true
+	l.stalled = true
 }
 
-// Delay has each stretch wait that long.
-func (l *Link) Delay(d time.Duration) {
+// Delay delays all data by the given time until Heal.
+func (l *Link) Delay(delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.delay = d
+	l.delay = delay
 }
 
-// Heal ends all faults; what was stalled goes on.
+// Heal ends all faults. Data that was stalled is forwarded.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut, l.stall, l.delay = false, false, 0
-	l.wake.Broadcast()
+	l.cut = false
+	l.stalled = false
+	l.delay = 0
+	l.changed.Broadcast()
 }
 
-// Close ends it.
+// Close closes the listener and all connections.
 func (l *Link) Close() {
-	_ = l.ln.Close()
+	_ = l.listener.Close()
 	l.Reset()
 }
 
-func (l *Link) carry(c net.Conn) {
-	defer func() { _ = c.Close() }()
-	l.mu.Lock()
-	cut := l.cut
-	l.mu.Unlock()
-	if cut {
+// forward carries one connection until one side or a fault ends it.
+func (l *Link) forward(source net.Conn) {
+	defer func() { _ = source.Close() }()
+	if l.isCut() {
 		return
 	}
-	d, err := net.Dial("tcp", l.to)
+	target, err := net.Dial("tcp", l.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = d.Close() }()
+	defer func() { _ = target.Close() }()
 	l.mu.Lock()
-	l.conns[c], l.conns[d] = true, true
+	l.conns[source] = true
+	l.conns[target] = true
 	l.mu.Unlock()
 	go func() {
-		_, _ = io.Copy(io.Discard, d) // boxes send one way; its end ends the other side
-		_ = c.Close()
+		_, _ = io.Copy(io.Discard, target) // nothing is sent back: this waits for the end of the connection
+		_ = source.Close()
 	}()
-	buf := make([]byte, 4<<10)
+	buf := make([]byte, linkBufferSize)
 	for {
-		n, err := c.Read(buf)
+		n, err := source.Read(buf)
 		if err != nil {
 			return
 		}
-		l.mu.Lock()
-		for l.stall && !l.cut {
-			l.wake.Wait()
-		}
-		cut, delay := l.cut, l.delay
-		l.mu.Unlock()
+		delay, cut := l.waitWhileStalled()
 		if cut {
-			_, _ = d.Write(buf[:n/2])
+			_, _ = target.Write(buf[:n/2])
 			return
 		}
 		time.Sleep(delay)
-		if _, err := d.Write(buf[:n]); err != nil {
+		if _, err := target.Write(buf[:n]); err != nil {
 			return
 		}
 	}
 }
+
+func (l *Link) isCut() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.cut
+}
+
+// waitWhileStalled waits for the end of a stall and returns the faults of what is forwarded next.
+func (l *Link) waitWhileStalled() (delay time.Duration, cut bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for l.stalled && !l.cut {
+		l.changed.Wait()
+	}
+	return l.delay, l.cut
+}
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -9,207 +9,231 @@
 	"time"
 )
 
-// Proxy carries connections to an address, both ways, and fails as it is told. It notes when each byte was handed to the far side and when
-// the far side ended, so that a judge goes by what the far side had, not by what was sent to it.
-type Proxy struct {
-	ln net.Listener
+const (
+	// proxyBufferSize is the most that a Proxy forwards at once, in bytes.
+	proxyBufferSize = 16 << 10
+	// dialTimeout is how long a Proxy waits for a connection to its server.
+	dialTimeout = time.Second
+)
+
+// Reasons why a proxy, not the server, ended a connection.
+const (
+	reasonReset    = "reset on the way"
+	reasonDial     = "no connection to the far side"
+	reasonNotFound = "not carried"
+)
 
-	mu    sync.Mutex
-	wake  *sync.Cond
-	to    string
-	delay time.Duration
-	stall bool
-	over  bool
-	conns map[string]*carried // by the address of who connects
+// Proxy is a proxy for the connections from clients to a server, which carry data in both directions. It records when each byte was
+// delivered to the server and when the server closed a connection, so that a test can judge the server by what it received, not by what
+// was sent to it. Its methods are safe for concurrent use.
+type Proxy struct {
+	server   string
+	listener net.Listener
+
+	mu      sync.Mutex
+	changed *sync.Cond // stalled, closed or the reason of a connection changed
+	delay   time.Duration
+	stalled bool
+	closed  bool
+	conns   map[string]*proxyConn // by the client's address
 }
 
-// carried is one connection.
-type carried struct {
-	client, far net.Conn
-	handed      []handed
-	farEnded    time.Time
-	broken      string // why it ended, where that is the proxy's doing
+// proxyConn is one connection of a Proxy, guarded by the proxy's mutex.
+type proxyConn struct {
+	client       net.Conn
+	server       net.Conn // nil until it is connected
+	deliveries   []delivery
+	serverClosed time.Time
+	reason       string // why the proxy ended it; empty: it did not
 }
 
-// handed is that so many bytes were with the far side at a moment.
-type handed struct {
+// delivery records how many bytes of a connection the server had been handed at a time.
+type delivery struct {
 	bytes int64
 	at    time.Time
 }
 
-// Errors of what a proxy did to a connection.
-const (
-	brokenReset   = "reset on the way"
-	brokenNoDial  = "no connection to the far side"
-	brokenUnknown = "not carried"
-)
-
-// NewProxy listens on loopback for connections to that address.
-func NewProxy(to string) (*Proxy, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// NewProxy returns a proxy of the given address that listens on a loopback address until Close.
+func NewProxy(server string) (*Proxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{ln: ln, to: to, conns: map[string]*carried{}}
-	p.wake = sync.NewCond(&p.mu)
-	go fake.AcceptAll(ln, p.carry)
+	p := &Proxy{server: server, listener: listener, conns: map[string]*proxyConn{}}
+	p.changed = sync.NewCond(&p.mu)
+	go fake.AcceptAll(listener, p.forward)
 	return p, nil
 }
 
-// Address is where it listens.
-func (p *Proxy) Address() string { return p.ln.Addr().String() }
+// Address returns the address that the proxy listens on.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Delay has each stretch wait that long, each way.
-func (p *Proxy) Delay(d time.Duration) {
+// Delay delays all data by the given time in each direction.
+func (p *Proxy) Delay(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.delay = d
+	p.delay = delay
 }
 
-// Stall keeps connections open and lets nothing through, until told otherwise.
+// Stall keeps connections open and forwards nothing while it is on.
 func (p *Proxy) Stall(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stall = on
-	p.wake.Broadcast()
+	p.stalled = on
+	p.changed.Broadcast()
 }
 
-// Reset ends all present connections at once, with what is on its way.
+// Reset resets all connections, with the data on its way. New connections are carried as before.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.conns {
-		if c.broken == "" && c.farEnded.IsZero() {
-			c.broken = brokenReset
+	for _, conn := range p.conns {
+		if conn.reason == "" && conn.serverClosed.IsZero() {
+			conn.reason = reasonReset
 		}
-		fake.ResetConn(c.client)
-		fake.ResetConn(c.far)
+		fake.ResetConn(conn.client)
+		fake.ResetConn(conn.server)
 	}
-	p.wake.Broadcast()
+	p.changed.Broadcast()
 }
 
-// StopAccepting closes the listener; connections that are open go on.
-func (p *Proxy) StopAccepting() { _ = p.ln.Close() }
+// StopAccepting closes the listener. Open connections are carried on.
+func (p *Proxy) StopAccepting() { _ = p.listener.Close() }
 
-// Close ends it.
+// Close closes the listener and resets all connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
-	p.over = true
+	p.closed = true
 	p.mu.Unlock()
-	_ = p.ln.Close()
+	_ = p.listener.Close()
 	p.Reset()
 }
 
-// DeliveredAt tells when the far side had so many bytes of the connection from that address; false: it never did.
+// DeliveredAt returns when the server had been handed that many bytes of the connection from the given client address, and whether it
+// ever was.
 func (p *Proxy) DeliveredAt(client string, bytes int64) (at time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.conns[client]; c != nil {
-		for _, h := range c.handed {
-			if h.bytes >= bytes {
-				return h.at, true
-			}
+	conn := p.conns[client]
+	if conn == nil {
+		return time.Time{}, false
+	}
+	for _, delivered := range conn.deliveries {
+		if delivered.bytes >= bytes {
+			return delivered.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// ClosedAt tells when the far side ended the connection from that address, and why it ended where that is not the far side's doing.
-func (p *Proxy) ClosedAt(client string) (at time.Time, broken string) {
+// ClosedAt returns when the server closed the connection from the given client address, zero if it did not, and the reason if the proxy
+// ended the connection instead.
+func (p *Proxy) ClosedAt(client string) (at time.Time, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.conns[client]
-	if c == nil {
-		return time.Time{}, brokenUnknown
+	conn := p.conns[client]
+	if conn == nil {
+		return time.Time{}, reasonNotFound
 	}
-	return c.farEnded, c.broken
+	return conn.serverClosed, conn.reason
 }
 
-func (p *Proxy) carry(client net.Conn) {
+// forward carries one connection until both directions have ended.
+func (p *Proxy) forward(client net.Conn) {
+	conn := &proxyConn{client: client}
 	p.mu.Lock()
-	to := p.to
-	c := &carried{client: client}
-	p.conns[client.RemoteAddr().String()] = c
+	p.conns[client.RemoteAddr().String()] = conn
 	p.mu.Unlock()
-	far, err := net.DialTimeout("tcp", to, time.Second)
-	p.mu.Lock()
-	if err != nil || p.over || c.broken != "" {
-		if c.broken == "" {
-			c.broken = brokenNoDial
-		}
-		p.mu.Unlock()
+	server, err := net.DialTimeout("tcp", p.server, dialTimeout)
+	if !p.connected(conn, server, err) {
 		fake.ResetConn(client)
-		fake.ResetConn(far)
+		fake.ResetConn(server)
 		return
 	}
-	c.far = far
-	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.toFar(c) })
-	both.Go(func() { p.toClient(c) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forwardToServer(conn) })
+	directions.Go(func() { p.forwardToClient(conn) })
+	directions.Wait()
 	_ = client.Close()
-	_ = far.Close()
+	_ = server.Close()
+}
+
+// connected records the connection to the server, and reports whether the client's is to be carried.
+func (p *Proxy) connected(conn *proxyConn, server net.Conn, err error) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err != nil || p.closed || conn.reason != "" {
+		if conn.reason == "" {
+			conn.reason = reasonDial
+		}
+		return false
+	}
+	conn.server = server
+	return true
 }
 
-// pass waits while nothing is let through, then for the delay.
-func (p *Proxy) pass(c *carried) {
+// injectFaults waits for the end of a stall, then for the delay.
+func (p *Proxy) injectFaults(conn *proxyConn) {
 	p.mu.Lock()
-	for p.stall && !p.over && c.broken == "" {
-		p.wake.Wait()
+	for p.stalled && !p.closed && conn.reason == "" {
+		p.changed.Wait()
 	}
 	delay := p.delay
 	p.mu.Unlock()
 	time.Sleep(delay)
 }
 
-func (p *Proxy) toFar(c *carried) {
-	buf, sum := make([]byte, 16<<10), int64(0)
+func (p *Proxy) forwardToServer(conn *proxyConn) {
+	buf := make([]byte, proxyBufferSize)
+	total := int64(0)
 	for {
-		n, err := c.client.Read(buf)
+		n, err := conn.client.Read(buf)
 		if err != nil {
-			if tcp, ok := c.far.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite()
-			}
+			closeWrite(conn.server)
 			return
 		}
-		p.pass(c)
-		if _, err := c.far.Write(buf[:n]); err != nil {
-			p.farGone(c, err)
-			_, _ = io.Copy(io.Discard, c.client)
+		p.injectFaults(conn)
+		if _, err := conn.server.Write(buf[:n]); err != nil {
+			p.recordServerClosed(conn, err)
+			_, _ = io.Copy(io.Discard, conn.client)
 			return
 		}
-		sum += int64(n)
+		total += int64(n)
 		p.mu.Lock()
-		c.handed = append(c.handed, handed{sum, time.Now()})
+		conn.deliveries = append(conn.deliveries, delivery{bytes: total, at: time.Now()})
 		p.mu.Unlock()
 	}
 }
 
-func (p *Proxy) toClient(c *carried) {
-	buf := make([]byte, 16<<10)
+func (p *Proxy) forwardToClient(conn *proxyConn) {
+	buf := make([]byte, proxyBufferSize)
 	for {
-		n, err := c.far.Read(buf)
+		n, err := conn.server.Read(buf)
 		if err != nil {
-			p.farGone(c, err)
-			p.pass(c)
-			if tcp, ok := c.client.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite()
-			}
+			p.recordServerClosed(conn, err)
+			p.injectFaults(conn)
+			closeWrite(conn.client)
 			return
 		}
-		p.pass(c)
-		if _, err := c.client.Write(buf[:n]); err != nil {
+		p.injectFaults(conn)
+		if _, err := conn.client.Write(buf[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// farGone notes that the far side ended a connection.
-func (p *Proxy) farGone(c *carried, err error) {
+// recordServerClosed records that the server closed a connection, unless the proxy has ended it.
+func (p *Proxy) recordServerClosed(conn *proxyConn, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.farEnded.IsZero() && c.broken == "" && !errors.Is(err, net.ErrClosed) {
-		c.farEnded = time.Now()
+	if conn.serverClosed.IsZero() && conn.reason == "" && !errors.Is(err, net.ErrClosed) {
+		conn.serverClosed = time.Now()
+	}
+}
+
+// closeWrite half-closes a TCP connection.
+func closeWrite(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
 	}
 }
--- a/internal/harness/claim_load.go
+++ b/internal/harness/claim_load.go
@@ -5,83 +5,94 @@
 	"fmt"
 	"frosthub/internal/fake"
 	"math/rand/v2"
+	"net/http"
 	"sync"
 	"time"
 )
 
-// ClaimLoad is a load of reqs that must not run twice: each key is a body, sent under a new id with every try, unmarked, until it is
-// served, and again after that.
+const (
+	// maxAttempts is the number of attempts after which a caller gives up a key.
+	maxAttempts = 40
+	// maxFailures is the number of failures after which a caller gives up a key: its outcome is unknown, and no retry will change that.
+	maxFailures = 3
+)
+
+// ClaimLoad is a load of requests that must not run twice. Each key is a body, sent under a new request ID in each attempt until it is
+// served, and repeated after that. The exported fields may not change while Run runs.
 type ClaimLoad struct {
 	Handler       string
-	Callers       int           // keys in hand at a time
-	Keys          int           // a caller goes on until it has served so many, or the context is done; 0 only then
-	Repeats       int           // of each that was served
-	LateShare     float64       // share of the repeats that come long after, among other keys
-	Pause         time.Duration // between tries
-	Timeout       time.Duration // for an answer
+	Callers       int           // keys in flight at a time
+	Keys          int           // keys of each caller; 0: until the context is done
+	Repeats       int           // repeats of each key that was served
+	LateShare     float64       // share of the repeats that are of a random earlier key
+	Pause         time.Duration // between attempts
+	Timeout       time.Duration // of an attempt
 	CostMS        float64
 	Padding       int // bytes of a body beyond its key
 	Customer      string
-	SendCreatedAt bool                // each try says when its key was first made
-	OnLatency     func(time.Duration) // hears how long each served try took; nil: nobody does
+	SendCreatedAt bool                // send with each attempt when its key was created
+	OnLatency     func(time.Duration) // called with the latency of each served attempt, one call at a time; may be nil
 
-	mu      sync.Mutex
-	history []HistoryEvent
-	began   int64
-	of      map[string]*ClaimRecord
-	list    []string
-	wrong   []string
+	mu         sync.Mutex
+	history    []HistoryEvent
+	began      int64                   // of the first Run, in Unix nanoseconds
+	records    map[string]*ClaimRecord // by key
+	keys       []string                // in the order of their creation
+	violations []string
 }
 
-// ClaimRecord is what its callers know of a key.
+// ClaimRecord is what the callers know of a key.
 type ClaimRecord struct {
-	First       string // the first answer that served it
-	Served      int
-	Failed      int // tries answered so before that
-	Rejected    int
-	CreatedAt   int64
-	Interrupted int // tries whose connection ended, or that got no answer in time
+	First       string // result of the first attempt that was served
+	Served      int    // attempts served
+	Failed      int    // attempts answered with an error
+	Rejected    int    // attempts rejected
+	CreatedAt   int64  // in Unix milliseconds
+	Interrupted int    // attempts whose connection ended, or that timed out
 }
 
-// Run asks until the context is done; ask gives the asker for a try.
-func (l *ClaimLoad) Run(ctx context.Context, seed uint64, ask func(n uint64) fake.Client) {
+// Run sends requests until the context is done or each caller has sent its keys. clientFor returns the client for an attempt, by a
+// random number.
+func (l *ClaimLoad) Run(ctx context.Context, seed uint64, clientFor func(random uint64) fake.Client) {
 	l.mu.Lock()
-	if l.of == nil {
-		l.of, l.began = map[string]*ClaimRecord{}, time.Now().UnixNano()
+	if l.records == nil {
+		l.records = map[string]*ClaimRecord{}
+		l.began = time.Now().UnixNano()
 	}
 	l.mu.Unlock()
-	var all sync.WaitGroup
+	var callers sync.WaitGroup
 	for i := range l.Callers {
-		all.Go(func() {
-			r := rand.New(rand.NewPCG(seed, uint64(i)))
+		callers.Go(func() {
+			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			for n := 0; ctx.Err() == nil && (l.Keys == 0 || n < l.Keys); n++ {
-				l.claim(ctx, r, fmt.Sprintf("claim %x-%d-%d%*s", seed, i, n, l.Padding, ""), ask)
+				key := fmt.Sprintf("claim %x-%d-%d%*s", seed, i, n, l.Padding, "")
+				l.claim(ctx, random, key, clientFor)
 			}
 		})
 	}
-	all.Wait()
+	callers.Wait()
 }
 
-// claim sends one until it is served and repeated, or errored for good.
-func (l *ClaimLoad) claim(ctx context.Context, r *rand.Rand, key string, ask func(n uint64) fake.Client) {
+// claim sends a key until it is served and repeated, or given up.
+func (l *ClaimLoad) claim(ctx context.Context, random *rand.Rand, key string, clientFor func(uint64) fake.Client) {
+	record := &ClaimRecord{CreatedAt: time.Now().UnixMilli()}
 	l.mu.Lock()
-	c := &ClaimRecord{CreatedAt: time.Now().UnixMilli()}
-	l.of[key] = c
-	l.list = append(l.list, key)
+	l.records[key] = record
+	l.keys = append(l.keys, key)
 	l.mu.Unlock()
-	for tries, repeats := 0, 0; ctx.Err() == nil && tries < 40 && repeats < l.Repeats+1; tries++ {
-		at := key
-		if c.Served > 0 && r.Float64() < l.LateShare {
-			l.mu.Lock()
-			at = l.list[r.IntN(len(l.list))]
-			l.mu.Unlock()
-		}
-		status := l.try(r, at, ask)
-		if status == 200 {
-			repeats++
+	served := 0
+	for attempt := 0; ctx.Err() == nil && attempt < maxAttempts && served < l.Repeats+1; attempt++ {
+		target := key
+		if record.Served > 0 && random.Float64() < l.LateShare {
+			target = l.randomKey(random)
 		}
-		if status == 500 && at == key && c.Failed > 3 {
-			return // it is in doubt: another try won't help
+		switch l.attempt(random, target, clientFor) {
+		case http.StatusOK:
+			served++
+		case http.StatusInternalServerError:
+			if target == key && record.Failed > maxFailures {
+				return
+			}
 		}
 		select {
 		case <-ctx.Done():
@@ -90,100 +101,150 @@
 	}
 }
 
-func (l *ClaimLoad) try(r *rand.Rand, key string, ask func(n uint64) fake.Client) int {
+func (l *ClaimLoad) randomKey(random *rand.Rand) string {
 	l.mu.Lock()
-	c := l.of[key]
-	known := c.First != ""
+	defer l.mu.Unlock()
+	return l.keys[random.IntN(len(l.keys))]
+}
+
+// attempt sends a key once and returns the status that the response amounts to: 200 if it is served, 503 if it is rejected, 0 if there
+// is none, 500 otherwise.
+func (l *ClaimLoad) attempt(random *rand.Rand, key string, clientFor func(uint64) fake.Client) int {
+	l.mu.Lock()
+	record := l.records[key]
+	servedBefore := record.First != ""
 	l.mu.Unlock()
-	n, began := r.Uint64(), time.Now()
-	req := fake.Request{
-		ID: n | 1, Handler: l.Handler, Caller: r.IntN(4), Start: time.Now().UnixMilli(), CostMS: l.CostMS, Body: key,
+	number := random.Uint64()
+	sentAt := time.Now()
+	request := fake.Request{
+		ID:       number | 1,
+		Handler:  l.Handler,
+		Caller:   random.IntN(4),
+		Start:    time.Now().UnixMilli(),
+		CostMS:   l.CostMS,
+		Body:     key,
 		Customer: l.Customer,
 	}
 	if l.SendCreatedAt {
-		req.CreatedAt = c.CreatedAt
+		request.CreatedAt = record.CreatedAt
 	}
-	got, o := ask(n).RoundTrip(&req, l.Timeout)
+	response, outcome := clientFor(number).RoundTrip(&request, l.Timeout)
+	status := statusOf(response, outcome)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if served := o == fake.Served && got.Status == 200; served || o == fake.Failed || o == fake.Served && got.Status != 503 {
-		l.history = append(l.history, HistoryEvent{Key: key, Served: served, Result: got.Body, Asked: began.UnixNano(), Heard: time.Now().UnixNano()})
+	switch status {
+	case http.StatusServiceUnavailable:
+		record.Rejected++
+		return status
+	case 0:
+		record.Interrupted++
+		return status
+	}
+	l.history = append(l.history, HistoryEvent{
+		Key:    key,
+		Served: status == http.StatusOK,
+		Result: response.Body,
+		Asked:  sentAt.UnixNano(),
+		Heard:  time.Now().UnixNano(),
+	})
+	if status == http.StatusOK {
+		l.recordServed(record, key, response.Body, sentAt)
+		return status
 	}
+	record.Failed++
+	if servedBefore {
+		l.violations = append(l.violations, fmt.Sprintf("%s: served, and failed later (%d)", key, response.Status))
+	}
+	return status
+}
+
+// statusOf returns the status that the result of a round trip amounts to, as attempt does.
+func statusOf(response fake.Response, outcome fake.Outcome) int {
 	switch {
-	case o == fake.Rejected || o == fake.Served && got.Status == 503:
-		c.Rejected++
-		return 503
-	case o != fake.Served && o != fake.Failed:
-		c.Interrupted++
+	case outcome == fake.Rejected:
+		return http.StatusServiceUnavailable
+	case outcome == fake.Failed:
+		return http.StatusInternalServerError
+	case outcome != fake.Served:
 		return 0
-	case o == fake.Served && got.Status == 200:
-		if c.First == "" {
-			c.First = got.Body
-		}
-		if c.First != got.Body {
-			l.wrong = append(l.wrong, fmt.Sprintf("%s: answered %q first and %q later", key, c.First, got.Body))
-		}
-		c.Served++
-		if l.OnLatency != nil {
-			l.OnLatency(time.Since(began))
-		}
-		return 200
+	case response.Status == http.StatusOK || response.Status == http.StatusServiceUnavailable:
+		return response.Status
+	}
+	return http.StatusInternalServerError
+}
+
+// recordServed records a result, which must be that of the key's first. The caller holds the mutex.
+func (l *ClaimLoad) recordServed(record *ClaimRecord, key, result string, sentAt time.Time) {
+	if record.First == "" {
+		record.First = result
+	}
+	if record.First != result {
+		l.violations = append(l.violations, fmt.Sprintf("%s: answered %q first and %q later", key, record.First, result))
 	}
-	c.Failed++
-	if known {
-		l.wrong = append(l.wrong, fmt.Sprintf("%s: served, and errored later (%d)", key, got.Status))
+	record.Served++
+	if l.OnLatency != nil {
+		l.OnLatency(time.Since(sentAt))
 	}
-	return 500
 }
 
-// linear tells whether one run a key, at some time after it was first asked for, explains all answers.
-func (l *ClaimLoad) linear() (string, bool) {
+// linearizable reports whether one run of each key, at some time after it was first requested, explains all responses. If not, it
+// describes a key's history.
+func (l *ClaimLoad) linearizable() (violation string, ok bool) {
 	events := append([]HistoryEvent(nil), l.history...)
-	first, last := map[string]int64{}, map[string]int64{}
-	result := map[string]string{}
-	for _, e := range l.history {
-		if at, ok := first[e.Key]; !ok || e.Asked < at {
-			first[e.Key] = e.Asked
+	firstAsked := map[string]int64{}
+	lastHeard := map[string]int64{}
+	results := map[string]string{}
+	for _, event := range l.history {
+		if at, ok := firstAsked[event.Key]; !ok || event.Asked < at {
+			firstAsked[event.Key] = event.Asked
 		}
-		if e.Served && result[e.Key] == "" {
-			result[e.Key] = e.Result
+		if event.Served && results[event.Key] == "" {
+			results[event.Key] = event.Result
 		}
-		last[e.Key] = max(last[e.Key], e.Heard)
+		lastHeard[event.Key] = max(lastHeard[event.Key], event.Heard)
 	}
-	for key, at := range first { // its time is not known beyond that
-		events = append(events, HistoryEvent{Key: key, Ran: true, Result: result[key], Asked: min(at, l.began), Heard: last[key]})
+	for key, at := range firstAsked { // when it ran is not known any closer
+		events = append(events, HistoryEvent{Key: key, Ran: true, Result: results[key], Asked: min(at, l.began), Heard: lastHeard[key]})
 	}
 	return Linearizable(events)
 }
 
-// ClaimTotals are what became of all.
-type ClaimTotals struct{ Keys, Served, Answers, OutcomeUnknown, Rejected, Interrupted int }
+// ClaimTotals counts keys and attempts of a ClaimLoad.
+type ClaimTotals struct {
+	Keys           int
+	Served         int // keys that were served
+	Answers        int // attempts that were served
+	OutcomeUnknown int // keys that failed and were never served
+	Rejected       int // attempts
+	Interrupted    int // attempts
+}
 
-// Verify holds what callers know against the effects that were counted, and says what is wrong.
+// Verify checks what the callers know against the counted effects, by key, and describes each violation: keys that ran more than once,
+// that were served and never ran, or whose responses are not linearizable.
 func (l *ClaimLoad) Verify(effects map[string]int) (ClaimTotals, []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wrong := append([]string(nil), l.wrong...)
-	if bad, ok := l.linear(); !ok {
-		wrong = append(wrong, "no order explains "+bad)
-	}
-	var s ClaimTotals
-	for key, c := range l.of {
-		s.Keys++
-		s.Answers += c.Served
-		s.Rejected += c.Rejected
-		s.Interrupted += c.Interrupted
-		switch n := effects[key]; {
-		case n > 1:
-			wrong = append(wrong, fmt.Sprintf("%s ran %d times", key, n))
-		case n == 0 && c.Served > 0:
-			wrong = append(wrong, fmt.Sprintf("%s: served, and it never ran", key))
+	violations := append([]string(nil), l.violations...)
+	if violation, ok := l.linearizable(); !ok {
+		violations = append(violations, "not linearizable: "+violation)
+	}
+	var totals ClaimTotals
+	for key, record := range l.records {
+		totals.Keys++
+		totals.Answers += record.Served
+		totals.Rejected += record.Rejected
+		totals.Interrupted += record.Interrupted
+		switch runs := effects[key]; {
+		case runs > 1:
+			violations = append(violations, fmt.Sprintf("%s ran %d times", key, runs))
+		case runs == 0 && record.Served > 0:
+			violations = append(violations, fmt.Sprintf("%s: served, and it never ran", key))
 		}
-		if c.Served > 0 {
-			s.Served++
-		} else if c.Failed > 0 {
-			s.OutcomeUnknown++
+		if record.Served > 0 {
+			totals.Served++
+		} else if record.Failed > 0 {
+			totals.OutcomeUnknown++
 		}
 	}
-	return s, wrong
+	return totals, violations
 }
--- a/internal/harness/event_queue.go
+++ b/internal/harness/event_queue.go
@@ -5,45 +5,61 @@
 	"time"
 )
 
-// EventQueue is the time of a simulation, and what happens in it: in the order of its moments, and of one moment in that in which it was asked for.
+// EventQueue is the clock of a discrete-event simulation and its scheduled events. Events run in the order of their times, events of
+// the same time in the order in which they were scheduled. It is not safe for concurrent use.
 type EventQueue struct {
-	Now   time.Duration
-	queue happenings
-	seq   int
+	Now time.Duration
+
+	events    eventHeap
+	scheduled int
+}
+
+// event is a scheduled call.
+type event struct {
+	at     time.Duration
+	number int // in the order of scheduling
+	call   func()
 }
 
-type happening struct {
-	at  time.Duration
-	seq int
-	do  func()
+// eventHeap implements heap.Interface.
+type eventHeap []event
+
+func (h eventHeap) Len() int { return len(h) }
+
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].number < h[j].number
 }
 
-type happenings []happening
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+
+func (h *eventHeap) Pop() any {
+	last := len(*h) - 1
+	popped := (*h)[last]
+	*h = (*h)[:last]
+	return popped
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any     { old := *h; x := old[len(old)-1]; *h = old[:len(old)-1]; return x }
-
-// After has something happen later.
-func (s *EventQueue) After(d time.Duration, do func()) {
-	s.seq++
-	heap.Push(&s.queue, happening{s.Now + d, s.seq, do})
+
+// After schedules a call after the given time.
+func (q *EventQueue) After(delay time.Duration, call func()) {
+	q.scheduled++
+	heap.Push(&q.events, event{at: q.Now + delay, number: q.scheduled, call: call})
 }
 
-// Next has what comes next happen, if that is by then, and tells whether it did.
-func (s *EventQueue) Next(by time.Duration) bool {
-	if len(s.queue) == 0 || s.queue[0].at > by {
+// Next advances the clock to the next event and runs it, if there is one until the given time, and reports whether it did.
+func (q *EventQueue) Next(until time.Duration) bool {
+	if len(q.events) == 0 || q.events[0].at > until {
 		return false
 	}
-	h := heap.Pop(&s.queue).(happening)
-	s.Now = h.at
-	h.do()
+	next := heap.Pop(&q.events).(event)
+	q.Now = next.at
+	next.call()
 	return true
 }
 
-// Count is how much has been asked for so far.
-func (s *EventQueue) Count() int { return s.seq }
+// Count returns the number of events scheduled so far.
+func (q *EventQueue) Count() int { return q.scheduled }
--- a/internal/harness/exchange_log.go
+++ b/internal/harness/exchange_log.go
@@ -7,111 +7,129 @@
 	"time"
 )
 
-// CrossingWindow is how long before the end of a connection a request may be written and still count as one that crossed it: the
+// CrossingWindow is how long before the end of a connection a request may be sent and still count as one that crossed the end: the
 // protocol has its edge node send it again, once, on a new connection.
 const CrossingWindow = 50 * time.Millisecond
 
-// Exchange is one request as its edge node saw it, all times of one monotonic clock.
+// Exchange is one request as its edge node saw it. All times are of one monotonic clock.
 type Exchange struct {
 	ID          uint64
 	Handler     string
 	Node        string
-	SentAt      time.Time // the last byte; zero: not written whole
-	RespondedAt time.Time // the final answer was read whole; zero: none
-	ClosedAt    time.Time // its connection ended without one; zero: it did not
+	SentAt      time.Time // when its last byte was written, or delivered to the node
+	RespondedAt time.Time // when its response was read completely; zero: there is none
+	ClosedAt    time.Time // when its connection ended without a response; zero: it did not
 	Outcome     fake.Outcome
-	Excuse      string // why no answer is owed: a fault on the way, the edge node's own end, a node that was killed
+	Excuse      string // why no response is due: a network fault, the edge node's own close, a killed node; empty: one is due
 }
 
-// ExchangeLog is what edge nodes saw of all their requests. It is the judge of the rule on lost requests: unlike a node's own book it
-// knows of requests that the node never entered anywhere.
+// crossedClose reports whether the request crossed the end of its connection.
+func (x *Exchange) crossedClose() bool {
+	return x.RespondedAt.IsZero() && x.Excuse == "" && !x.ClosedAt.IsZero() && x.ClosedAt.Sub(x.SentAt) <= CrossingWindow
+}
+
+// violation describes the rule that the exchange breaks, empty if none.
+func (x *Exchange) violation() string {
+	if x.Outcome == fake.Wrong {
+		return fmt.Sprintf("%s %016x: a result that no run produced", x.Node, x.ID)
+	}
+	if !x.RespondedAt.IsZero() || x.Excuse != "" {
+		return ""
+	}
+	if x.ClosedAt.IsZero() {
+		return fmt.Sprintf("%s %016x: still open", x.Node, x.ID)
+	}
+	if age := x.ClosedAt.Sub(x.SentAt); age > CrossingWindow {
+		return fmt.Sprintf("%s %016x: unanswered, its connection ended %v after it was sent", x.Node, x.ID, age.Round(time.Millisecond))
+	}
+	return ""
+}
+
+// ExchangeLog is what edge nodes saw of all their requests. Unlike a node's own accounting it includes requests that the node has
+// never recorded, so a test judges by it whether requests were lost. It is safe for concurrent use.
 type ExchangeLog struct {
-	mu  sync.Mutex
-	all map[uint64]*Exchange
-	bad []string // answers that nobody may give
+	mu         sync.Mutex
+	exchanges  map[uint64]*Exchange // by request ID
+	violations []string             // responses that are never right
 }
 
-// NewExchangeLog returns an empty ledger.
-func NewExchangeLog() *ExchangeLog { return &ExchangeLog{all: map[uint64]*Exchange{}} }
+// NewExchangeLog returns an empty log.
+func NewExchangeLog() *ExchangeLog { return &ExchangeLog{exchanges: map[uint64]*Exchange{}} }
 
-// RecordSent enters a request whose last byte was written.
+// RecordSent records a request whose last byte was written.
 func (l *ExchangeLog) RecordSent(node string, id uint64, handler string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all[id] = &Exchange{ID: id, Handler: handler, Node: node, SentAt: at, Outcome: fake.Sent}
+	l.exchanges[id] = &Exchange{ID: id, Handler: handler, Node: node, SentAt: at, Outcome: fake.Sent}
 }
 
-// RecordDelivered enters when the node had a request that something carried to it.
+// RecordDelivered records when a proxy had delivered a request to the node, which then counts as the time it was sent.
 func (l *ExchangeLog) RecordDelivered(id uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if x := l.all[id]; x != nil {
-		x.SentAt = at
+	if exchange := l.exchanges[id]; exchange != nil {
+		exchange.SentAt = at
 	}
 }
 
-// RecordResponse enters a final answer; a second one breaks the rule on duplicates.
-func (l *ExchangeLog) RecordResponse(id uint64, o fake.Outcome, at time.Time) {
+// RecordResponse records a response. A second one is a violation.
+func (l *ExchangeLog) RecordResponse(id uint64, outcome fake.Outcome, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x := l.all[id]
+	exchange := l.exchanges[id]
 	switch {
-	case x == nil:
-		l.bad = append(l.bad, fmt.Sprintf("%016x: an answer to what was not asked", id))
-	case !x.RespondedAt.IsZero():
-		l.bad = append(l.bad, fmt.Sprintf("%016x: a second answer, %s after %s", id, o, x.Outcome))
+	case exchange == nil:
+		l.violations = append(l.violations, fmt.Sprintf("%016x: a response to a request that was not sent", id))
+	case !exchange.RespondedAt.IsZero():
+		l.violations = append(l.violations, fmt.Sprintf("%016x: a second response, %s after %s", id, outcome, exchange.Outcome))
 	default:
-		x.RespondedAt, x.Outcome = at, o
+		exchange.RespondedAt = at
+		exchange.Outcome = outcome
 	}
 }
 
-// RecordClosed enters that a request's connection ended without its answer; excuse is empty where the node ended it.
+// RecordClosed records that a request's connection ended without its response. The excuse is empty if the node closed it.
 func (l *ExchangeLog) RecordClosed(id uint64, at time.Time, excuse string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if x := l.all[id]; x != nil && x.RespondedAt.IsZero() {
-		x.ClosedAt, x.Excuse = at, excuse
+	if exchange := l.exchanges[id]; exchange != nil && exchange.RespondedAt.IsZero() {
+		exchange.ClosedAt = at
+		exchange.Excuse = excuse
 	}
 }
 
-// All gives a copy of each exchange.
+// All returns a copy of each exchange, in no particular order.
 func (l *ExchangeLog) All() []Exchange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]Exchange, 0, len(l.all))
-	for _, x := range l.all {
-		out = append(out, *x)
+	all := make([]Exchange, 0, len(l.exchanges))
+	for _, exchange := range l.exchanges {
+		all = append(all, *exchange)
 	}
-	return out
+	return all
 }
 
-// Violations tells, a line each, which requests broke the rules on lost requests and on duplicates: those whose connection the node ended
-// without an answer and not within the window of a crossing, and answers that nobody may give. What was answered wrongly counts as well.
+// Violations describes each violation of the rules on lost and duplicate responses: requests whose connection the node closed without
+// a response and not within the crossing window, requests that are still open, second responses, and wrong results.
 func (l *ExchangeLog) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := append([]string(nil), l.bad...)
-	for _, x := range l.all {
-		switch {
-		case x.Outcome == fake.Wrong:
-			out = append(out, fmt.Sprintf("%s %016x: a result that no run made", x.Node, x.ID))
-		case !x.RespondedAt.IsZero() || x.Excuse != "":
-		case x.ClosedAt.IsZero():
-			out = append(out, fmt.Sprintf("%s %016x: still open", x.Node, x.ID))
-		case x.ClosedAt.Sub(x.SentAt) > CrossingWindow:
-			out = append(out, fmt.Sprintf("%s %016x: unanswered, its connection ended %v after it was written", x.Node, x.ID,
-				x.ClosedAt.Sub(x.SentAt).Round(time.Millisecond)))
+	violations := append([]string(nil), l.violations...)
+	for _, exchange := range l.exchanges {
+		if violation := exchange.violation(); violation != "" {
+			violations = append(violations, violation)
 		}
 	}
-	return out
+	return violations
 }
 
-// CrossedClose is how many requests crossed the orderly end of their connection.
-func (l *ExchangeLog) CrossedClose() (n int) {
-	for _, x := range l.All() {
-		if x.RespondedAt.IsZero() && x.Excuse == "" && !x.ClosedAt.IsZero() && x.ClosedAt.Sub(x.SentAt) <= CrossingWindow {
-			n++
+// CrossedClose returns the number of requests that crossed the orderly end of their connection.
+func (l *ExchangeLog) CrossedClose() int {
+	count := 0
+	for _, exchange := range l.All() {
+		if exchange.crossedClose() {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/harness/history.go
+++ b/internal/harness/history.go
@@ -3,41 +3,46 @@
 import (
 	"fmt"
 	"slices"
+	"strings"
 
 	"github.com/anishathalye/porcupine"
 )
 
-// HistoryEvent is what somebody saw of a key: a run that began, or an answer between asking and hearing it. Times are of one clock.
+// HistoryEvent is one operation on a key: a run that started, or a response, between its request and its arrival. All times are of one
+// clock.
 type HistoryEvent struct {
 	Key          string
-	Ran          bool
-	Served       bool // else errored
+	Ran          bool // a run; otherwise a response
+	Served       bool // of a response: a result; otherwise an error
 	Result       string
-	Asked, Heard int64
+	Asked, Heard int64 // when the operation was invoked and when it returned
 }
 
-// keyState is what a key's history has come to.
+// keyState is the state of a key in the sequential specification.
 type keyState struct {
-	ran, served bool
-	result      string
+	ran    bool
+	served bool
+	result string
 }
 
-// step tells whether an event may follow, and what then is so: one run; answers are its result, and none is an error after the first.
-func (s keyState) step(e HistoryEvent) (bool, keyState) {
+// step reports whether an event may follow in the state, and the state after it: a key runs once, each result is that of its run, and
+// no error follows a result.
+func (s keyState) step(event HistoryEvent) (bool, keyState) {
 	switch {
-	case e.Ran:
-		return !s.ran, keyState{ran: true, result: e.Result}
-	case e.Served:
-		return s.ran && s.result == e.Result, keyState{s.ran, true, s.result}
+	case event.Ran:
+		return !s.ran, keyState{ran: true, result: event.Result}
+	case event.Served:
+		return s.ran && s.result == event.Result, keyState{ran: s.ran, served: true, result: s.result}
 	}
 	return !s.served, s
 }
 
-// Linearizable tells whether each key's events can have happened one after the other, each within its time, and names a key for which not.
-func Linearizable(events []HistoryEvent) (bad string, ok bool) {
-	keys := map[string][]porcupine.Operation{}
-	for i, e := range events {
-		keys[e.Key] = append(keys[e.Key], porcupine.Operation{ClientId: i, Input: e, Call: e.Asked, Return: e.Heard})
+// Linearizable reports whether the events of each key are linearizable. If not, it describes the history of a key that is not.
+func Linearizable(events []HistoryEvent) (violation string, ok bool) {
+	histories := map[string][]porcupine.Operation{}
+	for i, event := range events {
+		operation := porcupine.Operation{ClientId: i, Input: event, Call: event.Asked, Return: event.Heard}
+		histories[event.Key] = append(histories[event.Key], operation)
 	}
 	model := porcupine.Model{
 		Init: func() any { return keyState{} },
@@ -46,15 +51,21 @@
 			return ok, next
 		},
 	}
-	for key, history := range keys {
+	for key, history := range histories {
 		if !porcupine.CheckOperations(model, history) {
-			slices.SortFunc(history, func(x, y porcupine.Operation) int { return int(x.Call - y.Call) })
-			text := key
-			for _, op := range history {
-				text += fmt.Sprintf("\n  %+v", op.Input)
-			}
-			return text, false
+			return describeHistory(key, history), false
 		}
 	}
 	return "", true
 }
+
+// describeHistory returns the key and its events in the order of their invocation, a line each.
+func describeHistory(key string, history []porcupine.Operation) string {
+	slices.SortFunc(history, func(x, y porcupine.Operation) int { return int(x.Call - y.Call) })
+	var text strings.Builder
+	text.WriteString(key)
+	for _, operation := range history {
+		_, _ = fmt.Fprintf(&text, "\n  %+v", operation.Input)
+	}
+	return text.String()
+}
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -10,33 +10,40 @@
 	"sync"
 	"syscall"
 	"time"
+)
 
-	"golang.org/x/sys/unix"
+const (
+	// maxPauseAtTransition is the longest pause of a process that is starting or ending.
+	maxPauseAtTransition = 100 * time.Millisecond
+	// reconfigureOverlap is how long the old addresses of processor and upstream stay connected after a move.
+	reconfigureOverlap = 1500 * time.Millisecond
+	// loggedLines is the number of log lines quoted in a violation.
+	loggedLines = 4
 )
 
-// Node is a real process with its processor, its next tier and the ways between them, all of which may fail; it is started anew under its name
-// and address whenever it ends.
+// Node is a real process with its processor, its upstream and the network between them, all of which may fail. It is restarted under
+// its name and address whenever it ends. Its methods are safe for concurrent use; the exported fields may not change after Start.
 type Node struct {
 	Name      string
 	Process   *Process
 	Processor *fake.Processor
 	Upstream  *fake.Upstream
-	EdgeProxy *faultproxy.Proxy // the way of edge nodes that fails
-	link      *faultproxy.Proxy // to the processor
-	calls     *faultproxy.Proxy // to the next tier
-	KillAfter time.Duration
+	EdgeProxy *faultproxy.Proxy // the way of edge nodes that faults are injected into
+	KillAfter time.Duration     // how long a drain may take
 
-	life sync.Mutex // held while the process starts, ends or moves
+	transition     sync.Mutex // held while the process starts, ends or is reconfigured
+	processorProxy *faultproxy.Proxy
+	upstreamProxy  *faultproxy.Proxy
 
 	mu         sync.Mutex
-	faults     map[string]bool // lines for the process
-	notified   []Drain
-	killed     []time.Time
+	faults     map[string]bool // active faults of the process, as lines of its fault file
+	drains     []Drain
+	kills      []time.Time
 	pauses     []Span
-	violations []string // what broke a rule by itself: a process that did not end in time, or not well
+	violations []string
 }
 
-// Span is a time from one moment to another; a zero To has not come.
+// Span is a span of time. A zero To means that it has not ended.
 type Span struct{ From, To time.Time }
 
 // Drain is a drain of a node's process.
@@ -45,15 +52,15 @@
 	EndedAt    time.Time
 }
 
-// NewNode prepares one; its process is not started.
+// NewNode returns a node whose process is not started.
 func NewNode(name, binary, dir string, cores float64, work func(uint64, string) time.Duration, seed uint64) (*Node, error) {
 	n := &Node{Name: name, faults: map[string]bool{}}
 	var err error
 	if n.Processor, err = fake.NewProcessor(cores, work); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("starting a processor: %w", err)
 	}
 	if n.Upstream, err = fake.NewUpstream(seed); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("starting an upstream: %w", err)
 	}
 	listen, err := FreeAddress()
 	if err != nil {
@@ -61,259 +68,146 @@
 	}
 	n.Process = &Process{Binary: binary, Dir: dir, Name: name, Listen: listen, ProcessorCores: int(cores)}
 	if n.EdgeProxy, err = faultproxy.NewProxy(listen); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("starting a proxy of edge nodes: %w", err)
 	}
-	return n, n.ways()
+	return n, n.newProxies()
 }
 
-// ways lays new ways to the processor and the next tier. Old ones are closed by who is told to.
-func (n *Node) ways() (err error) {
-	if n.link, err = faultproxy.NewProxy(n.Processor.Address()); err != nil {
-		return err
+// newProxies replaces the proxies of the processor and the upstream. The caller closes the old ones.
+func (n *Node) newProxies() (err error) {
+	if n.processorProxy, err = faultproxy.NewProxy(n.Processor.Address()); err != nil {
+		return fmt.Errorf("starting a proxy of the processor: %w", err)
 	}
-	if n.calls, err = faultproxy.NewProxy(n.Upstream.Address()); err != nil {
-		return err
+	if n.upstreamProxy, err = faultproxy.NewProxy(n.Upstream.Address()); err != nil {
+		return fmt.Errorf("starting a proxy of the upstream: %w", err)
 	}
-	n.Process.Processor, n.Process.Upstream = n.link.Address(), n.calls.Address()
+	n.Process.Processor = n.processorProxy.Address()
+	n.Process.Upstream = n.upstreamProxy.Address()
 	return nil
 }
 
-// Close ends all of it.
+// Close kills the process and closes everything around it.
 func (n *Node) Close() {
-	n.life.Lock()
-	defer n.life.Unlock()
+	n.transition.Lock()
+	defer n.transition.Unlock()
 	_ = n.Process.Signal(syscall.SIGCONT)
 	_ = n.Process.Kill()
 	n.Processor.Close()
 	n.Upstream.Close()
 	n.EdgeProxy.Close()
-	n.link.Close()
-	n.calls.Close()
+	n.processorProxy.Close()
+	n.upstreamProxy.Close()
 }
 
-// Start starts its process.
+// Start starts the process, and returns once it accepts connections.
 func (n *Node) Start() error {
-	n.life.Lock()
-	defer n.life.Unlock()
+	n.transition.Lock()
+	defer n.transition.Unlock()
 	return n.Process.Start()
 }
 
-func (n *Node) addViolation(format string, args ...any) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.violations = append(n.violations, n.Name+": "+fmt.Sprintf(format, args...))
-}
-
-// Violations tells what broke a rule by itself.
-func (n *Node) Violations() []string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return append([]string(nil), n.violations...)
-}
-
-// Drains gives its drains.
-func (n *Node) Drains() []Drain {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return append([]Drain(nil), n.notified...)
-}
-
-// KilledSince tells whether its process was killed since then: what it held is nobody's duty.
-func (n *Node) KilledSince(then time.Time) string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, at := range n.killed {
-		if at.After(then) {
-			return "the node was killed"
-		}
+// Drain sends SIGTERM and waits for the process to end, which it must do by itself, in time and without an error. If restart is set, it
+// then starts a new process.
+func (n *Node) Drain(restart bool) {
+	n.transition.Lock()
+	defer n.transition.Unlock()
+	notifiedAt := time.Now()
+	if err := n.Process.Signal(syscall.SIGTERM); err != nil {
+		n.addViolation("it had ended before its drain: %v; %s", err, lastLines(n.Process.Log()))
+	}
+	if err := n.waitForDrain(notifiedAt); err != nil {
+		n.addViolation("it ended with an error: %v; %s", err, lastLines(n.Process.Log()))
 	}
-	return ""
-}
-
-// Paused is for how long its process stood still between two moments.
-func (n *Node) Paused(from, to time.Time) (sum time.Duration) {
 	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, p := range n.pauses {
-		end := p.To
-		if end.IsZero() || end.After(to) {
-			end = to
-		}
-		start := p.From
-		if start.Before(from) {
-			start = from
-		}
-		sum += max(0, end.Sub(start))
+	n.drains = append(n.drains, Drain{NotifiedAt: notifiedAt, EndedAt: time.Now()})
+	n.mu.Unlock()
+	if restart {
+		n.restart()
 	}
-	return sum
 }
 
-// Drain gives the notice, waits for the end of the process, which has to come by itself and in time, and starts the next.
-func (n *Node) Drain(next bool) {
-	n.life.Lock()
-	defer n.life.Unlock()
-	at := time.Now()
-	if err := n.Process.Signal(syscall.SIGTERM); err != nil {
-		n.addViolation("it was gone before its notice: %v; %s", err, last(n.Process.Log()))
-	}
-	ended := make(chan error, 1)
-	go func() { ended <- n.Process.Wait() }()
+// waitForDrain waits for the process to end and returns its error. A process that takes too long is a violation, and killed; time during
+// which it was paused does not count.
+func (n *Node) waitForDrain(notifiedAt time.Time) error {
 	var err error
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		err = n.Process.Wait()
+	}()
+	timeout := n.KillAfter + n.Paused(notifiedAt, notifiedAt.Add(n.KillAfter))
 	select {
-	case err = <-ended:
-	case <-time.After(n.KillAfter + n.Paused(at, at.Add(n.KillAfter))):
-		n.addViolation("killed %v after its notice; %s", n.KillAfter, last(n.Process.Log()))
+	case <-ended:
+		return err
+	case <-time.After(timeout):
+		n.addViolation("killed %v after its notice; %s", n.KillAfter, lastLines(n.Process.Log()))
 		_ = n.Process.Signal(syscall.SIGKILL)
 		<-ended
-	}
-	if err != nil {
-		n.addViolation("it ended badly: %v; %s", err, last(n.Process.Log()))
-	}
-	n.mu.Lock()
-	n.notified = append(n.notified, Drain{at, time.Now()})
-	n.mu.Unlock()
-	if next {
-		n.again()
+		return nil // the process ended by the signal
 	}
 }
 
-// Kill kills the process and its processor's work, and starts the next.
+// Kill kills the process and starts a new one.
 func (n *Node) Kill() {
-	n.life.Lock()
-	defer n.life.Unlock()
+	n.transition.Lock()
+	defer n.transition.Unlock()
 	n.mu.Lock()
-	n.killed = append(n.killed, time.Now())
+	n.kills = append(n.kills, time.Now())
 	n.mu.Unlock()
 	if err := n.Process.Kill(); err != nil {
 		n.addViolation("not killed: %v", err)
 	}
-	n.again()
+	n.restart()
 }
 
-func (n *Node) again() {
+func (n *Node) restart() {
 	if err := n.Process.Start(); err != nil {
 		n.addViolation("it does not start: %v", err)
 	}
 }
 
-// Pause stops the process for a while.
-func (n *Node) Pause(d time.Duration) {
-	if !n.life.TryLock() { // it is starting or ending: a machine holds threads for so long at any line
-		d = min(d, 100*time.Millisecond)
+// Pause stops the process for the given time, or a shorter one if it is starting or ending.
+func (n *Node) Pause(duration time.Duration) {
+	if n.transition.TryLock() {
+		defer n.transition.Unlock()
 	} else {
-		defer n.life.Unlock()
+		duration = min(duration, maxPauseAtTransition)
 	}
 	n.mu.Lock()
+	index := len(n.pauses)
 	n.pauses = append(n.pauses, Span{From: time.Now()})
-	i := len(n.pauses) - 1
 	n.mu.Unlock()
 	_ = n.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(d)
+	time.Sleep(duration)
 	_ = n.Process.Signal(syscall.SIGCONT)
 	n.mu.Lock()
-	n.pauses[i].To = time.Now()
+	n.pauses[index].To = time.Now()
 	n.mu.Unlock()
 }
 
-// fail has a fault of the process be there for a while.
-func (n *Node) fail(line string, d time.Duration) {
-	set := func(on bool) {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		if delete(n.faults, line); on {
-			n.faults[line] = true
-		}
-		var lines []string
-		for l := range n.faults {
-			lines = append(lines, l)
-		}
-		_ = n.Process.InjectFaults(lines...)
-	}
-	set(true)
-	time.Sleep(d)
-	set(false)
-}
-
-// files has the process run out of descriptors for a while.
-func (n *Node) files(d time.Duration) {
-	n.life.Lock()
-	pid := n.Process.PID()
-	n.life.Unlock()
-	var before unix.Rlimit
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	if err != nil || unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &before) != nil {
-		return // it has just ended
-	}
-	_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(max(3, len(open)-1)), Max: before.Max}, nil)
-	time.Sleep(d)
-	before.Cur = before.Max // as a Go program has it; another fault like this one may have begun before
-	_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil)
-}
-
-// move gives the process other addresses of its processor and next tier; the old ones take nothing new, and are closed after a while.
-func (n *Node) move() {
-	n.life.Lock()
-	link, calls := n.link, n.calls
-	err := n.ways()
+// reconfigure moves the processor and the upstream to other addresses by a reload. The old ones accept nothing new at once, and are
+// closed after a while.
+func (n *Node) reconfigure() {
+	n.transition.Lock()
+	processorProxy := n.processorProxy
+	upstreamProxy := n.upstreamProxy
+	err := n.newProxies()
 	if err == nil {
 		err = n.Process.ReloadConfig()
 	}
-	n.life.Unlock()
+	n.transition.Unlock()
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
-		n.addViolation("not moved: %v", err)
-	}
-	link.StopAccepting()
-	calls.StopAccepting()
-	time.Sleep(1500 * time.Millisecond)
-	link.Close()
-	calls.Close()
-}
-
-// Inject has a fault happen to the node, and returns when it is over.
-func (n *Node) Inject(f PlannedFault) {
-	n.life.Lock()
-	link := n.link
-	n.life.Unlock()
-	switch f.Kind {
-	case FaultDrain:
-		n.Drain(true)
-	case FaultKill:
-		n.Kill()
-	case FaultPause:
-		n.Pause(f.For)
-	case FaultClock:
-		n.fail("clock "+f.Clock.String(), f.For)
-	case FaultSyscall:
-		n.fail(f.Call, f.For)
-	case FaultDescriptors:
-		n.files(f.For)
-	case FaultLinkReset:
-		link.Reset()
-	case FaultLinkStall:
-		link.Stall(true)
-		time.Sleep(f.For)
-		link.Stall(false)
-	case FaultEdgeReset:
-		n.EdgeProxy.Reset()
-	case FaultEdgeDelay:
-		n.EdgeProxy.Delay(f.For / 20)
-		time.Sleep(f.For)
-		n.EdgeProxy.Delay(0)
-	case FaultEdgeStall:
-		n.EdgeProxy.Stall(true)
-		time.Sleep(f.For)
-		n.EdgeProxy.Stall(false)
-	case FaultUpstream:
-		n.Upstream.SetFailureShare(0.3)
-		time.Sleep(f.For)
-		n.Upstream.SetFailureShare(0)
-	case FaultReconfigure:
-		n.move()
+		n.addViolation("not reconfigured: %v", err)
 	}
+	processorProxy.StopAccepting()
+	upstreamProxy.StopAccepting()
+	time.Sleep(reconfigureOverlap)
+	processorProxy.Close()
+	upstreamProxy.Close()
 }
 
-// last is the end of a log.
-func last(log string) string {
+// lastLines returns the last lines of a log in one line.
+func lastLines(log string) string {
 	lines := strings.Split(strings.TrimSpace(log), "\n")
-	return strings.Join(lines[max(0, len(lines)-4):], " | ")
+	return strings.Join(lines[max(0, len(lines)-loggedLines):], " | ")
 }
--- a/internal/harness/power_loss.go
+++ b/internal/harness/power_loss.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"frosthub/internal/fake"
 	"io/fs"
 	"math/rand/v2"
@@ -11,87 +12,118 @@
 	"strings"
 )
 
-// Names as a box built with the tag powerloss notes them beside its files.
+// Names of the files in which a program built with the tag powerloss records what is not durable yet.
 const (
-	durableMark = ".durable."
-	pendingName = ".pending"
+	durablePrefix = ".durable."
+	pendingName   = ".pending"
 )
 
-// CutPower leaves of the folder of a box that was killed what a loss of power in that moment could have left: of each file what was confirmed
-// and some of the rest, whole sectors of it perhaps never written, and some of the changes of names that were not confirmed, in their order.
-func CutPower(dir string, r *rand.Rand) error {
-	at := func(name string) string { return filepath.Join(dir, name) }
-	if err := undoNames(at, r); err != nil {
-		return err
+// zeroSectorOdds is one in how many sectors beyond the durable part of a file reads as zeros.
+const zeroSectorOdds = 3
+
+// CutPower reduces the directory of a killed process to what a loss of power in that moment could have left, drawn at random: of each file
+// its durable part and some of the rest, of which sectors may never have been written, and of the changes of names that were not
+// durable any prefix. The process must be built with the tag powerloss.
+func CutPower(dir string, random *rand.Rand) error {
+	d := crashedDir(dir)
+	if err := d.undoNameChanges(random); err != nil {
+		return fmt.Errorf("undoing changes of names: %w", err)
 	}
-	all, err := os.ReadDir(dir)
+	files, err := os.ReadDir(dir)
 	if err != nil {
 		return err
 	}
-	for _, e := range all {
-		if strings.HasPrefix(e.Name(), ".") {
+	for _, file := range files {
+		if strings.HasPrefix(file.Name(), ".") {
 			continue
 		}
-		text, err := os.ReadFile(at(durableMark + e.Name()))
-		if errors.Is(err, fs.ErrNotExist) {
-			continue // made before, and never written by this build
-		}
-		durable, err2 := strconv.ParseInt(string(text), 10, 64)
-		if err := errors.Join(err, err2); err != nil {
-			return err
-		}
-		if err := cutFile(at(e.Name()), durable, r); err != nil {
-			return err
+		if err := d.cutFile(file.Name(), random); err != nil {
+			return fmt.Errorf("cutting %s: %w", file.Name(), err)
 		}
 	}
 	return nil
 }
 
-func cutFile(path string, durable int64, r *rand.Rand) error {
-	data, err := os.ReadFile(path)
+// crashedDir is the directory of a killed process.
+type crashedDir string
+
+func (d crashedDir) path(name string) string { return filepath.Join(string(d), name) }
+
+// cutFile draws what is left of a file.
+func (d crashedDir) cutFile(name string, random *rand.Rand) error {
+	text, err := os.ReadFile(d.path(durablePrefix + name))
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil // written by another program before, and not by this one
+	}
+	if err != nil {
+		return err
+	}
+	durable, err := strconv.ParseInt(string(text), 10, 64)
+	if err != nil {
+		return err
+	}
+	data, err := os.ReadFile(d.path(name))
 	if err != nil || int64(len(data)) <= durable {
 		return err
 	}
-	data = data[:durable+r.Int64N(int64(len(data))-durable+1)]
-	for from := durable; from < int64(len(data)); { // each sector beyond was written or not
-		to := min((from/fake.SectorSize+1)*fake.SectorSize, int64(len(data)))
-		if r.IntN(3) == 0 {
-			clear(data[from:to])
+	data = data[:durable+random.Int64N(int64(len(data))-durable+1)]
+	for start := durable; start < int64(len(data)); {
+		end := min((start/fake.SectorSize+1)*fake.SectorSize, int64(len(data)))
+		if random.IntN(zeroSectorOdds) == 0 {
+			clear(data[start:end])
 		}
-		from = to
+		start = end
 	}
-	return os.WriteFile(path, data, 0o600)
+	return os.WriteFile(d.path(name), data, 0o600)
 }
 
-// undoNames takes back the last of the changes that were not confirmed.
-func undoNames(at func(string) string, r *rand.Rand) error {
-	text, err := os.ReadFile(at(pendingName))
+// undoNameChanges undoes the last of the changes of names that were not durable, as many as are drawn.
+func (d crashedDir) undoNameChanges(random *rand.Rand) error {
+	text, err := os.ReadFile(d.path(pendingName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-	move := func(from, to string) error {
-		return errors.Join(ignoreMissing(os.Rename(at(from), at(to))), ignoreMissing(os.Rename(at(durableMark+from), at(durableMark+to))))
+	changes := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	for i := len(changes) - 1; i >= random.IntN(len(changes)+1) && err == nil; i-- {
+		err = d.undo(strings.Fields(changes[i]))
 	}
-	for i := len(lines) - 1; i >= r.IntN(len(lines)+1) && err == nil; i-- {
-		switch w := strings.Fields(lines[i]); {
-		case len(w) == 2 && w[0] == "create":
-			err = errors.Join(ignoreMissing(os.Remove(at(w[1]))), ignoreMissing(os.Remove(at(durableMark+w[1]))))
-		case len(w) == 4 && w[0] == "rename":
-			if _, missing := os.Stat(at(w[2])); missing == nil {
-				err = move(w[2], w[1])
-			}
-			if w[3] != "-" {
-				err = errors.Join(err, move(w[3], w[2]))
-			}
-		case len(w) == 3 && w[0] == "remove":
-			err = move(w[2], w[1])
+	return errors.Join(err, os.Remove(d.path(pendingName)))
+}
+
+// undo undoes one change of names:
+//
+//	create NAME
+//	rename FROM TO BACKUP    BACKUP is where a replaced file was kept, or -
+//	remove NAME BACKUP
+func (d crashedDir) undo(change []string) error {
+	switch {
+	case len(change) == 2 && change[0] == "create":
+		return errors.Join(ignoreMissing(os.Remove(d.path(change[1]))), ignoreMissing(os.Remove(d.path(durablePrefix+change[1]))))
+	case len(change) == 4 && change[0] == "rename":
+		var err error
+		from, to, backup := change[1], change[2], change[3]
+		if _, missing := os.Stat(d.path(to)); missing == nil {
+			err = d.rename(to, from)
 		}
+		if backup != "-" {
+			err = errors.Join(err, d.rename(backup, to))
+		}
+		return err
+	case len(change) == 3 && change[0] == "remove":
+		return d.rename(change[2], change[1])
 	}
-	return errors.Join(err, os.Remove(at(pendingName)))
+	return nil
+}
+
+// rename renames a file with the record of its durable part, where they exist.
+func (d crashedDir) rename(from, to string) error {
+	return errors.Join(
+		ignoreMissing(os.Rename(d.path(from), d.path(to))),
+		ignoreMissing(os.Rename(d.path(durablePrefix+from), d.path(durablePrefix+to))),
+	)
 }
 
 func ignoreMissing(err error) error {
