--- a/failover/claim.go
+++ b/failover/claim.go
@@ -9,7 +9,8 @@
 // claimState is the step that a claim has come to.
 //
 // The transitions, with the functions that make them (a claim is created in
-// claimAcquiring or claimQuerying; settle removes it in any state):
+// claimAcquiring or claimQuerying, or for relayOutcome; settle removes it in any
+// state):
 //
 //	from                           to               by
 //	(new), Acquiring, Starting,    claimAcquiring   acquire
@@ -20,7 +21,9 @@
 //	Acquiring, Held, Starting,     claimFinishing   finish
 //	  Running
 //	Acquiring, Waiting, Querying   claimFinishing   adoptOutcome
-//	any but Finishing              claimFinishing   relayOutcome
+//	Acquiring, Held, Running       claimFinishing   finishReplayable
+//	  (replayable)
+//	(new), any but Finishing       claimFinishing   relayOutcome
 //	Acquiring, Querying            claimWaiting     waitFor
 //	Held                           claimWaiting     HandOff
 //	(new), Acquiring, Waiting,     claimQuerying    query
--- /dev/null
+++ b/failover/handoff_test.go
@@ -0,0 +1,73 @@
+package failover
+
+import (
+	"frosthub/idempotency"
+	"testing"
+	"time"
+)
+
+// TestHandOff: a request that its holder gives up is taken over by one other
+// node, and runs once.
+func TestHandOff(t *testing.T) {
+	for seed := range uint64(30) {
+		cluster := newSimCluster(calmSeeds+seed, 4, usualFaults)
+		key := idempotency.Key{13: 1}
+		cluster.keys[key] = &keyTruth{}
+		holder := cluster.nodes[0]
+		holdKey(cluster, holder, key, func() {
+			delete(cluster.answered, 1) // it was let in
+			if holder.machine.HandOff(cluster.Now, key, 2) {
+				t.Errorf("seed %d: handed off under the ID of another request", seed)
+			}
+			if !holder.machine.HandOff(cluster.Now, key, 1) {
+				t.Errorf("seed %d: not handed off", seed)
+			}
+			if state := holder.machine.claims[key].state; state != claimWaiting {
+				t.Errorf("seed %d: the claim is %s after the hand-off", seed, state)
+			}
+			if holder.machine.HandOff(cluster.Now, key, 1) {
+				t.Errorf("seed %d: handed off twice", seed)
+			}
+		})
+		for cluster.Next(simStart + 500*time.Millisecond) {
+		}
+		cluster.requireSound(t)
+		if count := cluster.decisions[TakenOver]; count != 1 {
+			t.Errorf("seed %d: taken over %d times", seed, count)
+		}
+		if !cluster.answered[1] {
+			t.Errorf("seed %d: the request has no answer", seed)
+		}
+	}
+}
+
+// TestHandOffWithoutPeer: a request stays with its holder if no other member of
+// the group is alive.
+func TestHandOffWithoutPeer(t *testing.T) {
+	cluster := newSimCluster(calmSeeds, 4, usualFaults)
+	key := idempotency.Key{13: 1}
+	cluster.keys[key] = &keyTruth{}
+	holder := cluster.nodes[0]
+	holdKey(cluster, holder, key, func() {
+		for _, peer := range cluster.nodes[1:] {
+			peer.up = false
+		}
+		if holder.machine.HandOff(cluster.Now, key, 1) {
+			t.Error("handed off to nobody")
+		}
+		if state := holder.machine.claims[key].state; state != claimHeld {
+			t.Errorf("the claim is %s", state)
+		}
+	})
+	for cluster.Next(simStart + 100*time.Millisecond) {
+	}
+}
+
+// holdKey has a node claim a key for request 1, and calls do when all members have
+// granted it. The request isn't started.
+func holdKey(cluster *simCluster, holder *simNode, key idempotency.Key, do func()) {
+	holder.after(0, func() {
+		holder.machine.Claim(cluster.Now, key, 0, 1, Work{Handler: "file-claim", Left: int64(time.Second)})
+	})
+	holder.after(10*time.Millisecond, do) // past the longest delay of a message and its answer
+}
--- a/failover/message.go
+++ b/failover/message.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// MessageKind tells what a Message asks or answers.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
 // The message kinds. Their numbers stand on the wire.
@@ -127,7 +127,7 @@
 	Vote Vote
 	// Holder (replies) is the ballot that the sender has granted the key to.
 	Holder Ballot
-	// Outcome (MsgFinish, VoteFinished, VoteRunning) reports how the request
+	// Outcome (MsgFinish, VoteFinished, VoteRunning) is how the request
 	// ended; 0 if that isn't known.
 	Outcome idempotency.EntryKind
 	// Result is the response, where Outcome is idempotency.EntryResult.
--- a/failover/status.go
+++ b/failover/status.go
@@ -17,7 +17,7 @@
 	// Step is how far the request has come.
 	Step   string `json:"step"`
 	Holder string `json:"holder"` // empty if not known
-	// Taken reports that the node has taken it over from another.
+	// Taken is set if the node has taken it over from another.
 	Taken bool `json:"taken"`
 	// Left is for how long the caller still waits, in nanoseconds.
 	Left time.Duration `json:"left"`
--- a/failover/transfer.go
+++ b/failover/transfer.go
@@ -13,7 +13,7 @@
 // ReceivePage). Once all others of a key's group have done so, the node knows of
 // the key what it ever knew.
 
-// Cursor reports how far a transfer has come.
+// Cursor is the position that a transfer has come to.
 type Cursor struct {
 	Step     Step
 	Position uint64 // in the store (StepRecords)
@@ -52,9 +52,9 @@
 	Configuration uint64
 	From          Cursor
 	Next          Cursor
-	// Complete reports that the peer has lost no records itself.
+	// Complete is set if the peer has lost no records itself.
 	Complete bool
-	// FencesSupported reports that all other nodes are known to heed fences;
+	// FencesSupported is set if all other nodes are known to heed fences;
 	// older versions don't.
 	FencesSupported bool
 	Records         []idempotency.Record
