--- a/failover/sim_cluster_test.go
+++ b/failover/sim_cluster_test.go
@@ -4,7 +4,7 @@
 	"flag"
 	"fmt"
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/harness"
 	"math"
 	"math/rand/v2"
 	"testing"
@@ -33,7 +33,7 @@
 // their disks had confirmed, or pause; and their beliefs about who is alive are
 // wrong at random. A seed determines a run completely.
 type simCluster struct {
-	stand.Schedule
+	harness.EventQueue
 	random *rand.Rand
 	seed   uint64
 	nodes  []*simNode
@@ -58,7 +58,7 @@
 	lostDisks          int
 	finishedRefills    int
 
-	history   []stand.Event
+	history   []harness.HistoryEvent
 	violation string // the first broken guarantee
 	trace     []string
 }
@@ -79,7 +79,7 @@
 func newSimCluster(seed uint64, size int, scenario scenario) *simCluster {
 	random := rand.New(rand.NewPCG(seed, 5))
 	c := &simCluster{
-		Schedule:      stand.Schedule{Now: simStart},
+		EventQueue:    harness.EventQueue{Now: simStart},
 		random:        random,
 		seed:          seed,
 		cut:           map[link]bool{},
@@ -136,7 +136,7 @@
 	for _, node := range c.nodes {
 		c.foundAtProcessors += node.machine.Stats().FoundAtProcessor
 	}
-	if key, ok := stand.Linear(c.history); !ok {
+	if key, ok := harness.Linearizable(c.history); !ok {
 		c.violated("no order explains %x", key)
 	}
 	return c
--- a/failover/sim_outcome_test.go
+++ b/failover/sim_outcome_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"fmt"
 	"frosthub/idempotency"
-	"frosthub/internal/stand"
+	"frosthub/internal/harness"
 	"time"
 )
 
@@ -89,7 +89,7 @@
 		run.kind = idempotency.EntryFailed
 		run.result = nil
 	}
-	c.history = append(c.history, stand.Event{
+	c.history = append(c.history, harness.HistoryEvent{
 		Key:    string(outcome.Key[:]),
 		Ran:    true,
 		Result: string(run.result),
@@ -133,7 +133,7 @@
 	if !ok || c.keys[outcome.Key].replayable {
 		return
 	}
-	c.history = append(c.history, stand.Event{
+	c.history = append(c.history, harness.HistoryEvent{
 		Key:    string(outcome.Key[:]),
 		Served: served,
 		Result: string(outcome.Result),
--- /dev/null
+++ b/internal/fake/upstream.go
@@ -0,0 +1,119 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"maps"
+	"math/rand/v2"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+)
+
+// replyFault is a way in which a reply of an Upstream fails.
+type replyFault int
+
+const (
+	replyReset     replyFault = iota // the connection is reset
+	replyMissing                     // no reply
+	replyMalformed                   // a line that is not a reply
+	replyTooLong                     // a length that no reply may have
+	replyFaults                      // number of faults
+
+	replyOK replyFault = -1
+)
+
+// Upstream is a test double of the upstream proxy: it runs each call at once, and a share of its replies, drawn at random, fails.
+// Its methods are safe for concurrent use.
+type Upstream struct {
+	listener net.Listener
+
+	mu           sync.Mutex
+	random       *rand.Rand
+	failureShare float64
+	runs         map[uint64]int // calls run, by request ID
+}
+
+// NewUpstream returns an upstream that listens on a loopback address until Close.
+func NewUpstream(seed uint64) (*Upstream, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	u := &Upstream{listener: listener, random: rand.New(rand.NewPCG(seed, 3)), runs: map[uint64]int{}}
+	go AcceptAll(listener, u.serve)
+	return u, nil
+}
+
+// Address returns the address that the upstream listens on.
+func (u *Upstream) Address() string { return u.listener.Addr().String() }
+
+// Close closes the listener. Open connections stay.
+func (u *Upstream) Close() { _ = u.listener.Close() }
+
+// SetFailureShare sets the share of the replies that fail from now on.
+func (u *Upstream) SetFailureShare(share float64) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.failureShare = share
+}
+
+// CallCounts returns how often the call of each request has run, by request ID.
+func (u *Upstream) CallCounts() map[uint64]int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return maps.Clone(u.runs)
+}
+
+func (u *Upstream) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		words := strings.Fields(line)
+		if len(words) != 4 || words[0] != "invoke" {
+			continue
+		}
+		length, _ := strconv.Atoi(words[3])
+		if _, err := io.CopyN(io.Discard, reader, int64(length)+2); err != nil {
+			return
+		}
+		if !u.reply(conn, words[1]) {
+			ResetConn(conn)
+			return
+		}
+	}
+}
+
+// reply runs a call, replies to it, and reports whether the connection stays open.
+func (u *Upstream) reply(conn net.Conn, id string) bool {
+	switch u.run(id) {
+	case replyReset:
+		return false
+	case replyMissing:
+	case replyMalformed:
+		_, _ = io.WriteString(conn, "what is this\r\n")
+	case replyTooLong:
+		_, _ = fmt.Fprintf(conn, "%s ok 3000000000\r\nand so on", id)
+	default:
+		_, _ = fmt.Fprintf(conn, "%s ok 2\r\nok\r\n", id)
+	}
+	return true
+}
+
+// run counts a call and draws the fault of its reply.
+func (u *Upstream) run(id string) replyFault {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	number, _ := strconv.ParseUint(id, 16, 64)
+	u.runs[number]++
+	if u.random.Float64() < u.failureShare {
+		return replyFault(u.random.IntN(int(replyFaults)))
+	}
+	return replyOK
+}
--- /dev/null
+++ b/loadbalance/balancer_test.go
@@ -0,0 +1,275 @@
+package loadbalance
+
+import (
+	"fmt"
+	"frosthub/internal/golden"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+)
+
+func init() { golden.SameDraws() }
+
+// peers returns n peers p0, p1, ... of the routes w0, w1, ...
+func peers(n int) []Peer {
+	list := make([]Peer, n)
+	for i := range list {
+		list[i] = Peer{Address: fmt.Sprint("p", i), Route: fmt.Sprint("w", i)}
+	}
+	return list
+}
+
+// inService counts the peers in service.
+func inService(b *Balancer) int {
+	n := 0
+	for _, target := range b.Targets() {
+		if target.State == InService {
+			n++
+		}
+	}
+	return n
+}
+
+// history is a Balancer under random calls.
+type history struct {
+	balancer    *Balancer
+	cfg         Config
+	now         time.Duration
+	outstanding []*Target // one for each outstanding call
+	attempts    int       // first ones
+	retries     int
+}
+
+var historyOutcomes = rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Overloaded, Fault, TimedOut, Abandoned})
+
+// step makes one random call of the Balancer.
+func (h *history) step(t *rapid.T) {
+	h.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond
+	switch step := rapid.IntRange(0, 6).Draw(t, "step"); {
+	case step <= 2:
+		h.firstAttempt(t)
+	case step == 3 && len(h.outstanding) > 0:
+		h.retry(t)
+	case step <= 5 && step > 3 && len(h.outstanding) > 0:
+		h.end(t)
+	case step == 6 && rapid.IntRange(0, 9).Draw(t, "update") == 0:
+		h.cfg.Peers = peers(rapid.IntRange(1, 6).Draw(t, "peers"))
+		h.balancer.Update(h.cfg)
+	}
+}
+
+func (h *history) firstAttempt(t *rapid.T) {
+	h.attempts++
+	picked := h.balancer.Pick(h.now, rapid.SampledFrom([]string{"", "w0", "w1", "none"}).Draw(t, "sticky"))
+	if picked == nil {
+		for _, target := range h.balancer.Targets() {
+			if target.State == InService && target.Outstanding < target.MaxCalls {
+				t.Fatal("a peer in service has room and is not picked")
+			}
+		}
+		return
+	}
+	if picked.State == Ejected || picked.Outstanding > picked.MaxCalls || picked.Removed {
+		t.Fatalf("%+v is picked", picked)
+	}
+	h.outstanding = append(h.outstanding, picked)
+}
+
+func (h *history) retry(t *rapid.T) {
+	tried := rapid.SampledFrom(h.outstanding).Draw(t, "tried")
+	picked := h.balancer.Pick(h.now, "", tried)
+	if picked == nil {
+		return
+	}
+	h.retries++
+	if picked == tried {
+		t.Fatal("a retry at the same peer")
+	}
+	h.outstanding = append(h.outstanding, picked)
+}
+
+func (h *history) end(t *rapid.T) {
+	i := rapid.IntRange(0, len(h.outstanding)-1).Draw(t, "call")
+	h.balancer.Done(h.now, h.outstanding[i], historyOutcomes.Draw(t, "outcome"))
+	h.outstanding = slices.Delete(h.outstanding, i, i+1)
+}
+
+// TestRules checks that whatever happens, no peer has more calls than its limit, no ejected peer is picked, peers in service
+// with room are picked, retries stay within their budget and go to another peer, and counts return to zero.
+func TestRules(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cfg := Config{
+			Peers: peers(rapid.IntRange(1, 6).Draw(t, "peers")),
+			Seed:  rapid.Uint64().Draw(t, "seed"),
+		}
+		for i := range cfg.Peers {
+			cfg.Peers[i].MaxCalls = rapid.IntRange(1, 5).Draw(t, "max calls")
+			cfg.Peers[i].Weight = float64(rapid.IntRange(1, 3).Draw(t, "weight"))
+		}
+		h := history{balancer: New(cfg), cfg: cfg}
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			h.step(t)
+			for _, target := range h.balancer.Targets() {
+				if target.Outstanding < 0 {
+					t.Fatal("fewer outstanding calls than none")
+				}
+			}
+			if float64(h.retries) > maxRetryTokens+0.1*float64(h.attempts) {
+				t.Fatal(h.retries, "retries for", h.attempts, "first attempts")
+			}
+		}
+		for _, target := range h.outstanding {
+			h.balancer.Done(h.now, target, Abandoned)
+		}
+		for _, target := range h.balancer.Targets() {
+			if target.Outstanding != 0 {
+				t.Fatal("outstanding after all calls have ended: ", target.Outstanding)
+			}
+		}
+	})
+}
+
+// script is a Balancer and what it did, as people read it.
+type script struct {
+	balancer *Balancer
+	now      time.Duration
+	lines    []string
+}
+
+// pick picks a peer and records its address.
+func (s *script) pick(sticky string, tried ...*Target) *Target {
+	picked := s.balancer.Pick(s.now, sticky, tried...)
+	if picked == nil {
+		s.lines = append(s.lines, "none")
+	} else {
+		s.lines = append(s.lines, picked.Address)
+	}
+	return picked
+}
+
+// state records the state of all peers.
+func (s *script) state() {
+	var states []string
+	for _, target := range s.balancer.Targets() {
+		states = append(states, fmt.Sprint(target.Address, " ", target.State, " ", target.Outstanding))
+	}
+	s.lines = append(s.lines, strings.Join(states, ", "))
+}
+
+// TestScript plays a script of calls and checks the picks that follow.
+func TestScript(t *testing.T) {
+	balancer := New(Config{
+		Peers: []Peer{
+			{Address: "a", Weight: 2},
+			{Address: "b", Route: "wb", MaxCalls: 2},
+			{Address: "c"},
+		},
+		Seed: 7,
+	})
+	s := script{balancer: balancer}
+	s.pick("")
+	b := s.pick("")
+	s.pick("")
+	s.pick("")
+	s.pick("wb")
+	s.pick("wb") // b has its limit
+	s.state()
+	for range 3 { // the two outstanding calls at b and one more fail
+		balancer.Done(s.now, b, Fault)
+		if b.Outstanding == 0 {
+			balancer.Pick(s.now, "wb")
+		}
+	}
+	for _, target := range balancer.Targets() {
+		for target.Outstanding > 0 {
+			balancer.Done(s.now, target, Succeeded)
+		}
+	}
+	s.state()
+	a := s.pick("")
+	balancer.Done(s.now, a, Fault)
+	balancer.retryTokens = 1
+	s.pick("", a)
+	s.pick("", a) // the budget is spent
+	s.now = 900 * time.Millisecond
+	s.state()
+	s.now = 2 * time.Second
+	for range 600 { // the trial of b: one in ten picks, until five calls succeeded
+		balancer.Done(s.now, balancer.Pick(s.now, ""), Succeeded)
+	}
+	s.state()
+	want := []string{
+		"a",
+		"b",
+		"c",
+		"a",
+		"b",
+		"a",
+		"a in 3, b in 2, c in 1",
+		"a in 0, b out 0, c in 0",
+		"a",
+		"c",
+		"none",
+		"a in 0, b out 0, c in 1",
+		"a in 0, b in 0, c in 1",
+	}
+	if diff := cmp.Diff(want, s.lines); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// TestFloor checks that when all peers fail, at least half of them stay in service, and nothing is retried.
+func TestFloor(t *testing.T) {
+	b := New(Config{Peers: peers(5)})
+	now := time.Duration(0)
+	for range 1000 {
+		now += time.Millisecond
+		if picked := b.Pick(now, ""); picked != nil {
+			b.Done(now, picked, Fault)
+		}
+	}
+	n := inService(b)
+	picked := b.Pick(now, "")
+	if n != 3 || picked == nil || b.Pick(now, "", picked) != nil {
+		t.Error(n, picked)
+	}
+}
+
+// TestUpdate checks that a peer that stays keeps its state, and that one that is removed gets no more calls and may end
+// those that it has.
+func TestUpdate(t *testing.T) {
+	b := New(Config{Peers: peers(4)})
+	targets := b.Targets()
+	for range 3 {
+		b.Pick(0, "w1")
+		b.Done(0, targets[1], Fault)
+	}
+	removed := b.Pick(0, "w0")
+	b.Update(Config{Peers: peers(4)[1:]})
+	if targets[1].State != Ejected || b.Targets()[0] != targets[1] || !removed.Removed {
+		t.Error("a peer that stays is another")
+	}
+	for range 20 {
+		if picked := b.Pick(0, "w0"); picked == removed || picked == nil {
+			t.Error("a peer that is removed is picked, or none")
+		}
+	}
+	b.Done(0, removed, Fault)
+	b.Update(Config{Peers: peers(4)})
+	if b.Targets()[0] == removed {
+		t.Error("a peer that comes back has its former state")
+	}
+}
+
+func BenchmarkPick(b *testing.B) {
+	balancer := New(Config{Peers: peers(8)})
+	b.ReportAllocs()
+	for i := range b.N {
+		now := time.Duration(i)
+		balancer.Done(now, balancer.Pick(now, ""), Succeeded)
+	}
+}
