--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -71,14 +71,11 @@
 
 	processorQueries map[string]*processorQuery // by the lost node whose processor is asked
 
-	roster        clusterRoster       // the adopted one
-	ownDigests    []uint64            // of the adopted roster's lists
-	peerDigests   map[string][]uint64 // of those that other nodes have adopted
-	departing     []ClusterMember     // of the previous list: no members any more, but not known to be gone
-	changePending bool                // the roster of the configuration is to be adopted
-	changeAt      time.Duration       // when that is tried next
-	changeReason  string              // why it is not adopted yet
-	writingRoster bool                // the disk takes another roster
+	roster      clusterRoster       // the adopted one
+	ownDigests  []uint64            // of the adopted roster's lists
+	peerDigests map[string][]uint64 // of those that other nodes have adopted
+	departing   []ClusterMember     // of the previous list: no members any more, but not known to be gone
+	change      rosterChange
 }
 
 func (c *cluster) enabled() bool { return c.backend != nil }
@@ -110,7 +107,7 @@
 	if c.node != nil { // its incarnation was raised
 		c.store.AbandonInFlight(b.guard.now())
 	}
-	c.changePending = true // until the roster of the operator's file is adopted
+	c.change.pending = true // until the roster of the operator's file is adopted
 	c.detector = membership.New(membership.Config{
 		Name:          b.cfg.Name,
 		Incarnation:   c.incarnation,
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -14,6 +14,14 @@
 // reconfigureRetry is the time between tries to adopt another roster.
 const reconfigureRetry = time.Second
 
+// rosterChange is how far the change to another roster is.
+type rosterChange struct {
+	pending bool          // the roster of the configuration is to be adopted
+	retryAt time.Duration // when that is tried next
+	reason  string        // why it is not adopted yet
+	writing bool          // a roster is being written; it is adopted once it is on disk
+}
+
 // reconfigure has the node adopt the roster of another configuration as soon as that is safe.
 func (c *cluster) reconfigure(cfg ClusterConfig) {
 	if !c.enabled() || cfg.Name != c.backend.cfg.Cluster.Name {
@@ -21,8 +29,8 @@
 	}
 	c.backend.cfg.Cluster.Members = cfg.Members
 	c.backend.cfg.Cluster.Previous = cfg.Previous
-	c.changePending = true
-	c.changeAt = c.backend.now
+	c.change.pending = true
+	c.change.retryAt = c.backend.now
 }
 
 // tryReconfigure adopts the roster of the configuration if that is safe. While the members change it also finds out
@@ -30,20 +38,20 @@
 func (c *cluster) tryReconfigure() {
 	b := c.backend
 	awaitsOthers := len(c.roster.Previous) > 0 && c.roster.Since <= 0
-	if c.writingRoster || !c.changePending && !awaitsOthers {
+	if c.change.writing || !c.change.pending && !awaitsOthers {
 		return
 	}
-	if b.now < c.changeAt {
-		b.wakeBy(c.changeAt)
+	if b.now < c.change.retryAt {
+		b.wakeBy(c.change.retryAt)
 		return
 	}
-	c.changeAt = b.now + reconfigureRetry
-	b.wakeBy(c.changeAt)
+	c.change.retryAt = b.now + reconfigureRetry
+	b.wakeBy(c.change.retryAt)
 	roster := c.roster.forFailover()
 	if len(roster.Previous) > 0 && roster.Since == 0 && c.noteAdoptedByAll(&roster) {
 		return
 	}
-	if c.changePending {
+	if c.change.pending {
 		c.adoptConfigured(&roster)
 	}
 }
@@ -53,10 +61,10 @@
 	b := c.backend
 	behind := roster.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.peerDigests[name] })
 	if len(behind) > 0 {
-		c.changeReason = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(behind, ", "))
+		c.change.reason = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(behind, ", "))
 		return false
 	}
-	c.changeReason = ""
+	c.change.reason = ""
 	dated := c.roster
 	dated.Since = b.guard.now()
 	c.writeRoster(dated)
@@ -69,15 +77,15 @@
 	configured := b.cfg.Cluster.roster()
 	next, err := roster.Next(b.guard.now(), c.retryWindow(), configured.forFailover())
 	if err != nil {
-		if c.changeReason == "" || !errors.Is(err, failover.ErrNotAdopted) {
-			c.changeReason = err.Error()
+		if c.change.reason == "" || !errors.Is(err, failover.ErrNotAdopted) {
+			c.change.reason = err.Error()
 		}
-		b.logLimited("members not changed", "why", c.changeReason)
+		b.logLimited("members not changed", "why", c.change.reason)
 		return
 	}
 	configured.Since = next.Since
-	c.changeReason = ""
-	c.changePending = false
+	c.change.reason = ""
+	c.change.pending = false
 	if !reflect.DeepEqual(configured, c.roster) {
 		c.writeRoster(configured)
 	}
@@ -95,14 +103,14 @@
 // writeRoster has the node adopt a roster once it is on disk.
 func (c *cluster) writeRoster(roster clusterRoster) {
 	b := c.backend
-	c.writingRoster = true
+	c.change.writing = true
 	dir := b.cfg.Idempotency.Dir
 	go func() { // the disk may be slow
 		err := writeRosterFile(dir, roster)
 		b.loop.Post(func() {
-			c.writingRoster = false
+			c.change.writing = false
 			if err != nil {
-				c.changePending = true
+				c.change.pending = true
 				b.logLimited("members not changed", "why", err)
 				return
 			}
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -29,24 +29,38 @@
 	})
 }
 
-// submitClaimed submits a request whose group was asked to the overload controller; isRepeat says that another attempt
-// is in flight.
-func (c *cluster) submitClaimed(r *request, isRepeat bool) {
-	b := c.backend
-	r.hold()
-	r.arrival.Delay += b.now - r.guard.askedAt
-	if isRepeat {
-		r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
-		if r.originalID == r.id || b.requests[r.originalID] == nil {
-			r.originalID = ^uint64(0) // another node's: the overload controller knows nothing of it
-		}
-		r.arrival.RepeatOf = r.originalID
-	} else if r.guard.replayable {
-		b.results.lookup(r) // where there is no room it isn't cached: it may run twice
+// submitClaimed submits a request that its group has granted to the overload controller.
+func (c *cluster) submitClaimed(r *request) {
+	c.endClaim(r)
+	if r.guard.replayable {
+		c.backend.results.lookup(r) // where there is no room it isn't cached: it may run twice
+	}
+	c.backend.submitArrival(r)
+}
+
+// submitRepeat submits a request of which the group knows another attempt in flight.
+func (c *cluster) submitRepeat(r *request) {
+	c.endClaim(r)
+	r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
+	if r.originalID == r.id || c.backend.requests[r.originalID] == nil {
+		r.originalID = ^uint64(0) // another node's: the overload controller knows nothing of it
 	}
-	b.submitArrival(r)
+	r.arrival.RepeatOf = r.originalID
+	c.backend.submitArrival(r)
 }
 
+func (c *cluster) endClaim(r *request) {
+	r.hold()
+	r.arrival.Delay += c.backend.now - r.guard.askedAt
+}
+
+// requestWithdrawn implements requestObserver. It does nothing: the account of a request that was taken over is closed by
+// whoever withdraws it.
+func (c *cluster) requestWithdrawn(*request) {}
+
+// requestEnded implements requestObserver.
+func (c *cluster) requestEnded(r *request, end requestEnd) { c.closeAccount(r, end.reason) }
+
 // closeAccount closes the account of a request that was taken over: its answer is the group's.
 func (c *cluster) closeAccount(r *request, reason accounting.Reason) {
 	if !r.takenOver || r.accounted {
@@ -141,16 +155,16 @@
 	b := c.backend
 	switch {
 	case outcome.Decision == idempotency.Fresh:
-		c.submitClaimed(r, false)
+		c.submitClaimed(r)
 	case outcome.Decision == idempotency.Duplicate && r.guard.replayable: // it waits
 	case outcome.Decision == idempotency.Duplicate:
-		c.submitClaimed(r, true)
+		c.submitRepeat(r)
 	case outcome.Decision == idempotency.Replay:
 		b.guard.countDecision(outcome.Decision)
 		b.frontend.succeeded(r, accounting.Replayed, outcome.Result)
 		b.finishAnswered(r)
 	case r.guard.replayable:
-		c.submitClaimed(r, false)
+		c.submitClaimed(r)
 	default:
 		b.frontend.declined(r, b.guard.countDecision(outcome.Decision))
 		b.finishAnswered(r)
--- a/backend/cluster_stats.go
+++ b/backend/cluster_stats.go
@@ -54,7 +54,7 @@
 		Incarnation:  c.incarnation,
 		Previous:     len(c.roster.Previous),
 		Since:        c.adoptedByAllSince(),
-		RosterReason: c.changeReason,
+		RosterReason: c.change.reason,
 		Phase:        c.recovery.Phase().String(),
 		PhaseReason:  c.recovery.Reason(),
 		Unanswered:   c.recovery.Unanswered(),
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -84,21 +84,16 @@
 func (g *idempotencyGuard) admit(r *request) bool {
 	b := g.backend
 	r.guard.answerBy = b.now - r.arrival.Delay + b.handlers[r.handler].timeout - answerMargin
-	var decision idempotency.Decision // zero: the store can't tell yet
-	switch {
-	case r.guard.replayable && (b.cluster.node == nil || g.failed):
+	if r.guard.replayable && (b.cluster.node == nil || g.failed) {
 		r.guard = nil
 		b.results.lookup(r)
 		return true
-	case g.store != nil && !g.failed && b.cluster.node != nil:
+	}
+	if g.storeState() == storeReady && b.cluster.node != nil {
 		b.cluster.claim(r)
 		return false
-	case g.store != nil && !g.failed && b.cluster.enabled(): // the node is not yet sure of what it has
-	case g.store != nil:
-		decision = g.store.Peek(g.now(), r.guard.createdAt, r.guard.key)
-	case g.failed:
-		decision = idempotency.StoreFailed
 	}
+	decision := g.decide(r)
 	switch decision {
 	case idempotency.Fresh:
 		return true
@@ -107,7 +102,7 @@
 		return true
 	}
 	reason := accounting.StoreLoading
-	if decision != 0 {
+	if decision != undecided {
 		reason = g.countDecision(decision)
 	}
 	b.frontend.declined(r, reason)
@@ -115,6 +110,26 @@
 	return false
 }
 
+// undecided is the decision as long as the store is being loaded, or the node of a cluster doesn't yet know what it
+// has.
+const undecided idempotency.Decision = 0
+
+// decide returns the decision of the store about a request that no cluster is asked about.
+func (g *idempotencyGuard) decide(r *request) idempotency.Decision {
+	switch g.storeState() {
+	case storeUnavailable:
+		return idempotency.StoreFailed
+	case storeReady:
+		if g.backend.cluster.enabled() {
+			return undecided
+		}
+		return g.store.Peek(g.now(), r.guard.createdAt, r.guard.key)
+	case storeReadOnly:
+		return g.store.Peek(g.now(), r.guard.createdAt, r.guard.key)
+	}
+	return undecided
+}
+
 // linkToOriginal tells the overload controller which request r repeats. If that is of an earlier incarnation, or has
 // ended, the controller knows nothing of it: it gets an id that is made of the key.
 func (g *idempotencyGuard) linkToOriginal(r *request) {
@@ -195,6 +210,13 @@
 	}
 }
 
+// requestWithdrawn implements requestObserver.
+func (g *idempotencyGuard) requestWithdrawn(r *request) { g.withdraw(r) }
+
+// requestEnded implements requestObserver. It does nothing: the end was reported to recordEnd before, since the answer
+// may have to wait for it.
+func (g *idempotencyGuard) requestEnded(*request, requestEnd) {}
+
 // withdraw follows a request that no longer waits and never ran.
 func (g *idempotencyGuard) withdraw(r *request) {
 	cluster := &g.backend.cluster
@@ -219,7 +241,7 @@
 	b.onOwner(func() {
 		g := &b.guard
 		out = g.stats
-		out.Loading = g.store == nil && !g.failed
+		out.Loading = g.storeState() == storeLoading
 		out.StoreFailed = g.failed
 		if g.store != nil {
 			out.Store = g.store.Stats()
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -23,6 +23,34 @@
 	recordsPerCheck = 4096
 )
 
+// storeState is what the store can do.
+type storeState uint8
+
+// The states of the store. A state never changes back:
+//
+//	loading → ready         the store was loaded (onOpened)
+//	loading → unavailable   it could not be loaded (onOpened)
+//	ready → read only       the disk has failed (onDurable), or the incarnation can't be counted (raiseIncarnation)
+const (
+	storeLoading     storeState = iota
+	storeReady                  // it guards requests
+	storeReadOnly               // it knows the requests of before, but can guard no new ones until a restart
+	storeUnavailable            // it knows nothing until a restart
+)
+
+// storeState returns what the store can do.
+func (g *idempotencyGuard) storeState() storeState {
+	switch {
+	case g.store == nil && g.failed:
+		return storeUnavailable
+	case g.store == nil:
+		return storeLoading
+	case g.failed:
+		return storeReadOnly
+	}
+	return storeReady
+}
+
 // storeMessage is the log message of all that is logged about the store.
 const storeMessage = "idempotency store"
 
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -36,13 +36,14 @@
 func (l *processorLink) resyncRun(r *request, acked uint64) {
 	b := l.backend
 	maybeLost := r.confirmTag >= acked
+	command := l.startCommand(r)
 	switch {
 	case !r.startSent && !b.isWanted(r):
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	case !r.startSent:
 		l.start(r)
-	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Repeat(l.startCommand(r, false)) == lifecycle.Allowed:
-		l.retryStart(r, false, "it may run again")
+	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Repeat(command) == lifecycle.Allowed:
+		l.retryStart(r, command, "it may run again")
 	case maybeLost && !r.runHeard:
 		l.beginProbe(r)
 	case r.cancelRequested:
@@ -94,11 +95,13 @@
 func (l *processorLink) startLost(r *request) {
 	l.endProbe(r)
 	r.cancelRequested = false
-	if lifecycle.Repeat(l.startCommand(r, true)) == lifecycle.NobodyWaits {
+	command := l.startCommand(r)
+	command.NeverRan = true
+	if lifecycle.Repeat(command) == lifecycle.NobodyWaits {
 		l.backend.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		return
 	}
-	l.retryStart(r, true, "it is proved never to have run")
+	l.retryStart(r, command, "it is proved never to have run")
 }
 
 // noticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that
@@ -112,19 +115,17 @@
 	}
 }
 
-// startCommand describes the start of r for the decision whether it may be retried; neverRan says that the first is
-// proved to be lost.
-func (l *processorLink) startCommand(r *request, neverRan bool) lifecycle.Command {
+// startCommand describes the start of r for the decision whether it may be retried.
+func (l *processorLink) startCommand(r *request) lifecycle.Command {
 	return lifecycle.Command{
 		Repeatable: l.backend.handlers[r.handler].replayable,
-		NeverRan:   neverRan,
 		Wanted:     l.backend.hasClient(r),
 	}
 }
 
 // retryStart sends a start again if that is allowed.
-func (l *processorLink) retryStart(r *request, neverRan bool, reason string) {
-	if verdict := lifecycle.Repeat(l.startCommand(r, neverRan)); verdict != lifecycle.Allowed {
+func (l *processorLink) retryStart(r *request, command lifecycle.Command, reason string) {
+	if verdict := lifecycle.Repeat(command); verdict != lifecycle.Allowed {
 		l.backend.recordViolation("begin again", r, verdict)
 		return
 	}
--- a/backend/request_observer.go
+++ b/backend/request_observer.go
@@ -45,19 +45,3 @@
 		observer.requestEnded(r, end)
 	}
 }
-
-func (g *idempotencyGuard) requestWithdrawn(r *request) { g.withdraw(r) }
-
-// requestEnded does nothing: the guard heard of the end before, since the answer may have to wait for it.
-func (g *idempotencyGuard) requestEnded(*request, requestEnd) {}
-
-// requestWithdrawn does nothing: what was taken over is settled by whoever withdraws it.
-func (c *cluster) requestWithdrawn(*request) {}
-
-func (c *cluster) requestEnded(r *request, end requestEnd) { c.closeAccount(r, end.reason) }
-
-func (k *resultCache) requestWithdrawn(r *request) { k.ended(r, overload.Failed, false, nil) }
-
-func (k *resultCache) requestEnded(r *request, end requestEnd) {
-	k.ended(r, end.outcome, end.ran, end.result)
-}
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -186,57 +186,65 @@
 		original.followers = append(original.followers, r)
 		return
 	}
+	end := requestEnd{outcome: overload.Failed}
 	if entry := c.byID[r.originalID]; entry != nil {
-		c.answerFollower(r, true, entry.ok, entry.result)
-	} else {
-		c.answerFollower(r, false, false, nil)
+		end.ran = true
+		if entry.ok {
+			end.outcome = overload.OK
+			end.result = entry.result
+		}
 	}
+	c.answerFollower(r, end)
 }
 
 // answerFollower ends a repeat as the original request has ended.
-func (c *resultCache) answerFollower(r *request, ran, ok bool, result []byte) {
+func (c *resultCache) answerFollower(r *request, original requestEnd) {
 	switch {
-	case ok:
-		c.backend.runEnded(r, overload.OK, accounting.Replayed, 0, result)
-	case ran:
+	case original.outcome == overload.OK:
+		c.backend.runEnded(r, overload.OK, accounting.Replayed, 0, original.result)
+	case original.ran:
 		c.backend.runEnded(r, overload.Failed, accounting.OriginalFailed, 0, nil)
 	default:
 		c.backend.runEnded(r, overload.Failed, accounting.RetryAllowed, 0, nil)
 	}
 }
 
-// ended follows the end of an original request: its result is kept for a while if it succeeded, and its followers are
-// answered alike.
-func (c *resultCache) ended(original *request, outcome overload.Outcome, ran bool, result []byte) {
-	ok := outcome == overload.OK
+// requestWithdrawn implements requestObserver.
+func (c *resultCache) requestWithdrawn(original *request) {
+	c.requestEnded(original, requestEnd{outcome: overload.Failed})
+}
+
+// requestEnded implements requestObserver. The result of an original request is kept for a while if it succeeded, and
+// its followers are answered alike.
+func (c *resultCache) requestEnded(original *request, end requestEnd) {
 	if entry := c.byID[original.id]; entry != nil {
-		c.storeEnd(entry, ok, ran, result)
+		c.storeEnd(entry, end)
 	}
 	followers := original.followers
 	original.followers = nil
 	for _, follower := range followers {
 		if c.backend.requests[follower.id] == follower { // else given up meanwhile
-			c.answerFollower(follower, ran, ok, result)
+			c.answerFollower(follower, end)
 		}
 	}
 }
 
 // storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run
 // once is dropped only if it never ran: otherwise a repeat would be its second run.
-func (c *resultCache) storeEnd(entry *cacheEntry, ok, ran bool, result []byte) {
+func (c *resultCache) storeEnd(entry *cacheEntry, end requestEnd) {
 	entry.ended = true
 	c.resultBytes -= entry.bytes
 	entry.bytes = entry.baseBytes()
-	entry.ok = ok && c.hasRoom(entry.bytes+len(result))
+	entry.ok = end.outcome == overload.OK && c.hasRoom(entry.bytes+len(end.result))
 	if entry.ok {
-		entry.result = append([]byte(nil), result...)
-		entry.bytes += len(result)
+		entry.result = append([]byte(nil), end.result...)
+		entry.bytes += len(end.result)
 	}
 	c.resultBytes += entry.bytes
 	if !entry.runsOnce {
 		entry.expiresAt = min(entry.expiresAt, c.backend.now+c.shareFor)
 	}
-	mustStay := entry.runsOnce && ran
+	mustStay := entry.runsOnce && end.ran
 	if !entry.ok && !mustStay {
 		c.drop(entry)
 	}
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -64,7 +64,7 @@
 		}
 		if r.originalID == 0 {
 			b.results.remember(r, time.Hour)
-			b.results.ended(r, overload.OK, true, []byte("x"))
+			b.results.requestEnded(r, requestEnd{outcome: overload.OK, ran: true, result: []byte("x")})
 		}
 	}
 	b.now = time.Hour
@@ -90,12 +90,12 @@
 	}
 	for i := range admitted {
 		id := uint64(i) + 1
-		b.results.ended(claim(id, i), overload.Failed, true, nil)
+		b.results.requestEnded(claim(id, i), requestEnd{outcome: overload.Failed, ran: true})
 		if r := claim(id+999, i); b.results.lookup(r) != accounting.None || r.originalID != id {
 			t.Fatal(i, "is forgotten")
 		}
 	}
-	b.results.ended(&request{id: 1}, overload.Failed, false, nil)
+	b.results.requestWithdrawn(&request{id: 1})
 	if r := claim(2000, 0); b.results.lookup(r) != accounting.None || r.originalID != 0 {
 		t.Error("a request that never ran is still cached")
 	}
