--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -38,6 +38,16 @@
 	storeUnavailable            // it knows nothing until a restart
 )
 
+var storeStateNames = [...]string{
+	storeLoading:     "loading",
+	storeReady:       "ready",
+	storeReadOnly:    "read only",
+	storeUnavailable: "unavailable",
+}
+
+// String returns the name of the state.
+func (s storeState) String() string { return storeStateNames[s] }
+
 // storeState returns what the store can do.
 func (g *idempotencyGuard) storeState() storeState {
 	switch {
--- /dev/null
+++ b/backend/processor_link_test.go
@@ -0,0 +1,32 @@
+package backend
+
+import (
+	"frosthub/internal/conn"
+	"testing"
+)
+
+// TestLinkState checks which state of the link follows from its connection and open queries.
+func TestLinkState(t *testing.T) {
+	for _, test := range []struct {
+		link processorLink
+		want linkState
+	}{
+		{processorLink{}, linkDown},
+		{processorLink{replacement: &conn.Conn{}}, linkDown},
+		{processorLink{conn: &conn.Conn{}}, linkGreeting},
+		{processorLink{conn: &conn.Conn{}, resyncTag: 3}, linkGreeting}, // of the connection before
+		{processorLink{conn: &conn.Conn{}, greeted: true, resyncTag: 3}, linkResyncing},
+		{processorLink{conn: &conn.Conn{}, greeted: true}, linkReady},
+		{processorLink{conn: &conn.Conn{}, greeted: true, movedAway: true}, linkReady},
+		{processorLink{conn: &conn.Conn{}, greeted: true, quiesceTag: 4, replacement: &conn.Conn{}}, linkQuiescing},
+	} {
+		t.Run(test.want.String(), func(t *testing.T) {
+			if got := test.link.state(); got != test.want {
+				t.Errorf("state %v, want %v", got, test.want)
+			}
+			if got := test.link.ready(); got != (test.want == linkReady) {
+				t.Errorf("ready %v in state %v", got, test.want)
+			}
+		})
+	}
+}
