--- a/backend/request_observer.go
+++ b/backend/request_observer.go
@@ -45,19 +45,3 @@
 		observer.requestEnded(r, end)
 	}
 }
-
-func (g *idempotencyGuard) requestWithdrawn(r *request) { g.withdraw(r) }
-
-// requestEnded does nothing: the guard heard of the end before, since the answer may have to wait for it.
-func (g *idempotencyGuard) requestEnded(*request, requestEnd) {}
-
-// requestWithdrawn does nothing: the account of a request that was failed over is closed by whoever withdraws it.
-func (c *cluster) requestWithdrawn(*request) {}
-
-func (c *cluster) requestEnded(r *request, end requestEnd) { c.closeAccount(r, end.reason) }
-
-func (c *resultCache) requestWithdrawn(r *request) { c.ended(r, overload.Failed, false, nil) }
-
-func (c *resultCache) requestEnded(r *request, end requestEnd) {
-	c.ended(r, end.outcome, end.ran, end.result)
-}
