--- a/backend/audit.go
+++ b/backend/audit.go
@@ -36,7 +36,7 @@
 // logMismatches logs what the ledger found not to add up.
 func (b *Backend) logMismatches() {
 	for _, mismatch := range b.ledger.TakeMismatches() {
-		b.log.Error("figures differ", "what", mismatch.What, "one", mismatch.Left, "other", mismatch.Right, "trail", mismatch.Trail)
+		b.log.Error("accounting mismatch", "what", mismatch.What, "one", mismatch.Left, "other", mismatch.Right, "trail", mismatch.Trail)
 		invariant.Check(false, "figures add up: "+mismatch.What)
 	}
 }
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -165,7 +165,7 @@
 	b.stats.Reloads++
 	if cfg.ControlPlane != b.cfg.ControlPlane {
 		if err := b.reporter.open(cfg.ControlPlane); err != nil { // not an address
-			b.logLimited("control plane not reached", "why", err)
+			b.logLimited("control plane unreachable", "reason", err)
 		}
 	}
 	b.cfg.Processor = cfg.Processor
@@ -178,7 +178,7 @@
 		b.upstream.reconfigure(&cfg)
 	}
 	b.cluster.reconfigure(cfg.Cluster)
-	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
+	b.log.Info("configuration reloaded", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
 // onOwner has the owner call f between two turns, and waits for it. After Serve has returned, f is called at once.
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -142,7 +142,7 @@
 	if phase == lifecycle.Serving && dropped == 0 && !client.busy() && len(client.undelivered) == 0 {
 		return
 	}
-	f.backend.log.Info("connection ended", "conn", client.number, "why", reason, "phase", phase, "open", len(client.requests),
+	f.backend.log.Info("connection closed", "connection", client.number, "reason", reason, "phase", phase, "open", len(client.requests),
 		"half_read", client.protocol.openSlots()-client.openAnswers(), "unsent_answers", len(client.undelivered),
 		"dropped_bytes", dropped)
 }
@@ -150,7 +150,7 @@
 // recordUnanswered counts and logs a request that leaves without its answer.
 func (f *frontend) recordUnanswered(id uint64, reason error) {
 	f.backend.stats.Unanswered++
-	f.backend.log.Warn("req without its answer", "id", fmt.Sprintf("%016x", id), "why", reason)
+	f.backend.log.Warn("request unanswered", "id", fmt.Sprintf("%016x", id), "reason", reason)
 }
 
 // trackDelivery has the account of a request follow the answer that was just written.
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -125,7 +125,7 @@
 	}, c.store, c, b.cfg.Seed^1, b.guard.now())
 	c.node.AddFences(fences(c.peerStates.Fences))
 	c.startRefill()
-	b.log.Info("cluster", "name", b.cfg.Cluster.Name, "incarnation", c.incarnation,
+	b.log.Info("cluster member started", "name", b.cfg.Cluster.Name, "incarnation", c.incarnation,
 		"members", len(roster.Members), "before", len(roster.Previous))
 }
 
@@ -186,7 +186,7 @@
 	}
 	for _, change := range changes {
 		c.dropDeparted(change.Update)
-		c.backend.log.Info("member", "name", change.Name, "incarnation", change.Incarnation,
+		c.backend.log.Info("member state changed", "name", change.Name, "incarnation", change.Incarnation,
 			"state", change.State.String(), "was", change.Previous.State.String())
 	}
 }
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -95,7 +95,7 @@
 		c.detector.Receive(b.now, p.node, p.incarnation, &batch.Members[i])
 	}
 	if len(batch.Claims) > 0 && !failover.Compatible(c.peerDigests[p.node], c.ownDigests) {
-		b.logLimited("members differ", "node", p.node)
+		b.logLimited("member lists differ", "node", p.node)
 		return
 	}
 	for i := range batch.Claims {
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -39,7 +39,7 @@
 		opened.SetInputLimit(opened.MaxUnsent)
 		opened.OnClosed = func(error) { delete(c.processorQueries, wanted.Node) }
 		parser := processor.NewParser(func(notice processor.Notice) { c.onForeignNotice(wanted.Node, opened, &notice) })
-		opened.OnData = b.parseLogged("bad link", parser.Feed)
+		opened.OnData = b.parseLogged("processor protocol error", parser.Feed)
 		opened.Write(processor.AppendHello(nil, max(wanted.Notice, 1))) // 0 would say that its backend has started anew
 	})
 }
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -80,7 +80,7 @@
 		if c.change.reason == "" || !errors.Is(err, failover.ErrNotAdopted) {
 			c.change.reason = err.Error()
 		}
-		b.logLimited("members not changed", "why", c.change.reason)
+		b.logLimited("membership change refused", "reason", c.change.reason)
 		return
 	}
 	configured.Since = next.Since
@@ -111,7 +111,7 @@
 			c.change.writing = false
 			if err != nil {
 				c.change.pending = true
-				b.logLimited("members not changed", "why", err)
+				b.logLimited("membership change refused", "reason", err)
 				return
 			}
 			c.adopt(roster)
@@ -133,7 +133,7 @@
 		refill.SetOthers(c.others())
 	}
 	c.announce()
-	b.log.Info("members", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
+	b.log.Info("membership changed", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
 }
 
 // keepDeparting keeps the links to the nodes that leave with a new roster: those may still have requests in flight, and
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -130,7 +130,7 @@
 		}
 	})
 	deadline := time.Now().Add(5 * time.Second)
-	for !log.contains("msg=cluster") && time.Now().Before(deadline) {
+	for !log.contains(`msg="cluster member started"`) && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
 	return b
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -66,7 +66,7 @@
 func (r *controlReporter) dial(b *Backend) {
 	conn, err := net.Dial("udp", r.address)
 	if err != nil {
-		b.logLimited("control plane not reached", "why", err)
+		b.logLimited("control plane unreachable", "reason", err)
 		r.nextAt = b.now + reportInterval
 		return
 	}
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -44,7 +44,7 @@
 	settings := b.cfg.Settings
 	settings.Backend.Cold = cold
 	b.controller = overload.New(b.cfg.Seed, settings, started)
-	b.log.Info("processor is up", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
+	b.log.Info("processor ready", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
 	b.timerEvent()
 }
 
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -133,7 +133,7 @@
 // recordViolation counts and logs an act that a rule forbids at this moment. The caller leaves it undone.
 func (b *Backend) recordViolation(act string, r *request, verdict lifecycle.Verdict) {
 	b.stats.Violations++
-	b.log.Error("rule kept at the last moment", "act", act, "id", r.wireID, "why", verdict)
+	b.log.Error("lifecycle violation prevented", "act", act, "id", r.wireID, "reason", verdict)
 }
 
 // logLimited logs a warning, at most once a second for each kind, with the number left out since the last one.
@@ -158,7 +158,7 @@
 	return func(p []byte) error {
 		err := feed(p)
 		if err != nil {
-			b.logLimited(kind, "why", err)
+			b.logLimited(kind, "reason", err)
 		}
 		return err
 	}
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -130,7 +130,7 @@
 // with nothing to answer the connection is aborted at once.
 func (f *frontend) cut(client *clientConn, reason error) {
 	f.backend.stats.BadConns++
-	f.backend.logLimited("bad connection", "from", "edge node", "why", reason)
+	f.backend.logLimited("client protocol error", "from", "edge node", "reason", reason)
 	f.stopReading(client)
 	if !client.busy() && client.conn.Unsent() == 0 {
 		client.conn.Abort(reason)
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -69,7 +69,7 @@
 func (p *fastcgiProtocol) refuse(from exchange, status byte) {
 	f := p.frontend
 	f.backend.stats.BadRequests++
-	f.backend.logLimited("bad req", "why", "role, or too many open requests", "status", status)
+	f.backend.logLimited("bad request", "reason", "role, or too many open requests", "status", status)
 	ticket := f.openUnnamed(p.client)
 	reason := accounting.UnsupportedRole
 	if status == fastcgi.StatusOverloaded {
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -97,7 +97,7 @@
 	}
 	for name := range b.cfg.Idempotency.Handlers {
 		if b.handlerOf(name) < 0 {
-			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "why", "no such handler", "handler", name)
+			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "reason", "no such handler", "handler", name)
 		}
 	}
 	b.readClocks()
@@ -189,11 +189,11 @@
 	g.lock = loaded.lock
 	if err != nil {
 		g.failed = true
-		b.log.Error(storeMessage, "dir", dir, "why", err, "so", "guarded requests are rejected until a restart")
+		b.log.Error(storeMessage, "dir", dir, "reason", err, "so", "guarded requests are rejected until a restart")
 		return
 	}
 	if loaded.setAside {
-		b.log.Error(storeMessage, "dir", dir, "why", "starts died over it",
+		b.log.Error(storeMessage, "dir", dir, "reason", "starts died over it",
 			"so", "its records are put aside; what ran is not known until the horizon has passed")
 		loaded.store.MarkOutdated(g.now())
 	}
@@ -226,7 +226,7 @@
 	node := g.backend.cluster.node // nil for a node alone
 	if err != nil {
 		g.failed = true
-		g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "why", err,
+		g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err,
 			"so", "guarded requests are rejected until a restart, but for repeats")
 	}
 	switch {
@@ -263,7 +263,7 @@
 	if g.log != nil {
 		g.flushEntries()
 		if err := g.log.Close(closeTimeout); err != nil {
-			g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "why", err)
+			g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err)
 			return // the lock is released by the end of the process
 		}
 	} else {
--- a/backend/listen.go
+++ b/backend/listen.go
@@ -67,7 +67,7 @@
 		if !isTransient(err) || ctx.Err() != nil || time.Now().After(end) {
 			return err
 		}
-		b.logLimited("not listening yet", "listen", address, "why", err)
+		b.logLimited("listen failed", "listen", address, "reason", err)
 		time.Sleep(listenRetryInterval)
 	}
 }
@@ -77,7 +77,7 @@
 func (b *Backend) notAccepted(err error) {
 	b.connsRejected.Add(1)
 	if err != nil {
-		b.loop.Post(func() { b.logLimited("not accepted", "why", err) })
+		b.loop.Post(func() { b.logLimited("accept failed", "reason", err) })
 	}
 }
 
--- a/backend/main.go
+++ b/backend/main.go
@@ -109,7 +109,7 @@
 func (b *Backend) reloadFile(configure func(*Config) error) error {
 	cfg, err := load(configure)
 	if err != nil {
-		b.log.Error("configuration not taken", "why", err)
+		b.log.Error("configuration rejected", "reason", err)
 		return err
 	}
 	b.Reload(cfg)
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -58,11 +58,11 @@
 	reading := b.read()
 	if reading.step != 0 {
 		b.stats.ClockSteps++
-		b.logLimited("time of day stepped", "by", reading.step)
+		b.logLimited("wall clock stepped", "by", reading.step)
 	}
 	if reading.stall >= stallMin {
 		b.stats.Stalls++
-		b.logLimited("stood still", "for", reading.stall)
+		b.logLimited("process stalled", "for", reading.stall)
 	}
 	return reading.at
 }
--- a/backend/peer_states.go
+++ b/backend/peer_states.go
@@ -58,7 +58,7 @@
 			c.peerStates.writing = false
 			switch {
 			case err != nil:
-				b.logLimited("peer states not written", "why", err)
+				b.logLimited("peer states not written", "reason", err)
 			case c.node != nil:
 				c.node.AddFences(written)
 			}
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -159,7 +159,7 @@
 			c.CloseAfterSend(conn.ErrClosedLocally)
 		}
 	case err != nil:
-		l.backend.logLimited("processor not reached", "why", err)
+		l.backend.logLimited("processor unreachable", "reason", err)
 		l.redialLater()
 	case l.ready():
 		l.quiesce(c)
@@ -230,7 +230,7 @@
 	b.stats.Links++
 	c.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
 	c.SetInputLimit(c.MaxUnsent)
-	c.OnData = b.parseLogged("bad link", processor.NewParser(l.onNotice).Feed)
+	c.OnData = b.parseLogged("processor protocol error", processor.NewParser(l.onNotice).Feed)
 	c.OnClosed = func(err error) { l.onClosed(c, err) }
 	c.Write(processor.AppendHello(nil, l.lastNotice))
 }
@@ -240,7 +240,7 @@
 		return // replaced
 	}
 	l.backend.stats.LinksLost++
-	l.backend.logLimited("link lost", "why", err)
+	l.backend.logLimited("processor link lost", "reason", err)
 	l.conn = nil
 	l.greeted = false
 	l.movedAway = false
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -48,7 +48,7 @@
 		return false // read before the link broke
 	}
 	if n.Number != l.lastNotice+1 {
-		l.backend.logLimited("notices missing", "after", l.lastNotice, "got", n.Number)
+		l.backend.logLimited("processor notices lost", "after", l.lastNotice, "got", n.Number)
 		l.noticesLost()
 	}
 	l.lastNotice = n.Number
@@ -63,7 +63,7 @@
 	if b.controller == nil {
 		b.processorUp(n.WarmingUp, b.now-min(n.Elapsed, b.now))
 	} else if n.Elapsed < l.processorAge { // one that went on would be older, however long the notice lay unread
-		b.logLimited("processor started anew", "age", n.Elapsed)
+		b.logLimited("processor restarted", "age", n.Elapsed)
 		l.noticesLost()
 		l.lastNotice = 0
 	}
@@ -119,7 +119,7 @@
 func (l *processorLink) onReject(n *processor.Notice) {
 	b := l.backend
 	b.stats.Rejects++
-	b.logLimited("processor rejects", "command", n.Text)
+	b.logLimited("processor rejected command", "command", n.Text)
 	r := b.requests[n.ID]
 	switch {
 	case r == nil:
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -137,5 +137,5 @@
 func (l *processorLink) logRetry(r *request, command, reason string) {
 	l.backend.stats.Repeated++
 	handler := l.backend.handlers[r.handler].name
-	l.backend.logLimited("command repeated", "command", command, "id", r.wireID, "handler", handler, "why", reason)
+	l.backend.logLimited("processor command retried", "command", command, "id", r.wireID, "handler", handler, "reason", reason)
 }
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -83,7 +83,7 @@
 			restart = c.node != nil
 		}
 		if action.To != action.From {
-			c.backend.log.Info("recovery", "phase", action.To.String(), "was", action.From.String(), "why", action.Reason)
+			c.backend.log.Info("recovery", "phase", action.To.String(), "was", action.From.String(), "reason", action.Reason)
 		}
 	}
 	switch {
@@ -106,7 +106,7 @@
 func (c *cluster) markHistoryLost() {
 	b := c.backend
 	c.store.MarkOutdated(b.guard.now())
-	b.log.Error("store older than known", "incarnation", c.incarnation, "why", c.recovery.Reason(),
+	b.log.Error("store older than peers know", "incarnation", c.incarnation, "reason", c.recovery.Reason(),
 		"so", "what it does not have is not taken for fresh until the horizon has passed")
 }
 
@@ -114,7 +114,7 @@
 	b := c.backend
 	if !c.store.RaiseIncarnation(known) {
 		b.guard.failed = true
-		b.log.Error("store older than known", "why", "an incarnation that can't be counted", "known", known,
+		b.log.Error("store older than peers know", "reason", "an incarnation that can't be counted", "known", known,
 			"so", "guarded requests are rejected until a restart")
 	}
 	c.incarnation = c.store.Stats().Incarnation
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -107,7 +107,7 @@
 	}
 	refill.PageReceived(b.now, from, &info, c.node.ReceivePage(b.guard.now(), page))
 	if info.Last {
-		b.log.Info("refill", "by", from, "complete", page.Complete, "fences_supported", page.FencesSupported)
+		b.log.Info("state refill", "by", from, "complete", page.Complete, "fences_supported", page.FencesSupported)
 	}
 	c.finishRefill()
 }
@@ -119,7 +119,7 @@
 		return
 	}
 	kept := c.store.MarkComplete(b.guard.now())
-	b.log.Info("refill", "by", "all others", "also_for_later_incarnations", kept)
+	b.log.Info("state refill", "by", "all others", "also_for_later_incarnations", kept)
 	c.recovery.MarkComplete()
 	c.runRecovery()
 }
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -103,7 +103,7 @@
 // closed.
 func (f *frontend) rejectMalformed(from exchange, ticket accounting.Ticket, id uint64, reason accounting.Reason, problem string) {
 	f.backend.stats.BadRequests++
-	f.backend.logLimited("bad req", "why", problem)
+	f.backend.logLimited("bad request", "reason", problem)
 	client := from.client
 	client.badRequests++
 	status := 400
--- a/backend/serve.go
+++ b/backend/serve.go
@@ -40,7 +40,7 @@
 	defer b.reporter.close()
 	b.log.Info("serving", "name", b.cfg.Name, "listen", b.cfg.Listen)
 	b.run(ctx)
-	b.log.Info("left", "counters", b.counters())
+	b.log.Info("shutdown complete", "counters", b.counters())
 	return nil
 }
 
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -24,7 +24,7 @@
 	if !b.process.Notify(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
 		return
 	}
-	b.log.Info("leaving", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.Notified())
+	b.log.Info("shutdown started", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.Notified())
 	b.logPhase()
 	b.cluster.leave()
 	b.drain.unreported = true
@@ -42,7 +42,7 @@
 
 // logPhase logs how far the end of the process has come.
 func (b *Backend) logPhase() {
-	b.log.Info("phase", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.unanswered,
+	b.log.Info("shutdown phase", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.unanswered,
 		"connections", len(b.frontend.clients), "half_read_bytes", b.frontend.partialBytes)
 }
 
@@ -99,7 +99,7 @@
 		if !b.hasClient(r) {
 			continue
 		}
-		b.log.Warn("req given up at the stop", "id", r.wireID, "held", !r.state.started())
+		b.log.Warn("request cancelled at shutdown deadline", "id", r.wireID, "held", !r.state.started())
 		if r.state.started() {
 			b.frontend.failed(r, accounting.Cancelled)
 		} else {
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -256,7 +256,7 @@
 		u.drop(pending, outcome)
 		u.end(pending, overload.TimedOut)
 	case awaitsPong && b.now >= carrier.pongBy:
-		b.logLimited("next tier not reached", "peer", carrier.target.Address, "why", errNoPong)
+		b.logLimited("upstream unreachable", "peer", carrier.target.Address, "reason", errNoPong)
 		carrier.call = nil
 		u.close(carrier)
 		u.retryElsewhere(pending, loadbalance.Fault, overload.NoConnection)
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -87,7 +87,7 @@
 	stillWaits := waiting.request.call == waiting && waiting.target == target && waiting.ajpConn == nil
 	if err != nil {
 		u.open--
-		b.logLimited("next tier not reached", "peer", target.Address, "why", err)
+		b.logLimited("upstream unreachable", "peer", target.Address, "reason", err)
 		if stillWaits {
 			u.retryElsewhere(waiting, loadbalance.Fault, overload.NoConnection)
 		}
@@ -95,7 +95,7 @@
 	}
 	opened := &ajpConn{conn: c, parser: ajp.NewClient(b.cfg.AJP.packet()), target: target, usedAt: b.now}
 	c.MaxUnsent = maxUnsentCalls
-	c.OnData = b.parseLogged("bad reply", func(text []byte) error {
+	c.OnData = b.parseLogged("upstream protocol error", func(text []byte) error {
 		return opened.parser.Feed(text, func(answer ajp.Reply) { u.onAnswer(opened, answer) })
 	})
 	c.OnClosed = func(error) { u.onClosed(opened) }
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -83,7 +83,7 @@
 	client := bed.dialClient()
 	bed.startRun(client, 1)
 	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
-	bed.await(func() bool { return bed.backend.logLimits["next tier not reached"] != nil })
+	bed.await(func() bool { return bed.backend.logLimits["upstream unreachable"] != nil })
 	go func() {
 		ln := goes()
 		for {
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -134,7 +134,7 @@
 	u.conns[opened] = struct{}{}
 	c.MaxUnsent = maxUnsentCalls
 	parser := upstreamproto.NewParser(func(reply upstreamproto.Reply) { u.onReply(opened, reply) })
-	c.OnData = u.backend.parseLogged("bad reply", parser.Feed)
+	c.OnData = u.backend.parseLogged("upstream protocol error", parser.Feed)
 	c.OnClosed = func(error) { u.onClosed(opened) }
 	u.release(opened)
 }
@@ -142,7 +142,7 @@
 // dialFailed ends the call for which the connection was dialed. After a timeout of the dial the calls wait for another
 // dial instead, as long as their own timeouts allow.
 func (u *proxyUpstream) dialFailed(err error) {
-	u.backend.logLimited("next tier not reached", "why", err)
+	u.backend.logLimited("upstream unreachable", "reason", err)
 	if !errors.Is(err, conn.ErrDialTimeout) {
 		if waiting := u.dequeue(); waiting != nil {
 			u.end(waiting, overload.NoConnection)
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -103,7 +103,7 @@
 		}
 		found := false
 		for end := time.Now().Add(5 * time.Second); !found && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			found = strings.Contains(cluster.nodes[restored].Log()[before:], "store older than known")
+			found = strings.Contains(cluster.nodes[restored].Log()[before:], "store older than peers know")
 		}
 		if outdatedCount++; !found {
 			t.Errorf("round %d: n%d trusts an older disk (n%d is late):\n%s", round, restored+1, late+1, cluster.nodes[restored].Log()[before:])
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -173,8 +173,8 @@
 			logged = append(logged, node.Name+": panic: "+stack[:min(len(stack), 3000)])
 		}
 		for line := range strings.Lines(node.Process.Log()) {
-			if strings.Contains(line, "rule kept at the last moment") || strings.Contains(line, "invariant broken") ||
-				strings.Contains(line, "figures differ") {
+			if strings.Contains(line, "lifecycle violation prevented") || strings.Contains(line, "invariant broken") ||
+				strings.Contains(line, "accounting mismatch") {
 				logged = append(logged, node.Name+": "+strings.TrimSpace(line))
 			}
 		}
@@ -220,9 +220,9 @@
 	for _, node := range s.nodes {
 		for line := range strings.Lines(node.Process.Log()) {
 			for _, what := range []string{
-				"time of day stepped", "stood still", "link lost", "not accepted", "bad reply", "next tier not reached",
-				"configuration not taken", "configuration read anew", "command repeated", "req without its answer", "to=draining",
-				"req given up at the stop", "processor not reached",
+				"wall clock stepped", "process stalled", "processor link lost", "accept failed", "upstream protocol error", "upstream unreachable",
+				"configuration rejected", "configuration reloaded", "processor command retried", "request unanswered", "to=draining",
+				"request cancelled at shutdown deadline", "processor unreachable",
 			} {
 				if strings.Contains(line, what) {
 					seen[what]++
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -17,7 +17,7 @@
 	invalid := connect(t, server.address)
 	closing := connect(t, server.address)
 	if !runLoop(l, func() bool { return len(server.conns) == 2 }) {
-		t.Fatal("not accepted")
+		t.Fatal("accept failed")
 	}
 	rejected := connect(t, server.address)
 	if _, err := rejected.Read(make([]byte, 1)); err == nil || len(server.rejected) != 1 {
@@ -84,7 +84,7 @@
 	server := serveEcho(t, l, 100)
 	peer := connect(t, server.address)
 	if !runLoop(l, func() bool { return len(server.conns) == 1 }) {
-		t.Fatal("not accepted")
+		t.Fatal("accept failed")
 	}
 	c := server.conns[0]
 	delivered := ""
--- a/internal/conn/flush_test.go
+++ b/internal/conn/flush_test.go
@@ -15,7 +15,7 @@
 	stalledPeer := connect(t, server.address)
 	otherPeer := connect(t, server.address)
 	if !runLoop(l, func() bool { return len(server.conns) == 2 }) {
-		t.Fatal("not accepted")
+		t.Fatal("accept failed")
 	}
 	stalled := server.conns[0]
 	if stalled.netConn.RemoteAddr().String() != stalledPeer.LocalAddr().String() {
