--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -202,8 +202,9 @@
 	return outcome.Decision == idempotency.Wait
 }
 
-// handleFinish records how a request ended, or that its key is released. Who
-// reports an outcome has had it run, whatever ballot this node knows of.
+// handleFinish records how a request ended, or that its key is released. An
+// outcome is recorded whatever ballot this node knows of: its sender knows that
+// the request ran.
 func (n *Node) handleFinish(from string, message *Message) {
 	reservation := n.reservations.get(message.Key)
 	if message.Replayable && message.Outcome == idempotency.EntryResult {
--- a/failover/claim.go
+++ b/failover/claim.go
@@ -250,7 +250,7 @@
 	}
 }
 
-// decideFresh tells a request that has no claim that it never ran.
+// decideFresh decides on a request without a claim that it never ran.
 func (n *Node) decideFresh(key idempotency.Key, id uint64) {
 	n.outcomes = append(n.outcomes, Outcome{
 		Key:     key,
--- a/failover/config.go
+++ b/failover/config.go
@@ -105,3 +105,8 @@
 	c.MaxResultBytes = cmp.Or(c.MaxResultBytes, defaultMaxResultBytes)
 	return c
 }
+
+// roster returns the member lists of the configuration.
+func (c Config) roster() Roster {
+	return Roster{Members: c.Members, Previous: c.Previous}
+}
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -4,7 +4,7 @@
 
 // tally sums up the votes on a claim in claimAcquiring or claimQuerying.
 type tally struct {
-	// finished is a reply that tells the outcome; a result goes before others.
+	// finished is a reply with the outcome; a result goes before other outcomes.
 	finished *Message
 	// holder is the reply that names the highest holder; one that has started
 	// goes before others.
@@ -112,7 +112,7 @@
 }
 
 // outcomeLost reports whether the request was started and nobody is left who
-// could tell its outcome.
+// could report its outcome.
 func (n *Node) outcomeLost(sum *tally) bool {
 	if sum.holderStarted() {
 		return n.suspects(sum.holder.Holder)
--- a/failover/finish.go
+++ b/failover/finish.go
@@ -81,7 +81,7 @@
 	n.broadcast(claim, Message{Kind: MsgFinish, Outcome: claim.outcome, Result: claim.result, Made: claim.made})
 }
 
-// finishReplayable tells the group once how a replayable request has ended.
+// finishReplayable reports to the group, once, how a replayable request ended.
 // Nobody waits for a confirmation: where the message is lost, all that follows
 // is one more run.
 func (n *Node) finishReplayable(claim *claim, kind idempotency.EntryKind, result []byte) {
--- a/failover/message.go
+++ b/failover/message.go
@@ -78,13 +78,13 @@
 	// VoteRunning: Holder has started, and the outcome isn't known. With an
 	// Outcome it is, and is being written to the disk.
 	VoteRunning Vote = 4
-	// VoteFinished: Outcome and Result tell how the request ended.
+	// VoteFinished: Outcome and Result are how the request ended.
 	VoteFinished Vote = 5
 	// VoteOutcomeUnknown: the request was started, and its outcome is lost.
 	VoteOutcomeUnknown Vote = 6
 	// VoteExpired: the request ended, and its result is no longer kept.
 	VoteExpired Vote = 7
-	// VoteAbstain: the member has lost records and can't tell.
+	// VoteAbstain: the member has lost records and doesn't know.
 	VoteAbstain Vote = 8
 	// VoteFull: the member has no room, or its disk has failed.
 	VoteFull Vote = 9
@@ -111,8 +111,8 @@
 	return voteNames[v]
 }
 
-// Message is a message between two nodes about one key. Kind tells which of the
-// other fields are set.
+// Message is a message between two nodes about one key. Kind determines which of
+// the other fields are set.
 type Message struct {
 	Kind MessageKind
 	Key  idempotency.Key
--- a/failover/node.go
+++ b/failover/node.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Peers tells what is believed of other nodes. Beliefs may be wrong: they
-// decide when a node acts, not what is safe.
+// Peers is a failure detector: what is believed of other nodes. Beliefs may be
+// wrong: they decide when a node acts, not what is safe.
 type Peers interface {
 	// Alive reports whether a node answers.
 	Alive(name string) bool
@@ -79,11 +79,6 @@
 	}
 }
 
-// roster returns the member lists of the configuration.
-func (c Config) roster() Roster {
-	return Roster{Members: c.Members, Previous: c.Previous}
-}
-
 // Ready returns the messages to send and the decisions on requests since the
 // last call, in the order in which they came up.
 func (n *Node) Ready() ([]Envelope, []Outcome) {
@@ -104,8 +99,7 @@
 	clear(n.groupCache)
 }
 
-// StartDraining reports that the node is about to leave: it takes nothing over any
-// more.
+// StartDraining has the node take nothing over any more: it is about to leave.
 func (n *Node) StartDraining() { n.draining = true }
 
 // Tick does what is due: repeats messages, ends claims that time out, and takes
--- a/failover/reservation.go
+++ b/failover/reservation.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// notifyWaiters tells the outcome to the nodes that asked while the request was
+// notifyWaiters reports the outcome to the nodes that asked while the request was
 // in flight.
 func (n *Node) notifyWaiters(reservation *reservation, kind idempotency.EntryKind, result []byte) {
 	for _, name := range slices.Sorted(maps.Keys(reservation.waiters)) {
--- a/failover/rules.go
+++ b/failover/rules.go
@@ -26,8 +26,8 @@
 	// ruleFencing: votes that a node cast before it lost its records don't
 	// count beside those of the peers that restored it.
 	ruleFencing
-	// ruleCompleteSource: a node that has lost records itself can't tell
-	// another that it has transferred everything.
+	// ruleCompleteSource: a node that has lost records itself doesn't
+	// count as having transferred everything to another.
 	ruleCompleteSource
 	// ruleTransferInFlight: requests in flight are transferred as well.
 	ruleTransferInFlight
--- a/failover/transfer.go
+++ b/failover/transfer.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A node whose disk is older than what its peers know can't tell what it lacks,
-// so it counts for neither side in the groups of such keys. The other members of
+// A node whose disk is older than what its peers know doesn't know what it
+// lacks, so it counts for neither side in the groups of such keys. The other members of
 // these groups have all of it: whatever started was recorded by a majority, so
 // by one of the others at least. They transfer it page by page (BuildPage,
 // ReceivePage). Once all others of a key's group have done so, the node knows of
