--- a/backend/backend.go
+++ b/backend/backend.go
@@ -21,8 +21,8 @@
 	"time"
 )
 
-// Backend is one backend. Its exported methods may be called from any goroutine; all its fields belong to the goroutine
-// that runs Serve.
+// Backend serves the requests of one node. Its exported methods may be called from any goroutine; all its fields belong
+// to the goroutine that runs Serve.
 type Backend struct {
 	cfg       Config
 	log       *slog.Logger
@@ -65,12 +65,12 @@
 
 // handler is what the configuration says of one handler.
 type handler struct {
-	name       string
-	replayable bool          // a request may run again without harm
-	uniqued    bool          // its requests bring a key by which a repeat is known, and run once
-	window     time.Duration // in which such a repeat may come
-	timeout    time.Duration // how long its clients wait
-	value      float64       // its weight against other handlers
+	name         string
+	replayable   bool          // a request may run again without harm
+	deduplicated bool          // its requests bring a key by which a repeat is recognized, and run once
+	window       time.Duration // in which such a repeat may come
+	timeout      time.Duration // how long its clients wait
+	weight       float64       // its weight against other handlers
 }
 
 // New returns a backend for a configuration. It opens nothing: that is done by Serve. A nil log stands for
@@ -128,12 +128,12 @@
 
 func newHandler(settings *overload.Handler) handler {
 	return handler{
-		name:       settings.Name,
-		replayable: settings.Idempotency == overload.Replayable,
-		uniqued:    settings.Idempotency == overload.Deduplicated,
-		window:     settings.Window,
-		timeout:    settings.ClientTimeout.Or(overload.DefaultClientTimeout),
-		value:      settings.Value.Or(0),
+		name:         settings.Name,
+		replayable:   settings.Idempotency == overload.Replayable,
+		deduplicated: settings.Idempotency == overload.Deduplicated,
+		window:       settings.Window,
+		timeout:      settings.ClientTimeout.Or(overload.DefaultClientTimeout),
+		weight:       settings.Value.Or(0),
 	}
 }
 
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -24,7 +24,7 @@
 		Cost:       int64(r.arrival.Hint),
 		Size:       r.arrival.Size,
 		Rank:       r.arrival.ValueRank,
-		Weight:     handler.value,
+		Weight:     handler.weight,
 		Replayable: r.guard.replayable,
 	})
 }
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -40,11 +40,11 @@
 
 // processorUp makes the controller, once the processor is up. Its first batch brings the health, the load signal and the
 // first timer event.
-func (b *Backend) processorUp(cold bool, started time.Duration) {
+func (b *Backend) processorUp(warmingUp bool, started time.Duration) {
 	settings := b.cfg.Settings
-	settings.Backend.Cold = cold
+	settings.Backend.Cold = warmingUp
 	b.controller = overload.New(b.cfg.Seed, settings, started)
-	b.log.Info("processor is up", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
+	b.log.Info("processor is up", "cold", warmingUp, "age", (b.now - started).Round(time.Millisecond))
 	b.timerEvent()
 }
 
--- a/backend/main.go
+++ b/backend/main.go
@@ -26,12 +26,13 @@
 // and logs to standard error. SIGTERM and SIGINT drain the backend, SIGHUP has it read the configuration again, and
 // SIGUSR1 has it log its counters.
 //
-// Main calls configure to fill in the operator's part of each configuration that was read, and beside once with the
-// backend before it serves; the function that beside returns is called when the backend has ended.
-func Main(configure func(*Config) error, beside func(*Backend) (stop func(), err error)) error {
-	requests := make(chan os.Signal, 8)
-	signal.Notify(requests, syscall.SIGHUP, syscall.SIGUSR1) // first of all: unhandled they end the process
-	defer signal.Stop(requests)
+// Main calls configure to fill in the operator's part of each configuration that was read. It calls attach once with the
+// backend, before that serves, to start what runs beside it; the function that attach returns is called when the backend
+// has ended.
+func Main(configure func(*Config) error, attach func(*Backend) (stop func(), err error)) error {
+	signals := make(chan os.Signal, 8)
+	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1) // first of all: unhandled they end the process
+	defer signal.Stop(signals)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // a second one changes nothing
 	defer stop()
 	cfg, err := loadAtStart(ctx, configure)
@@ -45,24 +46,24 @@
 	log := slog.New(slog.NewTextHandler(lines, nil))
 	conn.Prepare(log)
 	b := New(cfg, log)
-	stopBeside, err := beside(b)
+	detach, err := attach(b)
 	if err != nil {
 		return err
 	}
-	defer stopBeside()
+	defer detach()
 	done := make(chan struct{})
 	defer close(done)
-	go b.handleSignals(requests, done, configure)
+	go b.handleSignals(signals, done, configure)
 	return b.Serve(ctx)
 }
 
 // handleSignals carries out what signals ask for while the backend serves, until done is closed.
-func (b *Backend) handleSignals(requests <-chan os.Signal, done <-chan struct{}, configure func(*Config) error) {
+func (b *Backend) handleSignals(signals <-chan os.Signal, done <-chan struct{}, configure func(*Config) error) {
 	var retry <-chan time.Time // the configuration file could not be read, and is to be
 	var retryUntil time.Time
 	for {
 		select {
-		case s := <-requests:
+		case s := <-signals:
 			if s == syscall.SIGUSR1 {
 				b.log.Info("counters", "counters", b.Counters())
 				continue
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -67,7 +67,7 @@
 // keyOf returns the cache key of a request for an object; once is its idempotency key.
 func (c *resultCache) keyOf(r *request, object, owner, once string) cacheKey {
 	switch {
-	case c.backend.handlers[r.handler].uniqued:
+	case c.backend.handlers[r.handler].deduplicated:
 		return cacheKey{handler: r.handler, owner: owner, name: once}
 	case object == "" || c.shareFor == 0:
 		return cacheKey{}
@@ -105,7 +105,7 @@
 	if entry := c.find(r); entry != nil {
 		return c.linkRepeat(r, entry)
 	}
-	if c.backend.handlers[r.handler].uniqued && !c.add(r) {
+	if c.backend.handlers[r.handler].deduplicated && !c.add(r) {
 		return accounting.StoreFull
 	}
 	return accounting.None
@@ -133,7 +133,7 @@
 	entry := &cacheEntry{
 		id:        r.id,
 		key:       r.cacheKey,
-		runsOnce:  handler.uniqued,
+		runsOnce:  handler.deduplicated,
 		expiresAt: r.arrivedAt + handler.window + windowMargin,
 	}
 	entry.bytes = entry.baseBytes()
