--- a/accounting/ledger_test.go
+++ b/accounting/ledger_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"frosthub/internal/golden"
 	"slices"
 	"testing"
 	"time"
 
+	"frosthub/internal/golden"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/internal/statsfile"
-	"time"
 )
 
 const (
--- a/backend/audit.go
+++ b/backend/audit.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"slices"
+
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
-	"slices"
 )
 
 // audit has the ledger check that its sums add up, from time to time compares it with the requests that are known here,
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -9,16 +9,17 @@
 package backend
 
 import (
-	"frosthub/internal/conn"
-	"frosthub/internal/logthrottle"
-	"frosthub/lifecycle"
-	"frosthub/overload"
 	"log/slog"
 	"math"
 	"slices"
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"frosthub/internal/conn"
+	"frosthub/internal/logthrottle"
+	"frosthub/lifecycle"
+	"frosthub/overload"
 )
 
 // Backend serves the requests of one node. Its exported methods may be called from any goroutine; all its fields belong
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/internal/conn"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"maps"
-	"slices"
-	"time"
 )
 
 // clientConn is one connection of a client. It belongs to the owner goroutine.
--- a/backend/client_socket_test.go
+++ b/backend/client_socket_test.go
@@ -5,8 +5,6 @@
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
-	"frosthub/internal/ajp"
-	"frosthub/internal/fake"
 	"io"
 	"maps"
 	"net"
@@ -14,6 +12,9 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"frosthub/internal/ajp"
+	"frosthub/internal/fake"
 )
 
 // defaultFields returns the fields of a good request, with others over them.
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -1,12 +1,13 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/internal/conn"
 	"frosthub/membership"
 	"frosthub/recovery"
-	"time"
 )
 
 // ClusterConfig describes the nodes that take over each other's guarded requests. The zero value is a node alone.
--- a/backend/cluster_link.go
+++ b/backend/cluster_link.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/internal/conn"
 	"frosthub/internal/peerproto"
 	"frosthub/recovery"
-	"time"
 )
 
 const (
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"frosthub/failover"
 	"frosthub/internal/conn"
 	"frosthub/internal/peerproto"
--- a/backend/cluster_operator.go
+++ b/backend/cluster_operator.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+
 	"frosthub/recovery"
 )
 
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -1,12 +1,13 @@
 package backend
 
 import (
+	"math"
+	"time"
+
 	"frosthub/failover"
 	"frosthub/internal/conn"
 	"frosthub/internal/processor"
 	"frosthub/overload"
-	"math"
-	"time"
 )
 
 // processorQueryTimeout is how long the processor of a lost node is waited for.
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -3,12 +3,13 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/failover"
-	"frosthub/membership"
 	"reflect"
 	"slices"
 	"strings"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/membership"
 )
 
 // reconfigureRetry is the time between tries to adopt another roster.
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -3,11 +3,12 @@
 import (
 	"cmp"
 	"fmt"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/overload"
-	"time"
 )
 
 // defaultSizeKB is the size in kilobytes that is taken for a request whose first node said none.
--- a/backend/cluster_stats.go
+++ b/backend/cluster_stats.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"slices"
+
 	"frosthub/failover"
 	"frosthub/recovery"
-	"slices"
 )
 
 // maxShownRequests is how many requests ClusterStats shows: what a person reads.
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -4,14 +4,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
-	"frosthub/internal/peerproto"
-	"frosthub/internal/wal"
-	"frosthub/membership"
-	"frosthub/recovery"
 	"io"
 	"log/slog"
 	"net"
@@ -20,6 +12,15 @@
 	"sync"
 	"testing"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+	"frosthub/internal/peerproto"
+	"frosthub/internal/wal"
+	"frosthub/membership"
+	"frosthub/recovery"
 )
 
 // safeBuffer is a log that is read while it is written.
--- a/backend/config.go
+++ b/backend/config.go
@@ -4,10 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"frosthub/internal/faultinject"
-	"frosthub/internal/settings"
-	"frosthub/lifecycle"
-	"frosthub/overload"
 	"math"
 	"os"
 	"runtime"
@@ -15,6 +11,11 @@
 	"strconv"
 	"time"
 
+	"frosthub/internal/faultinject"
+	"frosthub/internal/settings"
+	"frosthub/lifecycle"
+	"frosthub/overload"
+
 	"github.com/valyala/fastjson"
 )
 
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"frosthub/overload"
 	"io/fs"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"frosthub/overload"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
-	"frosthub/internal/control"
-	"frosthub/internal/faultinject"
 	"net"
 	"time"
+
+	"frosthub/internal/control"
+	"frosthub/internal/faultinject"
 )
 
 // reportInterval is how often this backend reports to the control plane. It drops a backend that was silent for 3 s, so
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -1,13 +1,14 @@
 package backend
 
 import (
+	"slices"
+	"strconv"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"slices"
-	"strconv"
-	"time"
 )
 
 // gaugeTimeout is how long a timer event waits for fresh gauges of the processor. After that the last ones have to do:
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -1,13 +1,14 @@
 package backend
 
 import (
+	"log/slog"
+	"maps"
+	"slices"
+
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/internal/logthrottle"
 	"frosthub/lifecycle"
-	"log/slog"
-	"maps"
-	"slices"
 )
 
 // Counters say what a backend has received, sent and answered since its start.
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -1,15 +1,16 @@
 package backend
 
 import (
-	"frosthub/accounting"
-	"frosthub/internal/fake"
-	"frosthub/overload"
 	"io"
 	"net"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/fake"
+	"frosthub/overload"
 )
 
 // TestBrokenStream: who breaks the protocol gets the answers of what was read whole of it, and then the end.
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
-	"frosthub/accounting"
 	"slices"
 	"time"
+
+	"frosthub/accounting"
 )
 
 // sweep closes connections that have been idle for too long, or the longest idle ones where places run short. It
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"fmt"
-	"frosthub/backend"
 	"log/slog"
+
+	"frosthub/backend"
 )
 
 // A program that embeds a backend parses a configuration, adds what its operator chose, and serves until its context is
--- a/backend/fastcgi_forms_test.go
+++ b/backend/fastcgi_forms_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"frosthub/internal/fake"
 	"strings"
 	"testing"
+
+	"frosthub/internal/fake"
 )
 
 // Types of FastCGI records.
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
-	"frosthub/accounting"
-	"frosthub/internal/conn"
 	"slices"
 	"strings"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/conn"
 )
 
 // How many connections of clients there may be.
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -3,10 +3,11 @@
 import (
 	"crypto/subtle"
 	"errors"
-	"frosthub/accounting"
-	"frosthub/internal/ajp"
 	"strconv"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/ajp"
 )
 
 // AJPConfig says how clients that speak AJP/1.3 are served. The zero value serves none.
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
-	"frosthub/accounting"
-	"frosthub/internal/fastcgi"
 	"strconv"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/fastcgi"
 )
 
 // fastcgiProtocol is a connection of a client that speaks FastCGI: many slots, each with an abort.
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -2,14 +2,15 @@
 
 import (
 	"encoding/binary"
+	"os"
+	"slices"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/internal/wal"
 	"frosthub/overload"
-	"os"
-	"slices"
-	"time"
 )
 
 // answerMargin is how long before a client's timeout its request is answered at the latest: the answer has to get
--- a/backend/idempotency_config.go
+++ b/backend/idempotency_config.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
+	"time"
+
 	"frosthub/idempotency"
 	"frosthub/internal/wal"
-	"time"
 )
 
 // KeyPart is one of the things that the idempotency key of a request is made of. Its number is part of the key, and so
--- a/backend/idempotency_key.go
+++ b/backend/idempotency_key.go
@@ -3,10 +3,11 @@
 import (
 	"crypto/sha256"
 	"encoding/binary"
-	"frosthub/accounting"
-	"frosthub/idempotency"
 	"slices"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/idempotency"
 )
 
 // guardState is what the guard keeps of a request that must not run twice.
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"frosthub/idempotency"
-	"frosthub/internal/filelock"
-	"frosthub/internal/wal"
 	"log/slog"
 	"os"
 	"path/filepath"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/filelock"
+	"frosthub/internal/wal"
 )
 
 // Times and limits of opening and closing the store.
--- a/backend/idempotency_test.go
+++ b/backend/idempotency_test.go
@@ -1,8 +1,9 @@
 package backend
 
 import (
-	"frosthub/idempotency"
 	"testing"
+
+	"frosthub/idempotency"
 )
 
 // TestStoreState checks what the store can do, by whether it was loaded and whether the disk has failed.
--- a/backend/listen.go
+++ b/backend/listen.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"errors"
-	"frosthub/internal/conn"
 	"syscall"
 	"time"
+
+	"frosthub/internal/conn"
 )
 
 const (
--- a/backend/main.go
+++ b/backend/main.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"errors"
-	"frosthub/internal/asynclog"
-	"frosthub/internal/conn"
 	"io/fs"
 	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
 	"time"
+
+	"frosthub/internal/asynclog"
+	"frosthub/internal/conn"
 )
 
 const (
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/arrival"
 	"frosthub/internal/faultinject"
 	"frosthub/lifecycle"
-	"time"
 )
 
 const (
--- a/backend/peer_states.go
+++ b/backend/peer_states.go
@@ -4,13 +4,14 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"frosthub/failover"
-	"frosthub/internal/wal"
-	"frosthub/recovery"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/internal/wal"
+	"frosthub/recovery"
 )
 
 // peerStatesFileName is the file in the directory of the store that holds what this node remembers of the others.
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
-	"frosthub/internal/conn"
-	"frosthub/internal/processor"
 	"math"
 	"time"
+
+	"frosthub/internal/conn"
+	"frosthub/internal/processor"
 )
 
 // Times and limits of the link to the processor.
--- a/backend/processor_link_test.go
+++ b/backend/processor_link_test.go
@@ -1,8 +1,9 @@
 package backend
 
 import (
-	"frosthub/internal/conn"
 	"testing"
+
+	"frosthub/internal/conn"
 )
 
 // TestLinkState checks which state of the link follows from its connection and open queries.
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
+	"slices"
+
 	"frosthub/accounting"
 	"frosthub/internal/processor"
 	"frosthub/overload"
-	"slices"
 )
 
 // onNotice handles one notice of the processor.
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
-	"frosthub/accounting"
-	"frosthub/lifecycle"
-	"frosthub/overload"
 	"maps"
 	"slices"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/lifecycle"
+	"frosthub/overload"
 )
 
 // probeWait is how long a notice of a run that may never have been started is waited for, and then one of its
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -1,12 +1,13 @@
 package backend
 
 import (
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/recovery"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/recovery"
 )
 
 const (
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
+	"slices"
+
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/recovery"
-	"slices"
 )
 
 // maxUnknownKeys is how many keys with an unknown outcome the other nodes are asked for at a start: as many as can have
--- a/backend/request.go
+++ b/backend/request.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/overload"
-	"time"
 )
 
 // request is one request from the moment it was read until it is answered and its run has ended. It belongs to the
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -1,12 +1,13 @@
 package backend
 
 import (
-	"frosthub/accounting"
-	"frosthub/internal/lineproto"
-	"frosthub/overload"
 	"math"
 	"strconv"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/lineproto"
+	"frosthub/overload"
 )
 
 // Bounds of what requests may say of themselves.
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -1,11 +1,12 @@
 package backend
 
 import (
-	"frosthub/accounting"
-	"frosthub/lifecycle"
 	"slices"
 	"strings"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/lifecycle"
 )
 
 // Paths that clients ask for.
--- a/backend/response.go
+++ b/backend/response.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/lifecycle"
-	"time"
 )
 
 // statusText has the reason phrase of each status that is answered.
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -2,10 +2,11 @@
 
 import (
 	"crypto/sha256"
-	"frosthub/accounting"
-	"frosthub/overload"
 	"slices"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/overload"
 )
 
 // Limits of the cache of results.
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"frosthub/accounting"
-	"frosthub/overload"
 	"testing"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/overload"
 )
 
 // newCacheBackend returns a backend that doesn't serve, for tests of its result cache that set the clock.
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -4,13 +4,14 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"frosthub/failover"
-	"frosthub/internal/wal"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/internal/wal"
 )
 
 // rosterFileName is the file in the directory of the store that holds the roster that this node has adopted.
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -1,12 +1,13 @@
 package backend
 
 import (
+	"math"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"math"
-	"time"
 )
 
 // closingInterval is how often a process that ends checks what may be closed.
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"frosthub/lifecycle"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/lifecycle"
 )
 
 // The tests of crossings force the moments in which two events cross: the owner is held at a gate while the other event
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -3,9 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
-	"frosthub/internal/wal"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -16,6 +13,10 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+	"frosthub/internal/wal"
 )
 
 const (
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -5,8 +5,6 @@
 	"errors"
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/golden"
 	"io"
 	"net"
 	"os"
@@ -15,6 +13,9 @@
 	"testing"
 	"time"
 
+	"frosthub/internal/fake"
+	"frosthub/internal/golden"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/lifecycle"
 	"frosthub/loadbalance"
 	"frosthub/overload"
-	"time"
 )
 
 // Limits of calls to the next tier, whichever protocol carries them.
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -3,14 +3,15 @@
 import (
 	"bytes"
 	"cmp"
-	"frosthub/internal/ajp"
-	"frosthub/internal/invariant"
-	"frosthub/loadbalance"
-	"frosthub/overload"
 	"maps"
 	"slices"
 	"strconv"
 	"time"
+
+	"frosthub/internal/ajp"
+	"frosthub/internal/invariant"
+	"frosthub/loadbalance"
+	"frosthub/overload"
 )
 
 // AJPUpstreamConfig is a next tier of several servers that speak AJP. Without peers in Balancer there is none.
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -2,12 +2,13 @@
 
 import (
 	"errors"
+	"slices"
+	"time"
+
 	"frosthub/internal/ajp"
 	"frosthub/internal/conn"
 	"frosthub/loadbalance"
 	"frosthub/overload"
-	"slices"
-	"time"
 )
 
 // Times of connections to AJP servers.
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"frosthub/accounting"
-	"frosthub/overload"
 	"io"
 	"net"
 	"os"
@@ -11,6 +9,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/overload"
 )
 
 // TestSlowDial: a connection that stands only after its call was given up carries another one, and never that call.
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -2,12 +2,13 @@
 
 import (
 	"errors"
-	"frosthub/internal/conn"
-	"frosthub/internal/upstreamproto"
-	"frosthub/overload"
 	"maps"
 	"slices"
 	"time"
+
+	"frosthub/internal/conn"
+	"frosthub/internal/upstreamproto"
+	"frosthub/overload"
 )
 
 const (
--- a/cmd/frosthub/accounting_test.go
+++ b/cmd/frosthub/accounting_test.go
@@ -5,9 +5,6 @@
 	"encoding/json"
 	"flag"
 	"fmt"
-	"frosthub/accounting"
-	"frosthub/internal/fake"
-	"frosthub/internal/statsfile"
 	"math/rand/v2"
 	"os"
 	"os/exec"
@@ -17,6 +14,10 @@
 	"sync"
 	"testing"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/fake"
+	"frosthub/internal/statsfile"
 )
 
 var (
--- a/cmd/frosthub/ajp_test.go
+++ b/cmd/frosthub/ajp_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"flag"
-	"frosthub/internal/fake"
 	"math"
 	"net"
 	"slices"
@@ -11,6 +10,8 @@
 	"testing"
 	"time"
 
+	"frosthub/internal/fake"
+
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 )
--- a/cmd/frosthub/cluster_load_test.go
+++ b/cmd/frosthub/cluster_load_test.go
@@ -4,11 +4,12 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
 	"testing"
 	"time"
 
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
--- a/cmd/frosthub/cluster_test.go
+++ b/cmd/frosthub/cluster_test.go
@@ -3,15 +3,16 @@
 import (
 	"context"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/faultproxy"
-	"frosthub/internal/harness"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
+	"frosthub/internal/harness"
 )
 
 // waitForLog waits until the node's log contains a text after an offset.
--- a/cmd/frosthub/drain_test.go
+++ b/cmd/frosthub/drain_test.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"frosthub/internal/harness"
 	"sync"
 	"testing"
 	"time"
+
+	"frosthub/internal/harness"
 )
 
 // drainNodes is the number of nodes that drain side by side, as many as in the incident that this test reproduces.
--- a/cmd/frosthub/failover_latency_test.go
+++ b/cmd/frosthub/failover_latency_test.go
@@ -3,12 +3,13 @@
 import (
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
+	"frosthub/internal/fake"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
--- a/cmd/frosthub/failover_test.go
+++ b/cmd/frosthub/failover_test.go
@@ -3,9 +3,6 @@
 import (
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/faultproxy"
-	"frosthub/internal/harness"
 	"math/rand/v2"
 	"os/exec"
 	"path/filepath"
@@ -14,6 +11,10 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
+	"frosthub/internal/harness"
 )
 
 var failoverFaults = flag.Int("faults", 24, "faults injected into a cluster of five under load; 500 outside CI")
--- a/cmd/frosthub/idempotency_cost_test.go
+++ b/cmd/frosthub/idempotency_cost_test.go
@@ -4,9 +4,6 @@
 	"context"
 	"encoding/json"
 	"flag"
-	"frosthub/backend"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
 	"net/http"
 	"slices"
 	"strings"
@@ -14,6 +11,10 @@
 	"testing"
 	"time"
 
+	"frosthub/backend"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
--- a/cmd/frosthub/idempotency_start_test.go
+++ b/cmd/frosthub/idempotency_start_test.go
@@ -3,13 +3,14 @@
 import (
 	"flag"
 	"fmt"
-	"frosthub/idempotency"
-	"frosthub/internal/fake"
-	"frosthub/internal/wal"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/fake"
+	"frosthub/internal/wal"
 )
 
 var idempotencyKeys = flag.Int("keepkeys", 20000, "keys in the log that a node starts with; 1000000 outside CI")
--- a/cmd/frosthub/idempotency_test.go
+++ b/cmd/frosthub/idempotency_test.go
@@ -4,10 +4,6 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/backend"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
-	"frosthub/internal/wal"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -17,6 +13,11 @@
 	"sync"
 	"testing"
 	"time"
+
+	"frosthub/backend"
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+	"frosthub/internal/wal"
 )
 
 var idempotencyKills = flag.Int("keepkills", 30, "kills of nodes that guard claims under retries; 500 outside CI")
--- a/cmd/frosthub/main.go
+++ b/cmd/frosthub/main.go
@@ -3,8 +3,9 @@
 package main
 
 import (
-	"frosthub/internal/cli"
 	"os"
+
+	"frosthub/internal/cli"
 )
 
 func main() { os.Exit(cli.Run(os.Args[1:])) }
--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"frosthub/internal/harness"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/internal/harness"
 )
 
 // TestRollingRestart restarts all nodes of a cluster one after the other under load. Each hands its queued claims over to another node, and the
--- a/cmd/frosthub/node_test.go
+++ b/cmd/frosthub/node_test.go
@@ -4,9 +4,6 @@
 	"bytes"
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
-	"frosthub/internal/invariant"
 	"net"
 	"os"
 	"os/exec"
@@ -14,6 +11,10 @@
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+	"frosthub/internal/invariant"
 )
 
 // binary is the path of the program under test.
--- a/cmd/frosthub/power_loss_test.go
+++ b/cmd/frosthub/power_loss_test.go
@@ -4,9 +4,6 @@
 	"context"
 	"errors"
 	"flag"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
-	"frosthub/internal/invariant"
 	"io/fs"
 	"math/rand/v2"
 	"os"
@@ -15,6 +12,10 @@
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+	"frosthub/internal/invariant"
 )
 
 // buildPowerLossBinary builds the program with disks that record what a loss of power would leave, and returns its path.
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -2,14 +2,15 @@
 
 import (
 	"flag"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
 )
 
 // TestRepeatedStartFailures leaves a store over which three starts in a row have died: the node sets it aside and recovers without it. No claim
--- a/cmd/frosthub/restart_test.go
+++ b/cmd/frosthub/restart_test.go
@@ -3,8 +3,6 @@
 import (
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
 	"net"
 	"os"
 	"path/filepath"
@@ -15,6 +13,9 @@
 	"testing"
 	"time"
 
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -4,9 +4,6 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/faultproxy"
-	"frosthub/internal/harness"
 	"os/exec"
 	"path/filepath"
 	"slices"
@@ -14,6 +11,10 @@
 	"sync"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
+	"frosthub/internal/harness"
 )
 
 var (
--- a/cmd/frosthub/upstream_test.go
+++ b/cmd/frosthub/upstream_test.go
@@ -4,13 +4,14 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
 	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
 )
 
 var upstreamCalls = flag.Int("calls", 900, "calls with random faults; 10000 outside CI")
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -5,8 +5,9 @@
 
 import (
 	"fmt"
-	"frosthub/internal/simproto"
 	"os"
+
+	"frosthub/internal/simproto"
 )
 
 func main() {
--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"slices"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // voteOn returns what this node knows of a key. If the request is in flight, the
--- a/failover/ballot.go
+++ b/failover/ballot.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"frosthub/idempotency"
 	"slices"
+
+	"frosthub/idempotency"
 )
 
 // Ballot orders the attempts to hold a key. The highest wins; no two are equal.
--- a/failover/claim.go
+++ b/failover/claim.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"slices"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // claimState is the step that a claim has come to.
--- a/failover/cluster_test.go
+++ b/failover/cluster_test.go
@@ -1,10 +1,11 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"testing"
 	"time"
 
+	"frosthub/idempotency"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/failover/fence.go
+++ b/failover/fence.go
@@ -2,8 +2,9 @@
 
 import (
 	"cmp"
-	"frosthub/idempotency"
 	"slices"
+
+	"frosthub/idempotency"
 )
 
 // Fence voids the votes that a node cast in incarnations before the given one.
--- a/failover/fence_test.go
+++ b/failover/fence_test.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // TestFencing: a node confirms a start, loses its disk and is restored by peers
--- a/failover/finish.go
+++ b/failover/finish.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"slices"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // Release reports that a request doesn't wait any more and never ran: it was
--- a/failover/group.go
+++ b/failover/group.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"frosthub/idempotency"
 	"math"
 	"slices"
 
+	"frosthub/idempotency"
+
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/failover/group_test.go
+++ b/failover/group_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"frosthub/idempotency"
 	"slices"
 	"testing"
+
+	"frosthub/idempotency"
 )
 
 // TestGroup: a key's group changes only by members that join or leave, spreads
--- a/failover/handoff.go
+++ b/failover/handoff.go
@@ -1,8 +1,9 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // HandOff has another member take over a request that this node holds and hasn't
--- a/failover/handoff_test.go
+++ b/failover/handoff_test.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // TestHandOff: a request that its holder gives up is taken over by one other
--- a/failover/message.go
+++ b/failover/message.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"frosthub/idempotency"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // MessageKind is the type of a Message.
--- a/failover/node.go
+++ b/failover/node.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
+	"time"
+
 	"frosthub/idempotency"
 	"frosthub/internal/prng"
-	"time"
 )
 
 // Peers is a failure detector: what is believed of other nodes. Beliefs may be
--- a/failover/processor.go
+++ b/failover/processor.go
@@ -1,8 +1,9 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // ProcessorQuery asks for a query to the processor of a lost node, which may know
--- a/failover/receive.go
+++ b/failover/receive.go
@@ -1,8 +1,9 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // Receive takes a message of a node's process. One of an earlier incarnation
--- a/failover/reservation.go
+++ b/failover/reservation.go
@@ -1,10 +1,11 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"maps"
 	"slices"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // reservation is what this node, as a member of a key's group, records for the
--- a/failover/sim_cluster_test.go
+++ b/failover/sim_cluster_test.go
@@ -3,12 +3,13 @@
 import (
 	"flag"
 	"fmt"
-	"frosthub/idempotency"
-	"frosthub/internal/harness"
 	"math"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/harness"
 )
 
 var schedules = flag.Int("schedules", 2000, "clusters to simulate; each takes some hundred steps")
--- a/failover/sim_node_test.go
+++ b/failover/sim_node_test.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
+	"time"
+
 	"frosthub/idempotency"
 	"frosthub/recovery"
-	"time"
 )
 
 var storeLimits = idempotency.Config{
--- a/failover/sim_outcome_test.go
+++ b/failover/sim_outcome_test.go
@@ -3,9 +3,10 @@
 import (
 	"bytes"
 	"fmt"
+	"time"
+
 	"frosthub/idempotency"
 	"frosthub/internal/harness"
-	"time"
 )
 
 // handleOutcome plays the part of a node's callers, and judges what they hear.
--- a/failover/sim_transfer_test.go
+++ b/failover/sim_transfer_test.go
@@ -1,10 +1,11 @@
 package failover
 
 import (
-	"frosthub/idempotency"
-	"frosthub/recovery"
 	"slices"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/recovery"
 )
 
 // startRefill has the peers transfer what the node's disk lacks.
--- a/failover/transfer.go
+++ b/failover/transfer.go
@@ -1,9 +1,10 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"slices"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // A node whose disk is older than what its peers know doesn't know what it
--- a/failover/wait.go
+++ b/failover/wait.go
@@ -1,8 +1,9 @@
 package failover
 
 import (
-	"frosthub/idempotency"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // waitFor has the requests of a claim wait for the run of another node.
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -3,10 +3,11 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"frosthub/internal/golden"
 	"testing"
 	"time"
 
+	"frosthub/internal/golden"
+
 	"pgregory.net/rapid"
 )
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -5,13 +5,14 @@
 import (
 	"context"
 	"encoding/json"
-	"frosthub/accounting"
-	"frosthub/backend"
 	"log/slog"
 	"net"
 	"net/http"
 	"time"
 
+	"frosthub/accounting"
+	"frosthub/backend"
+
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -3,12 +3,13 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/internal/golden"
 	"os"
 	"slices"
 	"strings"
 	"testing"
 
+	"frosthub/internal/golden"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -5,10 +5,11 @@
 import (
 	"errors"
 	"fmt"
+	"os"
+
 	"frosthub/backend"
 	"frosthub/internal/admin"
 	"frosthub/internal/conffile"
-	"os"
 
 	"github.com/spf13/cobra"
 )
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -5,13 +5,14 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"frosthub/backend"
-	"frosthub/internal/admin"
 	"io"
 	"net/http"
 	"text/tabwriter"
 	"time"
 
+	"frosthub/backend"
+	"frosthub/internal/admin"
+
 	"github.com/spf13/cobra"
 )
 
--- a/internal/cli/cluster_test.go
+++ b/internal/cli/cluster_test.go
@@ -2,10 +2,6 @@
 
 import (
 	"bytes"
-	"frosthub/accounting"
-	"frosthub/backend"
-	"frosthub/failover"
-	"frosthub/internal/admin"
 	"log/slog"
 	"net/http"
 	"path/filepath"
@@ -13,6 +9,11 @@
 	"testing"
 	"time"
 
+	"frosthub/accounting"
+	"frosthub/backend"
+	"frosthub/failover"
+	"frosthub/internal/admin"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -2,14 +2,15 @@
 
 import (
 	"fmt"
-	"frosthub/accounting"
-	"frosthub/internal/statsfile"
 	"io"
 	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
 
+	"frosthub/accounting"
+	"frosthub/internal/statsfile"
+
 	"github.com/spf13/cobra"
 )
 
--- a/internal/cli/figures_table.go
+++ b/internal/cli/figures_table.go
@@ -3,10 +3,11 @@
 import (
 	"cmp"
 	"encoding/csv"
-	"frosthub/accounting"
 	"io"
 	"slices"
 	"strconv"
+
+	"frosthub/accounting"
 )
 
 // columns are the heads of the columns of figuresRow.cells.
--- a/internal/cli/figures_test.go
+++ b/internal/cli/figures_test.go
@@ -1,8 +1,6 @@
 package cli
 
 import (
-	"frosthub/accounting"
-	"frosthub/internal/statsfile"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -10,6 +8,9 @@
 	"testing"
 	"time"
 
+	"frosthub/accounting"
+	"frosthub/internal/statsfile"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -5,14 +5,15 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"frosthub/idempotency"
-	"frosthub/internal/wal"
 	"io"
 	"math/rand/v2"
 	"os"
 	"slices"
 	"time"
 
+	"frosthub/idempotency"
+	"frosthub/internal/wal"
+
 	"github.com/spf13/cobra"
 )
 
--- a/internal/cli/keep_test.go
+++ b/internal/cli/keep_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"frosthub/idempotency"
-	"frosthub/internal/wal"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/wal"
 )
 
 // unfinished is the outcome of a request that is still running.
--- a/internal/cli/recovery.go
+++ b/internal/cli/recovery.go
@@ -5,9 +5,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"frosthub/backend"
-	"frosthub/internal/admin"
-	"frosthub/recovery"
 	"io"
 	"maps"
 	"net/http"
@@ -16,6 +13,10 @@
 	"slices"
 	"strings"
 
+	"frosthub/backend"
+	"frosthub/internal/admin"
+	"frosthub/recovery"
+
 	"github.com/spf13/cobra"
 )
 
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -1,13 +1,14 @@
 package cli
 
 import (
+	"path/filepath"
+	"time"
+
 	"frosthub/backend"
 	"frosthub/idempotency"
 	"frosthub/internal/conffile"
 	"frosthub/internal/filelock"
 	"frosthub/internal/wal"
-	"path/filepath"
-	"time"
 )
 
 // wallClock returns the time of day in nanoseconds since 1970.
--- a/internal/cli/tally.go
+++ b/internal/cli/tally.go
@@ -3,10 +3,11 @@
 import (
 	"bufio"
 	"fmt"
-	"frosthub/accounting"
 	"os"
 	"strconv"
 	"strings"
+
+	"frosthub/accounting"
 )
 
 // tally is what callers know about the outcome of their requests, by id.
--- a/internal/conffile/conffile.go
+++ b/internal/conffile/conffile.go
@@ -9,9 +9,10 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/backend"
 	"io"
 	"os"
+
+	"frosthub/backend"
 )
 
 // maxFileSize is the size of a file in bytes: far more than a person writes.
--- a/internal/conffile/conffile_test.go
+++ b/internal/conffile/conffile_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"frosthub/backend"
-	"frosthub/idempotency"
 	"os"
 	"strings"
 	"testing"
 	"time"
 
+	"frosthub/backend"
+	"frosthub/idempotency"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/conffile/directives_accounting.go
+++ b/internal/conffile/directives_accounting.go
@@ -3,8 +3,9 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/internal/statsfile"
 	"time"
+
+	"frosthub/internal/statsfile"
 )
 
 // Bounds of the accounting.
--- a/internal/conffile/directives_cluster.go
+++ b/internal/conffile/directives_cluster.go
@@ -2,9 +2,10 @@
 
 import (
 	"errors"
+	"time"
+
 	"frosthub/backend"
 	"frosthub/failover"
-	"time"
 )
 
 // minMembers is the size of the smallest cluster.
--- a/internal/conffile/directives_idempotency.go
+++ b/internal/conffile/directives_idempotency.go
@@ -2,10 +2,11 @@
 
 import (
 	"errors"
-	"frosthub/backend"
 	"slices"
 	"strings"
 	"time"
+
+	"frosthub/backend"
 )
 
 // Bounds of the idempotency store.
--- a/internal/conffile/directives_upstream.go
+++ b/internal/conffile/directives_upstream.go
@@ -1,8 +1,9 @@
 package conffile
 
 import (
-	"frosthub/loadbalance"
 	"time"
+
+	"frosthub/loadbalance"
 )
 
 const exampleAJPAddress = "127.0.0.1:8009"
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -1,9 +1,10 @@
 package conn
 
 import (
-	"frosthub/internal/faultinject"
 	"time"
 
+	"frosthub/internal/faultinject"
+
 	"github.com/cloudwego/netpoll"
 )
 
--- a/internal/conn/flush.go
+++ b/internal/conn/flush.go
@@ -2,10 +2,11 @@
 
 import (
 	"errors"
-	"frosthub/internal/faultinject"
 	"slices"
 	"syscall"
 	"time"
+
+	"frosthub/internal/faultinject"
 )
 
 // Times of sending to a peer that does not read.
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"errors"
-	"frosthub/internal/faultinject"
 	"net"
 	"os"
 	"sync"
 	"syscall"
 	"time"
 
+	"frosthub/internal/faultinject"
+
 	"github.com/cloudwego/netpoll"
 )
 
--- a/internal/conn/netpoll.go
+++ b/internal/conn/netpoll.go
@@ -3,12 +3,13 @@
 import (
 	"bytes"
 	"context"
-	"frosthub/internal/logthrottle"
 	"log/slog"
 	"runtime"
 	"sync"
 	"time"
 
+	"frosthub/internal/logthrottle"
+
 	"github.com/cloudwego/netpoll"
 )
 
--- a/internal/conn/passing_errors_test.go
+++ b/internal/conn/passing_errors_test.go
@@ -3,9 +3,10 @@
 package conn
 
 import (
-	"frosthub/internal/faultinject"
 	"io"
 	"testing"
+
+	"frosthub/internal/faultinject"
 )
 
 // TestPassingErrors checks that a write that fails for a moment loses no response,
--- a/internal/fake/ajp_client.go
+++ b/internal/fake/ajp_client.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"frosthub/internal/ajp"
 	"net"
 	"sync"
 	"time"
+
+	"frosthub/internal/ajp"
 )
 
 // AJPClient is a client that sends each request over an AJP connection of its own and reuses idle connections. It is safe for
--- a/internal/fake/ajp_server.go
+++ b/internal/fake/ajp_server.go
@@ -1,12 +1,13 @@
 package fake
 
 import (
-	"frosthub/internal/ajp"
 	"maps"
 	"net"
 	"strconv"
 	"sync"
 	"time"
+
+	"frosthub/internal/ajp"
 )
 
 // Fault is how an AJPServer treats a call.
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -2,12 +2,13 @@
 
 import (
 	"errors"
-	"frosthub/internal/wal"
 	"io/fs"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"sync"
+
+	"frosthub/internal/wal"
 )
 
 // ErrPowerLost is returned by each operation of a Disk whose power is cut.
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"errors"
-	"frosthub/internal/golden"
 	"strings"
 	"testing"
+
+	"frosthub/internal/golden"
 )
 
 // kindNames are the kinds of messages as they stand in traces.
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -1,11 +1,12 @@
 package faultproxy
 
 import (
-	"frosthub/internal/fake"
 	"io"
 	"net"
 	"sync"
 	"time"
+
+	"frosthub/internal/fake"
 )
 
 // linkBufferSize is the most that a Link forwards at once, in bytes.
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
-	"frosthub/internal/fake"
 	"io"
 	"net"
 	"sync"
 	"time"
+
+	"frosthub/internal/fake"
 )
 
 const (
--- a/internal/harness/claim_load.go
+++ b/internal/harness/claim_load.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"fmt"
-	"frosthub/internal/fake"
 	"math/rand/v2"
 	"net/http"
 	"sync"
 	"time"
+
+	"frosthub/internal/fake"
 )
 
 const (
--- a/internal/harness/edge_node.go
+++ b/internal/harness/edge_node.go
@@ -3,13 +3,14 @@
 import (
 	"bufio"
 	"context"
-	"frosthub/internal/fake"
-	"frosthub/internal/faultproxy"
 	"io"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
 )
 
 const (
--- a/internal/harness/exchange_log.go
+++ b/internal/harness/exchange_log.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"frosthub/internal/fake"
 	"sync"
 	"time"
+
+	"frosthub/internal/fake"
 )
 
 // CrossingWindow is how long before the end of a connection a request may be sent and still count as one that crossed the end: the
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/faultproxy"
 	"os"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
 )
 
 const (
--- a/internal/harness/power_loss.go
+++ b/internal/harness/power_loss.go
@@ -3,13 +3,14 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/internal/fake"
 	"io/fs"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
+
+	"frosthub/internal/fake"
 )
 
 // Names of the files in which a program built with the tag powerloss records what is not durable yet.
--- a/internal/peerproto/batch.go
+++ b/internal/peerproto/batch.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"frosthub/failover"
 	"frosthub/membership"
 	"frosthub/recovery"
--- a/internal/peerproto/claim.go
+++ b/internal/peerproto/claim.go
@@ -1,9 +1,10 @@
 package peerproto
 
 import (
+	"time"
+
 	"frosthub/failover"
 	"frosthub/idempotency"
-	"time"
 )
 
 func appendClaim(b []byte, m *failover.Message) []byte {
--- a/internal/peerproto/expired.go
+++ b/internal/peerproto/expired.go
@@ -2,9 +2,10 @@
 
 import (
 	"encoding/binary"
-	"frosthub/idempotency"
 	"time"
 
+	"frosthub/idempotency"
+
 	"github.com/bits-and-blooms/bloom/v3"
 	"google.golang.org/protobuf/encoding/protowire"
 )
--- a/internal/peerproto/grpc_compare_test.go
+++ b/internal/peerproto/grpc_compare_test.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"flag"
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/internal/conn"
 	"net"
 	"syscall"
 	"testing"
 	"time"
 
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/internal/conn"
+
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/mem"
--- a/internal/peerproto/page.go
+++ b/internal/peerproto/page.go
@@ -1,9 +1,10 @@
 package peerproto
 
 import (
+	"time"
+
 	"frosthub/failover"
 	"frosthub/idempotency"
-	"time"
 )
 
 func appendPageRequest(b []byte, request *failover.PageRequest) []byte {
--- a/internal/peerproto/peerproto_test.go
+++ b/internal/peerproto/peerproto_test.go
@@ -3,16 +3,17 @@
 import (
 	"encoding/hex"
 	"errors"
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/membership"
-	"frosthub/recovery"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/membership"
+	"frosthub/recovery"
+
 	"github.com/bits-and-blooms/bloom/v3"
 	"github.com/google/go-cmp/cmp"
 )
--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -5,11 +5,12 @@
 
 import (
 	"errors"
-	"frosthub/internal/lineproto"
-	"frosthub/overload"
 	"math"
 	"strconv"
 	"time"
+
+	"frosthub/internal/lineproto"
+	"frosthub/overload"
 )
 
 // ErrMalformed is the error of a line that is no notice.
--- a/internal/processor/processor_test.go
+++ b/internal/processor/processor_test.go
@@ -1,8 +1,9 @@
 package processor
 
 import (
-	"frosthub/internal/golden"
 	"testing"
+
+	"frosthub/internal/golden"
 )
 
 // kindNames are the kinds of notices as they stand in traces.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -4,10 +4,11 @@
 package settings
 
 import (
-	"frosthub/overload"
 	"math"
 	"time"
 
+	"frosthub/overload"
+
 	"github.com/valyala/fastjson"
 )
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,11 +1,12 @@
 package settings
 
 import (
-	"frosthub/overload"
 	"math"
 	"testing"
 	"time"
 
+	"frosthub/overload"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/valyala/fastjson"
 )
--- a/internal/simproto/action.go
+++ b/internal/simproto/action.go
@@ -1,8 +1,9 @@
 package simproto
 
 import (
-	"frosthub/overload"
 	"strconv"
+
+	"frosthub/overload"
 )
 
 // actionWords are the protocol's words for actions.
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -1,9 +1,10 @@
 package simproto
 
 import (
+	"time"
+
 	"frosthub/internal/settings"
 	"frosthub/overload"
-	"time"
 
 	"github.com/valyala/fastjson"
 )
--- a/internal/simproto/server.go
+++ b/internal/simproto/server.go
@@ -10,12 +10,13 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"frosthub/internal/settings"
-	"frosthub/overload"
 	"io"
 	"strconv"
 	"time"
 
+	"frosthub/internal/settings"
+	"frosthub/overload"
+
 	"github.com/valyala/fastjson"
 )
 
--- a/internal/statsfile/bench_test.go
+++ b/internal/statsfile/bench_test.go
@@ -1,12 +1,13 @@
 package statsfile
 
 import (
-	"frosthub/accounting"
 	"io"
 	"log/slog"
 	"path/filepath"
 	"testing"
 	"time"
+
+	"frosthub/accounting"
 )
 
 // benchmarkLedger opens a ledger and a recorder for a benchmark.
--- a/internal/statsfile/crash_test.go
+++ b/internal/statsfile/crash_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"bytes"
-	"frosthub/accounting"
 	"path/filepath"
 	"slices"
 	"testing"
 
+	"frosthub/accounting"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -10,12 +10,13 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"frosthub/accounting"
 	"os"
 	"path/filepath"
 	"runtime/debug"
 	"sync/atomic"
 
+	"frosthub/accounting"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/statsfile/format_test.go
+++ b/internal/statsfile/format_test.go
@@ -5,12 +5,13 @@
 	"compress/gzip"
 	"encoding/binary"
 	"encoding/json"
-	"frosthub/accounting"
 	"io"
 	"os"
 	"testing"
 	"time"
 
+	"frosthub/accounting"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/statsfile/helpers_test.go
+++ b/internal/statsfile/helpers_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"bytes"
-	"frosthub/accounting"
 	"log/slog"
 	"path/filepath"
 	"testing"
 	"time"
+
+	"frosthub/accounting"
 )
 
 // testConfig is the configuration of the ledgers of these tests.
--- a/internal/statsfile/layout.go
+++ b/internal/statsfile/layout.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+
 	"frosthub/accounting"
 )
 
--- a/internal/statsfile/open.go
+++ b/internal/statsfile/open.go
@@ -3,12 +3,13 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 	"io/fs"
 	"os"
 	"time"
 
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/statsfile/read.go
+++ b/internal/statsfile/read.go
@@ -3,11 +3,12 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 	"os"
 	"slices"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
 )
 
 // Reading a file that is being written is tried again.
--- a/internal/statsfile/read_test.go
+++ b/internal/statsfile/read_test.go
@@ -3,11 +3,12 @@
 import (
 	"bytes"
 	"errors"
-	"frosthub/accounting"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"frosthub/accounting"
 )
 
 // completeFile returns the content of a file with some entries.
--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -1,10 +1,11 @@
 package statsfile
 
 import (
-	"frosthub/accounting"
 	"log/slog"
 	"os"
 	"time"
+
+	"frosthub/accounting"
 )
 
 // Intervals of what the recorder does in the background, by the ledger's time.
--- a/internal/statsfile/recorder_test.go
+++ b/internal/statsfile/recorder_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -14,6 +12,9 @@
 	"testing"
 	"time"
 
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/upstreamproto/upstreamproto.go
+++ b/internal/upstreamproto/upstreamproto.go
@@ -4,10 +4,11 @@
 
 import (
 	"errors"
-	"frosthub/internal/lineproto"
-	"frosthub/overload"
 	"strconv"
 	"time"
+
+	"frosthub/internal/lineproto"
+	"frosthub/overload"
 )
 
 // ErrMalformed is the error of a line that is no reply.
--- a/internal/upstreamproto/upstreamproto_test.go
+++ b/internal/upstreamproto/upstreamproto_test.go
@@ -1,9 +1,10 @@
 package upstreamproto
 
 import (
-	"frosthub/internal/golden"
 	"testing"
 	"time"
+
+	"frosthub/internal/golden"
 )
 
 // open has a parser print its replies.
--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"frosthub/idempotency"
-	"frosthub/internal/wal"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/wal"
 )
 
 // BenchmarkRead measures how fast a store is read, a key's two records as one.
--- a/internal/wal/compat_test.go
+++ b/internal/wal/compat_test.go
@@ -3,8 +3,6 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"frosthub/idempotency"
-	"frosthub/internal/wal"
 	"os"
 	"path/filepath"
 	"slices"
@@ -12,6 +10,9 @@
 	"testing"
 	"time"
 
+	"frosthub/idempotency"
+	"frosthub/internal/wal"
+
 	"github.com/google/go-cmp/cmp"
 )
 
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"errors"
-	"frosthub/idempotency"
-	"frosthub/internal/fake"
-	"frosthub/internal/wal"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/fake"
+	"frosthub/internal/wal"
 )
 
 // TestDamage: what is lost of what was durable is found and reported, and none of it runs again,
--- a/internal/wal/fingerprints.go
+++ b/internal/wal/fingerprints.go
@@ -3,9 +3,10 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"frosthub/idempotency"
 	"time"
 
+	"frosthub/idempotency"
+
 	"github.com/bits-and-blooms/bloom/v3"
 )
 
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -4,9 +4,10 @@
 	"bytes"
 	"encoding/binary"
 	"errors"
-	"frosthub/idempotency"
 	"time"
 
+	"frosthub/idempotency"
+
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -1,13 +1,14 @@
 package wal_test
 
 import (
-	"frosthub/idempotency"
-	"frosthub/internal/fake"
-	"frosthub/internal/wal"
 	"slices"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/fake"
+	"frosthub/internal/wal"
 )
 
 // filledDisk returns a disk with the records of a few dozen requests in several segments, some of
--- a/internal/wal/identity_test.go
+++ b/internal/wal/identity_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
-	"frosthub/idempotency"
-	"frosthub/internal/filelock"
-	"frosthub/internal/wal"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"frosthub/idempotency"
+	"frosthub/internal/filelock"
+	"frosthub/internal/wal"
 )
 
 // TestWrongOwner: a directory that is not this node's store is not used, nor one that another
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"frosthub/idempotency"
 	"sync"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // Log commits entries on a goroutine of its own, all that wait at once, so that one sync of the
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -6,12 +6,13 @@
 	"errors"
 	"flag"
 	"fmt"
-	"frosthub/idempotency"
-	"frosthub/internal/fake"
-	"frosthub/internal/wal"
 	"math/rand/v2"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/fake"
+	"frosthub/internal/wal"
 )
 
 var cuts = flag.Int("cuts", 600, "histories with random power failures; 100000 outside CI")
--- a/internal/wal/quarantine.go
+++ b/internal/wal/quarantine.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/recovery"
 	"strconv"
 	"strings"
+
+	"frosthub/recovery"
 )
 
 // BeginRead notes that a store is about to be read; EndRead ends that. If too many processes in a
--- a/internal/wal/quarantine_test.go
+++ b/internal/wal/quarantine_test.go
@@ -1,10 +1,11 @@
 package wal_test
 
 import (
-	"frosthub/idempotency"
-	"frosthub/internal/wal"
 	"testing"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/wal"
 )
 
 // TestQuarantine: a store is set aside after three starts in a row that died over reading it, and
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -5,10 +5,11 @@
 	"cmp"
 	"encoding/binary"
 	"fmt"
-	"frosthub/idempotency"
 	"slices"
 	"strings"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 // maxMissingSegments bounds how many missing segments are reported to the store. More are never
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"frosthub/idempotency"
 	"time"
+
+	"frosthub/idempotency"
 )
 
 const (
--- a/lab/outage/client.go
+++ b/lab/outage/client.go
@@ -1,8 +1,9 @@
 package main
 
 import (
-	"frosthub/overload"
 	"time"
+
+	"frosthub/overload"
 )
 
 // request is what a client wants served.
--- a/lab/outage/fleet.go
+++ b/lab/outage/fleet.go
@@ -1,9 +1,10 @@
 package main
 
 import (
-	"frosthub/internal/harness"
 	"math/rand/v2"
 	"time"
+
+	"frosthub/internal/harness"
 )
 
 // randomStream tells the random numbers of this simulation from those of others with the same seed.
--- a/lab/outage/node.go
+++ b/lab/outage/node.go
@@ -1,10 +1,11 @@
 package main
 
 import (
-	"frosthub/overload"
-	"frosthub/recovery"
 	"slices"
 	"time"
+
+	"frosthub/overload"
+	"frosthub/recovery"
 )
 
 // node is one server of the fleet.
--- a/lab/outage/recovery.go
+++ b/lab/outage/recovery.go
@@ -1,9 +1,10 @@
 package main
 
 import (
-	"frosthub/recovery"
 	"strconv"
 	"time"
+
+	"frosthub/recovery"
 )
 
 // What the disk of each node has after the outage, and what its peers remember of it: nothing was lost.
--- a/loadbalance/balancer_test.go
+++ b/loadbalance/balancer_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
-	"frosthub/internal/golden"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"frosthub/internal/golden"
+
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 )
--- a/membership/detector.go
+++ b/membership/detector.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"frosthub/internal/prng"
 	"maps"
 	"slices"
 	"time"
+
+	"frosthub/internal/prng"
 )
 
 // Detector is one node's view of the cluster. Make it with New. It is not safe for concurrent use.
--- a/overload/example_test.go
+++ b/overload/example_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"frosthub/overload"
 	"time"
+
+	"frosthub/overload"
 )
 
 // A server with one core gets two requests. The second one has to wait for the first, and starts when that has ended.
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"fmt"
-	"frosthub/internal/golden"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/internal/golden"
 )
 
 // TestTraces plays the events of each trace file and compares the actions with those that stand there. A line that
--- a/recovery/node.go
+++ b/recovery/node.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"frosthub/internal/prng"
 	"math"
 	"slices"
 	"time"
+
+	"frosthub/internal/prng"
 )
 
 // Config says whom a node asks, and how long it waits. MajorityAfter and DegradeAfter take a default if they are zero.
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -2,9 +2,10 @@
 
 import (
 	"cmp"
-	"frosthub/internal/prng"
 	"slices"
 	"time"
+
+	"frosthub/internal/prng"
 )
 
 // RefillConfig says whom a Refill asks, and how fast. PageInterval and MaxConcurrent take a default if they are zero.
