--- a/accounting/ledger_test.go
+++ b/accounting/ledger_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func init() { golden.SameDraws() }
+func init() { golden.FixSeeds() }
 
 var testConfig = Config{
 	Handlers:     []string{"status", "file-claim"},
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -81,7 +81,7 @@
 	}
 	client.protocol = newProtocol(client)
 	f.clients[client] = struct{}{}
-	b.stats.Conns++
+	b.stats.Accepted++
 	accepted.MaxUnsent = connUnsentMax
 	accepted.OnSent = func() { f.confirmDelivered(client) }
 	accepted.ResponsePending = func() bool { return lifecycle.End(client.lifecycleState()) != lifecycle.Allowed }
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -124,7 +124,7 @@
 		ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
 		MaxResultBytes:  int(min(b.memoryShare(notedResultShare), notedResultShare*unlimitedMemory)),
 	}, c.store, c, b.cfg.Seed^1, b.guard.now())
-	c.node.AddFences(fences(c.peerStates.Fences))
+	c.node.MarkFencesDurable(fences(c.peerStates.Fences))
 	c.startRefill()
 	b.log.Info("cluster member started", "name", b.cfg.Cluster.Name, "incarnation", c.incarnation,
 		"members", len(roster.Members), "before", len(roster.Previous))
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -23,7 +23,7 @@
 		Body:       r.body,
 		Left:       int64(r.guard.answerBy - c.backend.now),
 		Cost:       int64(r.arrival.Hint),
-		Size:       r.arrival.Size,
+		Size:       r.arrival.SizeKB,
 		Rank:       r.arrival.ValueRank,
 		Weight:     handler.weight,
 		Replayable: r.guard.replayable,
@@ -42,7 +42,7 @@
 // submitRepeat submits a request of which the group knows another attempt in flight.
 func (c *cluster) submitRepeat(r *request) {
 	c.endClaim(r)
-	r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
+	r.originalID = cmp.Or(c.node.OriginalID(r.guard.key), 1)
 	if r.originalID == r.id || c.backend.requests[r.originalID] == nil {
 		r.originalID = ^uint64(0) // another node's: the overload controller knows nothing of it
 	}
@@ -52,7 +52,7 @@
 
 func (c *cluster) endClaim(r *request) {
 	r.hold()
-	r.arrival.Delay += c.backend.now - r.guard.askedAt
+	r.arrival.QueueDelay += c.backend.now - r.guard.askedAt
 }
 
 // requestWithdrawn implements requestObserver. It does nothing: the account of a request that was taken over is closed by
@@ -115,18 +115,18 @@
 		},
 	}
 	r.arrival = overload.Event{
-		Kind:      overload.Arrived,
-		ID:        r.id,
-		Handler:   handler,
-		Remaining: left,
-		Hint:      time.Duration(work.Cost),
-		Size:      cmp.Or(work.Size, defaultSizeKB),
-		ValueRank: work.Rank,
-		Delay:     max(0, b.handlers[handler].timeout-left),
+		Kind:       overload.Arrived,
+		ID:         r.id,
+		Handler:    handler,
+		Remaining:  left,
+		Hint:       time.Duration(work.Cost),
+		SizeKB:     cmp.Or(work.Size, defaultSizeKB),
+		ValueRank:  work.Rank,
+		QueueDelay: max(0, b.handlers[handler].timeout-left),
 	}
 	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(handler), accounting.FailedOver, accounting.CustomerName{})
 	b.requests[r.id] = r
-	b.stats.TakenOver++
+	b.stats.FailedOver++
 	b.events = append(b.events, r.arrival)
 }
 
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -167,7 +167,7 @@
 func TestForeignConnectionsAreClosed(t *testing.T) {
 	b := startClusterNode(t)
 	address := b.cfg.Cluster.Listen
-	digests := []uint64{failover.Digest(failoverMembers(b.cfg.Cluster.Members))}
+	digests := []uint64{failover.MembersDigest(failoverMembers(b.cfg.Cluster.Members))}
 	hello := func(cluster, from string) []byte {
 		return peerproto.Append(nil, &peerproto.Batch{
 			Hello: &peerproto.Hello{Cluster: cluster, From: from, Incarnation: 1, RosterDigests: digests},
@@ -203,7 +203,7 @@
 		})
 	}
 	stats := b.ClusterStats()
-	if stats == nil || stats.Members[0].State != "alive" || stats.Members[1].State != "unknown" || stats.Failover.Notes != 1 {
+	if stats == nil || stats.Members[0].State != "alive" || stats.Members[1].State != "unknown" || stats.Failover.Reservations != 1 {
 		t.Errorf("stats after all connections: %+v", stats)
 	}
 }
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -14,32 +14,32 @@
 // Counters say what a backend has received, sent and answered since its start.
 type Counters struct {
 	// Connections of clients.
-	Conns        int64 // accepted
-	ConnsRefused int64 // for which there was no room
-	ConnsClosed  int64
-	ConnsTrimmed int64 // closed here because they were idle
-	BadConns     int64 // cut because they did not keep to the protocol
-	Dropped      int64 // bytes that were discarded unread
-	Open         int64 // now: connections of all kinds
+	Accepted       int64 // accepted
+	ConnsRefused   int64 // for which there was no room
+	ConnsClosed    int64
+	ConnsEvicted   int64 // closed here because they were idle
+	BadConns       int64 // cut because they did not keep to the protocol
+	DiscardedBytes int64 // bytes that were discarded unread
+	Open           int64 // now: connections of all kinds
 
 	// Requests.
 	Checks      int64 // health checks
 	BadRequests int64 // rejected as malformed
 	Unanswered  int64 // whose client left without its answer
 	Pending     int64 // now: without their answer
-	TakenOver   int64 // from other nodes of the cluster
+	FailedOver  int64 // from other nodes of the cluster
 	HandedOff   int64 // to other nodes of the cluster
 
 	// Runs.
-	Begun   int64
+	Started int64
 	Stopped int64
 	Ended   int64
 
 	// Calls to the next tier.
-	Asked       int64 // that runs have asked for
-	Calls       int64 // that were made
-	CallsOK     int64
-	CallsFailed int64
+	CallsRequested int64 // that runs have asked for
+	Calls          int64 // that were made
+	CallsOK        int64
+	CallsFailed    int64
 
 	// The link to the processor.
 	Links      int64 // connections made
@@ -81,23 +81,23 @@
 	}
 	c.ConnsRefused = b.connsRejected.Load()
 	c.Open = b.loop.Open.Load()
-	c.Dropped = b.loop.Discarded.Load()
+	c.DiscardedBytes = b.loop.Discarded.Load()
 	c.Pending = int64(b.unanswered)
-	c.Broken = invariant.Broken()
+	c.Broken = invariant.Violations()
 	return c
 }
 
 // LogValue returns the counters in groups, under the words that operators search for.
 func (c Counters) LogValue() slog.Value {
 	return slog.GroupValue(
-		slog.Group("conns", "taken", c.Conns, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed", c.ConnsTrimmed,
-			"bad", c.BadConns, "open", c.Open, "dropped_bytes", c.Dropped),
+		slog.Group("conns", "taken", c.Accepted, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed", c.ConnsEvicted,
+			"bad", c.BadConns, "open", c.Open, "dropped_bytes", c.DiscardedBytes),
 		slog.Group("reqs", "taken", c.Requests.Received, "served", c.Requests.Served, "refused", c.Requests.Rejected,
 			"failed", c.Requests.Failed, "open", c.Requests.Open, "differs", c.Mismatches, "owed", c.Pending,
 			"bad", c.BadRequests, "checks", c.Checks, "unanswered", c.Unanswered),
-		slog.Group("runs", "begun", c.Begun, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated,
-			"taken", c.TakenOver, "handed", c.HandedOff),
-		slog.Group("calls", "asked", c.Asked, "made", c.Calls, "ok", c.CallsOK, "failed", c.CallsFailed),
+		slog.Group("runs", "begun", c.Started, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated,
+			"taken", c.FailedOver, "handed", c.HandedOff),
+		slog.Group("calls", "asked", c.CallsRequested, "made", c.Calls, "ok", c.CallsOK, "failed", c.CallsFailed),
 		slog.Group("link", "made", c.Links, "lost", c.LinksLost, "rejects", c.Rejects, "remarks", c.Remarks,
 			"gauges_late", c.GaugesLate),
 		slog.Int64("reports", c.Reports),
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -64,11 +64,11 @@
 			t.Cleanup(func() { _ = c.Close() })
 			_, _ = io.WriteString(c, says)
 		}
-		bed.await(func() bool { return bed.backend.stats.Conns > 100 }) // those that came between two turns found no room
+		bed.await(func() bool { return bed.backend.stats.Accepted > 100 }) // those that came between two turns found no room
 		client := bed.dialClient()
 		bed.serve(client, 1)
 		bed.await(func() bool {
-			return bed.backend.stats.ConnsTrimmed > 0 && int(bed.backend.loop.Open.Load()) <= bed.backend.frontend.connectionLimit()
+			return bed.backend.stats.ConnsEvicted > 0 && int(bed.backend.loop.Open.Load()) <= bed.backend.frontend.connectionLimit()
 		})
 	}
 }
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -36,7 +36,7 @@
 			f.cut(client, errIncomplete)
 		}
 	case unused >= idleTimeout:
-		b.stats.ConnsTrimmed++
+		b.stats.ConnsEvicted++
 		client.conn.CloseGracefully(errIdle)
 	case !client.buffersReleased && unused >= idleBuffersMax:
 		client.buffersReleased = true
@@ -67,7 +67,7 @@
 	}
 	slices.SortFunc(idle, func(x, y *clientConn) int { return cmp.Compare(x.lastUsed, y.lastUsed) })
 	for _, client := range idle[:min(len(idle), excess)] {
-		f.backend.stats.ConnsTrimmed++
+		f.backend.stats.ConnsEvicted++
 		if !client.hasSentRequest && client.protocol.midMessage() { // a client that never sent a complete message would stay for seconds
 			f.stopReading(client)
 		}
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -84,7 +84,7 @@
 // because nothing of it can be run, or the cluster is asked first.
 func (g *idempotencyGuard) admit(r *request) bool {
 	b := g.backend
-	r.guard.answerBy = b.now - r.arrival.Delay + b.handlers[r.handler].timeout - answerMargin
+	r.guard.answerBy = b.now - r.arrival.QueueDelay + b.handlers[r.handler].timeout - answerMargin
 	if r.guard.replayable && (b.cluster.node == nil || g.failed) {
 		r.guard = nil
 		b.results.lookup(r)
--- a/backend/peer_states.go
+++ b/backend/peer_states.go
@@ -61,7 +61,7 @@
 			case err != nil:
 				b.logLimited("peer states not written", "reason", err)
 			case c.node != nil:
-				c.node.AddFences(written)
+				c.node.MarkFencesDurable(written)
 			}
 		})
 	}()
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -84,7 +84,7 @@
 	r.callReply = nil
 	r.callBody = append(r.callBody[:0], body...)
 	r.awaitCall()
-	b.stats.Asked++
+	b.stats.CallsRequested++
 	if !b.isWanted(r) {
 		b.cancelRun(r)
 	}
--- a/backend/request.go
+++ b/backend/request.go
@@ -77,7 +77,7 @@
 // admit hands a request to the controller, unless it can be answered without.
 func (b *Backend) admit(r *request) {
 	r.hold()
-	r.arrival.Delay += b.now - r.readAt
+	r.arrival.QueueDelay += b.now - r.readAt
 	if r.guard != nil {
 		r.guard.askedAt = b.now
 		if b.guard.admit(r) {
@@ -99,7 +99,7 @@
 // submitArrival adds the event by which the controller hears of a request.
 func (b *Backend) submitArrival(r *request) {
 	if r.clientTimeout > 0 {
-		r.arrival.Remaining = max(time.Millisecond, r.clientTimeout-r.arrival.Delay)
+		r.arrival.Remaining = max(time.Millisecond, r.clientTimeout-r.arrival.QueueDelay)
 	}
 	b.events = append(b.events, r.arrival)
 }
@@ -107,7 +107,7 @@
 // startRun has the processor run a request whose start nothing holds back any more.
 func (b *Backend) startRun(r *request) {
 	r.run()
-	b.stats.Begun++
+	b.stats.Started++
 	b.processor.start(r)
 }
 
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -109,11 +109,11 @@
 	case costField:
 		p.arrival.Hint = p.milliseconds(value)
 	case memoryField:
-		p.arrival.Size = p.number(value, memoryMax)
+		p.arrival.SizeKB = p.number(value, memoryMax)
 	case rankField:
 		p.arrival.ValueRank = p.number(value, 1)
 	case objectField:
-		p.arrival.Subject = string(value)
+		p.arrival.Resource = string(value)
 	case customerField:
 		p.setCustomer(value)
 	case keyField:
@@ -147,8 +147,8 @@
 // setCaller takes the number of the calling front end, which is the customer too where no header names one.
 func (p *parsedRequest) setCaller(value []byte) {
 	n := p.number(value, math.MaxInt32)
-	p.arrival.Caller = int(n)
-	if float64(p.arrival.Caller) != n {
+	p.arrival.EdgeNode = int(n)
+	if float64(p.arrival.EdgeNode) != n {
 		p.problem = notANumber
 	}
 	if p.backend.cfg.Accounting.CustomerField == "" {
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -41,9 +41,9 @@
 	}
 	parsed.arrival.ID = r.id
 	parsed.arrival.Handler = r.handler
-	parsed.arrival.Delay = queueDelay
+	parsed.arrival.QueueDelay = queueDelay
 	parsed.arrival.Customer = slices.Index(b.customers, parsed.tenant)
-	r.cacheKey = b.results.keyOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
+	r.cacheKey = b.results.keyOf(r, parsed.arrival.Resource, parsed.tenant, parsed.idempotencyKey)
 	r.arrival = parsed.arrival
 	r.readAt = b.now
 	r.arrivedAt = b.now - queueDelay
@@ -72,11 +72,11 @@
 		problem = parsed.problem
 	case r.id == 0:
 		problem = "no id of 16 hex digits"
-	case !parsed.hasStart || arrival.Size == 0:
+	case !parsed.hasStart || arrival.SizeKB == 0:
 		problem = "start or memory is missing"
 	case !b.guard.hasRequiredKey(parsed):
 		problem = "no key for a request that must not run twice"
-	case arrival.ValueRank == 1 || arrival.Size == memoryMax || parsed.start > startMax ||
+	case arrival.ValueRank == 1 || arrival.SizeKB == memoryMax || parsed.start > startMax ||
 		arrival.Hint > costMaxFactor*b.handlers[r.handler].timeout:
 		problem = "a field is out of its range"
 	case b.requests[r.id] != nil:
--- a/backend/serve.go
+++ b/backend/serve.go
@@ -48,7 +48,7 @@
 func (b *Backend) setLoopLimits() {
 	if b.cfg.Limits.MemoryMB > 0 {
 		b.loop.MaxUnsent = int(b.memoryShare(unsentShare))
-		b.loop.MaxUnread = int64(b.memoryShare(unreadShare))
+		b.loop.MaxUndelivered = int64(b.memoryShare(unreadShare))
 	}
 	b.loop.MaxLingering = max(1, int(lingerShare*float64(b.frontend.connectionLimit())))
 }
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -35,9 +35,9 @@
 // the time of that batch.
 func (b *Backend) drainEvent() overload.Event {
 	return overload.Event{
-		Kind:      overload.Drain,
-		Delay:     b.now - b.process.Notified(),
-		Remaining: b.process.AnswerBy() - b.now,
+		Kind:       overload.Drain,
+		QueueDelay: b.now - b.process.Notified(),
+		Remaining:  b.process.AnswerBy() - b.now,
 	}
 }
 
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -246,7 +246,7 @@
 	bed.print("counters", "taken %d = served %d + refused %d + failed %d + open %d, differs %d, owed %d, bad connections %d, "+
 		"begun %d, ended %d, repeated %d, rejects %d, remarks %d, broken %d",
 		c.Requests.Received, c.Requests.Served, c.Requests.Rejected, c.Requests.Failed, c.Requests.Open, c.Mismatches, c.Pending,
-		c.BadConns, c.Begun, c.Ended, c.Repeated, c.Rejects, c.Remarks, c.Broken)
+		c.BadConns, c.Started, c.Ended, c.Repeated, c.Rejects, c.Remarks, c.Broken)
 	bed.print("counters", "%s", bed.reasons())
 }
 
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -98,8 +98,8 @@
 			{Name: "X-Request-Id", Value: r.wireID},
 			{Name: "X-Request-Start", Value: strconv.FormatInt(b.wall.Milliseconds(), 10)},
 			{Name: "X-Timeout-Ms", Value: strconv.FormatInt(left, 10)},
-			{Name: "X-Caller", Value: strconv.Itoa(r.arrival.Caller)},
-			{Name: "X-Memory-Kb", Value: strconv.FormatFloat(r.arrival.Size, 'f', -1, 64)},
+			{Name: "X-Caller", Value: strconv.Itoa(r.arrival.EdgeNode)},
+			{Name: "X-Memory-Kb", Value: strconv.FormatFloat(r.arrival.SizeKB, 'f', -1, 64)},
 			{Name: "X-Rank", Value: strconv.FormatFloat(r.arrival.ValueRank, 'f', -1, 64)},
 		},
 	}
--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -131,10 +131,10 @@
 // hasRoomFor reports whether a key can be reserved. Half of the room is for
 // requests that must not run twice.
 func (n *Node) hasRoomFor(message *Message) bool {
-	if len(n.reservations.byKey) >= n.cfg.MaxNotes {
+	if len(n.reservations.byKey) >= n.cfg.MaxReservations {
 		return false
 	}
-	return !message.Replayable || n.reservations.replayableCount < n.cfg.MaxNotes/2
+	return !message.Replayable || n.reservations.replayableCount < n.cfg.MaxReservations/2
 }
 
 // restartReservation replaces a reservation whose holder gives up the ballot
--- a/failover/claim.go
+++ b/failover/claim.go
@@ -215,9 +215,9 @@
 	n.acquire(claim, false)
 }
 
-// Original returns the ID of the request that a duplicate of a key would join, 0
+// OriginalID returns the ID of the request that a duplicate of a key would join, 0
 // if there is none on this node.
-func (n *Node) Original(key idempotency.Key) uint64 {
+func (n *Node) OriginalID(key idempotency.Key) uint64 {
 	if claim := n.claims[key]; claim != nil {
 		return claim.originalID
 	}
--- a/failover/config.go
+++ b/failover/config.go
@@ -30,9 +30,9 @@
 	// caller has asked for them again.
 	ResumeUnclaimed bool
 
-	// MaxNotes is the number of keys that this node reserves for other nodes
+	// MaxReservations is the number of keys that this node reserves for other nodes
 	// at most. Replayable requests may use half of it. Default 4096.
-	MaxNotes int
+	MaxReservations int
 	// MaxInFlight is the number of requests that this node has taken over and
 	// not finished, at most; the highest weight goes first. Default 64.
 	MaxInFlight int
@@ -100,7 +100,7 @@
 	c.GroupSize = cmp.Or(c.GroupSize, defaultGroupSize)
 	c.SuspectAfter = cmp.Or(c.SuspectAfter, defaultSuspectAfter)
 	c.RetryInterval = cmp.Or(c.RetryInterval, defaultRetryInterval)
-	c.MaxNotes = cmp.Or(c.MaxNotes, defaultMaxNotes)
+	c.MaxReservations = cmp.Or(c.MaxReservations, defaultMaxNotes)
 	c.MaxInFlight = cmp.Or(c.MaxInFlight, defaultMaxInFlight)
 	c.MaxResultBytes = cmp.Or(c.MaxResultBytes, defaultMaxResultBytes)
 	return c
--- a/failover/fence.go
+++ b/failover/fence.go
@@ -50,8 +50,8 @@
 	return fences
 }
 
-// AddFences reports that fences are durable.
-func (n *Node) AddFences(fences []Fence) {
+// MarkFencesDurable reports that fences are durable.
+func (n *Node) MarkFencesDurable(fences []Fence) {
 	for _, fence := range fences {
 		if n.fences[fence.Node].incarnation <= fence.Incarnation {
 			n.fences[fence.Node] = fenceState{incarnation: fence.Incarnation, durable: true}
--- a/failover/roster.go
+++ b/failover/roster.go
@@ -27,9 +27,9 @@
 	Since time.Duration
 }
 
-// Digest returns a hash of what the groups of a member list depend on: names,
+// MembersDigest returns a hash of what the groups of a member list depend on: names,
 // zones and weights, in any order.
-func Digest(members []Member) uint64 {
+func MembersDigest(members []Member) uint64 {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
 	hash := xxhash.New()
@@ -42,9 +42,9 @@
 
 // Digests returns the digests of the roster's lists, that of Members first.
 func (r Roster) Digests() []uint64 {
-	digests := []uint64{Digest(r.Members)}
+	digests := []uint64{MembersDigest(r.Members)}
 	if r.inTransition() {
-		digests = append(digests, Digest(r.Previous))
+		digests = append(digests, MembersDigest(r.Previous))
 	}
 	return digests
 }
@@ -85,7 +85,7 @@
 // to use, nil if it hasn't said so. Removed members are left out: they never
 // come back under the previous list, by the operator's word.
 func (r Roster) NotAdopted(self string, reported func(name string) []uint64) (names []string) {
-	wanted := Digest(r.Members)
+	wanted := MembersDigest(r.Members)
 	for _, member := range slices.Concat(r.Members, r.Previous) {
 		if member.Name == self || member.Removed || slices.Contains(names, member.Name) {
 			continue
@@ -114,8 +114,8 @@
 // Any other step returns r and one of the errors ErrTransitionRequired,
 // ErrTransitionInProgress, ErrRetryHorizon and ErrNotAdopted.
 func (r Roster) Next(now, retryHorizon time.Duration, to Roster) (Roster, error) {
-	members, previous := Digest(r.Members), Digest(r.Previous)
-	toMembers, toPrevious := Digest(to.Members), Digest(to.Previous)
+	members, previous := MembersDigest(r.Members), MembersDigest(r.Previous)
+	toMembers, toPrevious := MembersDigest(to.Members), MembersDigest(to.Previous)
 	to.Since = 0
 	switch {
 	case members == toMembers && previous == toPrevious && r.inTransition() == to.inTransition():
--- a/failover/roster_test.go
+++ b/failover/roster_test.go
@@ -65,7 +65,7 @@
 	}
 	reported := map[string][]uint64{
 		"c": roster.Digests(),
-		"d": {Digest(roster.Previous)},
+		"d": {MembersDigest(roster.Previous)},
 	}
 	got := roster.NotAdopted("b", func(name string) []uint64 { return reported[name] })
 	if want := []string{"d", "e"}; !slices.Equal(got, want) {
--- a/failover/sim_node_test.go
+++ b/failover/sim_node_test.go
@@ -115,7 +115,7 @@
 		ResumeUnclaimed: true,
 	}
 	x.machine = New(config, x.store, x, x.cluster.random.Uint64(), x.cluster.Now)
-	x.machine.AddFences(x.fencesOnDisk)
+	x.machine.MarkFencesDurable(x.fencesOnDisk)
 	if x.diskOutdated {
 		x.store.MarkOutdated(x.cluster.Now)
 	}
--- a/failover/sim_transfer_test.go
+++ b/failover/sim_transfer_test.go
@@ -44,7 +44,7 @@
 	fences := x.machine.Fences()
 	x.after(c.drawUpTo(c.maxWriteDelay), func() {
 		x.fencesOnDisk = fences
-		x.machine.AddFences(fences)
+		x.machine.MarkFencesDurable(fences)
 	})
 	incarnation := x.incarnation
 	x.carry(to, func(receiver *simNode) { receiver.receivePage(x.name, incarnation, &page) })
--- a/failover/status.go
+++ b/failover/status.go
@@ -94,10 +94,10 @@
 	Held int `json:"held"`
 	// Waiting is the number of keys that another node holds for requests here.
 	Waiting int `json:"waiting"`
-	// Notes is the number of keys that this node records for holders.
-	Notes int `json:"notes"`
-	// Running is the number of those that have started or are about to.
-	Running int `json:"begun"`
+	// Reservations is the number of keys that this node records for holders.
+	Reservations int `json:"notes"`
+	// Started is the number of those that have started or are about to.
+	Started int `json:"begun"`
 	// TakenOver counts the requests taken over from other nodes.
 	TakenOver int64 `json:"taken"`
 	// OutcomeUnknown counts the requests answered so.
@@ -120,10 +120,10 @@
 			stats.Held++
 		}
 	}
-	stats.Notes = len(n.reservations.byKey)
+	stats.Reservations = len(n.reservations.byKey)
 	for _, reservation := range n.reservations.byKey {
 		if reservation.started {
-			stats.Running++
+			stats.Started++
 		}
 	}
 	return stats
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func init() { golden.SameDraws() }
+func init() { golden.FixSeeds() }
 
 // keyOf returns the key of a request that a test numbered.
 func keyOf(n uint64) (key Key) {
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -128,8 +128,8 @@
 	failover := &stats.Failover
 	s.gauge(clusterRequests, float64(failover.Held), "holds")
 	s.gauge(clusterRequests, float64(failover.Waiting), "waits")
-	s.gauge(clusterRequests, float64(failover.Notes), "notes")
-	s.gauge(clusterRequests, float64(failover.Running), "begun")
+	s.gauge(clusterRequests, float64(failover.Reservations), "notes")
+	s.gauge(clusterRequests, float64(failover.Started), "begun")
 	s.counter(clusterTotal, failover.TakenOver, "taken")
 	s.counter(clusterTotal, failover.Lost, "lost")
 	s.counter(clusterTotal, failover.Joined, "joined")
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -122,7 +122,7 @@
 func printFailoverCounts(out io.Writer, stats *backend.ClusterStats) error {
 	p := newPrinter(out)
 	f := stats.Failover
-	p.printf("holds %d, waits for %d of others, notes %d for others (%d begun); ", f.Held, f.Waiting, f.Notes, f.Running)
+	p.printf("holds %d, waits for %d of others, notes %d for others (%d begun); ", f.Held, f.Waiting, f.Reservations, f.Started)
 	p.printf("taken over %d, lost to others %d, joined %d, in doubt %d, ", f.TakenOver, f.Lost, f.Joined, f.OutcomeUnknown)
 	p.printf("ends from lost boxes' processors %d\n", f.FoundAtProcessor)
 	return p.err
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -20,9 +20,9 @@
 	// MaxUnsent bounds the bytes that wait for all peers that do not read;
 	// beyond it the connection with the most is aborted.
 	MaxUnsent int
-	// MaxUnread bounds the received bytes of all connections that wait for the
+	// MaxUndelivered bounds the received bytes of all connections that wait for the
 	// owner; beyond it peers that send a lot are disconnected.
-	MaxUnread int64
+	MaxUndelivered int64
 	// MaxLingering bounds the connections that linger; beyond it the oldest is closed.
 	MaxLingering int
 
@@ -46,10 +46,10 @@
 // NewLoop returns an empty event queue without limits.
 func NewLoop() *Loop {
 	return &Loop{
-		Wake:         make(chan struct{}, 1),
-		MaxUnsent:    math.MaxInt,
-		MaxUnread:    math.MaxInt64,
-		MaxLingering: math.MaxInt,
+		Wake:           make(chan struct{}, 1),
+		MaxUnsent:      math.MaxInt,
+		MaxUndelivered: math.MaxInt64,
+		MaxLingering:   math.MaxInt,
 	}
 }
 
--- a/internal/conn/netpoll.go
+++ b/internal/conn/netpoll.go
@@ -129,7 +129,7 @@
 	if undelivered > c.maxUndelivered {
 		return true
 	}
-	return undelivered > receiveBufferSize && c.loop.undelivered.Load()+int64(n) > c.loop.MaxUnread
+	return undelivered > receiveBufferSize && c.loop.undelivered.Load()+int64(n) > c.loop.MaxUndelivered
 }
 
 // unlockAndQueue unlocks c.mu and queues the connection for its owner unless it
--- a/internal/conn/netpoll_test.go
+++ b/internal/conn/netpoll_test.go
@@ -19,7 +19,7 @@
 	for name, limit := range map[string]int64{"connection": 1 << 40, "total": 256 << 10} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLoop()
-			l.MaxUnread = limit
+			l.MaxUndelivered = limit
 			server := serveEcho(t, l, 100)
 			small, large := connect(t, server.address), connect(t, server.address)
 			_, _ = small.Write([]byte("hello"))
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -106,9 +106,9 @@
 	return n
 }
 
-// SameDraws has property tests draw the same values in each run. It is for the init
+// FixSeeds has property tests draw the same values in each run. It is for the init
 // function of their package; flags of the command line override it.
-func SameDraws() {
+func FixSeeds() {
 	// Where rapid is not linked there are no such flags, and nothing to set.
 	_ = flag.Set("rapid.seed", "20261201")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -6,8 +6,8 @@
 
 var violations atomic.Int64
 
-// Broken returns how often a condition did not hold. Any goroutine may call it.
-func Broken() int64 { return violations.Load() }
+// Violations returns how often a condition did not hold. Any goroutine may call it.
+func Violations() int64 { return violations.Load() }
 
 // Check records a violation unless the condition holds, and returns whether it
 // does. The text says what must hold. Any goroutine may call it.
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -56,19 +56,19 @@
 func decodeArrival(id uint64, v *fastjson.Value) overload.Event {
 	attrs := v.GetInt("attrs")
 	event := overload.Event{
-		Kind:      overload.Arrived,
-		ID:        id,
-		Handler:   v.GetInt("tierClass"),
-		Customer:  v.GetInt("owner"),
-		Subject:   string(v.GetStringBytes("resource")),
-		Remaining: micros(v, "budgetUs"),
-		Delay:     micros(v, "queuedForUs"),
-		Size:      v.GetFloat64("sizeKb"),
-		ValueRank: v.GetFloat64("rank"),
-		Caller:    v.GetInt("neighbour"),
-		RepeatOf:  v.GetUint64("dupOf"),
-		Retry:     attrs&attrRetry != 0,
-		Write:     attrs&attrWrite != 0,
+		Kind:       overload.Arrived,
+		ID:         id,
+		Handler:    v.GetInt("tierClass"),
+		Customer:   v.GetInt("owner"),
+		Resource:   string(v.GetStringBytes("resource")),
+		Remaining:  micros(v, "budgetUs"),
+		QueueDelay: micros(v, "queuedForUs"),
+		SizeKB:     v.GetFloat64("sizeKb"),
+		ValueRank:  v.GetFloat64("rank"),
+		EdgeNode:   v.GetInt("neighbour"),
+		RepeatOf:   v.GetUint64("dupOf"),
+		Retry:      attrs&attrRetry != 0,
+		Write:      attrs&attrWrite != 0,
 	}
 	if attrs&attrHintValid != 0 {
 		event.Hint = micros(v, "costUs")
--- a/lab/outage/client.go
+++ b/lab/outage/client.go
@@ -78,8 +78,8 @@
 		Handler:   r.handler,
 		Remaining: clientTimeout - (f.Now - r.made),
 		Hint:      r.work,
-		Size:      1,
-		Caller:    int(r.id % clientAddresses),
+		SizeKB:    1,
+		EdgeNode:  int(r.id % clientAddresses),
 	})
 }
 
--- a/loadbalance/balancer_test.go
+++ b/loadbalance/balancer_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-func init() { golden.SameDraws() }
+func init() { golden.FixSeeds() }
 
 // peers returns n peers p0, p1, ... of the routes w0, w1, ...
 func peers(n int) []Peer {
--- a/overload/admission.go
+++ b/overload/admission.go
@@ -53,8 +53,8 @@
 	r := c.newRequest(now, e)
 	c.enqueue(r)
 	r.handler.arrivals.add(now, 1)
-	c.edgeNodes.recordArrival(e.Caller)
-	c.signal.recordArrival(e.Delay)
+	c.edgeNodes.recordArrival(e.EdgeNode)
+	c.signal.recordArrival(e.QueueDelay)
 	withinQuota := c.withinQuota(now, e.Customer)
 	if c.tryCoalesce(now, r, e.RepeatOf) {
 		return
@@ -69,9 +69,9 @@
 	r := &request{
 		id:        e.ID,
 		handler:   h,
-		arrivedAt: now - e.Delay,
+		arrivedAt: now - e.QueueDelay,
 		readAt:    now,
-		sizeKB:    e.Size,
+		sizeKB:    e.SizeKB,
 		costScale: 1,
 	}
 	r.deadline = max(now, r.arrivedAt+h.clientTimeout)
--- a/overload/admission_test.go
+++ b/overload/admission_test.go
@@ -45,7 +45,7 @@
 	c := New(1, settings, 0)
 	now := time.Duration(0)
 	for id := range uint64(2 * minSamples) { // runs of 300 ms are expected from here on
-		c.Handle(now, []Event{{Kind: Arrived, ID: id + 1, Customer: 1, Size: 1}})
+		c.Handle(now, []Event{{Kind: Arrived, ID: id + 1, Customer: 1, SizeKB: 1}})
 		now += 300 * time.Millisecond
 		c.Handle(now, []Event{{Kind: Ended, ID: id + 1, Outcome: OK}})
 		c.Handle(now, []Event{{Kind: Timer, Gauges: []float64{1, 1}}})
@@ -60,7 +60,7 @@
 		{102, 1, noAnswer}, // queued
 	} {
 		got := noAnswer
-		for _, action := range c.Handle(now, []Event{{Kind: Arrived, ID: test.id, Customer: test.customer, Size: 1}}) {
+		for _, action := range c.Handle(now, []Event{{Kind: Arrived, ID: test.id, Customer: test.customer, SizeKB: 1}}) {
 			if action.ID == test.id {
 				got = action.Kind
 			}
--- a/overload/bench_test.go
+++ b/overload/bench_test.go
@@ -15,7 +15,7 @@
 		now := time.Duration(i) * time.Millisecond
 		id := uint64(i + 1)
 		events = append(events[:0],
-			Event{Kind: Arrived, ID: id, Caller: i % 8, Handler: i % 3, Size: 1, Hint: time.Millisecond},
+			Event{Kind: Arrived, ID: id, EdgeNode: i % 8, Handler: i % 3, SizeKB: 1, Hint: time.Millisecond},
 			Event{Kind: Ended, ID: id - 5, Outcome: OK},
 		)
 		if i%25 == 0 {
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -92,7 +92,7 @@
 	case Timer:
 		c.onTimer(now, e)
 	case Drain:
-		c.onDrain(now, e.Delay, e.Remaining)
+		c.onDrain(now, e.QueueDelay, e.Remaining)
 	default:
 		if r := c.requests.byID[e.ID]; r != nil {
 			c.handleRequestEvent(now, r, e)
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -28,7 +28,7 @@
 		now := time.Duration(i) * time.Millisecond
 		id := uint64(i + 1)
 		events := []Event{
-			{Kind: Arrived, ID: id, Caller: i, Handler: i % 3, Size: 1, Hint: time.Millisecond},
+			{Kind: Arrived, ID: id, EdgeNode: i, Handler: i % 3, SizeKB: 1, Hint: time.Millisecond},
 			{Kind: Ended, ID: id - 5, Outcome: OK},
 			{Kind: ClientGone, ID: id - 7},
 		}
@@ -91,10 +91,10 @@
 	switch kind {
 	case Arrived:
 		event.Handler = random.IntN(4)
-		event.Size = float64(random.IntN(100)) / 4
-		event.Delay = time.Duration(random.IntN(300)) * time.Millisecond
+		event.SizeKB = float64(random.IntN(100)) / 4
+		event.QueueDelay = time.Duration(random.IntN(300)) * time.Millisecond
 		event.RepeatOf = max(id, 50) - 50 + uint64(random.IntN(100))
-		event.Subject = "subject"
+		event.Resource = "subject"
 	case Timer:
 		event.Gauges = []float64{random.Float64() * 1.2, float64(random.IntN(10))}
 	case Drain:
--- a/overload/edgenodes_test.go
+++ b/overload/edgenodes_test.go
@@ -35,7 +35,7 @@
 			number += i / 200 * 8
 		}
 		events := []Event{
-			{Kind: Arrived, ID: id, Caller: number, Size: 1},
+			{Kind: Arrived, ID: id, EdgeNode: number, SizeKB: 1},
 			{Kind: Ended, ID: id - 3, Outcome: OK},
 		}
 		if i%10 == 0 {
--- a/overload/event.go
+++ b/overload/event.go
@@ -66,20 +66,20 @@
 	// Of Arrived.
 	Handler   int           // index in Settings.Handlers
 	Customer  int           // index in Settings.Customers
-	Subject   string        // what a read asks for, to share its result; may be empty
+	Resource  string        // what a read asks for, to share its result; may be empty
 	Hint      time.Duration // expected work on a standard core, 0 if unknown
-	Size      float64       // kilobytes of memory while queued
+	SizeKB    float64       // kilobytes of memory while queued
 	ValueRank float64       // rank by value among all requests, 0 to 1
 	Write     bool          // the request changes something
 	Retry     bool          // the request is known to be a retry
-	Caller    int           // number of the edge node that sent it; a new one after each restart of the node
+	EdgeNode  int           // number of the edge node that sent it; a new one after each restart of the node
 	RepeatOf  uint64        // the remembered request that this one repeats, 0 if none
 
 	// Remaining is, of Arrived, how long the client still waits, 0 if unknown; of Drain, the time until the server
 	// is stopped.
 	Remaining time.Duration
-	// Delay is, of Arrived, how long the request lay unread; of Drain, how long ago the notice came at most.
-	Delay time.Duration
+	// QueueDelay is, of Arrived, how long the request lay unread; of Drain, how long ago the notice came at most.
+	QueueDelay time.Duration
 
 	Outcome Outcome       // of Ended, CallEnded and ClientGone
 	Took    time.Duration // of Ended and CallEnded
--- a/overload/repeats.go
+++ b/overload/repeats.go
@@ -55,7 +55,7 @@
 // mayShareResult reports whether others may be answered with the result of a request.
 func (c *Controller) mayShareResult(r *request, e *Event) bool {
 	return c.repeats.reuseFor > 0 &&
-		e.Subject != "" &&
+		e.Resource != "" &&
 		!e.Write &&
 		r.handler.idempotency != NonReplayable &&
 		c.memory.underThreshold(c.memory.keySizeKB)
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -101,7 +101,7 @@
 	if !ok {
 		t.Fatal("unknown event", words)
 	}
-	event = Event{Kind: kind, Size: 1}
+	event = Event{Kind: kind, SizeKB: 1}
 	times = 1
 	for _, word := range words[1:] {
 		name, value, named := strings.Cut(word, "=")
@@ -132,19 +132,19 @@
 	case "handler":
 		event.Handler = parseInt(t, value)
 	case "edge-node":
-		event.Caller = parseInt(t, value)
+		event.EdgeNode = parseInt(t, value)
 	case "customer":
 		event.Customer = parseInt(t, value)
 	case "remaining":
 		event.Remaining = parseDuration(t, value)
 	case "delay":
-		event.Delay = parseDuration(t, value)
+		event.QueueDelay = parseDuration(t, value)
 	case "repeat-of":
 		event.RepeatOf = uint64(parseInt(t, value))
 	case "subject":
-		event.Subject = value
+		event.Resource = value
 	case "size":
-		event.Size = parseFloat(t, value)
+		event.SizeKB = parseFloat(t, value)
 	case "took":
 		event.Took = parseDuration(t, value)
 	case "busy", "runnable":
