--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -4,7 +4,7 @@
 //
 // A file holds a ring of the last entries and two snapshots, written in turn, whose distance is less than the ring. The
 // ledger is the newer complete snapshot and the entries that follow it: an entry or a snapshot that was cut while it was
-// written fails its checksum. The format is described in docs/notes/figures.md.
+// written fails its checksum. The format is described in docs/notes/accounting.md.
 package statsfile
 
 import (
