--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,6 +1,6 @@
 // Package backend serves requests on real sockets. It reads them from its clients, front ends that speak FastCGI or
 // AJP, lets package overload decide which of them run and when, has the processor run them, makes the calls of their
-// runs to the next tier, and answers each request exactly once.
+// runs to the upstream tier, and answers each request exactly once.
 //
 // A Backend is made by New and runs in Serve; Main wraps both into a process with its signals and its configuration.
 // One goroutine, that of Serve, owns all state. It works in turns: each takes the time once, handles all that has
@@ -156,7 +156,7 @@
 // Log returns the logger of the backend.
 func (b *Backend) Log() *slog.Logger { return b.log }
 
-// Reload has new work use the addresses of another configuration: those of the processor, the next tier, the control
+// Reload has new work use the addresses of another configuration: those of the processor, the upstream tier, the control
 // plane and the other nodes of the cluster. It also takes the time to stop from there. Work in flight at the old
 // addresses may finish, and a drain in progress keeps its deadlines. All other changes need a new process. Reload
 // returns at once; it may be called from any goroutine.
--- a/backend/config.go
+++ b/backend/config.go
@@ -35,7 +35,7 @@
 	Listen       string        // the address where FastCGI clients connect
 	Processor    string        // the address of the processor, which runs requests
 	ControlPlane string        // the address that lease reports go to; empty for none
-	Upstream     string        // the address of the next tier's proxy; empty for the last tier
+	Upstream     string        // the address of the upstream proxy; empty for the last tier
 	Seed         uint64        // of the overload controller's random source
 	StopTimeout  time.Duration // from the notice to leave until the process is killed
 	Limits       Limits
@@ -61,7 +61,7 @@
 	Listen    string
 	Processor string
 	Control   string
-	Backend   string  // the next tier
+	Backend   string  // the upstream tier
 	Seed      string  // hexadecimal
 	StopMS    float64 `json:"stop_ms"`
 	Limits    struct {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// callsOverAJP reports whether calls go to AJP peers instead of the next tier's proxy.
+// callsOverAJP reports whether calls go to AJP peers instead of the upstream proxy.
 func (c *Config) callsOverAJP() bool { return len(c.AJPUpstream.Balancer.Peers) > 0 }
 
 // Apply sets the limits of the Go runtime: the number of threads that run Go code, and the memory that the garbage
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -35,7 +35,7 @@
 	Stopped int64
 	Ended   int64
 
-	// Calls to the next tier.
+	// Calls to the upstream tier.
 	CallsRequested int64 // that runs have asked for
 	Calls          int64 // that were made
 	CallsOK        int64
--- a/backend/fake_peer_test.go
+++ b/backend/fake_peer_test.go
@@ -11,7 +11,7 @@
 	"sync"
 )
 
-// fakePeer is a stand-in for the processor or the next tier, which listen.
+// fakePeer is a stand-in for the processor or the upstream tier, which listen.
 type fakePeer struct {
 	bed      *testbed
 	name     string
@@ -23,7 +23,7 @@
 	conns        []net.Conn
 	mute         bool // the processor does not answer for the gauges
 	completesAll bool // the processor completes each request at once, which is not printed
-	resetsReused bool // the next tier resets a connection at its second call, unread
+	resetsReused bool // the upstream tier resets a connection at its second call, unread
 }
 
 func newFakePeer(bed *testbed, name string) *fakePeer {
--- a/backend/processor_commands.go
+++ b/backend/processor_commands.go
@@ -19,7 +19,7 @@
 // processor is asked once the link stands.
 func (l *processorLink) startCheck() uint64 {
 	l.lastTag++
-	l.pendingTrials = append(l.pendingTrials, l.lastTag)
+	l.pendingChecks = append(l.pendingChecks, l.lastTag)
 	if l.greeted {
 		l.write(processor.AppendCheck(nil, l.lastTag))
 	}
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -86,7 +86,7 @@
 	lastTag       uint64   // of the last query: for gauges, or for the work of a deep health check
 	ackedTag      uint64   // of the last query for gauges that was answered
 	resyncTag     uint64   // of the query whose answer ends the resynchronization; 0 it has ended
-	pendingTrials []uint64 // tags of deep health checks not answered yet
+	pendingChecks []uint64 // tags of deep health checks not answered yet
 
 	unverified []*request // the processor is asked whether it knows these, in order
 	probing    int        // requests whose start may be lost and is being probed
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -28,7 +28,7 @@
 	case processor.Gauges:
 		l.onGauges(&n)
 	case processor.CheckDone:
-		l.pendingTrials = slices.DeleteFunc(l.pendingTrials, func(tag uint64) bool { return tag == n.Tag })
+		l.pendingChecks = slices.DeleteFunc(l.pendingChecks, func(tag uint64) bool { return tag == n.Tag })
 		b.frontend.checkDone(n.Tag, n.Outcome == overload.OK)
 	case processor.Reject:
 		l.onReject(&n)
@@ -69,7 +69,7 @@
 		l.lastNotice = 0
 	}
 	l.processorAge = n.Elapsed
-	for _, tag := range l.pendingTrials {
+	for _, tag := range l.pendingChecks {
 		l.write(processor.AppendCheck(nil, tag))
 	}
 	l.requestGauges()
--- a/backend/request.go
+++ b/backend/request.go
@@ -32,7 +32,7 @@
 	probeTag        uint64        // the gauge query after that, whose answer proves it; 0 before
 
 	// The call of its run.
-	callBody           []byte // what the run asks of the next tier
+	callBody           []byte // what the run asks of the upstream tier
 	callReply          []byte // the reply, until more is heard of the run
 	callReplied        bool
 	call               *call // in flight; nil for none
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -151,7 +151,7 @@
 		bed.inTurn(func() { bed.backend.advice.shallowChecks = false })
 		client := bed.dialClient()
 		client.send(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
-		bed.await(func() bool { return len(bed.backend.processor.pendingTrials) == 1 })
+		bed.await(func() bool { return len(bed.backend.processor.pendingChecks) == 1 })
 		bed.beginClosing()
 		client.expect("1"+rejectedLine, "end")
 		bed.expectExit()
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -237,7 +237,7 @@
 	b.loop.Post(func() {
 		bed.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
 			len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.inFlight(), b.upstream.connections(),
-			len(b.results.byID), len(b.processor.pendingTrials), b.frontend.partialBytes)
+			len(b.results.byID), len(b.processor.pendingChecks), b.frontend.partialBytes)
 	})
 }
 
@@ -271,7 +271,7 @@
 	bed.peerStep(peer, words[1:])
 }
 
-// peerStep plays a step of the processor or the next tier.
+// peerStep plays a step of the processor or the upstream tier.
 func (bed *testbed) peerStep(peer *fakePeer, words []string) {
 	verb, rest := words[0], words[1:]
 	switch verb {
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -8,18 +8,18 @@
 	"frosthub/overload"
 )
 
-// Limits of calls to the next tier, whichever protocol carries them.
+// Limits of calls to the upstream tier, whichever protocol carries them.
 const (
 	// callGrace is how long past its timeout a call is waited for: the server that runs it should report the timeout
 	// first.
 	callGrace = 20 * time.Millisecond
-	// upstreamConnShare is the part of the descriptors that connections to the next tier may take.
+	// upstreamConnShare is the part of the descriptors that connections to the upstream tier may take.
 	upstreamConnShare = 0.125
 	// maxUnsentCalls is how many bytes of calls may wait on one connection.
 	maxUnsentCalls = 256 << 10
 )
 
-// upstream makes the calls that runs need from the next tier. The overload controller decides which calls are made; an
+// upstream makes the calls that runs need from the upstream tier. The overload controller decides which calls are made; an
 // upstream only carries them. All methods are called by the goroutine that owns the backend.
 type upstream interface {
 	// reservedConns is the number of connections that the upstream may hold.
@@ -34,7 +34,7 @@
 	onTimer()
 	// inFlight is the number of calls in flight.
 	inFlight() int
-	// connections is the number of connections to the next tier.
+	// connections is the number of connections to the upstream tier.
 	connections() int
 }
 
@@ -67,7 +67,7 @@
 	return upstreamCalls{backend: b, calls: map[uint64]*call{}}
 }
 
-// reservedConns is the number of connections to the next tier that the limit on descriptors leaves.
+// reservedConns is the number of connections to the upstream tier that the limit on descriptors leaves.
 func (u *upstreamCalls) reservedConns() int {
 	return max(1, int(upstreamConnShare*float64(u.backend.cfg.Limits.Sockets)))
 }
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -14,7 +14,7 @@
 	"frosthub/overload"
 )
 
-// AJPUpstreamConfig is a next tier of several servers that speak AJP. Without peers in Balancer there is none.
+// AJPUpstreamConfig is an upstream tier of several servers that speak AJP. Without peers in Balancer there is none.
 type AJPUpstreamConfig struct {
 	Balancer loadbalance.Config
 	Secret   string // sent with each call; empty: none
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -23,7 +23,7 @@
 	deadConnWindow = 2 * time.Millisecond
 )
 
-// proxyUpstream makes calls to a proxy in front of the next tier. As long as there is room for more connections each
+// proxyUpstream makes calls to a proxy in front of the upstream tier. As long as there is room for more connections each
 // carries one call at a time, so that a malformed reply, a reset or a reply that never comes costs one call. A
 // connection on which such a thing happened is retired. That covers a proxy that breaks one call in many; where the
 // proxy is sound it costs descriptors.
--- a/lifecycle/permission.go
+++ b/lifecycle/permission.go
@@ -95,7 +95,7 @@
 //	has an open request  RequestOpen
 //	has unsent output    OutputUnsent
 //	is broken            Allowed
-//	is half read         HalfRead
+//	is half read         PartiallyRead
 //	has unread input     InputUnread
 //	else                 Allowed
 //
@@ -117,7 +117,7 @@
 	return Allowed
 }
 
-// Command is a command to the processor, or a call to the next tier, that is to be sent again.
+// Command is a command to the processor, or a call to the upstream tier, that is to be sent again.
 type Command struct {
 	Idempotent bool // it is idempotent: it does no harm if the first one had its effect
 	NeverRan   bool // the first one is proved to have had no effect
@@ -126,8 +126,8 @@
 
 // Retry decides whether a command may be sent again:
 //
-//	wanted  repeatable or never ran  verdict
-//	no      any                      NobodyWaits
+//	wanted  idempotent or never ran  verdict
+//	no      any                      ClientGone
 //	yes     yes                      Allowed
 //	yes     no                       MayHaveRun
 func Retry(c Command) Verdict {
@@ -144,7 +144,7 @@
 //
 //	answered  client waits  verdict
 //	yes       any           AlreadyAnswered
-//	no        no            NobodyWaits
+//	no        no            ClientGone
 //	no        yes           Allowed
 func Answer(answered, clientWaits bool) Verdict {
 	switch {
--- a/loadbalance/balancer.go
+++ b/loadbalance/balancer.go
@@ -1,4 +1,4 @@
-// Package loadbalance decides which peer of the next tier gets a call: the one with the least outstanding calls among those
+// Package loadbalance decides which peer of the upstream tier gets a call: the one with the least outstanding calls among those
 // in service, or the one of a sticky route. Peers that fail are ejected, return by a trial, and are never ejected below a
 // floor (outlier ejection). Retries have a budget.
 //
@@ -64,7 +64,7 @@
 	return value
 }
 
-// Peer is one server of the next tier.
+// Peer is one server of the upstream tier.
 type Peer struct {
 	Address  string
 	Weight   float64 // its share relative to the others'; 1 if 0
