--- a/backend/audit.go
+++ b/backend/audit.go
@@ -1,9 +1,10 @@
 package backend
 
 import (
+	"slices"
+
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
-	"slices"
 )
 
 // audit has the ledger check that its sums add up, from time to time compares it with the requests that are known here,
@@ -21,7 +22,7 @@
 func (b *Backend) compareLedger() {
 	b.ledger.Compare(b.wall, func(open func(accounting.Ticket, uint64)) {
 		for _, r := range b.requests { // a sum: the order does not matter
-			if b.hasClient(r) || r.takenOver && !r.accounted {
+			if b.hasClient(r) || r.failedOver && !r.accounted {
 				open(r.ticket, r.id)
 			}
 		}
@@ -36,7 +37,7 @@
 // logMismatches logs what the ledger found not to add up.
 func (b *Backend) logMismatches() {
 	for _, mismatch := range b.ledger.TakeMismatches() {
-		b.log.Error("figures differ", "what", mismatch.What, "one", mismatch.Left, "other", mismatch.Right, "trail", mismatch.Trail)
+		b.log.Error("accounting mismatch", "what", mismatch.What, "one", mismatch.Left, "other", mismatch.Right, "trail", mismatch.Trail)
 		invariant.Check(false, "figures add up: "+mismatch.What)
 	}
 }
@@ -60,7 +61,7 @@
 			asked := r.guard != nil || slices.Contains(b.processor.unverified, r)
 			invariant.Check(r.state != stateUnverified || asked, "an unverified request is asked for")
 		} else {
-			invariant.Check(r.takenOver || r.state >= stateAwaitingIntent, "a request for which nobody waits runs")
+			invariant.Check(r.failedOver || r.state >= stateAwaitingIntent, "a request for which nobody waits runs")
 		}
 		if r.call != nil {
 			calls++
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -9,20 +9,21 @@
 package backend
 
 import (
-	"frosthub/internal/conn"
-	"frosthub/internal/logthrottle"
-	"frosthub/lifecycle"
-	"frosthub/overload"
 	"log/slog"
 	"math"
 	"slices"
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"frosthub/internal/conn"
+	"frosthub/internal/logthrottle"
+	"frosthub/lifecycle"
+	"frosthub/overload"
 )
 
-// Backend is one backend. Its exported methods may be called from any goroutine; all its fields belong to the goroutine
-// that runs Serve.
+// Backend serves the requests of one node. Its exported methods may be called from any goroutine; all its fields belong
+// to the goroutine that runs Serve.
 type Backend struct {
 	cfg       Config
 	log       *slog.Logger
@@ -65,12 +66,12 @@
 
 // handler is what the configuration says of one handler.
 type handler struct {
-	name       string
-	replayable bool          // a request may run again without harm
-	uniqued    bool          // its requests bring a key by which a repeat is known, and run once
-	window     time.Duration // in which such a repeat may come
-	timeout    time.Duration // how long its clients wait
-	value      float64       // its weight against other handlers
+	name         string
+	replayable   bool          // a request may run again without harm
+	deduplicated bool          // its requests bring a key by which a repeat is recognized, and run once
+	window       time.Duration // in which such a repeat may come
+	timeout      time.Duration // how long its clients wait
+	weight       float64       // its weight against other handlers
 }
 
 // New returns a backend for a configuration. It opens nothing: that is done by Serve. A nil log stands for
@@ -104,7 +105,7 @@
 		b.upstream = newProxyUpstream(b)
 	}
 	b.results.init(b)
-	b.observe()
+	b.registerObservers()
 	return b
 }
 
@@ -128,12 +129,12 @@
 
 func newHandler(settings *overload.Handler) handler {
 	return handler{
-		name:       settings.Name,
-		replayable: settings.Idempotency == overload.Replayable,
-		uniqued:    settings.Idempotency == overload.Deduplicated,
-		window:     settings.Window,
-		timeout:    settings.ClientTimeout.Or(overload.DefaultClientTimeout),
-		value:      settings.Value.Or(0),
+		name:         settings.Name,
+		replayable:   settings.Idempotency == overload.Replayable,
+		deduplicated: settings.Idempotency == overload.Deduplicated,
+		window:       settings.Window,
+		timeout:      settings.ClientTimeout.Or(overload.DefaultClientTimeout),
+		weight:       settings.Value.Or(0),
 	}
 }
 
@@ -165,7 +166,7 @@
 	b.stats.Reloads++
 	if cfg.ControlPlane != b.cfg.ControlPlane {
 		if err := b.reporter.open(cfg.ControlPlane); err != nil { // not an address
-			b.logLimited("control plane not reached", "why", err)
+			b.logLimited("control plane unreachable", "reason", err)
 		}
 	}
 	b.cfg.Processor = cfg.Processor
@@ -178,7 +179,7 @@
 		b.upstream.reconfigure(&cfg)
 	}
 	b.cluster.reconfigure(cfg.Cluster)
-	b.log.Info("configuration read anew", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
+	b.log.Info("configuration reloaded", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
 // onOwner has the owner call f between two turns, and waits for it. After Serve has returned, f is called at once.
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/internal/conn"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"maps"
-	"slices"
-	"time"
 )
 
 // clientConn is one connection of a client. It belongs to the owner goroutine.
@@ -19,9 +20,9 @@
 	requests        map[uint16]*request  // without their answer, by slot
 	checks          map[uint16]deepCheck // health checks that wait for the processor, by slot
 	acceptedAt      time.Duration
-	lastUsed        time.Duration // when it last carried a whole request or a response
+	lastUsed        time.Duration // when it last carried a complete request or a response
 	badRequests     int           // malformed requests since the last one that was run
-	hasSentRequest  bool          // it has sent a whole request
+	hasSentRequest  bool          // it has sent a complete request
 	verified        bool          // one of its requests was known to the processor
 	buffersReleased bool          // it is idle and keeps no buffers
 	broken          bool          // nothing more is read of it; it ends once what is open is answered
@@ -70,10 +71,10 @@
 // addConnection takes a connection that was accepted.
 func (f *frontend) addConnection(accepted *conn.Conn, newProtocol func(*clientConn) protocol) {
 	b := f.backend
-	f.accepted++
+	f.acceptedCount++
 	client := &clientConn{
 		conn:       accepted,
-		number:     f.accepted,
+		number:     f.acceptedCount,
 		requests:   map[uint16]*request{},
 		acceptedAt: b.now,
 		lastUsed:   b.now,
@@ -142,7 +143,7 @@
 	if phase == lifecycle.Serving && dropped == 0 && !client.busy() && len(client.undelivered) == 0 {
 		return
 	}
-	f.backend.log.Info("connection ended", "conn", client.number, "why", reason, "phase", phase, "open", len(client.requests),
+	f.backend.log.Info("connection closed", "connection", client.number, "reason", reason, "phase", phase, "open", len(client.requests),
 		"half_read", client.protocol.openSlots()-client.openAnswers(), "unsent_answers", len(client.undelivered),
 		"dropped_bytes", dropped)
 }
@@ -150,7 +151,7 @@
 // recordUnanswered counts and logs a request that leaves without its answer.
 func (f *frontend) recordUnanswered(id uint64, reason error) {
 	f.backend.stats.Unanswered++
-	f.backend.log.Warn("req without its answer", "id", fmt.Sprintf("%016x", id), "why", reason)
+	f.backend.log.Warn("request unanswered", "id", fmt.Sprintf("%016x", id), "reason", reason)
 }
 
 // trackDelivery has the account of a request follow the answer that was just written.
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"frosthub/failover"
 	"frosthub/internal/conn"
 	"frosthub/internal/peerproto"
@@ -30,7 +31,7 @@
 	parser := peerproto.NewParser(peer.receive)
 	accepted.OnData = c.backend.parseLogged("bad node", func(text []byte) error {
 		err := parser.Feed(text)
-		if err == nil && peer.node == "" && parser.Held() > maxHelloBytes {
+		if err == nil && peer.node == "" && parser.Buffered() > maxHelloBytes {
 			return errNoHello
 		}
 		return err
@@ -42,7 +43,7 @@
 func (p *peerConn) receive(batch *peerproto.Batch) error {
 	c := p.cluster
 	if c.recovery == nil && batch.Hello == nil {
-		return nil // the store is not loaded yet: the other node asks again
+		return nil // the store is not loaded yet: the other node retries
 	}
 	if hello := batch.Hello; hello != nil && (p.node == "" || p.node == hello.From) {
 		if err := p.identify(hello); err != nil {
@@ -73,7 +74,7 @@
 	}
 	p.node = hello.From
 	p.incarnation = hello.Incarnation
-	c.peerDigests[p.node] = hello.Lists
+	c.peerDigests[p.node] = hello.RosterDigests
 	c.onHello(hello)
 	return nil
 }
@@ -95,7 +96,7 @@
 		c.detector.Receive(b.now, p.node, p.incarnation, &batch.Members[i])
 	}
 	if len(batch.Claims) > 0 && !failover.Compatible(c.peerDigests[p.node], c.ownDigests) {
-		b.logLimited("members differ", "node", p.node)
+		b.logLimited("member lists differ", "node", p.node)
 		return
 	}
 	for i := range batch.Claims {
@@ -106,7 +107,7 @@
 // onHello takes what a node says of itself, and answers what it asks.
 func (c *cluster) onHello(hello *peerproto.Hello) {
 	if c.recovery == nil {
-		return // the store is not loaded yet: the other node asks again
+		return // the store is not loaded yet: the other node retries
 	}
 	if hello.QueryState {
 		answer := c.peerStates.Answer(hello.From, hello.Mark)
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -1,12 +1,13 @@
 package backend
 
 import (
+	"math"
+	"time"
+
 	"frosthub/failover"
 	"frosthub/internal/conn"
 	"frosthub/internal/processor"
 	"frosthub/overload"
-	"math"
-	"time"
 )
 
 // processorQueryTimeout is how long the processor of a lost node is waited for.
@@ -18,7 +19,8 @@
 	deadline time.Duration
 }
 
-// queryProcessor asks the processor of a lost node how runs that were started there have ended: it hands out its notices after the given one.
+// queryProcessor asks the processor of a lost node how runs that were started there have ended: it hands out its
+// notices after the given one.
 func (c *cluster) queryProcessor(wanted failover.ProcessorQuery) {
 	b := c.backend
 	link := c.links[wanted.Node]
@@ -38,7 +40,7 @@
 		opened.SetInputLimit(opened.MaxUnsent)
 		opened.OnClosed = func(error) { delete(c.processorQueries, wanted.Node) }
 		parser := processor.NewParser(func(notice processor.Notice) { c.onForeignNotice(wanted.Node, opened, &notice) })
-		opened.OnData = b.parseLogged("bad link", parser.Feed)
+		opened.OnData = b.parseLogged("processor protocol error", parser.Feed)
 		opened.Write(processor.AppendHello(nil, max(wanted.Notice, 1))) // 0 would say that its backend has started anew
 	})
 }
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -3,17 +3,26 @@
 import (
 	"errors"
 	"fmt"
-	"frosthub/failover"
-	"frosthub/membership"
 	"reflect"
 	"slices"
 	"strings"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/membership"
 )
 
 // reconfigureRetry is the time between tries to adopt another roster.
 const reconfigureRetry = time.Second
 
+// rosterChange is how far the change to another roster is.
+type rosterChange struct {
+	pending bool          // the roster of the configuration is to be adopted
+	retryAt time.Duration // when that is tried next
+	reason  string        // why it is not adopted yet
+	writing bool          // a roster is being written; it is adopted once it is on disk
+}
+
 // reconfigure has the node adopt the roster of another configuration as soon as that is safe.
 func (c *cluster) reconfigure(cfg ClusterConfig) {
 	if !c.enabled() || cfg.Name != c.backend.cfg.Cluster.Name {
@@ -21,29 +30,29 @@
 	}
 	c.backend.cfg.Cluster.Members = cfg.Members
 	c.backend.cfg.Cluster.Previous = cfg.Previous
-	c.changePending = true
-	c.changeAt = c.backend.now
+	c.change.pending = true
+	c.change.retryAt = c.backend.now
 }
 
-// tryReconfigure adopts the roster of the configuration if that is safe. While the members change it also finds out whether all other
-// nodes have adopted both lists.
+// tryReconfigure adopts the roster of the configuration if that is safe. While the members change it also finds out
+// whether all other nodes have adopted both lists.
 func (c *cluster) tryReconfigure() {
 	b := c.backend
 	awaitsOthers := len(c.roster.Previous) > 0 && c.roster.Since <= 0
-	if c.writingRoster || !c.changePending && !awaitsOthers {
+	if c.change.writing || !c.change.pending && !awaitsOthers {
 		return
 	}
-	if b.now < c.changeAt {
-		b.wakeBy(c.changeAt)
+	if b.now < c.change.retryAt {
+		b.wakeBy(c.change.retryAt)
 		return
 	}
-	c.changeAt = b.now + reconfigureRetry
-	b.wakeBy(c.changeAt)
+	c.change.retryAt = b.now + reconfigureRetry
+	b.wakeBy(c.change.retryAt)
 	roster := c.roster.forFailover()
 	if len(roster.Previous) > 0 && roster.Since == 0 && c.noteAdoptedByAll(&roster) {
 		return
 	}
-	if c.changePending {
+	if c.change.pending {
 		c.adoptConfigured(&roster)
 	}
 }
@@ -53,10 +62,10 @@
 	b := c.backend
 	behind := roster.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.peerDigests[name] })
 	if len(behind) > 0 {
-		c.changeReason = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(behind, ", "))
+		c.change.reason = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(behind, ", "))
 		return false
 	}
-	c.changeReason = ""
+	c.change.reason = ""
 	dated := c.roster
 	dated.Since = b.guard.now()
 	c.writeRoster(dated)
@@ -69,15 +78,15 @@
 	configured := b.cfg.Cluster.roster()
 	next, err := roster.Next(b.guard.now(), c.retryWindow(), configured.forFailover())
 	if err != nil {
-		if c.changeReason == "" || !errors.Is(err, failover.ErrNotAdopted) {
-			c.changeReason = err.Error()
+		if c.change.reason == "" || !errors.Is(err, failover.ErrNotAdopted) {
+			c.change.reason = err.Error()
 		}
-		b.logLimited("members not changed", "why", c.changeReason)
+		b.logLimited("membership change refused", "reason", c.change.reason)
 		return
 	}
 	configured.Since = next.Since
-	c.changeReason = ""
-	c.changePending = false
+	c.change.reason = ""
+	c.change.pending = false
 	if !reflect.DeepEqual(configured, c.roster) {
 		c.writeRoster(configured)
 	}
@@ -95,15 +104,15 @@
 // writeRoster has the node adopt a roster once it is on disk.
 func (c *cluster) writeRoster(roster clusterRoster) {
 	b := c.backend
-	c.writingRoster = true
+	c.change.writing = true
 	dir := b.cfg.Idempotency.Dir
 	go func() { // the disk may be slow
 		err := writeRosterFile(dir, roster)
 		b.loop.Post(func() {
-			c.writingRoster = false
+			c.change.writing = false
 			if err != nil {
-				c.changePending = true
-				b.logLimited("members not changed", "why", err)
+				c.change.pending = true
+				b.logLimited("membership change refused", "reason", err)
 				return
 			}
 			c.adopt(roster)
@@ -125,10 +134,11 @@
 		refill.SetOthers(c.others())
 	}
 	c.announce()
-	b.log.Info("members", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
+	b.log.Info("membership changed", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
 }
 
-// keepDeparting keeps the links to the nodes that leave with a new roster: those may still hold requests, and have them noted by this one.
+// keepDeparting keeps the links to the nodes that leave with a new roster: those may still have requests in flight, and
+// have them noted by this one.
 func (c *cluster) keepDeparting(next *clusterRoster) {
 	if len(next.Previous) == 0 {
 		for _, member := range c.roster.Previous {
@@ -151,7 +161,8 @@
 	}
 }
 
-// adoptedByAllSince tells since when all nodes have adopted both lists, as far as this one knows. It is empty if they have not.
+// adoptedByAllSince tells since when all nodes have adopted both lists, as far as this one knows. It is empty if they
+// have not.
 func (c *cluster) adoptedByAllSince() string {
 	if c.roster.Since == 0 {
 		return ""
@@ -159,8 +170,8 @@
 	return time.Unix(0, int64(c.roster.Since)).UTC().Format(time.RFC3339)
 }
 
-// dropDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has left may still wait for
-// the ends of its runs.
+// dropDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has
+// left may still wait for the ends of its runs.
 func (c *cluster) dropDeparted(update membership.Update) {
 	if update.State != membership.Dead {
 		return
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -3,19 +3,20 @@
 import (
 	"cmp"
 	"fmt"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/overload"
-	"time"
 )
 
 // defaultSizeKB is the size in kilobytes that is taken for a request whose first node said none.
 const defaultSizeKB = 24.0
 
-// claim asks the group of a guarded request, before the overload controller hears of it.
+// claim asks the group of a guarded request, before it is submitted to the overload controller.
 func (c *cluster) claim(r *request) {
-	r.state = stateUnverified
+	r.unverify()
 	handler := &c.backend.handlers[r.handler]
 	c.node.Claim(c.backend.guard.now(), r.guard.key, r.guard.createdAt, r.id, failover.Work{
 		Handler:    handler.name,
@@ -24,31 +25,46 @@
 		Cost:       int64(r.arrival.Hint),
 		Size:       r.arrival.Size,
 		Rank:       r.arrival.ValueRank,
-		Weight:     handler.value,
+		Weight:     handler.weight,
 		Replayable: r.guard.replayable,
 	})
 }
 
-// submitClaimed has the overload controller hear of a request whose group was asked; isRepeat says that another attempt is in flight.
-func (c *cluster) submitClaimed(r *request, isRepeat bool) {
-	b := c.backend
-	r.state = stateHeld
-	r.arrival.Delay += b.now - r.guard.askedAt
-	if isRepeat {
-		r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
-		if r.originalID == r.id || b.requests[r.originalID] == nil {
-			r.originalID = ^uint64(0) // another node's: the overload controller knows nothing of it
-		}
-		r.arrival.RepeatOf = r.originalID
-	} else if r.guard.replayable {
-		b.results.lookup(r) // where there is no room it isn't cached: it may run twice
+// submitClaimed submits a request that its group has granted to the overload controller.
+func (c *cluster) submitClaimed(r *request) {
+	c.endClaim(r)
+	if r.guard.replayable {
+		c.backend.results.lookup(r) // where there is no room it isn't cached: it may run twice
+	}
+	c.backend.submitArrival(r)
+}
+
+// submitRepeat submits a request of which the group knows another attempt in flight.
+func (c *cluster) submitRepeat(r *request) {
+	c.endClaim(r)
+	r.originalID = cmp.Or(c.node.Original(r.guard.key), 1)
+	if r.originalID == r.id || c.backend.requests[r.originalID] == nil {
+		r.originalID = ^uint64(0) // another node's: the overload controller knows nothing of it
 	}
-	b.submitArrival(r)
+	r.arrival.RepeatOf = r.originalID
+	c.backend.submitArrival(r)
+}
+
+func (c *cluster) endClaim(r *request) {
+	r.hold()
+	r.arrival.Delay += c.backend.now - r.guard.askedAt
 }
 
+// requestWithdrawn implements requestObserver. It does nothing: the account of a request that was taken over is closed by
+// whoever withdraws it.
+func (c *cluster) requestWithdrawn(*request) {}
+
+// requestEnded implements requestObserver.
+func (c *cluster) requestEnded(r *request, end requestEnd) { c.closeAccount(r, end.reason) }
+
 // closeAccount closes the account of a request that was taken over: its answer is the group's.
 func (c *cluster) closeAccount(r *request, reason accounting.Reason) {
-	if !r.takenOver || r.accounted {
+	if !r.failedOver || r.accounted {
 		return
 	}
 	r.accounted = true
@@ -57,8 +73,8 @@
 	ledger.Sent(c.backend.wall, r.ticket)
 }
 
-// handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does. The client gets the
-// other node's result from here, if it comes in time.
+// handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does.
+// The client gets the other node's result from here, if it comes in time.
 func (c *cluster) handOff(r *request) bool {
 	if c.node == nil || r.guard == nil || r.state != stateHeld {
 		return false
@@ -67,12 +83,13 @@
 		return false
 	}
 	c.backend.stats.HandedOff++
-	r.state = stateAwaitingResult
+	r.awaitResult()
 	c.backend.guard.awaitingDisk[r] = struct{}{}
 	return true
 }
 
-// acceptFailover has the overload controller hear of a request that another node held. Nobody waits for it on a connection here.
+// acceptFailover submits a request of another node, which was lost, to the overload controller. Nobody waits for it on
+// a connection here.
 func (c *cluster) acceptFailover(outcome *failover.Outcome) {
 	b := c.backend
 	work := outcome.Work
@@ -83,13 +100,13 @@
 		return
 	}
 	r := &request{
-		id:        outcome.ID,
-		wireID:    fmt.Sprintf("%016x", outcome.ID),
-		handler:   handler,
-		body:      work.Body,
-		state:     stateHeld,
-		takenOver: true,
-		readAt:    b.now,
+		id:         outcome.ID,
+		wireID:     fmt.Sprintf("%016x", outcome.ID),
+		handler:    handler,
+		body:       work.Body,
+		state:      stateHeld,
+		failedOver: true,
+		readAt:     b.now,
 		guard: &guardState{
 			key:        outcome.Key,
 			createdAt:  outcome.Made,
@@ -139,26 +156,26 @@
 	b := c.backend
 	switch {
 	case outcome.Decision == idempotency.Fresh:
-		c.submitClaimed(r, false)
+		c.submitClaimed(r)
 	case outcome.Decision == idempotency.Duplicate && r.guard.replayable: // it waits
 	case outcome.Decision == idempotency.Duplicate:
-		c.submitClaimed(r, true)
+		c.submitRepeat(r)
 	case outcome.Decision == idempotency.Replay:
 		b.guard.countDecision(outcome.Decision)
 		b.frontend.succeeded(r, accounting.Replayed, outcome.Result)
 		b.finishAnswered(r)
 	case r.guard.replayable:
-		c.submitClaimed(r, false)
+		c.submitClaimed(r)
 	default:
 		b.frontend.declined(r, b.guard.countDecision(outcome.Decision))
 		b.finishAnswered(r)
 	}
 }
 
-// applyLater carries out a decision about a request that the overload controller has heard of.
+// applyLater carries out a decision about a request that was submitted to the overload controller.
 func (c *cluster) applyLater(r *request, outcome *failover.Outcome) {
 	b := c.backend
-	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.takenOver
+	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.failedOver
 	switch {
 	case outcome.Decision == idempotency.Duplicate: // it goes on where it is, or waits for the node that has taken it over
 	case controllerDecides && outcome.Decision != idempotency.Replay:
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -1,13 +1,14 @@
 package backend
 
 import (
+	"slices"
+	"strconv"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"slices"
-	"strconv"
-	"time"
 )
 
 // gaugeTimeout is how long a timer event waits for fresh gauges of the processor. After that the last ones have to do:
@@ -21,7 +22,7 @@
 	events         []overload.Event     // what has happened since the last batch, in order
 	controllerWake time.Duration        // when the controller wants a timer event; 0 for none
 	gaugesBy       time.Duration        // the timer event waits for gauges until then; 0 if it does not wait
-	gauges         []float64            // as the processor told them last
+	gauges         []float64            // as the processor reported them last
 }
 
 // timerEvent adds the timer event, with the gauges as they are known.
@@ -32,7 +33,7 @@
 
 // loadAdvice is what the controller last said about the node as a whole.
 type loadAdvice struct {
-	healthy       bool          // what health checks are told
+	healthy       bool          // what health checks are answered
 	shallowChecks bool          // deep health checks are answered without asking the processor
 	signal        []byte        // the load signal as it is written on answers; empty before the first
 	idleTimeout   time.Duration // idle connections are closed after this; 0 for the default
@@ -40,11 +41,11 @@
 
 // processorUp makes the controller, once the processor is up. Its first batch brings the health, the load signal and the
 // first timer event.
-func (b *Backend) processorUp(cold bool, started time.Duration) {
+func (b *Backend) processorUp(warmingUp bool, started time.Duration) {
 	settings := b.cfg.Settings
-	settings.Backend.Cold = cold
+	settings.Backend.Cold = warmingUp
 	b.controller = overload.New(b.cfg.Seed, settings, started)
-	b.log.Info("processor is up", "cold", cold, "age", (b.now - started).Round(time.Millisecond))
+	b.log.Info("processor ready", "cold", warmingUp, "age", (b.now - started).Round(time.Millisecond))
 	b.timerEvent()
 }
 
@@ -72,9 +73,9 @@
 
 // runController hands the controller what has happened and carries out its actions, until these cause no more events.
 func (b *Backend) runController() {
-	for b.controller != nil && (b.drain.pending || len(b.events) > 0) {
-		if b.drain.pending {
-			b.drain.pending = false
+	for b.controller != nil && (b.drain.unreported || len(b.events) > 0) {
+		if b.drain.unreported {
+			b.drain.unreported = false
 			b.events = slices.Insert(b.events, 0, b.drainEvent())
 		}
 		b.stats.Batches++
@@ -151,7 +152,7 @@
 	if !invariant.Check(r.state == stateHeld && b.isWanted(r), "a request that is started is held") {
 		return
 	}
-	if verdict := b.process.Start(r.readAt); verdict != lifecycle.Allowed && !r.takenOver {
+	if verdict := b.process.Start(r.readAt); verdict != lifecycle.Allowed && !r.failedOver {
 		b.recordViolation("start", r, verdict)
 		b.runEnded(r, overload.NeverRan, accounting.NotReady, 0, nil)
 		return
@@ -176,7 +177,7 @@
 
 // applyReject answers a request that is shed. While the process ends, another node of the cluster may take it instead.
 func (b *Backend) applyReject(r *request, action *overload.Action) {
-	if r.takenOver {
+	if r.failedOver {
 		b.cluster.closeAccount(r, accounting.Shed)
 		b.releaseUnstarted(r)
 		return
@@ -202,7 +203,7 @@
 		}
 		b.frontend.failed(r, reason)
 		b.finishAnswered(r)
-	case r.takenOver && r.state < stateAwaitingIntent:
+	case r.failedOver && r.state < stateAwaitingIntent:
 		b.cluster.closeAccount(r, accounting.Cancelled)
 		b.releaseUnstarted(r)
 	case r.state >= stateAwaitingCall: // nobody waits for its answer, but the run waits for its call
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
-	"frosthub/accounting"
-	"frosthub/internal/fastcgi"
 	"strconv"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/internal/fastcgi"
 )
 
 // fastcgiProtocol is a connection of a client that speaks FastCGI: many slots, each with an abort.
@@ -69,7 +70,7 @@
 func (p *fastcgiProtocol) refuse(from exchange, status byte) {
 	f := p.frontend
 	f.backend.stats.BadRequests++
-	f.backend.logLimited("bad req", "why", "role or number of open reqs", "status", status)
+	f.backend.logLimited("bad request", "reason", "role, or too many open requests", "status", status)
 	ticket := f.openUnnamed(p.client)
 	reason := accounting.UnsupportedRole
 	if status == fastcgi.StatusOverloaded {
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -2,21 +2,24 @@
 
 import (
 	"encoding/binary"
+	"os"
+	"slices"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/internal/wal"
 	"frosthub/overload"
-	"os"
-	"slices"
-	"time"
 )
 
-// answerMargin is how long before a client's timeout its request is answered at the latest: the answer has to get there.
+// answerMargin is how long before a client's timeout its request is answered at the latest: the answer has to get
+// there.
 const answerMargin = 10 * time.Millisecond
 
-// idempotencyGuard stands between the backend and the idempotency store, or the failover node of a cluster. It asks them before a guarded
-// request is admitted and before it is started, and carries out their decisions. It decides nothing itself.
+// idempotencyGuard stands between the backend and the idempotency store, or the failover node of a cluster. It asks
+// them before a guarded request is admitted and before it is started, and carries out their decisions. It decides
+// nothing itself.
 //
 // Its methods are called by the goroutine that owns the backend.
 type idempotencyGuard struct {
@@ -48,8 +51,9 @@
 	LoadingMS      int64             `json:"reading_ms"`
 }
 
-// init finds out which handlers are guarded, and returns the handlers' settings with those as deduplicated: the overload controller then lets
-// their repeats join the original request, and has a run go on when its client is gone, as its answer is for whoever repeats it.
+// init finds out which handlers are guarded, and returns the handlers' settings with those as deduplicated: the
+// overload controller then lets their repeats join the original request, and has a run go on when its client is gone,
+// as its answer is for whoever repeats it.
 func (g *idempotencyGuard) init(b *Backend) []overload.Handler {
 	g.backend = b
 	cfg := &b.cfg.Idempotency
@@ -76,26 +80,21 @@
 // now is the store's time of day, since 1970.
 func (g *idempotencyGuard) now() time.Duration { return g.startedAtWall + g.backend.now - g.startedAt }
 
-// admit reports whether the overload controller is to hear of a guarded request now. If not, it was answered because nothing of it can be
-// run, or the cluster is asked first.
+// admit reports whether a guarded request is to be submitted to the overload controller now. If not, it was answered
+// because nothing of it can be run, or the cluster is asked first.
 func (g *idempotencyGuard) admit(r *request) bool {
 	b := g.backend
 	r.guard.answerBy = b.now - r.arrival.Delay + b.handlers[r.handler].timeout - answerMargin
-	var decision idempotency.Decision // zero: the store can't tell yet
-	switch {
-	case r.guard.replayable && (b.cluster.node == nil || g.failed):
+	if r.guard.replayable && (b.cluster.node == nil || g.failed) {
 		r.guard = nil
 		b.results.lookup(r)
 		return true
-	case g.store != nil && !g.failed && b.cluster.node != nil:
+	}
+	if g.storeState() == storeReady && b.cluster.node != nil {
 		b.cluster.claim(r)
 		return false
-	case g.store != nil && !g.failed && b.cluster.enabled(): // the node is not yet sure of what it has
-	case g.store != nil:
-		decision = g.store.Peek(g.now(), r.guard.createdAt, r.guard.key)
-	case g.failed:
-		decision = idempotency.StoreFailed
 	}
+	decision := g.decide(r)
 	switch decision {
 	case idempotency.Fresh:
 		return true
@@ -104,7 +103,7 @@
 		return true
 	}
 	reason := accounting.StoreLoading
-	if decision != 0 {
+	if decision != undecided {
 		reason = g.countDecision(decision)
 	}
 	b.frontend.declined(r, reason)
@@ -112,8 +111,28 @@
 	return false
 }
 
-// linkToOriginal tells the overload controller which request r repeats. If that is of an earlier incarnation, or has ended, the controller
-// knows nothing of it: it gets an id that is made of the key.
+// undecided is the decision as long as the store is being loaded, or the node of a cluster doesn't yet know what it
+// has.
+const undecided idempotency.Decision = 0
+
+// decide returns the decision of the store about a request that no cluster is asked about.
+func (g *idempotencyGuard) decide(r *request) idempotency.Decision {
+	switch g.storeState() {
+	case storeUnavailable:
+		return idempotency.StoreFailed
+	case storeReady:
+		if g.backend.cluster.enabled() {
+			return undecided
+		}
+		return g.store.Peek(g.now(), r.guard.createdAt, r.guard.key)
+	case storeReadOnly:
+		return g.store.Peek(g.now(), r.guard.createdAt, r.guard.key)
+	}
+	return undecided
+}
+
+// linkToOriginal tells the overload controller which request r repeats. If that is of an earlier incarnation, or has
+// ended, the controller knows nothing of it: it gets an id that is made of the key.
 func (g *idempotencyGuard) linkToOriginal(r *request) {
 	r.originalID = g.store.Original(r.guard.key)
 	if r.originalID == 0 || g.backend.requests[r.originalID] == nil {
@@ -160,7 +179,7 @@
 		b.startRun(r)
 		return
 	}
-	r.state = stateAwaitingIntent
+	r.awaitIntent()
 	if b.cluster.enabled() {
 		b.cluster.node.Start(g.now(), r.guard.key, r.id, b.processor.lastNotice)
 		return
@@ -171,15 +190,16 @@
 // join has a repeat wait for the outcome of the original request.
 func (g *idempotencyGuard) join(r *request) {
 	if g.backend.cluster.enabled() {
-		r.state = stateJoined
+		r.joinOriginal()
 		g.backend.cluster.node.Join(g.now(), r.guard.key, r.id)
 		return
 	}
-	if g.store.Peek(g.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate { // proved never to have run, since the controller heard of it
+	if g.store.Peek(g.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate {
+		// Since this request was submitted, the original was proved never to have run.
 		g.applyOutcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
 		return
 	}
-	r.state = stateJoined
+	r.joinOriginal()
 	g.reserve(r)
 }
 
@@ -191,6 +211,13 @@
 	}
 }
 
+// requestWithdrawn implements requestObserver.
+func (g *idempotencyGuard) requestWithdrawn(r *request) { g.withdraw(r) }
+
+// requestEnded implements requestObserver. It does nothing: the end was reported to recordEnd before, since the answer
+// may have to wait for it.
+func (g *idempotencyGuard) requestEnded(*request, requestEnd) {}
+
 // withdraw follows a request that no longer waits and never ran.
 func (g *idempotencyGuard) withdraw(r *request) {
 	cluster := &g.backend.cluster
@@ -205,7 +232,8 @@
 	}
 }
 
-// IdempotencyStats returns the figures of the store, nil without one. It may be called from any goroutine while Serve runs and after it.
+// IdempotencyStats returns the figures of the store, nil without one. It may be called from any goroutine while Serve
+// runs and after it.
 func (b *Backend) IdempotencyStats() *IdempotencyStats {
 	if !b.guard.enabled() {
 		return nil
@@ -214,7 +242,7 @@
 	b.onOwner(func() {
 		g := &b.guard
 		out = g.stats
-		out.Loading = g.store == nil && !g.failed
+		out.Loading = g.storeState() == storeLoading
 		out.StoreFailed = g.failed
 		if g.store != nil {
 			out.Store = g.store.Stats()
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -2,18 +2,19 @@
 
 import (
 	"errors"
-	"frosthub/idempotency"
-	"frosthub/internal/filelock"
-	"frosthub/internal/wal"
 	"log/slog"
 	"os"
 	"path/filepath"
 	"time"
+
+	"frosthub/idempotency"
+	"frosthub/internal/filelock"
+	"frosthub/internal/wal"
 )
 
 // Times and limits of opening and closing the store.
 const (
-	// commitRecords is how many waiting records are worth a commit at once.
+	// commitRecords is how many waiting records are committed without waiting for the interval.
 	commitRecords = 64
 	// closeTimeout is how long the disk is waited for when the process ends: all answers have left by then.
 	closeTimeout = 50 * time.Millisecond
@@ -23,6 +24,44 @@
 	recordsPerCheck = 4096
 )
 
+// storeState is what the store can do.
+type storeState uint8
+
+// The states of the store. A state never changes back:
+//
+//	loading → ready         the store was loaded (onOpened)
+//	loading → unavailable   it could not be loaded (onOpened)
+//	ready → read only       the disk has failed (onDurable), or the incarnation can't be counted (raiseIncarnation)
+const (
+	storeLoading     storeState = iota
+	storeReady                  // it guards requests
+	storeReadOnly               // it knows the requests of before, but can guard no new ones until a restart
+	storeUnavailable            // it knows nothing until a restart
+)
+
+var storeStateNames = [...]string{
+	storeLoading:     "loading",
+	storeReady:       "ready",
+	storeReadOnly:    "read only",
+	storeUnavailable: "unavailable",
+}
+
+// String returns the name of the state.
+func (s storeState) String() string { return storeStateNames[s] }
+
+// storeState returns what the store can do.
+func (g *idempotencyGuard) storeState() storeState {
+	switch {
+	case g.store == nil && g.failed:
+		return storeUnavailable
+	case g.store == nil:
+		return storeLoading
+	case g.failed:
+		return storeReadOnly
+	}
+	return storeReady
+}
+
 // storeMessage is the log message of all that is logged about the store.
 const storeMessage = "idempotency store"
 
@@ -59,7 +98,7 @@
 	}
 	for name := range b.cfg.Idempotency.Handlers {
 		if b.handlerOf(name) < 0 {
-			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "why", "no such handler", "handler", name)
+			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "reason", "no such handler", "handler", name)
 		}
 	}
 	b.readClocks()
@@ -121,7 +160,8 @@
 	return loaded, err
 }
 
-// recordCounter returns a function to call for each record loaded. It logs the progress, and fails once the process ends.
+// recordCounter returns a function to call for each record loaded. It logs the progress, and fails once the process
+// ends.
 func (o *storeOpener) recordCounter() func(idempotency.LogEntry) error {
 	records := 0
 	logged := time.Now()
@@ -137,7 +177,7 @@
 		}
 		if time.Since(logged) >= loadProgressInterval {
 			logged = time.Now()
-			o.log.Info(storeMessage, "dir", o.config.Dir, "reading", records)
+			o.log.Info(storeMessage, "dir", o.config.Dir, "records_loaded", records)
 		}
 		return nil
 	}
@@ -150,11 +190,11 @@
 	g.lock = loaded.lock
 	if err != nil {
 		g.failed = true
-		b.log.Error(storeMessage, "dir", dir, "why", err, "so", "guarded requests are rejected until a restart")
+		b.log.Error(storeMessage, "dir", dir, "reason", err, "so", "guarded requests are rejected until a restart")
 		return
 	}
 	if loaded.setAside {
-		b.log.Error(storeMessage, "dir", dir, "why", "starts died over it",
+		b.log.Error(storeMessage, "dir", dir, "reason", "starts died over it",
 			"so", "its records are put aside; what ran is not known until the horizon has passed")
 		loaded.store.MarkOutdated(g.now())
 	}
@@ -171,8 +211,14 @@
 	g.flushEntries()
 	g.stats.LoadingMS = (b.now - began).Milliseconds()
 	stats := g.store.Stats()
-	b.log.Info(storeMessage, "dir", dir, "life", stats.Incarnation, "keys", stats.Keys, "in_doubt", stats.OutcomeUnknown,
-		"prints", stats.Fingerprints, "segments", stats.Segments, "cut", loaded.contents.TornBytes, "blind", stats.LostBefore > 0,
+	b.log.Info(storeMessage, "dir", dir,
+		"incarnation", stats.Incarnation,
+		"keys", stats.Keys,
+		"outcome_unknown", stats.OutcomeUnknown,
+		"fingerprints", stats.Fingerprints,
+		"segments", stats.Segments,
+		"torn_bytes", loaded.contents.TornBytes,
+		"history_lost", stats.LostBefore > 0,
 		"took", b.now-began)
 }
 
@@ -181,7 +227,7 @@
 	node := g.backend.cluster.node // nil for a node alone
 	if err != nil {
 		g.failed = true
-		g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "why", err,
+		g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err,
 			"so", "guarded requests are rejected until a restart, but for repeats")
 	}
 	switch {
@@ -218,7 +264,7 @@
 	if g.log != nil {
 		g.flushEntries()
 		if err := g.log.Close(closeTimeout); err != nil {
-			g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "why", err)
+			g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err)
 			return // the lock is released by the end of the process
 		}
 	} else {
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/arrival"
 	"frosthub/internal/faultinject"
 	"frosthub/lifecycle"
-	"time"
 )
 
 const (
@@ -15,7 +16,7 @@
 	// stallMin is how late a turn must be to count as a stall. A busy machine keeps a thread waiting for less.
 	stallMin = 100 * time.Millisecond
 
-	// turnIntervalMax is how long the owner sleeps at most.
+	// turnIntervalMax is the longest sleep of the owner.
 	turnIntervalMax = time.Second
 )
 
@@ -58,11 +59,11 @@
 	reading := b.read()
 	if reading.step != 0 {
 		b.stats.ClockSteps++
-		b.logLimited("time of day stepped", "by", reading.step)
+		b.logLimited("wall clock stepped", "by", reading.step)
 	}
 	if reading.stall >= stallMin {
 		b.stats.Stalls++
-		b.logLimited("stood still", "for", reading.stall)
+		b.logLimited("process stalled", "for", reading.stall)
 	}
 	return reading.at
 }
--- a/backend/peer_states.go
+++ b/backend/peer_states.go
@@ -4,13 +4,14 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"frosthub/failover"
-	"frosthub/internal/wal"
-	"frosthub/recovery"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/internal/wal"
+	"frosthub/recovery"
 )
 
 // peerStatesFileName is the file in the directory of the store that holds what this node remembers of the others.
@@ -21,7 +22,7 @@
 	*recovery.PeerStates
 	writing      bool
 	nextAt       time.Duration
-	announcedSeq uint64 // the last record of this node's log that the others were told of
+	announcedSeq uint64 // the last record of this node's log that was announced to the others
 }
 
 // readPeerStates returns what is remembered, which is nothing where the node is new.
@@ -58,7 +59,7 @@
 			c.peerStates.writing = false
 			switch {
 			case err != nil:
-				b.logLimited("peer states not written", "why", err)
+				b.logLimited("peer states not written", "reason", err)
 			case c.node != nil:
 				c.node.AddFences(written)
 			}
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
-	"frosthub/internal/conn"
-	"frosthub/internal/processor"
 	"math"
 	"time"
+
+	"frosthub/internal/conn"
+	"frosthub/internal/processor"
 )
 
 // Times and limits of the link to the processor.
@@ -15,7 +16,8 @@
 	maxRedialWait = 500 * time.Millisecond
 	// maxQuiesce is how long the last answer on a connection that is to be replaced is waited for.
 	maxQuiesce = 50 * time.Millisecond
-	// oldAddressGrace is how long what is in flight may go on at an address that was replaced: there the connections are closed after 1.5 s.
+	// oldAddressGrace is how long what is in flight may go on at an address that was replaced: there the connections
+	// are closed after 1.5 s.
 	oldAddressGrace = 1400 * time.Millisecond
 	// linkShare is the part of the memory limit for commands that wait to be written, and as much again for notices.
 	linkShare = 0.25
@@ -44,9 +46,9 @@
 // String returns the name of the state.
 func (s linkState) String() string { return linkStateNames[s] }
 
-// processorLink is the link to the processor. It may break; a command that was sent before may or may not have arrived then. The processor
-// numbers and keeps its notices and takes commands in order. So an answered query for gauges proves that all commands before it have
-// arrived, and that all notices before the answer were read.
+// processorLink is the link to the processor. It may break; a command that was sent before may or may not have arrived
+// then. The processor numbers and keeps its notices and takes commands in order. So an answered query for gauges proves
+// that all commands before it have arrived, and that all notices before the answer were read.
 //
 // The state of the link follows from the connection and the queries that are open. These are the transitions:
 //
@@ -158,7 +160,7 @@
 			c.CloseAfterSend(conn.ErrClosedLocally)
 		}
 	case err != nil:
-		l.backend.logLimited("processor not reached", "why", err)
+		l.backend.logLimited("processor unreachable", "reason", err)
 		l.redialLater()
 	case l.ready():
 		l.quiesce(c)
@@ -229,7 +231,7 @@
 	b.stats.Links++
 	c.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
 	c.SetInputLimit(c.MaxUnsent)
-	c.OnData = b.parseLogged("bad link", processor.NewParser(l.onNotice).Feed)
+	c.OnData = b.parseLogged("processor protocol error", processor.NewParser(l.onNotice).Feed)
 	c.OnClosed = func(err error) { l.onClosed(c, err) }
 	c.Write(processor.AppendHello(nil, l.lastNotice))
 }
@@ -239,7 +241,7 @@
 		return // replaced
 	}
 	l.backend.stats.LinksLost++
-	l.backend.logLimited("link lost", "why", err)
+	l.backend.logLimited("processor link lost", "reason", err)
 	l.conn = nil
 	l.greeted = false
 	l.movedAway = false
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -1,10 +1,11 @@
 package backend
 
 import (
+	"slices"
+
 	"frosthub/accounting"
 	"frosthub/internal/processor"
 	"frosthub/overload"
-	"slices"
 )
 
 // onNotice handles one notice of the processor.
@@ -36,8 +37,8 @@
 	}
 }
 
-// countNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are missing the outcomes
-// of all runs are unknown.
+// countNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are
+// missing the outcomes of all runs are unknown.
 func (l *processorLink) countNotice(n *processor.Notice) bool {
 	switch n.Kind {
 	case processor.Complete, processor.CallRequest, processor.Remark:
@@ -48,7 +49,7 @@
 		return false // read before the link broke
 	}
 	if n.Number != l.lastNotice+1 {
-		l.backend.logLimited("notices missing", "after", l.lastNotice, "got", n.Number)
+		l.backend.logLimited("processor notices lost", "after", l.lastNotice, "got", n.Number)
 		l.noticesLost()
 	}
 	l.lastNotice = n.Number
@@ -63,7 +64,7 @@
 	if b.controller == nil {
 		b.processorUp(n.WarmingUp, b.now-min(n.Elapsed, b.now))
 	} else if n.Elapsed < l.processorAge { // one that went on would be older, however long the notice lay unread
-		b.logLimited("processor started anew", "age", n.Elapsed)
+		b.logLimited("processor restarted", "age", n.Elapsed)
 		l.noticesLost()
 		l.lastNotice = 0
 	}
@@ -82,7 +83,7 @@
 	r.callReplied = false
 	r.callReply = nil
 	r.callBody = append(r.callBody[:0], body...)
-	r.state = stateAwaitingCall
+	r.awaitCall()
 	b.stats.Asked++
 	if !b.isWanted(r) {
 		b.cancelRun(r)
@@ -119,12 +120,12 @@
 func (l *processorLink) onReject(n *processor.Notice) {
 	b := l.backend
 	b.stats.Rejects++
-	b.logLimited("processor rejects", "command", n.Text)
+	b.logLimited("processor rejected command", "command", n.Text)
 	r := b.requests[n.ID]
 	switch {
 	case r == nil:
 	case n.Text == "interrupt" && r.state == stateUnverified:
-		b.frontend.unknown(r)
+		b.frontend.rejectUnknown(r)
 	case n.Text == "begin" && r.state == stateRunning && r.startSent && !r.runHeard:
 		if b.hasClient(r) {
 			r.client.verified = false
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -2,16 +2,17 @@
 
 import (
 	"cmp"
-	"frosthub/accounting"
-	"frosthub/lifecycle"
-	"frosthub/overload"
 	"maps"
 	"slices"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/lifecycle"
+	"frosthub/overload"
 )
 
-// probeWait is how long a notice of a run that may never have been started is waited for, and then one of its interrupt: twenty ticks of
-// the processor.
+// probeWait is how long a notice of a run that may never have been started is waited for, and then one of its
+// interrupt: twenty ticks of the processor.
 const probeWait = 100 * time.Millisecond
 
 // requestsByID returns all requests in an order that is the same in each run of the program.
@@ -19,15 +20,15 @@
 	return slices.SortedFunc(maps.Values(b.requests), func(x, y *request) int { return cmp.Compare(x.id, y.id) })
 }
 
-// resync retries the commands that a break of the link may have lost; acked is the tag of the last query that was answered before the
-// break. All notices that the processor kept are read by now.
+// resync retries the commands that a break of the link may have lost; acked is the tag of the last query that was
+// answered before the break. All notices that the processor kept are read by now.
 //
-// A start that is not proved to have arrived is retried at once where the request may run again. Elsewhere a notice of the run is waited
-// for: a start could meet a run that is just ending. Without a notice the run is interrupted, and counts as never started if
-// nothing is heard of it after that either. See probe.
+// A start that is not proved to have arrived is retried at once where the request may run again. Elsewhere a notice of
+// the run is waited for: a start could meet a run that is just ending. Without a notice the run is interrupted, and
+// counts as never started if no notice follows that either. See probe.
 func (l *processorLink) resync(acked uint64) {
 	for _, r := range l.backend.requestsByID() {
-		if r.state >= stateRunning {
+		if r.state.started() {
 			l.resyncRun(r, acked)
 		}
 	}
@@ -36,13 +37,14 @@
 func (l *processorLink) resyncRun(r *request, acked uint64) {
 	b := l.backend
 	maybeLost := r.confirmTag >= acked
+	command := l.startCommand(r)
 	switch {
 	case !r.startSent && !b.isWanted(r):
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	case !r.startSent:
 		l.start(r)
-	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Repeat(l.startCommand(r, false)) == lifecycle.Allowed:
-		l.retryStart(r, false, "it may run again")
+	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Retry(command) == lifecycle.Allowed:
+		l.retryStart(r, command, "it may run again")
 	case maybeLost && !r.runHeard:
 		l.beginProbe(r)
 	case r.cancelRequested:
@@ -65,9 +67,9 @@
 	r.probeDue = l.backend.now + probeWait
 }
 
-// probe takes the next step of finding out whether a run was ever started; acked is the tag of the query that was just answered. First a
-// notice of the run is waited for, then one that follows its interrupt. If a query sent after that is answered and there was still no
-// notice, the start was lost.
+// probe takes the next step of finding out whether a run was ever started; acked is the tag of the query that was just
+// answered. First a notice of the run is waited for, then one that follows its interrupt. If a query sent after that is
+// answered and there was still no notice, the start was lost.
 func (l *processorLink) probe(r *request, acked uint64) {
 	now := l.backend.now
 	switch {
@@ -94,36 +96,37 @@
 func (l *processorLink) startLost(r *request) {
 	l.endProbe(r)
 	r.cancelRequested = false
-	if lifecycle.Repeat(l.startCommand(r, true)) == lifecycle.NobodyWaits {
+	command := l.startCommand(r)
+	command.NeverRan = true
+	if lifecycle.Retry(command) == lifecycle.ClientGone {
 		l.backend.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		return
 	}
-	l.retryStart(r, true, "it is proved never to have run")
+	l.retryStart(r, command, "it is proved never to have run")
 }
 
-// noticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that still run are
-// interrupted.
+// noticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that
+// still run are interrupted.
 func (l *processorLink) noticesLost() {
 	for _, r := range l.backend.requestsByID() {
-		if r.state >= stateRunning && r.startSent {
+		if r.state.started() && r.startSent {
 			l.cancel(r)
 			l.backend.runEnded(r, overload.Failed, accounting.ProcessorLost, 0, nil)
 		}
 	}
 }
 
-// startCommand describes the start of r for the decision whether it may be retried; neverRan says that the first is proved to be lost.
-func (l *processorLink) startCommand(r *request, neverRan bool) lifecycle.Command {
+// startCommand describes the start of r for the decision whether it may be retried.
+func (l *processorLink) startCommand(r *request) lifecycle.Command {
 	return lifecycle.Command{
-		Repeatable: l.backend.handlers[r.handler].replayable,
-		NeverRan:   neverRan,
+		Idempotent: l.backend.handlers[r.handler].replayable,
 		Wanted:     l.backend.hasClient(r),
 	}
 }
 
 // retryStart sends a start again if that is allowed.
-func (l *processorLink) retryStart(r *request, neverRan bool, reason string) {
-	if verdict := lifecycle.Repeat(l.startCommand(r, neverRan)); verdict != lifecycle.Allowed {
+func (l *processorLink) retryStart(r *request, command lifecycle.Command, reason string) {
+	if verdict := lifecycle.Retry(command); verdict != lifecycle.Allowed {
 		l.backend.recordViolation("begin again", r, verdict)
 		return
 	}
@@ -135,5 +138,5 @@
 func (l *processorLink) logRetry(r *request, command, reason string) {
 	l.backend.stats.Repeated++
 	handler := l.backend.handlers[r.handler].name
-	l.backend.logLimited("command repeated", "command", command, "id", r.wireID, "handler", handler, "why", reason)
+	l.backend.logLimited("processor command retried", "command", command, "id", r.wireID, "handler", handler, "reason", reason)
 }
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -1,19 +1,20 @@
 package backend
 
 import (
-	"frosthub/failover"
-	"frosthub/idempotency"
-	"frosthub/recovery"
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"frosthub/failover"
+	"frosthub/idempotency"
+	"frosthub/recovery"
 )
 
 const (
 	// maxWitnesses is how many nodes of a list remember the state of one: two majorities of them overlap.
 	maxWitnesses = 4
-	// peerStateInterval is the time between writes of what this node remembers, and between its announcements of how far its log is. The
-	// loss of the last two intervals of a log is not found.
+	// peerStateInterval is the time between writes of what this node remembers, and between its announcements of how
+	// far its log is. The loss of the last two intervals of a log is not found.
 	peerStateInterval = 250 * time.Millisecond
 )
 
@@ -39,13 +40,13 @@
 	c.recovery.DiskLoaded(b.now, recovery.DiskState{
 		Incarnation: c.incarnation,
 		Seq:         store.LastSeq(),
-		New:         c.incarnation == 1 && !loaded.setAside,
+		NewStore:    c.incarnation == 1 && !loaded.setAside,
 	})
 	c.runRecovery()
 }
 
-// witnesses returns the nodes that remember how far this node's log is: some of each list, the same whoever computes them, so that what is
-// announced and asked doesn't grow with the fleet.
+// witnesses returns the nodes that remember how far this node's log is: some of each list, the same whoever computes
+// them, so that what is announced and asked doesn't grow with the fleet.
 func (c *cluster) witnesses() (names []string) {
 	own := c.backend.cfg.Name
 	var key idempotency.Key
@@ -83,7 +84,7 @@
 			restart = c.node != nil
 		}
 		if action.To != action.From {
-			c.backend.log.Info("recovery", "phase", action.To.String(), "was", action.From.String(), "why", action.Reason)
+			c.backend.log.Info("recovery", "phase", action.To.String(), "was", action.From.String(), "reason", action.Reason)
 		}
 	}
 	switch {
@@ -106,7 +107,7 @@
 func (c *cluster) markHistoryLost() {
 	b := c.backend
 	c.store.MarkOutdated(b.guard.now())
-	b.log.Error("store older than known", "incarnation", c.incarnation, "why", c.recovery.Reason(),
+	b.log.Error("store older than peers know", "incarnation", c.incarnation, "reason", c.recovery.Reason(),
 		"so", "what it does not have is not taken for fresh until the horizon has passed")
 }
 
@@ -114,13 +115,14 @@
 	b := c.backend
 	if !c.store.RaiseIncarnation(known) {
 		b.guard.failed = true
-		b.log.Error("store older than known", "why", "an incarnation that can't be counted", "known", known,
+		b.log.Error("store older than peers know", "reason", "an incarnation that can't be counted", "known", known,
 			"so", "guarded requests are rejected until a restart")
 	}
 	c.incarnation = c.store.Stats().Incarnation
 }
 
-// recoveryTick does what is due of the recovery, announces how far this node's log is, and has what it remembers of others written.
+// recoveryTick does what is due of the recovery, announces how far this node's log is, and has what it remembers of
+// others written.
 func (c *cluster) recoveryTick() {
 	if c.recovery == nil {
 		return
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -1,17 +1,19 @@
 package backend
 
 import (
+	"slices"
+
 	"frosthub/failover"
 	"frosthub/idempotency"
 	"frosthub/recovery"
-	"slices"
 )
 
-// maxUnknownKeys is how many keys with an unknown outcome the other nodes are asked for at a start: as many as can have been in flight.
+// maxUnknownKeys is how many keys with an unknown outcome the other nodes are asked for at a start: as many as can have
+// been in flight.
 const maxUnknownKeys = 4096
 
-// refillState is what this node is still to be told by the others: the history that its disk lacks, and the outcomes of runs whose end it does
-// not know.
+// refillState is what this node still asks of the others: the history that its disk lacks, and the outcomes of
+// runs whose end it does not know.
 type refillState struct {
 	from    *recovery.Refill[failover.Cursor] // nil while nothing is lacking
 	unknown *recovery.UnknownOutcomes
@@ -106,7 +108,7 @@
 	}
 	refill.PageReceived(b.now, from, &info, c.node.ReceivePage(b.guard.now(), page))
 	if info.Last {
-		b.log.Info("refill", "by", from, "complete", page.Complete, "fences_supported", page.FencesSupported)
+		b.log.Info("state refill", "by", from, "complete", page.Complete, "fences_supported", page.FencesSupported)
 	}
 	c.finishRefill()
 }
@@ -118,7 +120,7 @@
 		return
 	}
 	kept := c.store.MarkComplete(b.guard.now())
-	b.log.Info("refill", "by", "all others", "also_for_later_incarnations", kept)
+	b.log.Info("state refill", "by", "all others", "also_for_later_incarnations", kept)
 	c.recovery.MarkComplete()
 	c.runRecovery()
 }
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -1,11 +1,12 @@
 package backend
 
 import (
-	"frosthub/accounting"
-	"frosthub/lifecycle"
 	"slices"
 	"strings"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/lifecycle"
 )
 
 // Paths that clients ask for.
@@ -42,7 +43,7 @@
 	parsed.arrival.Handler = r.handler
 	parsed.arrival.Delay = queueDelay
 	parsed.arrival.Customer = slices.Index(b.customers, parsed.tenant)
-	r.subject = b.results.keyOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
+	r.cacheKey = b.results.keyOf(r, parsed.arrival.Subject, parsed.tenant, parsed.idempotencyKey)
 	r.arrival = parsed.arrival
 	r.readAt = b.now
 	r.arrivedAt = b.now - queueDelay
@@ -74,12 +75,12 @@
 	case !parsed.hasStart || arrival.Size == 0:
 		problem = "start or memory is missing"
 	case !b.guard.hasRequiredKey(parsed):
-		problem = "no key, and it must not run twice"
+		problem = "no key for a request that must not run twice"
 	case arrival.ValueRank == 1 || arrival.Size == memoryMax || parsed.start > startMax ||
 		arrival.Hint > costMaxFactor*b.handlers[r.handler].timeout:
 		problem = "a field is out of its range"
 	case b.requests[r.id] != nil:
-		problem = "an id that is in use"
+		problem = "the id is in use"
 	}
 	return reason, problem
 }
@@ -103,7 +104,7 @@
 // closed.
 func (f *frontend) rejectMalformed(from exchange, ticket accounting.Ticket, id uint64, reason accounting.Reason, problem string) {
 	f.backend.stats.BadRequests++
-	f.backend.logLimited("bad req", "why", problem)
+	f.backend.logLimited("bad request", "reason", problem)
 	client := from.client
 	client.badRequests++
 	status := 400
@@ -134,7 +135,7 @@
 	return f.backend.ledger.Open(f.backend.wall, 0, 0, client.protocol.kind(), accounting.CustomerName{})
 }
 
-// abort follows a client's word that it no longer waits for what it sent on a slot.
+// abort follows a client's message that it no longer waits for what it sent on a slot.
 func (f *frontend) abort(client *clientConn, slot uint16) {
 	if r := client.requests[slot]; r != nil {
 		delete(client.requests, slot)
@@ -143,12 +144,12 @@
 	delete(client.checks, slot)
 }
 
-// unknown follows the processor's word that it knows no such request. Nobody sent it one, so the client is none of
-// those that the deployment has.
-func (f *frontend) unknown(r *request) {
+// rejectUnknown answers a request that the processor does not know. The processor knows each
+// request of the deployment's clients, so this client is none of them.
+func (f *frontend) rejectUnknown(r *request) {
 	delete(r.client.requests, r.slot)
 	from := r.exchange()
 	from.keepOpen = false
-	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "no req of this machine")
+	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "not a request of this machine")
 	f.backend.finishAnswered(r)
 }
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -2,10 +2,11 @@
 
 import (
 	"crypto/sha256"
-	"frosthub/accounting"
-	"frosthub/overload"
 	"slices"
 	"time"
+
+	"frosthub/accounting"
+	"frosthub/overload"
 )
 
 // Limits of the cache of results.
@@ -18,13 +19,13 @@
 	maxCachedResult = 4 << 10
 	// maxRecentRepeats is how many ids of the repeats of an entry are kept.
 	maxRecentRepeats = 8
-	// windowMargin is added to a window: both the start of a request and the time are told in whole milliseconds.
+	// windowMargin is added to a window: both the start of a request and the time come in whole milliseconds.
 	windowMargin = 2 * time.Millisecond
 )
 
-// cacheKey is what requests must have in common so that one may be answered with another's result. For a request that must run once it is
-// the idempotency key, which is its customer's own. For a read it is the object read and the body, since the result is made of both.
-// A key without a name is none.
+// cacheKey is what requests must have in common so that one may be answered with another's result. For a request that
+// must run once it is the idempotency key, which is its customer's own. For a read it is the object read and the body,
+// since the result is made of both. A key without a name is none.
 type cacheKey struct {
 	handler     int
 	owner, name string
@@ -44,8 +45,9 @@
 	bytes         int
 }
 
-// resultCache holds requests that others may repeat. Reads are kept as long as the overload controller says, and their results may be
-// shared. Requests that must run once are kept from their arrival until all that arrived within their window was read.
+// resultCache holds requests that others may repeat. Reads are kept as long as the overload controller says, and their
+// results may be shared. Requests that must run once are kept from their arrival until all that arrived within their
+// window was read.
 //
 // Its methods are called by the goroutine that owns the backend.
 type resultCache struct {
@@ -66,7 +68,7 @@
 // keyOf returns the cache key of a request for an object; once is its idempotency key.
 func (c *resultCache) keyOf(r *request, object, owner, once string) cacheKey {
 	switch {
-	case c.backend.handlers[r.handler].uniqued:
+	case c.backend.handlers[r.handler].deduplicated:
 		return cacheKey{handler: r.handler, owner: owner, name: once}
 	case object == "" || c.shareFor == 0:
 		return cacheKey{}
@@ -76,7 +78,7 @@
 
 // find returns the entry that a request repeats, nil if there is none.
 func (c *resultCache) find(r *request) *cacheEntry {
-	entry := c.entries[r.subject]
+	entry := c.entries[r.cacheKey]
 	if entry == nil {
 		return nil
 	}
@@ -90,20 +92,21 @@
 	return entry
 }
 
-// lookup marks a request that the overload controller is about to hear of as a repeat of the cached one, if there is one. A request that
-// must run once is cached from then on, since its repeat may come in the same batch.
+// lookup marks a request that is about to be submitted to the overload controller as a repeat of the cached one, if
+// there is one. A request that must run once is cached from then on, since its repeat may come in the same batch.
 //
-// It returns why the request can't be admitted, or accounting.None. There may be no room to cache it, or nobody could be asked whether the
-// processor knows it, or its id is that of an earlier attempt. Each attempt has an id of its own: somebody replays what an edge node
-// sent, and the processor, which knows the id, would not be asked to run what is answered from the cache.
+// It returns why the request can't be admitted, or accounting.None. There may be no room to cache it, or nobody could
+// be asked whether the processor knows it, or its id is that of an earlier attempt. Each attempt has an id of its own:
+// somebody replays what an edge node sent, and the processor, which knows the id, would not be asked to run what is
+// answered from the cache.
 func (c *resultCache) lookup(r *request) accounting.Reason {
-	if r.subject.name == "" {
+	if r.cacheKey.name == "" {
 		return accounting.None // nothing by which a repeat could be known
 	}
 	if entry := c.find(r); entry != nil {
 		return c.linkRepeat(r, entry)
 	}
-	if c.backend.handlers[r.handler].uniqued && !c.add(r) {
+	if c.backend.handlers[r.handler].deduplicated && !c.add(r) {
 		return accounting.StoreFull
 	}
 	return accounting.None
@@ -126,12 +129,12 @@
 
 // add caches a request and reports whether there was room, also for the result of one that must run once.
 func (c *resultCache) add(r *request) bool {
-	c.drop(c.entries[r.subject])
+	c.drop(c.entries[r.cacheKey])
 	handler := &c.backend.handlers[r.handler]
 	entry := &cacheEntry{
 		id:        r.id,
-		key:       r.subject,
-		runsOnce:  handler.uniqued,
+		key:       r.cacheKey,
+		runsOnce:  handler.deduplicated,
 		expiresAt: r.arrivedAt + handler.window + windowMargin,
 	}
 	entry.bytes = entry.baseBytes()
@@ -141,7 +144,7 @@
 	if !c.hasRoom(entry.bytes) {
 		return false
 	}
-	c.entries[r.subject] = entry
+	c.entries[r.cacheKey] = entry
 	c.byID[r.id] = entry
 	c.resultBytes += entry.bytes
 	return true
@@ -151,9 +154,10 @@
 	return float64(c.resultBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
 }
 
-// remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it says for how long.
+// remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it
+// says for how long.
 func (c *resultCache) remember(r *request, lifetime time.Duration) {
-	if r.subject.name == "" || c.byID[r.id] == nil && !c.add(r) {
+	if r.cacheKey.name == "" || c.byID[r.id] == nil && !c.add(r) {
 		return
 	}
 	if entry := c.byID[r.id]; !entry.runsOnce {
@@ -175,70 +179,80 @@
 	delete(c.byID, entry.id)
 }
 
-// join answers a repeat like the original request, now or when that ends. An original that is no longer cached never ran.
+// join answers a repeat like the original request, now or when that ends. An original that is no longer cached never
+// ran.
 func (c *resultCache) join(r *request) {
 	if original := c.backend.requests[r.originalID]; original != nil {
-		r.state = stateJoined
+		r.joinOriginal()
 		original.followers = append(original.followers, r)
 		return
 	}
+	end := requestEnd{outcome: overload.Failed}
 	if entry := c.byID[r.originalID]; entry != nil {
-		c.answerFollower(r, true, entry.ok, entry.result)
-	} else {
-		c.answerFollower(r, false, false, nil)
+		end.ran = true
+		if entry.ok {
+			end.outcome = overload.OK
+			end.result = entry.result
+		}
 	}
+	c.answerFollower(r, end)
 }
 
 // answerFollower ends a repeat as the original request has ended.
-func (c *resultCache) answerFollower(r *request, ran, ok bool, result []byte) {
+func (c *resultCache) answerFollower(r *request, original requestEnd) {
 	switch {
-	case ok:
-		c.backend.runEnded(r, overload.OK, accounting.Replayed, 0, result)
-	case ran:
+	case original.outcome == overload.OK:
+		c.backend.runEnded(r, overload.OK, accounting.Replayed, 0, original.result)
+	case original.ran:
 		c.backend.runEnded(r, overload.Failed, accounting.OriginalFailed, 0, nil)
 	default:
 		c.backend.runEnded(r, overload.Failed, accounting.RetryAllowed, 0, nil)
 	}
 }
 
-// ended follows the end of an original request: its result is kept for a while if it succeeded, and its followers are answered alike.
-func (c *resultCache) ended(original *request, outcome overload.Outcome, ran bool, result []byte) {
-	ok := outcome == overload.OK
+// requestWithdrawn implements requestObserver.
+func (c *resultCache) requestWithdrawn(original *request) {
+	c.requestEnded(original, requestEnd{outcome: overload.Failed})
+}
+
+// requestEnded implements requestObserver. The result of an original request is kept for a while if it succeeded, and
+// its followers are answered alike.
+func (c *resultCache) requestEnded(original *request, end requestEnd) {
 	if entry := c.byID[original.id]; entry != nil {
-		c.storeEnd(entry, ok, ran, result)
+		c.storeEnd(entry, end)
 	}
 	followers := original.followers
 	original.followers = nil
 	for _, follower := range followers {
 		if c.backend.requests[follower.id] == follower { // else given up meanwhile
-			c.answerFollower(follower, ran, ok, result)
+			c.answerFollower(follower, end)
 		}
 	}
 }
 
-// storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run once is dropped only
-// if it never ran: otherwise a repeat would be its second run.
-func (c *resultCache) storeEnd(entry *cacheEntry, ok, ran bool, result []byte) {
+// storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run
+// once is dropped only if it never ran: otherwise a repeat would be its second run.
+func (c *resultCache) storeEnd(entry *cacheEntry, end requestEnd) {
 	entry.ended = true
 	c.resultBytes -= entry.bytes
 	entry.bytes = entry.baseBytes()
-	entry.ok = ok && c.hasRoom(entry.bytes+len(result))
+	entry.ok = end.outcome == overload.OK && c.hasRoom(entry.bytes+len(end.result))
 	if entry.ok {
-		entry.result = append([]byte(nil), result...)
-		entry.bytes += len(result)
+		entry.result = append([]byte(nil), end.result...)
+		entry.bytes += len(end.result)
 	}
 	c.resultBytes += entry.bytes
 	if !entry.runsOnce {
 		entry.expiresAt = min(entry.expiresAt, c.backend.now+c.shareFor)
 	}
-	mustStay := entry.runsOnce && ran
+	mustStay := entry.runsOnce && end.ran
 	if !entry.ok && !mustStay {
 		c.drop(entry)
 	}
 }
 
-// sweep drops the entries that have expired. A request that must run once stays until all that arrived within its window was read: what lay
-// unread for longer than its client's timeout is rejected on arrival.
+// sweep drops the entries that have expired. A request that must run once stays until all that arrived within its
+// window was read: what lay unread for longer than its client's timeout is rejected on arrival.
 func (c *resultCache) sweep() {
 	for _, entry := range c.byID { // only removals: the order doesn't matter
 		expiresAt := entry.expiresAt
--- a/backend/serve.go
+++ b/backend/serve.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	sweepInterval = 100 * time.Millisecond // between two looks for what is idle or has expired
+	sweepInterval = 100 * time.Millisecond // between two searches for what is idle or has expired
 
 	// Shares of the memory limit.
 	unsentShare = 0.2   // for answers that clients do not take
@@ -40,7 +40,7 @@
 	defer b.reporter.close()
 	b.log.Info("serving", "name", b.cfg.Name, "listen", b.cfg.Listen)
 	b.run(ctx)
-	b.log.Info("left", "counters", b.counters())
+	b.log.Info("shutdown complete", "counters", b.counters())
 	return nil
 }
 
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -1,22 +1,23 @@
 package backend
 
 import (
+	"math"
+	"time"
+
 	"frosthub/accounting"
 	"frosthub/internal/invariant"
 	"frosthub/lifecycle"
 	"frosthub/overload"
-	"math"
-	"time"
 )
 
-// closingInterval is how often a process that ends looks for what may be ended.
+// closingInterval is how often a process that ends checks what may be closed.
 const closingInterval = 10 * time.Millisecond
 
 // drainState is what the end of the process needs beside lifecycle.Process.
 type drainState struct {
-	pending    bool          // the notice came, and the overload controller has not heard of it
+	unreported bool          // the notice came, and the overload controller has not heard of it
 	grace      time.Duration // after the notice, in which a request that is read may still start
-	retryAfter time.Duration // what clients that are rejected at the end are told; 0 for nothing
+	retryAfter time.Duration // the retry-after of requests that are rejected at the end; 0 for none
 }
 
 // startDrain follows the notice to leave. A second one changes nothing.
@@ -24,10 +25,10 @@
 	if !b.process.Notify(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
 		return
 	}
-	b.log.Info("leaving", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.Notified())
+	b.log.Info("shutdown started", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.Notified())
 	b.logPhase()
 	b.cluster.leave()
-	b.drain.pending = true
+	b.drain.unreported = true
 }
 
 // drainEvent returns the event by which the overload controller hears of the notice: first in its batch, and dated by
@@ -42,7 +43,7 @@
 
 // logPhase logs how far the end of the process has come.
 func (b *Backend) logPhase() {
-	b.log.Info("phase", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.unanswered,
+	b.log.Info("shutdown phase", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.unanswered,
 		"connections", len(b.frontend.clients), "half_read_bytes", b.frontend.partialBytes)
 }
 
@@ -99,7 +100,7 @@
 		if !b.hasClient(r) {
 			continue
 		}
-		b.log.Warn("req given up at the stop", "id", r.wireID, "held", !r.state.started())
+		b.log.Warn("request cancelled at shutdown deadline", "id", r.wireID, "held", !r.state.started())
 		if r.state.started() {
 			b.frontend.failed(r, accounting.Cancelled)
 		} else {
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -1,15 +1,17 @@
 package backend
 
 import (
+	"time"
+
 	"frosthub/lifecycle"
 	"frosthub/loadbalance"
 	"frosthub/overload"
-	"time"
 )
 
 // Limits of calls to the next tier, whichever protocol carries them.
 const (
-	// callGrace is how long past its timeout a call is waited for: the server that runs it should report the timeout first.
+	// callGrace is how long past its timeout a call is waited for: the server that runs it should report the timeout
+	// first.
 	callGrace = 20 * time.Millisecond
 	// upstreamConnShare is the part of the descriptors that connections to the next tier may take.
 	upstreamConnShare = 0.125
@@ -17,8 +19,8 @@
 	maxUnsentCalls = 256 << 10
 )
 
-// upstream makes the calls that runs need from the next tier. The overload controller decides which calls are made; an upstream only
-// carries them. All methods are called by the goroutine that owns the backend.
+// upstream makes the calls that runs need from the next tier. The overload controller decides which calls are made; an
+// upstream only carries them. All methods are called by the goroutine that owns the backend.
 type upstream interface {
 	// reservedConns is the number of connections that the upstream may hold.
 	reservedConns() int
@@ -77,7 +79,7 @@
 	b := u.backend
 	b.stats.Calls++
 	added := &call{request: r, startedAt: b.now, deadline: b.now + after}
-	r.state = stateCalling
+	r.startCall()
 	r.call = added
 	u.calls[r.id] = added
 	return added
@@ -88,17 +90,18 @@
 	r := ended.request
 	delete(u.calls, r.id)
 	r.call = nil
-	r.state = stateAwaitingCall
+	r.awaitCall()
 }
 
-// call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried where that does harm.
+// call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried
+// where that does harm.
 func (b *Backend) call(r *request, after time.Duration) {
 	command := lifecycle.Command{
-		Repeatable: b.handlers[r.handler].replayable,
+		Idempotent: b.handlers[r.handler].replayable,
 		NeverRan:   !r.callOutcomeUnknown,
 		Wanted:     b.isWanted(r),
 	}
-	if verdict := lifecycle.Repeat(command); verdict != lifecycle.Allowed {
+	if verdict := lifecycle.Retry(command); verdict != lifecycle.Allowed {
 		b.recordViolation("call", r, verdict)
 		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
 		return
@@ -113,7 +116,7 @@
 	r.callOutcomeUnknown = !provesCallOutcome(outcome)
 	if outcome == overload.OK {
 		b.stats.CallsOK++
-		r.state = stateRunning
+		r.run()
 	} else {
 		b.stats.CallsFailed++
 	}
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -3,14 +3,15 @@
 import (
 	"bytes"
 	"cmp"
-	"frosthub/internal/ajp"
-	"frosthub/internal/invariant"
-	"frosthub/loadbalance"
-	"frosthub/overload"
 	"maps"
 	"slices"
 	"strconv"
 	"time"
+
+	"frosthub/internal/ajp"
+	"frosthub/internal/invariant"
+	"frosthub/loadbalance"
+	"frosthub/overload"
 )
 
 // AJPUpstreamConfig is a next tier of several servers that speak AJP. Without peers in Balancer there is none.
@@ -19,8 +20,8 @@
 	Secret   string // sent with each call; empty: none
 }
 
-// ajpUpstream makes calls over AJP to the targets that the load balancer picks. A call is retried at another target only where it is
-// proved never to have run. A call that may have run is the overload controller's to retry.
+// ajpUpstream makes calls over AJP to the targets that the load balancer picks. A call is retried at another target
+// only where it is proved never to have run. A call that may have run is the overload controller's to retry.
 type ajpUpstream struct {
 	upstreamCalls
 	balancer *loadbalance.Balancer
@@ -64,8 +65,8 @@
 	u.dial(waiting)
 }
 
-// assign has a connection carry a call. Where it was idle for a while, or its target may be down, the target is asked first whether it is
-// there.
+// assign has a connection carry a call. Where it was idle for a while, or its target may be down, the target is asked
+// first whether it is there.
 func (u *ajpUpstream) assign(carrier *ajpConn, waiting *call) {
 	b := u.backend
 	carrier.call = waiting
@@ -197,7 +198,8 @@
 	u.backend.callEnded(ended, outcome)
 }
 
-// drop takes a call of which nothing is known from its target and closes its connection: AJP has no other way to abort a call.
+// drop takes a call of which nothing is known from its target and closes its connection: AJP has no other way to abort
+// a call.
 func (u *ajpUpstream) drop(dropped *call, outcome loadbalance.Outcome) {
 	carrier := dropped.ajpConn
 	if dropped.target != nil {
@@ -255,7 +257,7 @@
 		u.drop(pending, outcome)
 		u.end(pending, overload.TimedOut)
 	case awaitsPong && b.now >= carrier.pongBy:
-		b.logLimited("next tier not reached", "peer", carrier.target.Address, "why", errNoPong)
+		b.logLimited("upstream unreachable", "peer", carrier.target.Address, "reason", errNoPong)
 		carrier.call = nil
 		u.close(carrier)
 		u.retryElsewhere(pending, loadbalance.Fault, overload.NoConnection)
--- a/cmd/frosthub/main.go
+++ b/cmd/frosthub/main.go
@@ -1,9 +1,11 @@
-// Command frosthub is one backend, and what its operators ask of it.
+// Command frosthub runs one backend, and the commands with which operators inspect
+// and change it.
 package main
 
 import (
-	"frosthub/internal/cli"
 	"os"
+
+	"frosthub/internal/cli"
 )
 
 func main() { os.Exit(cli.Run(os.Args[1:])) }
--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -1,9 +1,10 @@
 package main
 
 import (
-	"frosthub/internal/harness"
 	"testing"
 	"time"
+
+	"frosthub/internal/harness"
 )
 
 // TestRollingRestart restarts all nodes of a cluster one after the other under load. Each hands its queued claims over to another node, and the
--- a/cmd/frosthub/power_loss_test.go
+++ b/cmd/frosthub/power_loss_test.go
@@ -4,9 +4,6 @@
 	"context"
 	"errors"
 	"flag"
-	"frosthub/internal/fake"
-	"frosthub/internal/harness"
-	"frosthub/internal/invariant"
 	"io/fs"
 	"math/rand/v2"
 	"os"
@@ -15,6 +12,10 @@
 	"strings"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/harness"
+	"frosthub/internal/invariant"
 )
 
 // buildPowerLossBinary builds the program with disks that record what a loss of power would leave, and returns its path.
@@ -103,7 +104,7 @@
 		}
 		found := false
 		for end := time.Now().Add(5 * time.Second); !found && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			found = strings.Contains(cluster.nodes[restored].Log()[before:], "store older than known")
+			found = strings.Contains(cluster.nodes[restored].Log()[before:], "store older than peers know")
 		}
 		if outdatedCount++; !found {
 			t.Errorf("round %d: n%d trusts an older disk (n%d recovers late):\n%s", round, restored+1, late+1, cluster.nodes[restored].Log()[before:])
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -4,9 +4,6 @@
 	"context"
 	"flag"
 	"fmt"
-	"frosthub/internal/fake"
-	"frosthub/internal/faultproxy"
-	"frosthub/internal/harness"
 	"os/exec"
 	"path/filepath"
 	"slices"
@@ -14,6 +11,10 @@
 	"sync"
 	"testing"
 	"time"
+
+	"frosthub/internal/fake"
+	"frosthub/internal/faultproxy"
+	"frosthub/internal/harness"
 )
 
 var (
@@ -193,7 +194,7 @@
 		violations = append(violations, node.Name+": panic: "+stack[:min(len(stack), 3000)])
 	}
 	for line := range strings.Lines(log) {
-		for _, message := range []string{"rule kept at the last moment", "invariant broken", "figures differ"} {
+		for _, message := range []string{"lifecycle violation prevented", "invariant broken", "accounting mismatch"} {
 			if strings.Contains(line, message) {
 				violations = append(violations, node.Name+": "+strings.TrimSpace(line))
 				break
@@ -259,9 +260,9 @@
 	for _, node := range s.nodes {
 		for line := range strings.Lines(node.Process.Log()) {
 			for _, what := range []string{
-				"time of day stepped", "stood still", "link lost", "not accepted", "bad reply", "next tier not reached",
-				"configuration not taken", "configuration read anew", "command repeated", "req without its answer", "to=draining",
-				"req given up at the stop", "processor not reached",
+				"wall clock stepped", "process stalled", "processor link lost", "accept failed", "upstream protocol error", "upstream unreachable",
+				"configuration rejected", "configuration reloaded", "processor command retried", "request unanswered", "to=draining",
+				"request cancelled at shutdown deadline", "processor unreachable",
 			} {
 				if strings.Contains(line, what) {
 					seen[what]++
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -10,12 +10,13 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"frosthub/accounting"
 	"os"
 	"path/filepath"
 	"runtime/debug"
 	"sync/atomic"
 
+	"frosthub/accounting"
+
 	"golang.org/x/sys/unix"
 )
 
@@ -23,7 +24,7 @@
 const fileMode = 0o640
 
 // file is a mapped file that is written to. It belongs to one goroutine at a time. Its methods that write to the mapping
-// must be called by catchFaults.
+// must be called under catchFaults.
 type file struct {
 	layout
 	path string
@@ -170,7 +171,7 @@
 func (f *file) writeEntries(entries []accounting.Entry) {
 	for i := range entries {
 		offset := f.entryOffset(entries[i].Seq)
-		entries[i].Put(f.data[offset : offset+accounting.EntrySize])
+		entries[i].Encode(f.data[offset : offset+accounting.EntrySize])
 	}
 }
 
--- a/internal/statsfile/format_test.go
+++ b/internal/statsfile/format_test.go
@@ -5,12 +5,13 @@
 	"compress/gzip"
 	"encoding/binary"
 	"encoding/json"
-	"frosthub/accounting"
 	"io"
 	"os"
 	"testing"
 	"time"
 
+	"frosthub/accounting"
+
 	"github.com/google/go-cmp/cmp"
 )
 
@@ -98,7 +99,7 @@
 	}
 	for i := range entries {
 		var encoded [accounting.EntrySize]byte
-		entries[i].Put(encoded[:])
+		entries[i].Encode(encoded[:])
 		offset := stored.entryOffset(entries[i].Seq)
 		if !bytes.Equal(encoded[:], data[offset:offset+accounting.EntrySize]) {
 			t.Errorf("entry %d is encoded differently", entries[i].Seq)
--- a/internal/statsfile/recorder_test.go
+++ b/internal/statsfile/recorder_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"frosthub/accounting"
-	"frosthub/internal/filelock"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -14,6 +12,9 @@
 	"testing"
 	"time"
 
+	"frosthub/accounting"
+	"frosthub/internal/filelock"
+
 	"github.com/google/go-cmp/cmp"
 )
 
@@ -71,7 +72,7 @@
 	open(ledger, 5, "claims")
 	recorder.Append(ledger, noon)
 	for _, row := range ledger.Report(false).Rows {
-		got = append(got, row.Handler+" "+countsText(row.Figures))
+		got = append(got, row.Handler+" "+countsText(row.Counts))
 	}
 	recorder.Close(ledger, noon)
 
