--- a/cmd/frosthub/accounting_test.go
+++ b/cmd/frosthub/accounting_test.go
@@ -27,13 +27,15 @@
 
 // ledgerEntry is what a node's ledger says of a request.
 type ledgerEntry struct {
-	sent, closed bool
-	uncertain    bool
-	reason       accounting.Reason // of the response or the close
+	sent      bool // its response was written completely
+	closed    bool
+	uncertain bool              // its outcome is unknown
+	reason    accounting.Reason // of the response or the close
 }
 
 // readLedger reads the entries of the last incarnation from an accounting file.
 func readLedger(t *testing.T, path string) (map[uint64]ledgerEntry, *accounting.Ledger) {
+	t.Helper()
 	ledger, data, err := statsfile.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +44,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slots, entries := map[uint32]uint64{}, map[uint64]ledgerEntry{}
+	slots := map[uint32]uint64{}
+	entries := map[uint64]ledgerEntry{}
 	for _, change := range changes {
 		id := slots[change.Slot]
 		entry := entries[id]
@@ -59,7 +62,8 @@
 		case accounting.EntrySent:
 			entry.sent = true
 		case accounting.EntryClose:
-			entry.closed, entry.reason = true, change.Reason
+			entry.closed = true
+			entry.reason = change.Reason
 		default:
 			continue
 		}
@@ -101,140 +105,197 @@
 
 // killsAndDrains runs one node of TestKillsAndDrains.
 func killsAndDrains(t *testing.T, kills, drains int, seed uint64) {
-	node := newTestNode(t, 2, constantWork(2*time.Millisecond), "ajp listen FRONT\nfigures file FIGURES\nfigures trail 65536\n"+
-		"figures periods 60 every 1s\nfigures customers 8\n")
-	processor, process, path, ajpAddress := node.processor, node.process, node.accountingPath, node.ajpAddress
-	fastcgiLoad := fake.EdgeLoad{
-		Address: process.Listen, Conns: 6, Interval: 6 * time.Millisecond, Slots: 24, Callers: 20,
-		Handlers: []string{"status", "field-update", "file-claim"}, Abort: 0.05, Close: 0.02, Bad: 0.02, Body: "a field",
+	r := &accountingRun{
+		testNode: newTestNode(t, 2, constantWork(2*time.Millisecond), "ajp listen FRONT\nfigures file FIGURES\nfigures trail 65536\n"+
+			"figures periods 60 every 1s\nfigures customers 8\n"),
+		random: rand.New(rand.NewPCG(seed, 7)),
 	}
-	ajpLoad := fake.OpenLoad{Rate: 250, Handlers: fastcgiLoad.Handlers, CostMS: 2, Target: time.Second, Timeout: 3 * time.Second, Body: "a field"}
-	random := rand.New(rand.NewPCG(seed, 7))
-	var totals accounting.Counts // by the edge nodes' tallies
-	var uncertain, maxUncertain, incarnations int
-	settlements := strings.Builder{}
 	for left := kills + drains; left > 0; left-- {
-		var err error
-		kill := random.IntN(left) < kills
-		if err := process.Start(); err != nil {
-			t.Fatal(err)
-		}
-		incarnations++
-		tally := fake.NewTally()
-		ctx, stop := context.WithCancel(t.Context())
-		loaded, seeds := make(chan struct{}), [2]uint64{random.Uint64(), random.Uint64()}
-		go func() {
-			var both sync.WaitGroup
-			both.Go(func() { fastcgiLoad.Run(ctx, tally, seeds[0]) })
-			both.Go(func() {
-				ajpClient := fake.NewAJPClient(ajpAddress)
-				defer ajpClient.Close()
-				ajpLoad.Run(ctx, seeds[1], tally, func(uint64) fake.Client { return ajpClient })
-			})
-			both.Wait()
-			close(loaded)
-		}()
-		time.Sleep(time.Duration(50+random.IntN(200)) * time.Millisecond)
+		kill := r.random.IntN(left) < kills
 		if kill {
 			kills--
-			err = process.Kill()
-		} else {
-			err = process.Drain()
-		}
-		if err != nil {
-			t.Fatal(err, process.Log())
 		}
-		stop()
-		<-loaded
-		entries, ledger := readLedger(t, path)
-		if kill {
-			ledger.CloseAll(accounting.OpenAtKill, accounting.Killed)
-		}
-		incarnationList, _, _ := ledger.Incarnations()
-		incarnation := incarnationList[len(incarnationList)-1]
-		for _, id := range incarnation.UncertainIDs {
-			entry := entries[id]
-			entry.uncertain = true
-			entries[id] = entry
+		outcomes := r.runIncarnation(kill)
+		r.verifyIncarnation(outcomes, kill)
+	}
+	t.Logf("%d incarnations, %+v; unknown outcomes %d, %d an incarnation at most", r.incarnations, r.totals, r.uncertain, r.maxUncertain)
+	if r.totals.Served < int64(20*r.incarnations) || r.totals.Failed == 0 {
+		t.Error("too few requests were sent to prove anything")
+	}
+	if r.incarnations <= maxReportedIncarnations {
+		r.verifyReport()
+	}
+}
+
+// maxReportedIncarnations is the number of incarnations whose requests with an unknown outcome are reported one by one.
+const maxReportedIncarnations = 50
+
+// accountingRun is a node that is killed and drained under load, and what its edge nodes have seen.
+type accountingRun struct {
+	*testNode
+	random       *rand.Rand
+	incarnations int
+	totals       accounting.Counts // by the edge nodes' tallies
+	uncertain    int               // requests whose outcome the node does not know
+	maxUncertain int               // of one incarnation
+	settlements  strings.Builder   // the outcomes of these, as lines of a tally file
+}
+
+// runIncarnation starts the node, sends requests, kills or drains the node, and returns the outcomes that the edge nodes saw.
+func (r *accountingRun) runIncarnation(kill bool) map[uint64]fake.Outcome {
+	r.t.Helper()
+	r.start()
+	r.incarnations++
+	tally := fake.NewTally()
+	ctx, stop := context.WithCancel(r.t.Context())
+	defer stop()
+	var loads sync.WaitGroup
+	r.startLoads(ctx, tally, &loads)
+	time.Sleep(time.Duration(50+r.random.IntN(200)) * time.Millisecond)
+	end := r.process.Drain
+	if kill {
+		end = r.process.Kill
+	}
+	if err := end(); err != nil {
+		r.t.Fatal(err, r.process.Log())
+	}
+	stop()
+	loads.Wait()
+	return tally.All()
+}
+
+// startLoads sends requests over FastCGI and AJP until the context is done.
+func (r *accountingRun) startLoads(ctx context.Context, tally *fake.Tally, loads *sync.WaitGroup) {
+	handlers := []string{"status", "field-update", "file-claim"}
+	fastcgiLoad := fake.EdgeLoad{
+		Address:  r.process.Listen,
+		Conns:    6,
+		Interval: 6 * time.Millisecond,
+		Slots:    24,
+		Callers:  20,
+		Handlers: handlers,
+		Abort:    0.05,
+		Close:    0.02,
+		Bad:      0.02,
+		Body:     "a field",
+	}
+	ajpLoad := fake.OpenLoad{
+		Rate:     250,
+		Handlers: handlers,
+		CostMS:   2,
+		Target:   time.Second,
+		Timeout:  3 * time.Second,
+		Body:     "a field",
+	}
+	fastcgiSeed := r.random.Uint64()
+	ajpSeed := r.random.Uint64()
+	loads.Go(func() { fastcgiLoad.Run(ctx, tally, fastcgiSeed) })
+	loads.Go(func() {
+		client := fake.NewAJPClient(r.ajpAddress)
+		defer client.Close()
+		ajpLoad.Run(ctx, ajpSeed, tally, func(uint64) fake.Client { return client })
+	})
+}
+
+// verifyIncarnation compares the ledger of the last incarnation with the outcomes that the edge nodes saw, and the processor's runs.
+func (r *accountingRun) verifyIncarnation(outcomes map[uint64]fake.Outcome, killed bool) {
+	r.t.Helper()
+	entries, ledger := readLedger(r.t, r.accountingPath)
+	if killed {
+		ledger.CloseAll(accounting.OpenAtKill, accounting.Killed)
+	}
+	incarnations, _, _ := ledger.Incarnations()
+	incarnation := incarnations[len(incarnations)-1]
+	for _, id := range incarnation.UncertainIDs {
+		entry := entries[id]
+		entry.uncertain = true
+		entries[id] = entry
+	}
+	r.uncertain += len(incarnation.UncertainIDs)
+	r.maxUncertain = max(r.maxUncertain, len(incarnation.UncertainIDs))
+	expected := r.verifyEntries(outcomes, entries)
+	for id, runs := range r.processor.Runs() {
+		if runs > 1 {
+			r.t.Errorf("%016x ran %d times", id, runs)
 		}
-		uncertain, maxUncertain = uncertain+len(incarnation.UncertainIDs), max(maxUncertain, len(incarnation.UncertainIDs))
-		outcomes := tally.All()
-		var expected accounting.Counts // of this incarnation, by the tally
-		for id, outcome := range outcomes {
-			entry, entered := entries[id]
-			if !consistent(outcome, entry, entered) {
-				t.Errorf("incarnation %d: %016x is %s for the edge node, %+v in the ledger (%v)", incarnations, id, outcome, entry, entered)
-			}
-			if !entered {
-				continue
-			}
-			expected.Received++
-			switch outcome {
-			case fake.Served:
-				expected.Served++
-			case fake.Rejected:
-				expected.Rejected++
-			default:
-				expected.Failed++
-			}
-			if entry.uncertain {
-				word := map[fake.Outcome]string{fake.Served: "served", fake.Rejected: "refused"}[outcome]
-				if word == "" {
-					word = "failed"
-				}
-				fmt.Fprintf(&settlements, "%016x %s\n", id, word)
-			}
+	}
+	r.processor.Reset()
+	recorded := incarnation.Counts
+	for _, id := range incarnation.UncertainIDs {
+		switch outcomes[id] {
+		case fake.Served:
+			recorded = recorded.Reclassified(accounting.Served)
+		case fake.Rejected:
+			recorded = recorded.Reclassified(accounting.Rejected)
 		}
-		for id := range entries {
-			if _, asked := outcomes[id]; !asked {
-				t.Errorf("incarnation %d: %016x was never sent", incarnations, id)
-			}
+	}
+	if recorded != expected {
+		r.t.Errorf("incarnation %d: the node has %+v, the edge nodes %+v", r.incarnations, recorded, expected)
+	}
+	r.totals = r.totals.Plus(expected)
+}
+
+// verifyEntries compares each ledger entry with the outcome that an edge node saw, and returns the counts that follow from the outcomes.
+func (r *accountingRun) verifyEntries(outcomes map[uint64]fake.Outcome, entries map[uint64]ledgerEntry) accounting.Counts {
+	r.t.Helper()
+	var expected accounting.Counts
+	for id, outcome := range outcomes {
+		entry, entered := entries[id]
+		if !consistent(outcome, entry, entered) {
+			r.t.Errorf("incarnation %d: %016x is %s for the edge node, %+v in the ledger (%v)", r.incarnations, id, outcome, entry, entered)
 		}
-		for id, n := range processor.Runs() {
-			if n > 1 {
-				t.Errorf("%016x ran %d times", id, n)
-			}
+		if !entered {
+			continue
 		}
-		processor.Reset()
-		recorded := incarnation.Counts
-		for _, id := range incarnation.UncertainIDs {
-			switch outcomes[id] {
-			case fake.Served:
-				recorded = recorded.Reclassified(accounting.Served)
-			case fake.Rejected:
-				recorded = recorded.Reclassified(accounting.Rejected)
-			}
+		settlement := "failed"
+		expected.Received++
+		switch outcome {
+		case fake.Served:
+			expected.Served++
+			settlement = "served"
+		case fake.Rejected:
+			expected.Rejected++
+			settlement = "refused"
+		default:
+			expected.Failed++
 		}
-		if recorded != expected {
-			t.Errorf("incarnation %d: the node has %+v, the edge nodes %+v", incarnations, recorded, expected)
+		if entry.uncertain {
+			fmt.Fprintf(&r.settlements, "%016x %s\n", id, settlement)
 		}
-		totals = totals.Plus(expected)
-	}
-	t.Logf("%d incarnations, %+v; unknown outcomes %d, %d an incarnation at most", incarnations, totals, uncertain, maxUncertain)
-	if totals.Served < int64(20*incarnations) || totals.Failed == 0 {
-		t.Error("too few requests were sent to prove anything")
 	}
-	if incarnations > 50 {
-		return // requests of early incarnations are no longer reported one by one
+	for id := range entries {
+		if _, sent := outcomes[id]; !sent {
+			r.t.Errorf("incarnation %d: %016x was never sent", r.incarnations, id)
+		}
 	}
-	tally := filepath.Join(process.Dir, "tally")
-	if err := os.WriteFile(tally, []byte(settlements.String()), 0o600); err != nil {
-		t.Fatal(err)
+	return expected
+}
+
+// verifyReport compares the program's report over all incarnations, with the unknown outcomes settled by the edge nodes' tally.
+func (r *accountingRun) verifyReport() {
+	r.t.Helper()
+	tallyPath := filepath.Join(r.process.Dir, "tally")
+	if err := os.WriteFile(tallyPath, []byte(r.settlements.String()), 0o600); err != nil {
+		r.t.Fatal(err)
 	}
-	out, err := exec.Command(binary, "figures", "--json", "--tally", tally, path).Output()
+	out, err := exec.Command(binary, "figures", "--json", "--tally", tallyPath, r.accountingPath).Output()
 	if err != nil {
-		t.Fatal(err, string(out))
+		r.t.Fatal(err, string(out))
 	}
-	var reported []struct {
-		Report    accounting.Report
-		DoubtIDs  []string `json:"doubt_ids"`
-		Different string   `json:"difference"`
+	var reports []struct {
+		Report     accounting.Report
+		DoubtIDs   []string `json:"doubt_ids"`
+		Difference string   `json:"difference"`
 	}
-	if err := json.Unmarshal(out, &reported); err != nil {
-		t.Fatal(err)
+	if err := json.Unmarshal(out, &reports); err != nil {
+		r.t.Fatal(err)
+	}
+	if len(reports) != 1 {
+		r.t.Fatalf("%d reports of one node", len(reports))
 	}
-	if reported[0].Report.Total != totals || len(reported[0].DoubtIDs) > 0 || reported[0].Different != "" {
-		t.Errorf("the report says %+v, unknown outcomes %v, %q; the edge nodes %+v", reported[0].Report.Total, reported[0].DoubtIDs, reported[0].Different, totals)
+	report := reports[0]
+	if report.Report.Total != r.totals || len(report.DoubtIDs) > 0 || report.Difference != "" {
+		r.t.Errorf("the report says %+v, unknown outcomes %v, %q; the edge nodes %+v", report.Report.Total, report.DoubtIDs, report.Difference, r.totals)
 	}
 }
 
--- a/cmd/frosthub/cluster_load_test.go
+++ b/cmd/frosthub/cluster_load_test.go
@@ -116,7 +116,13 @@
 	var after []int
 	served := 0
 	for round := range 10 {
-		load := &harness.ClaimLoad{Handler: "file-claim", Callers: 40, Keys: *clusterClaims / 400, Timeout: 2 * time.Second, CostMS: 1}
+		load := &harness.ClaimLoad{
+			Handler: "file-claim",
+			Callers: 40,
+			Keys:    *clusterClaims / 400,
+			Timeout: 2 * time.Second,
+			CostMS:  1,
+		}
 		load.Run(t.Context(), uint64(round), func(n uint64) fake.Client { return cluster.clients[n>>40%3] })
 		totals, violations := load.Verify(cluster.effects())
 		for _, violation := range violations {
--- a/cmd/frosthub/failover_latency_test.go
+++ b/cmd/frosthub/failover_latency_test.go
@@ -17,88 +17,145 @@
 
 // failoverStats counts what became of the requests in flight at a killed node that were retried at the others at once.
 type failoverStats struct {
-	queued, queuedServed   int // accepted and not started
-	running, runningServed int // started
-	duplicates             int // runs beyond the first, by body
-	latency                *hdrhistogram.Histogram
+	queued        int // accepted and not started
+	queuedServed  int
+	running       int // started
+	runningServed int
+	duplicates    int                     // bodies that ran more than once
+	latency       *hdrhistogram.Histogram // from the kill to the response, in microseconds
 }
 
+// inFlightRequests is the number of requests in flight at the node that is killed.
+const inFlightRequests = 10
+
 // killInFlight kills a node with requests of a handler in flight, and its processor unless that lives on, and adds up what becomes of them.
 func (c *testCluster) killInFlight(handler string, processorLives bool, round int, stats *failoverStats) {
-	var senders sync.WaitGroup
-	var mu sync.Mutex
-	body := func(i int) string { return fmt.Sprintf("%s %d of round %d", handler, i, round) }
-	send := func(node, i int, id uint64) (fake.Response, fake.Outcome) {
-		request := fake.Request{ID: id, Handler: handler, Caller: i, Start: time.Now().UnixMilli(), Body: body(i), CostMS: 100}
-		return c.clients[node].RoundTrip(&request, 3*time.Second)
+	c.t.Helper()
+	f := &inFlight{testCluster: c, handler: handler, round: round}
+	f.warmUp()
+	senders := f.sendUntilStarted()
+	if err := c.nodes[0].Kill(); err != nil {
+		c.t.Fatal(err)
 	}
-	startedRuns := func() (n int) {
-		for body := range c.processors[0].Effects() {
-			if strings.HasPrefix(body, handler) {
-				n++
-			}
+	if !processorLives {
+		c.processors[0].Reset()
+	}
+	killedAt := time.Now()
+	senders.Wait()
+	f.retryAll(killedAt, stats)
+	for _, runs := range c.effects() {
+		if runs > 1 {
+			stats.duplicates++
 		}
-		return n
 	}
-	const requests = 10
-	for i := range 4 { // until the node has learned its processor's capacity
+}
+
+// inFlight is the requests of one round that are in flight at the first node when it is killed.
+type inFlight struct {
+	*testCluster
+	handler string
+	round   int
+}
+
+// body returns the body of a request.
+func (f *inFlight) body(i int) string { return fmt.Sprintf("%s %d of round %d", f.handler, i, f.round) }
+
+// send sends a request to a node under the given ID, and reports whether it was served.
+func (f *inFlight) send(node, i int, id uint64) bool {
+	request := fake.Request{
+		ID:      id,
+		Handler: f.handler,
+		Caller:  i,
+		Start:   time.Now().UnixMilli(),
+		Body:    f.body(i),
+		CostMS:  100,
+	}
+	response, outcome := f.clients[node].RoundTrip(&request, 3*time.Second)
+	return outcome == fake.Served && response.Status == 200
+}
+
+// startedRuns returns the number of requests that the first node's processor has started.
+func (f *inFlight) startedRuns() int {
+	count := 0
+	for body := range f.processors[0].Effects() {
+		if strings.HasPrefix(body, f.handler) {
+			count++
+		}
+	}
+	return count
+}
+
+// warmUp sends other requests until the first node has learned its processor's capacity.
+func (f *inFlight) warmUp() {
+	var senders sync.WaitGroup
+	for i := range 4 {
 		senders.Go(func() {
 			for k := range 4 {
-				_, _ = send(0, 1000+10*i+k, uint64(10*i+k+1))
+				f.send(0, 1000+10*i+k, uint64(10*i+k+1))
 			}
 		})
 	}
 	senders.Wait()
-	warmupRuns := startedRuns()
-	for i := range requests {
+}
+
+// sendUntilStarted sends the requests to the first node, and returns once the first runs and the others are queued.
+func (f *inFlight) sendUntilStarted() *sync.WaitGroup {
+	warmupRuns := f.startedRuns()
+	senders := &sync.WaitGroup{}
+	for i := range inFlightRequests {
 		senders.Go(func() {
 			time.Sleep(time.Duration(i) * time.Millisecond)
-			_, _ = send(0, i, uint64(1000+i))
+			f.send(0, i, uint64(1000+i))
 		})
 	}
-	for end := time.Now().Add(2 * time.Second); startedRuns() == warmupRuns && time.Now().Before(end); {
+	for end := time.Now().Add(2 * time.Second); f.startedRuns() == warmupRuns && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(40 * time.Millisecond) // the others are queued by now
-	if err := c.nodes[0].Kill(); err != nil {
-		c.t.Fatal(err)
-	}
-	if !processorLives {
-		c.processors[0].Reset()
-	}
-	killedAt := time.Now()
-	senders.Wait()
-	before := c.effects()
-	for i := range requests {
+	time.Sleep(40 * time.Millisecond)
+	return senders
+}
+
+// retryAll retries the requests at the other nodes until the client's timeout.
+func (f *inFlight) retryAll(killedAt time.Time, stats *failoverStats) {
+	before := f.effects()
+	var mu sync.Mutex
+	var senders sync.WaitGroup
+	for i := range inFlightRequests {
 		senders.Go(func() {
-			ran, served := before[body(i)] > 0, false
-			for try := uint64(0); time.Since(killedAt) < 3*time.Second && !served; try++ {
-				response, outcome := send(1+(i+int(try))%4, i, 5000+uint64(i)*100+try)
-				if served = outcome == fake.Served && response.Status == 200; !served {
-					time.Sleep(50 * time.Millisecond)
-				}
-			}
+			served := f.retry(i, killedAt)
+			latency := time.Since(killedAt)
 			mu.Lock()
 			defer mu.Unlock()
-			servedCount := 0
-			if served {
-				servedCount = 1
-				_ = stats.latency.RecordValue(time.Since(killedAt).Microseconds())
-			}
-			if ran {
-				stats.running++
-				stats.runningServed += servedCount
-			} else {
-				stats.queued++
-				stats.queuedServed += servedCount
-			}
+			stats.record(before[f.body(i)] > 0, served, latency)
 		})
 	}
 	senders.Wait()
-	for _, n := range c.effects() {
-		if n > 1 {
-			stats.duplicates++
+}
+
+// retry retries a request at one node after the other, and reports whether it was served.
+func (f *inFlight) retry(i int, killedAt time.Time) bool {
+	for attempt := 0; time.Since(killedAt) < 3*time.Second; attempt++ {
+		if f.send(1+(i+attempt)%4, i, uint64(5000+100*i+attempt)) {
+			return true
 		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	return false
+}
+
+// record records what became of a request: whether it had been started before the kill, whether it was served, and how long after the kill.
+func (s *failoverStats) record(started, served bool, latency time.Duration) {
+	servedCount := 0
+	if served {
+		servedCount = 1
+		_ = s.latency.RecordValue(latency.Microseconds())
+	}
+	if started {
+		s.running++
+		s.runningServed += servedCount
+	} else {
+		s.queued++
+		s.queuedServed += servedCount
 	}
 }
 
--- a/cmd/frosthub/failover_test.go
+++ b/cmd/frosthub/failover_test.go
@@ -170,7 +170,15 @@
 // kind.
 func (c *testCluster) runFaults(faults int, seed uint64, clustered bool) (harness.ClaimTotals, []string, map[string]int) {
 	random := rand.New(rand.NewPCG(seed, 12))
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 30, Repeats: 2, LateShare: 0.3, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{
+		Handler:   "file-claim",
+		Callers:   30,
+		Repeats:   2,
+		LateShare: 0.3,
+		Pause:     10 * time.Millisecond,
+		Timeout:   2 * time.Second,
+		CostMS:    6,
+	}
 	stop := c.startLoad(load, seed)
 	kinds := map[string]int{}
 	for range faults {
@@ -251,7 +259,14 @@
 func TestZoneFailure(t *testing.T) {
 	cluster := newTestCluster(t, 6, 6*time.Millisecond, true) // two nodes in each zone
 	defer cluster.killAll()
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 30, Repeats: 1, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 30,
+		Repeats: 1,
+		Pause:   10 * time.Millisecond,
+		Timeout: 2 * time.Second,
+		CostMS:  6,
+	}
 	stop := cluster.startLoad(load, 11)
 	time.Sleep(700 * time.Millisecond)
 	for _, i := range []int{0, 3} {
--- a/cmd/frosthub/idempotency_test.go
+++ b/cmd/frosthub/idempotency_test.go
@@ -53,7 +53,15 @@
 func idempotencyOverKills(t *testing.T, kills int, seed uint64) {
 	node, dir := newIdempotentNode(t, 2, constantWork(4*time.Millisecond), idempotencyConf)
 	random := rand.New(rand.NewPCG(seed, 11))
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 12, Repeats: 3, LateShare: 0.4, Pause: 3 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 4}
+	load := &harness.ClaimLoad{
+		Handler:   "file-claim",
+		Callers:   12,
+		Repeats:   3,
+		LateShare: 0.4,
+		Pause:     3 * time.Millisecond,
+		Timeout:   2 * time.Second,
+		CostMS:    4,
+	}
 	fastcgiClient, ajpClient := fake.NewFastCGIClient(node.process.Listen), fake.NewAJPClient(node.ajpAddress)
 	defer fastcgiClient.Close()
 	defer ajpClient.Close()
@@ -209,7 +217,15 @@
 	node, dir := newIdempotentNode(t, 8, constantWork(100*time.Microsecond), idempotencyConf+"keep entries 400\nkeep bytes 20000\nkeep lifetime 1s\nkeep horizon 2s\nkeep gather 50us\n")
 	node.start()
 	waitReady(t, node.process.Listen)
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 24, Keys: 180, Pause: 20 * time.Millisecond, Timeout: 3 * time.Second, CostMS: 0.1, Padding: 100}
+	load := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 24,
+		Keys:    180,
+		Pause:   20 * time.Millisecond,
+		Timeout: 3 * time.Second,
+		CostMS:  0.1,
+		Padding: 100,
+	}
 	client := fake.NewFastCGIClient(node.process.Listen)
 	defer client.Close()
 	load.Run(t.Context(), 1, func(uint64) fake.Client { return client })
--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -12,7 +12,14 @@
 func TestRollingRestart(t *testing.T) {
 	cluster := newTestCluster(t, 3, 25*time.Millisecond, true)
 	defer cluster.killAll()
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 60, Repeats: 1, Pause: 5 * time.Millisecond, Timeout: 3 * time.Second, CostMS: 25}
+	load := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 60,
+		Repeats: 1,
+		Pause:   5 * time.Millisecond,
+		Timeout: 3 * time.Second,
+		CostMS:  25,
+	}
 	stop := cluster.startLoad(load, 5)
 	handed := 0
 	for _, node := range cluster.nodes {
@@ -48,7 +55,14 @@
 		cluster.setMembers(i, before, nil)
 	}
 	cluster.start(before...)
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Repeats: 3, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 20,
+		Repeats: 3,
+		Pause:   10 * time.Millisecond,
+		Timeout: 2 * time.Second,
+		CostMS:  6,
+	}
 	stop := cluster.startLoad(load, 8)
 	waitForLog := func(text string, nodes ...int) {
 		t.Helper()
--- a/cmd/frosthub/power_loss_test.go
+++ b/cmd/frosthub/power_loss_test.go
@@ -58,7 +58,16 @@
 	cluster := newPowerLossCluster(t, nodes, "")
 	defer cluster.killAll()
 	random := rand.New(rand.NewPCG(4, 4))
-	load := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 40, Repeats: 2, LateShare: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{
+		Handler:       "file-claim",
+		SendCreatedAt: true,
+		Callers:       40,
+		Repeats:       2,
+		LateShare:     0.5,
+		Pause:         10 * time.Millisecond,
+		Timeout:       2 * time.Second,
+		CostMS:        6,
+	}
 	stop := cluster.startLoad(load, 6)
 	losePower := func() {
 		cluster.losePower()
@@ -179,7 +188,15 @@
 	cluster := newPowerLossCluster(t, nodes, "keep lifetime 4s\nkeep horizon 16s\n")
 	defer cluster.killAll()
 	random := rand.New(rand.NewPCG(7, 3))
-	load := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 30, Repeats: 1, Pause: 10 * time.Millisecond, Timeout: time.Second, CostMS: 6}
+	load := &harness.ClaimLoad{
+		Handler:       "file-claim",
+		SendCreatedAt: true,
+		Callers:       30,
+		Repeats:       1,
+		Pause:         10 * time.Millisecond,
+		Timeout:       time.Second,
+		CostMS:        6,
+	}
 	stop := cluster.startLoad(load, 31)
 	for range 2 {
 		time.Sleep(2500 * time.Millisecond)
@@ -217,7 +234,14 @@
 		}
 		cluster.processors[i].Reset()
 	}
-	half := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 30, Pause: 20 * time.Millisecond, Timeout: time.Second, CostMS: 6}
+	half := &harness.ClaimLoad{
+		Handler:       "file-claim",
+		SendCreatedAt: true,
+		Callers:       30,
+		Pause:         20 * time.Millisecond,
+		Timeout:       time.Second,
+		CostMS:        6,
+	}
 	ctx, done := context.WithTimeout(t.Context(), 2*time.Second)
 	defer done()
 	half.Run(ctx, 32, func(n uint64) fake.Client { return cluster.clients[n>>40%4] })
@@ -234,8 +258,25 @@
 	const nodes = 5
 	cluster := newPowerLossCluster(t, nodes, "")
 	defer cluster.killAll()
-	load := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 8, Repeats: 2, LateShare: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
-	flood := &harness.ClaimLoad{Handler: "file-claim", SendCreatedAt: true, Callers: 72, Repeats: 1, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	load := &harness.ClaimLoad{
+		Handler:       "file-claim",
+		SendCreatedAt: true,
+		Callers:       8,
+		Repeats:       2,
+		LateShare:     0.5,
+		Pause:         10 * time.Millisecond,
+		Timeout:       2 * time.Second,
+		CostMS:        5,
+	}
+	flood := &harness.ClaimLoad{
+		Handler:       "file-claim",
+		SendCreatedAt: true,
+		Callers:       72,
+		Repeats:       1,
+		Pause:         10 * time.Millisecond,
+		Timeout:       2 * time.Second,
+		CostMS:        5,
+	}
 	stop := cluster.startLoad(load, 21)
 	random := rand.New(rand.NewPCG(9, 9))
 	diskFaults := []string{"", "", "100ms", "full", "read-only"}
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -18,7 +18,15 @@
 func TestRepeatedStartFailures(t *testing.T) {
 	cluster := newTestCluster(t, 3, 5*time.Millisecond, true)
 	defer cluster.killAll()
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: 20, Repeats: 1, Pause: 5 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	load := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 10,
+		Keys:    20,
+		Repeats: 1,
+		Pause:   5 * time.Millisecond,
+		Timeout: 2 * time.Second,
+		CostMS:  5,
+	}
 	load.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[n>>40%3] })
 	if err := cluster.nodes[0].Kill(); err != nil {
 		t.Fatal(err)
@@ -31,7 +39,15 @@
 	if log := cluster.nodes[0].Log(); !strings.Contains(log, "starts died over it") || !strings.Contains(log, "serving in part") {
 		t.Error(log)
 	}
-	repeated := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: 20, Repeats: 1, Pause: 5 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	repeated := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 10,
+		Keys:    20,
+		Repeats: 1,
+		Pause:   5 * time.Millisecond,
+		Timeout: 2 * time.Second,
+		CostMS:  5,
+	}
 	repeated.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[n>>40%3] }) // the same keys
 	first, _ := load.Verify(cluster.effects())
 	totals := cluster.verify(repeated)
@@ -49,9 +65,25 @@
 func TestDiskLoss(t *testing.T) {
 	cluster := newTestCluster(t, 5, 5*time.Millisecond, true)
 	defer cluster.killAll()
-	before := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Keys: 25, Repeats: 1, Pause: 2 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	before := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 20,
+		Keys:    25,
+		Repeats: 1,
+		Pause:   2 * time.Millisecond,
+		Timeout: 2 * time.Second,
+		CostMS:  5,
+	}
 	before.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[n>>40%5] })
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Repeats: 2, LateShare: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	load := &harness.ClaimLoad{
+		Handler:   "file-claim",
+		Callers:   10,
+		Repeats:   2,
+		LateShare: 0.5,
+		Pause:     10 * time.Millisecond,
+		Timeout:   2 * time.Second,
+		CostMS:    5,
+	}
 	stop := cluster.startLoad(load, 4)
 	node := cluster.nodes[0]
 	if err := node.Kill(); err != nil {
@@ -79,7 +111,15 @@
 	cluster.processors[1].Reset()
 	time.Sleep(time.Second)
 	stop()
-	repeated := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Keys: 25, Repeats: 1, Pause: 2 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	repeated := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 20,
+		Keys:    25,
+		Repeats: 1,
+		Pause:   2 * time.Millisecond,
+		Timeout: 2 * time.Second,
+		CostMS:  5,
+	}
 	repeated.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[[...]int{0, 2, 3, 4}[n>>40%4]] }) // the same keys
 	first, _ := before.Verify(cluster.effects())
 	totals, violations := repeated.Verify(cluster.effects())
@@ -111,7 +151,14 @@
 	}
 	cluster.start(0, 1, 2)
 	runLoad := func(seed uint64, keys int, targets ...int) *harness.ClaimLoad {
-		load := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: keys, Pause: 5 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+		load := &harness.ClaimLoad{
+			Handler: "file-claim",
+			Callers: 10,
+			Keys:    keys,
+			Pause:   5 * time.Millisecond,
+			Timeout: 2 * time.Second,
+			CostMS:  5,
+		}
 		load.Run(t.Context(), seed, func(n uint64) fake.Client { return cluster.clients[targets[n>>40%uint64(len(targets))]] })
 		return load
 	}
@@ -122,7 +169,14 @@
 	if err := cluster.nodes[0].Start(); err != nil {
 		t.Fatal(err)
 	}
-	alone := &harness.ClaimLoad{Handler: "file-claim", Callers: 10, Keys: 1, Pause: 5 * time.Millisecond, Timeout: time.Second, CostMS: 5}
+	alone := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 10,
+		Keys:    1,
+		Pause:   5 * time.Millisecond,
+		Timeout: time.Second,
+		CostMS:  5,
+	}
 	alone.Run(t.Context(), 1, func(uint64) fake.Client { return cluster.clients[0] })
 	if totals, _ := alone.Verify(nil); totals.Served > 0 || totals.OutcomeUnknown > 0 || len(cluster.effects()) > len(before) {
 		t.Errorf("a node with an empty disk, alone, answers or runs claims: %+v", totals)
@@ -183,7 +237,15 @@
 	}
 	cluster.nodes[3].Binary, cluster.nodes[4].Binary = *earlierBinary, *earlierBinary
 	cluster.start(0, 1, 2, 3, 4)
-	load := &harness.ClaimLoad{Handler: "file-claim", Callers: 20, Repeats: 2, LateShare: 0.5, Pause: 10 * time.Millisecond, Timeout: 2 * time.Second, CostMS: 5}
+	load := &harness.ClaimLoad{
+		Handler:   "file-claim",
+		Callers:   20,
+		Repeats:   2,
+		LateShare: 0.5,
+		Pause:     10 * time.Millisecond,
+		Timeout:   2 * time.Second,
+		CostMS:    5,
+	}
 	stop := cluster.startLoad(load, 5)
 	for i := range cluster.nodes {
 		time.Sleep(300 * time.Millisecond)
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -116,7 +116,9 @@
 			s.Fatal(err)
 		}
 		node.KillAfter = soakKillAfter
-		node.Process.StopMS, node.Process.GraceMS, node.Process.MemoryMB = 3700, int(soakGrace.Milliseconds()), soakMemoryMB
+		node.Process.StopMS = 3700
+		node.Process.GraceMS = int(soakGrace.Milliseconds())
+		node.Process.MemoryMB = soakMemoryMB
 		node.Processor.MakesCall = func(id uint64, handler string) bool { return handler != "status" && id%3 == 0 }
 		s.nodes = append(s.nodes, node)
 		s.Cleanup(node.Close)
