--- a/cmd/frosthub/accounting_test.go
+++ b/cmd/frosthub/accounting_test.go
@@ -311,7 +311,8 @@
 	if *costPairs == 0 {
 		t.Skip("asked for by -pairs")
 	}
-	withConf, otherBinary := "figures file FIGURES\nfigures periods 1440 every 1m\nfigures customers 64\n", binary
+	withConf := "figures file FIGURES\nfigures periods 1440 every 1m\nfigures customers 64\n"
+	otherBinary := binary
 	if *bare {
 		withConf = ""
 	}
--- a/cmd/frosthub/idempotency_cost_test.go
+++ b/cmd/frosthub/idempotency_cost_test.go
@@ -20,101 +20,148 @@
 
 var idempotencyPairs = flag.Int("keeppairs", 0, "rounds that measure the cost of the idempotency guard")
 
+// idempotencyCostTime is how long each measurement takes.
+const idempotencyCostTime = 3 * time.Second
+
 // TestIdempotencyCost measures what the idempotency guard costs: CPU time per request, throughput, latency and commits per request, with the guard
 // off, on, with commits gathered, and on a disk whose fsync takes 5 ms; on a processor with two busy cores, and with 32 runs at a time.
 func TestIdempotencyCost(t *testing.T) {
 	if *idempotencyPairs == 0 {
 		t.Skip("asked for by -keeppairs")
 	}
-	type measurement struct {
-		cpu, rate, commits float64
-		p50, p99           time.Duration
+	for _, test := range []idempotencyCost{
+		{"two cores, 4 ms", 2, 4 * time.Millisecond},
+		{"32 cores, 10 ms", 32, 10 * time.Millisecond},
+	} {
+		t.Run(test.name, test.run)
+	}
+}
+
+// idempotencyCost is a processor under which the cost of the idempotency guard is measured.
+type idempotencyCost struct {
+	name  string
+	cores int
+	work  time.Duration
+}
+
+// costMeasurement is the result of one measurement.
+type costMeasurement struct {
+	cpu     float64 // microseconds of CPU time per request; 0 if not measured
+	rate    float64 // requests served per second
+	commits float64 // per request
+	p50     time.Duration
+	p99     time.Duration
+}
+
+func (c idempotencyCost) run(t *testing.T) {
+	const guard = "keep dir KEEP\nkeep handler file-claim by body\n"
+	var ratios, rates []float64
+	for range *idempotencyPairs {
+		off := c.measure(t, "")
+		on := c.measure(t, guard)
+		gathered := c.measure(t, guard+"keep gather 10ms\n")
+		slowDisk := c.measureSlowDisk(t)
+		ratio := on.cpu / off.cpu
+		rate := on.rate / off.rate
+		t.Logf("off %+v\non  %+v\non, commits 10 ms apart %+v\n5ms %+v\ncpu %.3f rate %.3f", off, on, gathered, slowDisk, ratio, rate)
+		ratios = append(ratios, ratio)
+		rates = append(rates, rate)
+	}
+	slices.Sort(ratios)
+	slices.Sort(rates)
+	t.Logf("cpu ratios %.3f, median %.3f; rates %.3f, median %.3f", ratios, ratios[len(ratios)/2], rates, rates[len(rates)/2])
+}
+
+// measure measures a node with the given lines in its operator's file.
+func (c idempotencyCost) measure(t *testing.T, conf string) costMeasurement {
+	t.Helper()
+	node, _ := newIdempotentNode(t, float64(c.cores), constantWork(c.work), conf+"admin listen ADMIN\n")
+	admin, err := harness.FreeAddress()
+	if err != nil {
+		t.Fatal(err)
+	}
+	node.process.Conf = strings.ReplaceAll(node.process.Conf, "ADMIN", admin)
+	node.process.ProcessorCores = c.cores
+	node.start()
+	defer node.kill()
+	waitReady(t, node.process.Listen)
+	before, err := node.process.CPU()
+	if err != nil {
+		t.Fatal(err)
+	}
+	served, latency := c.runLoad(t, node.process.Listen, node.processor)
+	after, err := node.process.CPU()
+	if err != nil {
+		t.Fatal(err)
 	}
-	for _, test := range []struct {
-		name  string
-		cores int
-		work  time.Duration
-	}{{"two cores, 4 ms", 2, 4 * time.Millisecond}, {"32 cores, 10 ms", 32, 10 * time.Millisecond}} {
-		t.Run(test.name, func(t *testing.T) {
-			runLoad := func(address string, processor *fake.Processor) (float64, *hdrhistogram.Histogram) {
-				histogram := hdrhistogram.New(1, 10_000_000, 3)
-				var mu sync.Mutex
-				load := &harness.ClaimLoad{
-					Handler: "file-claim", Callers: 32, Timeout: 3 * time.Second, CostMS: test.work.Seconds() * 1000,
-					OnLatency: func(latency time.Duration) {
-						mu.Lock()
-						defer mu.Unlock()
-						_ = histogram.RecordValue(latency.Microseconds())
-					},
-				}
-				ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
-				defer stop()
-				client := fake.NewFastCGIClient(address)
-				defer client.Close()
-				load.Run(ctx, 1, func(uint64) fake.Client { return client })
-				totals, _ := load.Verify(processor.Effects())
-				return float64(totals.Served), histogram
-			}
-			quantiles := func(result *measurement, histogram *hdrhistogram.Histogram) {
-				result.p50 = time.Duration(histogram.ValueAtQuantile(50)) * time.Microsecond
-				result.p99 = time.Duration(histogram.ValueAtQuantile(99)) * time.Microsecond
-			}
-			measure := func(conf string) (result measurement) {
-				node, _ := newIdempotentNode(t, float64(test.cores), constantWork(test.work), conf+"admin listen ADMIN\n")
-				admin, err := harness.FreeAddress()
-				if err != nil {
-					t.Fatal(err)
-				}
-				node.process.Conf, node.process.ProcessorCores = strings.ReplaceAll(node.process.Conf, "ADMIN", admin), test.cores
-				node.start()
-				waitReady(t, node.process.Listen)
-				before, err := node.process.CPU()
-				if err != nil {
-					t.Fatal(err)
-				}
-				served, histogram := runLoad(node.process.Listen, node.processor)
-				after, err := node.process.CPU()
-				if err != nil {
-					t.Fatal(err)
-				}
-				var stats backend.IdempotencyStats
-				if response, err := http.Get("http://" + admin + "/keep"); err == nil {
-					_ = json.NewDecoder(response.Body).Decode(&stats)
-					_ = response.Body.Close()
-				}
-				node.kill()
-				result = measurement{cpu: float64((after - before).Microseconds()) / served, rate: served / 3, commits: float64(stats.Log.Commits) / served}
-				quantiles(&result, histogram)
-				return result
-			}
-			measureSlowDisk := func() (result measurement) {
-				processor, err := fake.NewProcessor(float64(test.cores), constantWork(test.work))
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer processor.Close()
-				disk := fake.NewDisk()
-				disk.Slow = func(what string, _ int) {
-					if what == "fsync" {
-						time.Sleep(5 * time.Millisecond)
-					}
-				}
-				server, address := startInProcess(t, processor, disk, backend.KeyPartBody, test.cores)
-				served, histogram := runLoad(address, processor)
-				result = measurement{rate: served / 3, commits: float64(server.IdempotencyStats().Log.Commits) / served}
-				quantiles(&result, histogram)
-				return result
-			}
-			var ratios, rates []float64
-			for range *idempotencyPairs {
-				const guard = "keep dir KEEP\nkeep handler file-claim by body\n"
-				off, on, gathered, slowDisk := measure(""), measure(guard), measure(guard+"keep gather 10ms\n"), measureSlowDisk()
-				t.Logf("off %+v\non  %+v\non, commits 10 ms apart %+v\n5ms %+v\ncpu %.3f rate %.3f", off, on, gathered, slowDisk, on.cpu/off.cpu, on.rate/off.rate)
-				ratios, rates = append(ratios, on.cpu/off.cpu), append(rates, on.rate/off.rate)
-			}
-			slices.Sort(ratios)
-			slices.Sort(rates)
-			t.Logf("cpu ratios %.3f, median %.3f; rates %.3f, median %.3f", ratios, ratios[len(ratios)/2], rates, rates[len(rates)/2])
-		})
+	result := newCostMeasurement(served, latency, adminStats(admin))
+	result.cpu = float64((after - before).Microseconds()) / served
+	return result
+}
+
+// adminStats returns a node's idempotency statistics, zero if the node has no guard.
+func adminStats(admin string) backend.IdempotencyStats {
+	var stats backend.IdempotencyStats
+	if response, err := http.Get("http://" + admin + "/keep"); err == nil {
+		_ = json.NewDecoder(response.Body).Decode(&stats)
+		_ = response.Body.Close()
+	}
+	return stats
+}
+
+// measureSlowDisk measures a guard whose disk takes 5 ms to sync.
+func (c idempotencyCost) measureSlowDisk(t *testing.T) costMeasurement {
+	t.Helper()
+	processor, err := fake.NewProcessor(float64(c.cores), constantWork(c.work))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer processor.Close()
+	disk := fake.NewDisk()
+	disk.Slow = func(what string, _ int) {
+		if what == "fsync" {
+			time.Sleep(5 * time.Millisecond)
+		}
+	}
+	server, address := startInProcess(t, processor, disk, backend.KeyPartBody, c.cores)
+	served, latency := c.runLoad(t, address, processor)
+	stats := server.IdempotencyStats()
+	if stats == nil {
+		t.Fatal("the node has no guard")
+	}
+	return newCostMeasurement(served, latency, *stats)
+}
+
+// runLoad sends claims to a node, and returns the number served and their latencies in microseconds.
+func (c idempotencyCost) runLoad(t *testing.T, address string, processor *fake.Processor) (served float64, latency *hdrhistogram.Histogram) {
+	t.Helper()
+	latency = hdrhistogram.New(1, 10_000_000, 3)
+	var mu sync.Mutex
+	load := &harness.ClaimLoad{
+		Handler: "file-claim",
+		Callers: 32,
+		Timeout: 3 * time.Second,
+		CostMS:  c.work.Seconds() * 1000,
+		OnLatency: func(took time.Duration) {
+			mu.Lock()
+			defer mu.Unlock()
+			_ = latency.RecordValue(took.Microseconds())
+		},
+	}
+	ctx, stop := context.WithTimeout(t.Context(), idempotencyCostTime)
+	defer stop()
+	client := fake.NewFastCGIClient(address)
+	defer client.Close()
+	load.Run(ctx, 1, func(uint64) fake.Client { return client })
+	totals, _ := load.Verify(processor.Effects())
+	return float64(totals.Served), latency
+}
+
+func newCostMeasurement(served float64, latency *hdrhistogram.Histogram, stats backend.IdempotencyStats) costMeasurement {
+	return costMeasurement{
+		rate:    served / idempotencyCostTime.Seconds(),
+		commits: float64(stats.Log.Commits) / served,
+		p50:     time.Duration(latency.ValueAtQuantile(50)) * time.Microsecond,
+		p99:     time.Duration(latency.ValueAtQuantile(99)) * time.Microsecond,
 	}
 }
--- a/cmd/frosthub/idempotency_start_test.go
+++ b/cmd/frosthub/idempotency_start_test.go
@@ -105,7 +105,8 @@
 	started := time.Now()
 	client := fake.NewFastCGIClient(node.process.Listen)
 	defer client.Close()
-	first, refused := map[string]time.Duration{}, 0
+	first := map[string]time.Duration{} // time to the first served request, by handler
+	rejected := 0
 	for n := uint64(1); len(first) < 2; n++ {
 		if time.Since(started) > time.Minute {
 			t.Fatal("not served: ", first, node.process.Log())
@@ -120,13 +121,13 @@
 				first[handler] = time.Since(started)
 			case fake.Rejected:
 				if first["status"] > 0 {
-					refused++
+					rejected++
 				}
 			}
 		}
 	}
 	t.Logf("%d keys: replayable served after %s, guarded after %s; %d guarded rejected in between", *idempotencyKeys, first["status"], first["file-claim"],
-		refused)
+		rejected)
 	if !strings.Contains(node.process.Log(), fmt.Sprintf("keys=%d ", *idempotencyKeys)) {
 		t.Error(node.process.Log())
 	}
--- a/cmd/frosthub/restart_test.go
+++ b/cmd/frosthub/restart_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"flag"
 	"fmt"
 	"net"
@@ -104,71 +105,86 @@
 	}
 }
 
-// TestRestarts measures how long a restarted node takes to serve a request: nine in ten must take at most 10 s.
+// maxRestartTime is how long nine in ten restarts may take.
+const maxRestartTime = 10 * time.Second
+
+// TestRestarts measures how long a restarted node takes to serve a request.
 func TestRestarts(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		busy, after bool // all cores are busy; the processor starts after the node
-	}{{"idle", false, false}, {"processor after", false, true}, {"all cores busy", true, false}} {
+		name          string
+		busyCores     bool
+		lateProcessor bool // the processor starts after the node
+	}{
+		{name: "idle"},
+		{name: "processor after", lateProcessor: true},
+		{name: "all cores busy", busyCores: true},
+	} {
 		t.Run(test.name, func(t *testing.T) {
-			done := make(chan struct{})
-			defer close(done)
-			for range runtime.NumCPU() {
-				if test.busy {
-					go func() {
-						for n := 0; ; n++ {
-							select {
-							case <-done:
-								return
-							default:
-							}
-						}
-					}()
-				}
+			if test.busyCores {
+				occupyCores(t)
 			}
 			node := newTestNode(t, 1, constantWork(time.Millisecond), "")
 			var times []time.Duration
 			for i := range *restarts {
-				if test.after {
-					address, err := harness.FreeAddress()
-					if err != nil {
-						t.Fatal(err)
-					}
-					node.process.Processor = address
-				}
-				started := time.Now()
-				if err := node.process.Launch(); err != nil {
-					t.Fatal(err)
-				}
-				if test.after {
-					waitFor(t, "it does not listen", func() bool {
-						conn, err := net.Dial("tcp", node.process.Listen)
-						if err == nil {
-							_ = conn.Close()
-						}
-						return err == nil
-					})
-					processor, err := fake.NewProcessorAt(node.process.Processor, 1, constantWork(time.Millisecond))
-					if err != nil {
-						t.Fatal(err)
-					}
-					t.Cleanup(processor.Close)
-				}
-				waitFor(t, "it does not serve", func() bool { return requestServed(node.process.Listen, uint64(1000+i)) })
-				times = append(times, time.Since(started))
+				times = append(times, timeToServe(t, node, test.lateProcessor, uint64(1000+i)))
+				end := node.process.Kill
 				if i%2 == 0 {
-					if err := node.process.Drain(); err != nil {
-						t.Error(err, node.process.Log())
-					}
-				} else if err := node.process.Kill(); err != nil {
-					t.Error(err)
+					end = node.process.Drain
+				}
+				if err := end(); err != nil {
+					t.Error(err, node.process.Log())
 				}
 			}
 			slices.Sort(times)
-			t.Logf("%d restarts: min %v, median %v, 90th percentile %v, max %v", len(times), times[0], times[len(times)/2], times[len(times)*9/10], times[len(times)-1])
-			if ninetieth := times[(len(times)*9-1)/10]; ninetieth > 10*time.Second {
+			count := len(times)
+			t.Logf("%d restarts: min %v, median %v, 90th percentile %v, max %v", count, times[0], times[count/2], times[count*9/10], times[count-1])
+			if ninetieth := times[(count*9-1)/10]; ninetieth > maxRestartTime {
 				t.Error("nine in ten take", ninetieth)
 			}
 		})
 	}
 }
+
+// occupyCores keeps all cores busy until the end of the test.
+func occupyCores(t *testing.T) {
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	for range runtime.NumCPU() {
+		go func() {
+			for ctx.Err() == nil { // spin
+			}
+		}()
+	}
+}
+
+// timeToServe starts a node, and its processor after it if that is late, and returns how long it takes to serve a request.
+func timeToServe(t *testing.T, node *testNode, lateProcessor bool, id uint64) time.Duration {
+	t.Helper()
+	if lateProcessor {
+		address, err := harness.FreeAddress()
+		if err != nil {
+			t.Fatal(err)
+		}
+		node.process.Processor = address
+	}
+	started := time.Now()
+	if err := node.process.Launch(); err != nil {
+		t.Fatal(err)
+	}
+	if lateProcessor {
+		waitFor(t, "it does not listen", func() bool {
+			conn, err := net.Dial("tcp", node.process.Listen)
+			if err == nil {
+				_ = conn.Close()
+			}
+			return err == nil
+		})
+		processor, err := fake.NewProcessorAt(node.process.Processor, 1, constantWork(time.Millisecond))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(processor.Close)
+	}
+	waitFor(t, "it does not serve", func() bool { return requestServed(node.process.Listen, id) })
+	return time.Since(started)
+}
--- a/cmd/frosthub/upstream_test.go
+++ b/cmd/frosthub/upstream_test.go
@@ -121,132 +121,149 @@
 			}
 		})
 	}
-	t.Run("one stopped", func(t *testing.T) {
-		t.Parallel()
-		upstream := newUpstreamRig(t, 3)
-		upstream.servers[0].Stop()
-		if n := upstream.send(1, 20, "file-claim"); n != 20 {
-			t.Error(n, "of 20 served with one server stopped: ", upstream.process.Log())
-		}
-		if upstream.servers[1].Received()+upstream.servers[2].Received() != 20 {
-			t.Error("the running servers did not receive each call once")
+	t.Run("one stopped", upstreamServerStopped)
+	t.Run("all stopped", upstreamStopped)
+	t.Run("no pong", upstreamWithoutPong)
+	t.Run("random faults", upstreamRandomFaults)
+	t.Run("reload", upstreamReload)
+}
+
+// upstreamServerStopped stops one of three servers: the others get its calls, and it gets calls again after its restart.
+func upstreamServerStopped(t *testing.T) {
+	t.Parallel()
+	upstream := newUpstreamRig(t, 3)
+	upstream.servers[0].Stop()
+	if n := upstream.send(1, 20, "file-claim"); n != 20 {
+		t.Error(n, "of 20 served with one server stopped: ", upstream.process.Log())
+	}
+	if upstream.servers[1].Received()+upstream.servers[2].Received() != 20 {
+		t.Error("the running servers did not receive each call once")
+	}
+	if err := upstream.servers[0].Restart(); err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(10 * time.Second); upstream.servers[0].Received() < 20; {
+		if time.Now().After(end) {
+			t.Fatal("the restarted server receives no calls")
 		}
-		if err := upstream.servers[0].Restart(); err != nil {
+		upstream.send(uint64(time.Now().UnixNano()), 5, "status")
+	}
+}
+
+// upstreamStopped stops all servers: requests fail soon, and are served again after the restart.
+func upstreamStopped(t *testing.T) {
+	t.Parallel()
+	upstream := newUpstreamRig(t, 2)
+	upstream.servers[0].Stop()
+	upstream.servers[1].Stop()
+	start := time.Now()
+	if n := upstream.send(1, 5, "file-claim"); n != 0 || time.Since(start) > 3*time.Second {
+		t.Error(n, "served with all servers stopped, in ", time.Since(start))
+	}
+	for _, server := range upstream.servers {
+		if err := server.Restart(); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(10 * time.Second); upstream.servers[0].Received() < 20; {
-			if time.Now().After(end) {
-				t.Fatal("the restarted server receives no calls")
-			}
-			upstream.send(uint64(time.Now().UnixNano()), 5, "status")
-		}
-	})
-	t.Run("all stopped", func(t *testing.T) {
-		t.Parallel()
-		upstream := newUpstreamRig(t, 2)
-		upstream.servers[0].Stop()
-		upstream.servers[1].Stop()
-		start := time.Now()
-		if n := upstream.send(1, 5, "file-claim"); n != 0 || time.Since(start) > 3*time.Second {
-			t.Error(n, "served with all servers stopped, in ", time.Since(start))
+	}
+	for end := time.Now().Add(10 * time.Second); upstream.send(uint64(time.Now().UnixNano()), 1, "file-claim") == 0; {
+		if time.Now().After(end) {
+			t.Fatal("all servers are restarted and nothing is served")
 		}
-		for _, server := range upstream.servers {
-			if err := server.Restart(); err != nil {
-				t.Fatal(err)
-			}
+	}
+}
+
+// upstreamWithoutPong has a server that does not answer CPing: calls go to the other one.
+func upstreamWithoutPong(t *testing.T) {
+	t.Parallel()
+	upstream := newUpstreamRig(t, 2)
+	upstream.send(1, 4, "file-claim")
+	upstream.servers[0].SetFault(fake.NoPong)
+	time.Sleep(1100 * time.Millisecond) // connections idle for over a second are pinged first
+	if n := upstream.send(10, 6, "file-claim"); n < 5 {
+		t.Error(n, "of 6 served beside a server that does not answer CPing")
+	}
+	if upstream.servers[0].Pings() == 0 {
+		t.Error("no CPing was sent")
+	}
+	for id, n := range upstream.callCounts() {
+		if n > 1 {
+			t.Errorf("the call of claim %d ran %d times", id, n)
 		}
-		for end := time.Now().Add(10 * time.Second); upstream.send(uint64(time.Now().UnixNano()), 1, "file-claim") == 0; {
-			if time.Now().After(end) {
-				t.Fatal("all servers are restarted and nothing is served")
+	}
+}
+
+// upstreamRandomFaults draws faults for a tenth of the calls: no call of a claim runs twice.
+func upstreamRandomFaults(t *testing.T) {
+	t.Parallel()
+	upstream := newUpstreamRig(t, 4)
+	for i, server := range upstream.servers {
+		server.Fault = func(id uint64) fake.Fault { // for a tenth of the calls, another at each server
+			if hash := (id ^ id>>17) * 2654435761 >> uint(3*i); hash%10 == 0 {
+				return []fake.Fault{fake.ResetBefore, fake.ResetAfter, fake.TruncatedResponse, fake.WrongLength, fake.Rejects}[hash/10%5]
 			}
+			return fake.NoFault
 		}
-	})
-	t.Run("no pong", func(t *testing.T) {
-		t.Parallel()
-		upstream := newUpstreamRig(t, 2)
-		upstream.send(1, 4, "file-claim")
-		upstream.servers[0].SetFault(fake.NoPong)
-		time.Sleep(1100 * time.Millisecond) // connections idle for over a second are pinged first
-		if n := upstream.send(10, 6, "file-claim"); n < 5 {
-			t.Error(n, "of 6 served beside a server that does not answer CPing")
-		}
-		if upstream.servers[0].Pings() == 0 {
-			t.Error("no CPing was sent")
-		}
-		for id, n := range upstream.callCounts() {
-			if n > 1 {
-				t.Errorf("the call of claim %d ran %d times", id, n)
-			}
+	}
+	rate := 300.0
+	ctx, stop := context.WithTimeout(t.Context(), time.Duration(float64(*upstreamCalls)/rate*float64(time.Second)))
+	defer stop()
+	tally := fake.NewTally()
+	fake.OpenLoad{
+		Rate: rate, Handlers: []string{"file-claim", "status"}, CostMS: 1, Target: time.Second, Timeout: 4 * time.Second,
+		Body: "x",
+	}.Run(ctx, 9, tally, func(uint64) fake.Client { return upstream.client })
+	calls := 0
+	duplicates := 0
+	claims := upstream.processor.Handlers()
+	for id, n := range upstream.callCounts() {
+		if claims[id] == "file-claim" && n > 1 {
+			t.Errorf("the call of claim %d ran %d times", id, n)
 		}
-	})
-	t.Run("random faults", func(t *testing.T) {
-		t.Parallel()
-		upstream := newUpstreamRig(t, 4)
-		for i, server := range upstream.servers {
-			server.Fault = func(id uint64) fake.Fault { // for a tenth of the calls, another at each server
-				if hash := (id ^ id>>17) * 2654435761 >> uint(3*i); hash%10 == 0 {
-					return []fake.Fault{fake.ResetBefore, fake.ResetAfter, fake.TruncatedResponse, fake.WrongLength, fake.Rejects}[hash/10%5]
-				}
-				return fake.NoFault
-			}
+		calls++
+		if n > 1 {
+			duplicates++
 		}
-		rate := 300.0
-		ctx, stop := context.WithTimeout(t.Context(), time.Duration(float64(*upstreamCalls)/rate*float64(time.Second)))
-		defer stop()
-		tally := fake.NewTally()
+	}
+	asked := len(tally.All())
+	t.Logf("%d requests, %d served; %d calls ran, %d of reads twice", asked, tally.Count(fake.Served), calls, duplicates)
+	if tally.Count(fake.Served) < asked*80/100 || tally.Count(fake.Wrong) > 0 {
+		t.Error(upstream.process.Log())
+	}
+}
+
+// upstreamReload removes and adds servers by reloads under load: requests are served all the while.
+func upstreamReload(t *testing.T) {
+	t.Parallel()
+	upstream := newUpstreamRig(t, 3)
+	ctx, stop := context.WithCancel(t.Context())
+	tally := fake.NewTally()
+	loaded := make(chan struct{})
+	go func() {
 		fake.OpenLoad{
-			Rate: rate, Handlers: []string{"file-claim", "status"}, CostMS: 1, Target: time.Second, Timeout: 4 * time.Second,
+			Rate: 150, Handlers: []string{"file-claim"}, CostMS: 1, Target: time.Second, Timeout: 4 * time.Second,
 			Body: "x",
-		}.Run(ctx, 9, tally, func(uint64) fake.Client { return upstream.client })
-		once, duplicates := 0, 0
-		claims := upstream.processor.Handlers()
-		for id, n := range upstream.callCounts() {
-			if claims[id] == "file-claim" && n > 1 {
-				t.Errorf("the call of claim %d ran %d times", id, n)
-			}
-			if once++; n > 1 {
-				duplicates++
-			}
-		}
-		asked := len(tally.All())
-		t.Logf("%d requests, %d served; %d calls ran, %d of reads twice", asked, tally.Count(fake.Served), once, duplicates)
-		if tally.Count(fake.Served) < asked*80/100 || tally.Count(fake.Wrong) > 0 {
-			t.Error(upstream.process.Log())
-		}
-	})
-	t.Run("reload", func(t *testing.T) {
-		t.Parallel()
-		upstream := newUpstreamRig(t, 3)
-		ctx, stop := context.WithCancel(t.Context())
-		tally := fake.NewTally()
-		loaded := make(chan struct{})
-		go func() {
-			fake.OpenLoad{
-				Rate: 150, Handlers: []string{"file-claim"}, CostMS: 1, Target: time.Second, Timeout: 4 * time.Second,
-				Body: "x",
-			}.Run(ctx, 5, tally, func(uint64) fake.Client { return upstream.client })
-			close(loaded)
-		}()
-		for i := range 6 { // one server is removed from the file, another is added again
-			time.Sleep(200 * time.Millisecond)
-			remaining := append(append([]*fake.AJPServer{}, upstream.servers[:i%3]...), upstream.servers[i%3+1:]...)
-			if err := os.WriteFile(filepath.Join(upstream.process.Dir, "frosthub.conf"), []byte(upstream.conf(remaining)), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			if err := upstream.process.Signal(syscall.SIGHUP); err != nil {
-				t.Fatal(err)
-			}
+		}.Run(ctx, 5, tally, func(uint64) fake.Client { return upstream.client })
+		close(loaded)
+	}()
+	for i := range 6 { // one server is removed from the file, another is added again
+		time.Sleep(200 * time.Millisecond)
+		remaining := append(append([]*fake.AJPServer{}, upstream.servers[:i%3]...), upstream.servers[i%3+1:]...)
+		if err := os.WriteFile(filepath.Join(upstream.process.Dir, "frosthub.conf"), []byte(upstream.conf(remaining)), 0o600); err != nil {
+			t.Fatal(err)
 		}
-		stop()
-		<-loaded
-		outcomes := tally.All()
-		if n := tally.Count(fake.Served); n < len(outcomes)*98/100 {
-			t.Errorf("%d of %d are served over six reloads: %s", n, len(outcomes), upstream.process.Log())
+		if err := upstream.process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
 		}
-		for id, n := range upstream.callCounts() {
-			if n > 1 {
-				t.Errorf("the call of claim %d ran %d times", id, n)
-			}
+	}
+	stop()
+	<-loaded
+	outcomes := tally.All()
+	if n := tally.Count(fake.Served); n < len(outcomes)*98/100 {
+		t.Errorf("%d of %d are served over six reloads: %s", n, len(outcomes), upstream.process.Log())
+	}
+	for id, n := range upstream.callCounts() {
+		if n > 1 {
+			t.Errorf("the call of claim %d ran %d times", id, n)
 		}
-	})
+	}
 }
