--- a/internal/fake/ajp_server.go
+++ b/internal/fake/ajp_server.go
@@ -16,7 +16,6 @@
 // The faults.
 const (
 	NoFault           Fault = iota
-	TenTimesSlower          // the call takes ten times as long
 	NeverResponds           // the call runs; no response
 	ResetBefore             // the call does not run; the connection ends
 	ResetAfter              // the call runs; the connection ends
@@ -189,12 +188,8 @@
 		s.runs[id]++
 	}
 	s.mu.Unlock()
-	work := s.Work
-	if fault == TenTimesSlower {
-		work *= 10
-	}
 	if fault.runs() {
-		time.Sleep(work)
+		time.Sleep(s.Work)
 	}
 }
 
--- a/internal/fake/processor.go
+++ b/internal/fake/processor.go
@@ -16,7 +16,6 @@
 type Processor struct {
 	Cores     float64
 	Work      func(id uint64, handler string) time.Duration // time a run takes on one core
-	Knows     func(id uint64) bool                          // whether a request's commands are accepted; nil: always
 	MakesCall func(id uint64, handler string) bool          // whether a run begins with an upstream call; nil: never
 
 	listener net.Listener
@@ -82,11 +81,6 @@
 func (p *Processor) Close() {
 	_ = p.listener.Close()
 	close(p.done)
-	p.Break()
-}
-
-// Break closes the connection; runs go on.
-func (p *Processor) Break() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
--- a/internal/fake/processor_protocol.go
+++ b/internal/fake/processor_protocol.go
@@ -64,16 +64,10 @@
 	case "hello":
 		p.greet(words[1])
 	case "begin":
-		if p.reject(id, words) {
-			return
-		}
 		p.start(id, words[2], body)
 	case "answer":
 		p.endCall(id)
 	case "interrupt":
-		if p.reject(id, words) {
-			return
-		}
 		p.interrupt(id)
 	case "usage":
 		p.advance()
@@ -98,15 +92,6 @@
 	}
 }
 
-// reject rejects a command for a request that the processor does not know, and reports whether it did.
-func (p *Processor) reject(id uint64, words []string) bool {
-	if p.Knows == nil || p.Knows(id) {
-		return false
-	}
-	p.reply("reject %s %s", words[0], words[1])
-	return true
-}
-
 // reply writes a line to the node.
 func (p *Processor) reply(format string, args ...any) {
 	_, _ = fmt.Fprintf(p.conn, format+"\r\n", args...)
