--- a/cmd/frosthub/restart_test.go
+++ b/cmd/frosthub/restart_test.go
@@ -41,6 +41,7 @@
 	if err := node.process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
+	waitFor(t, "the program does not handle the signal", func() bool { return handledSignals(t, node.process.PID()) })
 	text, err := node.process.Config()
 	if err != nil {
 		t.Fatal(err)
@@ -57,6 +58,37 @@
 	}
 }
 
+// handledSignals reports whether a process has no signal pending and all of its threads sleep: then it has done all that a signal leads
+// to until it hears of something else.
+func handledSignals(t *testing.T, pid int) bool {
+	t.Helper()
+	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
+	if err != nil || len(threads) == 0 {
+		t.Fatal("no threads: ", err)
+	}
+	for _, thread := range threads {
+		status, err := os.ReadFile(thread)
+		if err != nil {
+			return false // the thread has just ended
+		}
+		for line := range strings.Lines(string(status)) {
+			name, value, _ := strings.Cut(strings.TrimSpace(line), ":")
+			value = strings.TrimSpace(value)
+			switch name {
+			case "State":
+				if !strings.HasPrefix(value, "S") {
+					return false
+				}
+			case "SigPnd", "ShdPnd":
+				if strings.Trim(value, "0") != "" {
+					return false
+				}
+			}
+		}
+	}
+	return true
+}
+
 // TestDescriptorExhaustion takes the process's file descriptors away three times: it goes on at little cost, and serves again once there are some.
 func TestDescriptorExhaustion(t *testing.T) {
 	t.Parallel()
