--- a/backend/main.go
+++ b/backend/main.go
@@ -34,6 +34,8 @@
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1) // first of all: unhandled they end the process
 	defer signal.Stop(signals)
+	// Both stay caught until the process has exited, also after stop: one that comes while Main returns changes nothing.
+	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM, syscall.SIGINT)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // a second one changes nothing
 	defer stop()
 	cfg, err := loadAtStart(ctx, configure)
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -1,7 +1,9 @@
 package main
 
 import (
+	"encoding/json"
 	"flag"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -194,6 +196,7 @@
 		out, _ := exec.Command(binary, append(append([]string{"recovery"}, args...), "--admin", admin[i])...).CombinedOutput()
 		return string(out)
 	}
+	waitFor(t, "n1 does not hear n2", func() bool { return believedAlive(t, admin[0], "n2") })
 	if out := recovery(0, "forget", "n2", "--yes"); !strings.Contains(out, "alive") {
 		t.Error("a live node is forgotten: ", out)
 	}
@@ -222,6 +225,28 @@
 	}
 }
 
+// believedAlive reports whether the node with that admin address takes another one for alive.
+func believedAlive(t *testing.T, admin, name string) bool {
+	t.Helper()
+	response, err := http.Get("http://" + admin + "/cluster")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = response.Body.Close() }()
+	var stats struct {
+		Members []struct{ Name, State string }
+	}
+	if err := json.NewDecoder(response.Body).Decode(&stats); err != nil {
+		t.Fatal(err)
+	}
+	for _, member := range stats.Members {
+		if member.Name == name {
+			return member.State == "alive"
+		}
+	}
+	return false
+}
+
 var earlierBinary = flag.String("earlier", "", "an earlier program with clusters, for fleets of two versions")
 
 // TestMixedVersions runs an earlier program on two nodes of five while nodes are killed and one loses its disk: no claim runs twice, and the node
