--- a/accounting/apply.go
+++ b/accounting/apply.go
@@ -42,9 +42,9 @@
 	switch entry.Kind {
 	case EntryOpen:
 		l.applyOpen(&entry)
-	case EntryAnswer:
+	case EntryResponseWritten:
 		l.applyAnswer(&entry)
-	case EntrySent:
+	case EntryResponseSent:
 		l.closeSlot(entry.Slot, l.requests[entry.Slot].reason, entry.At)
 	case EntryClose:
 		l.closeSlot(entry.Slot, entry.Reason, entry.At)
@@ -62,9 +62,9 @@
 	case EntryOpen:
 		known := int(entry.Handler) < len(l.handlers) && entry.Frontend < frontendCount
 		return known && entry.Slot < maxOpenSlots && entry.Kind.allowedIn(l.stateOf(entry.Slot))
-	case EntryAnswer, EntryClose:
+	case EntryResponseWritten, EntryClose:
 		return entry.Reason.Category() != 0 && entry.Kind.allowedIn(l.stateOf(entry.Slot))
-	case EntrySent:
+	case EntryResponseSent:
 		return entry.Kind.allowedIn(l.stateOf(entry.Slot))
 	case EntryFlush, EntryMismatch:
 		return true
@@ -113,7 +113,7 @@
 // countOpened counts a request that was received.
 func (l *Ledger) countOpened(request *openRequest) {
 	row := rowIndex(request.handler, request.frontend)
-	cell := cellIndex(row, None)
+	cell := cellIndex(row, NoReason)
 	l.cells[cell]++
 	l.periods.add(cell, 1)
 	l.total.addOpened()
--- a/accounting/audit.go
+++ b/accounting/audit.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// Compare compares the ledger's open requests with what the node itself takes for open. forEach calls its argument once
+// CompareOpenRequests compares the ledger's open requests with what the node itself takes for open. forEach calls its argument once
 // for each of those, with the ticket and the id of the request.
-func (l *Ledger) Compare(at time.Duration, forEach func(isOpen func(ticket Ticket, id uint64))) {
+func (l *Ledger) CompareOpenRequests(at time.Duration, forEach func(isOpen func(ticket Ticket, id uint64))) {
 	l.comparison++
 	openInNode := int64(0)
 	forEach(func(ticket Ticket, id uint64) {
--- a/accounting/cells.go
+++ b/accounting/cells.go
@@ -101,7 +101,7 @@
 	if handler >= maxHandlerRows || frontend >= frontendCount || reason >= reasonCount {
 		return 0, ErrCorrupt
 	}
-	if reason != uint64(None) && Reason(reason).Category() == 0 {
+	if reason != uint64(NoReason) && Reason(reason).Category() == 0 {
 		return 0, ErrCorrupt
 	}
 	return cellIndex(rowIndex(uint16(handler), Frontend(frontend)), Reason(reason)), nil
--- a/accounting/decode.go
+++ b/accounting/decode.go
@@ -265,7 +265,7 @@
 		case incarnationLastEntry:
 			incarnation.LastEntry = time.Duration(f.value)
 		case incarnationEnding:
-			incarnation.Ending = Ending(min(f.value, uint64(Rebooted)))
+			incarnation.State = IncarnationState(min(f.value, uint64(Rebooted)))
 		case incarnationUncertain:
 			incarnation.Uncertain = int64(f.value)
 		case incarnationUncertainIDs:
--- a/accounting/encode.go
+++ b/accounting/encode.go
@@ -85,7 +85,7 @@
 		b = appendInt(b, incarnationBoot, incarnation.Boot)
 		b = appendInt(b, incarnationStarted, incarnation.Started)
 		b = appendInt(b, incarnationLastEntry, incarnation.LastEntry)
-		b = appendUint(b, incarnationEnding, uint64(incarnation.Ending))
+		b = appendUint(b, incarnationEnding, uint64(incarnation.State))
 		b = appendInt(b, incarnationUncertain, incarnation.Uncertain)
 		for _, id := range incarnation.UncertainIDs {
 			b = appendFixed(b, incarnationUncertainIDs, id)
@@ -94,8 +94,8 @@
 	})
 }
 
-// SnapshotSize returns how long a snapshot of the ledger can be with so many open requests, in bytes.
-func (l *Ledger) SnapshotSize(open int) int {
+// MaxSnapshotSize returns how long a snapshot of the ledger can be with so many open requests, in bytes.
+func (l *Ledger) MaxSnapshotSize(open int) int {
 	const (
 		fixedSize       = 4096
 		cellCopies      = 3 // the total, the current period, the expired periods
--- a/accounting/entry.go
+++ b/accounting/entry.go
@@ -12,12 +12,12 @@
 
 // The kinds of entries.
 const (
-	EntryOpen     EntryKind = iota + 1 // a request was received
-	EntryAnswer                        // its final response is written, and still to be handed to the operating system
-	EntrySent                          // the last byte of the response was handed over: the request is closed
-	EntryClose                         // the request is closed otherwise
-	EntryFlush                         // handing over responses that were left begins (Slot is flushBegins) or ends (0)
-	EntryMismatch                      // counts were found that do not add up
+	EntryOpen            EntryKind = iota + 1 // a request was received
+	EntryResponseWritten                      // its final response is written, and still to be handed to the operating system
+	EntryResponseSent                         // the last byte of the response was handed over: the request is closed
+	EntryClose                                // the request is closed otherwise
+	EntryFlush                                // handing over responses that were left begins (Slot is flushBegins) or ends (0)
+	EntryMismatch                             // counts were found that do not add up
 )
 
 // flushBegins is the Slot of an EntryFlush that begins.
@@ -26,12 +26,12 @@
 // entryKindNames are the words of the kinds in trails.
 var entryKindNames = [...]string{
 	"none",
-	EntryOpen:     "open",
-	EntryAnswer:   "answer",
-	EntrySent:     "sent",
-	EntryClose:    "close",
-	EntryFlush:    "flush",
-	EntryMismatch: "differ",
+	EntryOpen:            "open",
+	EntryResponseWritten: "answer",
+	EntryResponseSent:    "sent",
+	EntryClose:           "close",
+	EntryFlush:           "flush",
+	EntryMismatch:        "differ",
 }
 
 // String returns the kind's word.
@@ -60,7 +60,7 @@
 	switch e.Kind {
 	case EntryOpen:
 		return fmt.Sprintf("%d:open(%d,%016x)", e.Seq, e.Slot, e.ID)
-	case EntryAnswer, EntryClose:
+	case EntryResponseWritten, EntryClose:
 		return fmt.Sprintf("%d:%s(%d,%s)", e.Seq, e.Kind, e.Slot, e.Reason)
 	}
 	return fmt.Sprintf("%d:%s(%d)", e.Seq, e.Kind, e.Slot)
--- a/accounting/incarnation.go
+++ b/accounting/incarnation.go
@@ -10,15 +10,15 @@
 // bootTolerance is how far the time of one boot may seem to move: it is derived from a clock that is adjusted at times.
 const bootTolerance = time.Minute
 
-// Ending tells how an incarnation ended. The numbers are stored.
-type Ending uint8
+// IncarnationState tells how an incarnation ended. The numbers are stored.
+type IncarnationState uint8
 
 // The endings.
 const (
-	Running  Ending = iota // it runs, or nothing is known of its end yet
-	Exited                 // it exited in order and recorded that
-	Killed                 // it ended without recording it
-	Rebooted               // the same, and the machine has restarted since: what was not on disk is lost
+	Running  IncarnationState = iota // it runs, or nothing is known of its end yet
+	Exited                           // it exited in order and recorded that
+	Killed                           // it ended without recording it
+	Rebooted                         // the same, and the machine has restarted since: what was not on disk is lost
 )
 
 // endingNames are the words of the endings in reports.
@@ -30,19 +30,19 @@
 }
 
 // String returns the ending's word.
-func (e Ending) String() string { return endingNames[min(e, Rebooted)] }
+func (e IncarnationState) String() string { return endingNames[min(e, Rebooted)] }
 
 // Incarnation is one process of a node: its number, when it ran, how it ended, and what became of the requests it
 // received. The JSON keys are read by scripts: they stay as they are.
 type Incarnation struct {
 	Counts
-	Number       uint64        `json:"Number"`
-	Boot         time.Duration `json:"Boot"` // when the machine started, by its clock
-	Started      time.Duration `json:"Started"`
-	LastEntry    time.Duration `json:"Last"`
-	Ending       Ending        `json:"Ending"`
-	Uncertain    int64         `json:"Doubted"` // requests whose response may have been delivered or not
-	UncertainIDs []uint64      `json:"Doubt"`   // the ids of the first maxUncertainIDs of them
+	Number       uint64           `json:"Number"`
+	Boot         time.Duration    `json:"Boot"` // when the machine started, by its clock
+	Started      time.Duration    `json:"Started"`
+	LastEntry    time.Duration    `json:"Last"`
+	State        IncarnationState `json:"Ending"`
+	Uncertain    int64            `json:"Doubted"` // requests whose response may have been delivered or not
+	UncertainIDs []uint64         `json:"Doubt"`   // the ids of the first maxUncertainIDs of them
 }
 
 // Rebooted reports whether the machine, which started at boot, has restarted since the incarnation ran.
@@ -84,7 +84,7 @@
 // running reports whether the last incarnation has not been ended.
 func (il *incarnationList) running() bool {
 	last := il.last()
-	return last != nil && last.Ending == Running
+	return last != nil && last.State == Running
 }
 
 // add appends a new incarnation. The oldest one makes room for it if necessary.
@@ -112,14 +112,14 @@
 		if l.incarnations.last().Rebooted(boot) {
 			ending = Rebooted
 		}
-		l.CloseAll(OpenAtKill, ending)
+		l.EndIncarnation(OpenAtKill, ending)
 	}
 	l.incarnations.add(at, boot)
 }
 
-// CloseAll ends the present incarnation: it closes all open requests, those whose response was being handed over as
+// EndIncarnation ends the present incarnation: it closes all open requests, those whose response was being handed over as
 // DeliveryUnknown, the others for the given reason.
-func (l *Ledger) CloseAll(reason Reason, ending Ending) {
+func (l *Ledger) EndIncarnation(reason Reason, ending IncarnationState) {
 	incarnation := l.incarnations.current()
 	for slot := range l.requests {
 		request := &l.requests[slot]
@@ -138,6 +138,6 @@
 		}
 		l.commit(entry)
 	}
-	l.Flush(incarnation.LastEntry, false)
-	incarnation.Ending = ending
+	l.SetFlushing(incarnation.LastEntry, false)
+	incarnation.State = ending
 }
--- a/accounting/ledger.go
+++ b/accounting/ledger.go
@@ -111,22 +111,22 @@
 	l.periods = newPeriodRing(l.cfg, len(l.cells))
 }
 
-// Handler returns the number of the handler of that name. Unknown names share one number.
-func (l *Ledger) Handler(name string) uint16 {
+// HandlerIndex returns the number of the handler of that name. Unknown names share one number.
+func (l *Ledger) HandlerIndex(name string) uint16 {
 	return uint16(max(0, slices.Index(l.handlers, name)))
 }
 
 // Total returns the counts of all requests.
 func (l *Ledger) Total() Counts { return l.total }
 
-// Mismatches returns how often counts were found that do not add up, in all processes that the ledger knows.
-func (l *Ledger) Mismatches() int64 { return l.mismatches }
+// MismatchCount returns how often counts were found that do not add up, in all processes that the ledger knows.
+func (l *Ledger) MismatchCount() int64 { return l.mismatches }
 
 // Seq returns the sequence number of the last entry.
 func (l *Ledger) Seq() uint64 { return l.seq }
 
-// RecordEntries sets whether the ledger retains its entries until they are taken. Turning it off drops those it retains.
-func (l *Ledger) RecordEntries(keep bool) {
+// SetRecording sets whether the ledger retains its entries until they are taken. Turning it off drops those it retains.
+func (l *Ledger) SetRecording(keep bool) {
 	l.recording = keep
 	if !keep {
 		l.pending = nil
--- a/accounting/ledger_test.go
+++ b/accounting/ledger_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	ledger.StartIncarnation(time.Hour, time.Minute)
-	ledger.RecordEntries(true)
+	ledger.SetRecording(true)
 	return ledger
 }
 
@@ -50,24 +50,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := newLedger(t, testConfig)
-			ticket := ledger.Open(time.Hour, 7, ledger.Handler("status"), FastCGI, NewCustomerName([]byte("a")))
+			ticket := ledger.Open(time.Hour, 7, ledger.HandlerIndex("status"), FastCGI, NewCustomerName([]byte("a")))
 			ledger.Audit(time.Hour)
-			if ledger.Mismatches() != 0 {
+			if ledger.MismatchCount() != 0 {
 				t.Fatal("mismatches in a correct ledger:", ledger.TakeMismatches())
 			}
 			corruptCounts(ledger)
 			ledger.Audit(time.Hour)
-			recorded := ledger.Mismatches()
+			recorded := ledger.MismatchCount()
 			found := ledger.TakeMismatches()
 			if recorded == 0 || len(found) == 0 || found[0].Left == found[0].Right || found[0].Trail != "1:open(0,0000000000000007)" {
 				t.Error("not found:", recorded, found)
 			}
 			ledger.Audit(time.Hour)
-			if ledger.Mismatches() != recorded {
+			if ledger.MismatchCount() != recorded {
 				t.Error("recorded again")
 			}
 			ledger.Close(time.Hour, ticket, Aborted)
-			ledger.Compare(time.Hour, func(isOpen func(Ticket, uint64)) { isOpen(ticket, 7) })
+			ledger.CompareOpenRequests(time.Hour, func(isOpen func(Ticket, uint64)) { isOpen(ticket, 7) })
 			found = ledger.TakeMismatches()
 			if len(found) == 0 || found[len(found)-1].What != "requests open in the ledger and in the node" {
 				t.Error("a request that is open in the node alone:", found)
@@ -85,8 +85,8 @@
 	for i, step := range []time.Duration{0, 500, 600, -200, -3600_000, 10, 900, 7200_000, 10, 5000} {
 		at += step * time.Millisecond
 		ticket := ledger.Open(at, uint64(i), 1, FastCGI, CustomerName{})
-		ledger.Answer(at, ticket, Completed)
-		ledger.Sent(at, ticket)
+		ledger.ResponseWritten(at, ticket, Completed)
+		ledger.ResponseSent(at, ticket)
 		ledger.Audit(at)
 	}
 	var got []string
@@ -97,7 +97,7 @@
 		if err != nil || addCells(cells, period.cells) != nil {
 			t.Fatal(err)
 		}
-		received := cells[cellIndex(rowIndex(1, FastCGI), None)]
+		received := cells[cellIndex(rowIndex(1, FastCGI), NoReason)]
 		got = append(got, fmt.Sprint(number, ": ", period.start, " for ", period.length, ": ", received))
 	}
 	want := []string{
@@ -147,10 +147,10 @@
 	request := func() {
 		id++
 		ticket := ledger.Open(time.Hour, id, 1, FastCGI, NewCustomerName([]byte{byte(id), byte(id >> 8)}))
-		ledger.Answer(time.Hour, ticket, Completed)
-		ledger.Flush(time.Hour, true)
-		ledger.Sent(time.Hour, ticket)
-		ledger.Flush(time.Hour, false)
+		ledger.ResponseWritten(time.Hour, ticket, Completed)
+		ledger.SetFlushing(time.Hour, true)
+		ledger.ResponseSent(time.Hour, ticket)
+		ledger.SetFlushing(time.Hour, false)
 		ledger.TakeEntries(func([]Entry) {})
 	}
 	request()
@@ -166,10 +166,10 @@
 		at := time.Hour + time.Duration(i)*time.Second
 		ticket := ledger.Open(at, uint64(i), uint16(i%3), Frontend(i%2), NewCustomerName([]byte{byte(i)}))
 		if i%4 > 0 {
-			ledger.Answer(2*time.Hour, ticket, Completed)
+			ledger.ResponseWritten(2*time.Hour, ticket, Completed)
 		}
 		if i%4 > 1 {
-			ledger.Sent(2*time.Hour, ticket)
+			ledger.ResponseSent(2*time.Hour, ticket)
 		}
 	}
 	first, _ := ledger.Periods()
@@ -198,8 +198,8 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		ticket := ledger.Open(time.Hour, uint64(i), 1, FastCGI, name)
-		ledger.Answer(time.Hour, ticket, Completed)
-		ledger.Sent(time.Hour, ticket)
+		ledger.ResponseWritten(time.Hour, ticket, Completed)
+		ledger.ResponseSent(time.Hour, ticket)
 		ledger.TakeEntries(func([]Entry) {})
 	}
 }
--- a/accounting/model_test.go
+++ b/accounting/model_test.go
@@ -42,7 +42,7 @@
 func (m *model) opened(ticket Ticket, request modelRequest) {
 	m.requests[ticket] = request
 	m.open = append(m.open, ticket)
-	m.cells[cellName(request.handler, request.frontend, None)]++
+	m.cells[cellName(request.handler, request.frontend, NoReason)]++
 	m.total.addOpened()
 }
 
@@ -86,7 +86,7 @@
 	case step < 9 && len(r.closed) > 0:
 		r.closeAgain(t)
 	default:
-		r.ledger.Flush(r.at, rapid.Bool().Draw(t, "begins"))
+		r.ledger.SetFlushing(r.at, rapid.Bool().Draw(t, "begins"))
 	}
 	r.ledger.TakeEntries(func(entries []Entry) { r.since = append(r.since, entries...) })
 	if rapid.IntRange(0, 30).Draw(t, "snapshot") == 0 {
@@ -108,7 +108,7 @@
 	ticket := rapid.SampledFrom(r.open).Draw(t, "request")
 	reason := modelReasons.Draw(t, "reason")
 	_, twice := r.answers[ticket]
-	if r.ledger.Answer(r.at, ticket, reason) == twice {
+	if r.ledger.ResponseWritten(r.at, ticket, reason) == twice {
 		t.Fatal("a request is answered once")
 	}
 	if twice {
@@ -121,7 +121,7 @@
 func (r *modelRun) sendResponse(t *rapid.T) {
 	ticket := rapid.SampledFrom(r.open).Draw(t, "request")
 	reason, isAnswered := r.answers[ticket]
-	if r.ledger.Sent(r.at, ticket) != isAnswered {
+	if r.ledger.ResponseSent(r.at, ticket) != isAnswered {
 		t.Fatal("a response is sent if, and only if, the request was answered")
 	}
 	if !isAnswered {
@@ -159,12 +159,12 @@
 // checkCounts compares the ledger with the model.
 func (r *modelRun) checkCounts(t *rapid.T) {
 	r.ledger.Audit(r.at)
-	r.ledger.Compare(r.at, func(isOpen func(Ticket, uint64)) {
+	r.ledger.CompareOpenRequests(r.at, func(isOpen func(Ticket, uint64)) {
 		for _, ticket := range r.open {
 			isOpen(ticket, r.requests[ticket].id)
 		}
 	})
-	mismatches := r.ledger.Mismatches()
+	mismatches := r.ledger.MismatchCount()
 	tooMany := mismatches > r.notAllowed
 	unnoticed := r.notAllowed > 0 && len(r.ledger.knownGaps) == 0
 	if r.ledger.Total() != r.total || tooMany || unnoticed {
@@ -240,7 +240,7 @@
 			periods: map[uint64][]byte{},
 		}
 		ledger.StartIncarnation(run.at, time.Minute)
-		ledger.RecordEntries(true)
+		ledger.SetRecording(true)
 		run.snapshot = ledger.AppendSnapshot(nil)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			run.step(t)
--- a/accounting/period.go
+++ b/accounting/period.go
@@ -98,8 +98,8 @@
 	return l.periods.encoded[l.periods.slot(number)]
 }
 
-// PeriodSize returns how long an encoded period can be, in bytes.
-func (l *Ledger) PeriodSize() int {
+// MaxPeriodSize returns how long an encoded period can be, in bytes.
+func (l *Ledger) MaxPeriodSize() int {
 	const startAndLength = 32
 	return startAndLength + maxCellSize*len(l.cells)
 }
--- a/accounting/reason.go
+++ b/accounting/reason.go
@@ -29,8 +29,8 @@
 // Reason tells why a request was closed. The numbers are stored: none is ever given another meaning.
 type Reason uint8
 
-// None is no reason. In the counts by reason it stands for the requests received.
-const None Reason = 0
+// NoReason is no reason. In the counts by reason it stands for the requests received.
+const NoReason Reason = 0
 
 // Reasons of served requests.
 const (
@@ -150,5 +150,5 @@
 			return Reason(reason)
 		}
 	}
-	return None
+	return NoReason
 }
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -81,7 +81,7 @@
 func reasonsOf(cells []int64) map[string]int64 {
 	reasons := map[string]int64{}
 	for reason, n := range cells {
-		if n != 0 && Reason(reason) != None {
+		if n != 0 && Reason(reason) != NoReason {
 			reasons[Reason(reason).String()] = n
 		}
 	}
--- a/accounting/request.go
+++ b/accounting/request.go
@@ -37,9 +37,9 @@
 	switch k {
 	case EntryOpen:
 		return state == slotFree
-	case EntryAnswer:
+	case EntryResponseWritten:
 		return state == awaitingAnswer
-	case EntrySent:
+	case EntryResponseSent:
 		return state == answered
 	case EntryClose:
 		return state != slotFree
@@ -79,16 +79,16 @@
 	return Ticket{slot: slot, generation: l.requests[slot].generation}
 }
 
-// Answer records that the final response is written, with its reason. The request stays open until Sent or Close. It
+// ResponseWritten records that the final response is written, with its reason. The request stays open until Sent or Close. It
 // reports whether the transition is allowed; one that isn't changes nothing and is recorded as a mismatch.
-func (l *Ledger) Answer(at time.Duration, ticket Ticket, reason Reason) bool {
-	return l.transition(at, ticket, EntryAnswer, reason)
+func (l *Ledger) ResponseWritten(at time.Duration, ticket Ticket, reason Reason) bool {
+	return l.transition(at, ticket, EntryResponseWritten, reason)
 }
 
-// Sent records that the last byte of a response was handed to the operating system, and closes the request with the reason
+// ResponseSent records that the last byte of a response was handed to the operating system, and closes the request with the reason
 // of the response. It reports whether the transition is allowed, like Answer.
-func (l *Ledger) Sent(at time.Duration, ticket Ticket) bool {
-	return l.transition(at, ticket, EntrySent, None)
+func (l *Ledger) ResponseSent(at time.Duration, ticket Ticket) bool {
+	return l.transition(at, ticket, EntryResponseSent, NoReason)
 }
 
 // Close closes a request that gets no response, or whose response was not handed over. It reports whether the transition is
@@ -105,7 +105,7 @@
 	}
 	request := &l.requests[ticket.slot]
 	current := request.generation == ticket.generation
-	reasoned := kind == EntrySent || reason.Category() != 0
+	reasoned := kind == EntryResponseSent || reason.Category() != 0
 	if !current || !reasoned || !kind.allowedIn(request.state) {
 		what := "transition not allowed: " + kind.String() + " for reason " + reason.String()
 		l.recordMismatch(at, what, int64(ticket.slot), int64(request.state))
@@ -115,10 +115,10 @@
 	return true
 }
 
-// Flush records that responses are being handed to the operating system from now on, or no longer. It matters only for
+// SetFlushing records that responses are being handed to the operating system from now on, or no longer. It matters only for
 // responses that clients left unread: one that has just been written counts as being handed over until Flush ends it, so
 // that the common case needs no entry of its own.
-func (l *Ledger) Flush(at time.Duration, begins bool) {
+func (l *Ledger) SetFlushing(at time.Duration, begins bool) {
 	if begins == l.flushing || l.answeredCount == 0 {
 		return
 	}
--- a/accounting/words_test.go
+++ b/accounting/words_test.go
@@ -73,7 +73,7 @@
 	}{
 		"ending": {
 			want:  []string{"runs", "left", "killed", "rebooted", "rebooted"},
-			value: func(number uint8) fmt.Stringer { return Ending(number) },
+			value: func(number uint8) fmt.Stringer { return IncarnationState(number) },
 		},
 		"front end": {
 			want:  []string{"fastcgi", "ajp", "taken-over", "none"},
--- a/arrival/arrival.go
+++ b/arrival/arrival.go
@@ -26,14 +26,14 @@
 	suspicionRequests = 4
 )
 
-// Clock judges the stamps of requests. The zero value trusts them. It is not safe for concurrent use.
+// DelayEstimator judges the stamps of requests. The zero value trusts them. It is not safe for concurrent use.
 //
 //	state     what happens                                    next
 //	trusting  the wall clock steps against the monotonic one  diverged
 //	trusting  all stamps are too early for suspicionTime      diverged
 //
 // It stays diverged: a clock that was wrong once may be set again at any time.
-type Clock struct {
+type DelayEstimator struct {
 	started bool          // there was a turn
 	mono    time.Duration // both clocks at the last turn
 	wall    time.Duration
@@ -52,9 +52,9 @@
 	from, to time.Duration
 }
 
-// Turn records both clocks at the start of a turn of the node's event loop. It returns by how much the wall clock stepped
+// BeginTurn records both clocks at the start of a turn of the node's event loop. It returns by how much the wall clock stepped
 // against the monotonic one, and by how much the turn came too late; 0 if by little.
-func (c *Clock) Turn(mono, wall time.Duration) (step, delay time.Duration) {
+func (c *DelayEstimator) BeginTurn(mono, wall time.Duration) (step, delay time.Duration) {
 	if c.started {
 		step = c.detectStep(mono, wall)
 		delay = c.detectStall(mono)
@@ -66,7 +66,7 @@
 }
 
 // detectStep returns by how much the wall clock stepped since the last turn.
-func (c *Clock) detectStep(mono, wall time.Duration) time.Duration {
+func (c *DelayEstimator) detectStep(mono, wall time.Duration) time.Duration {
 	step := (wall - c.wall) - (mono - c.mono)
 	if step.Abs() < minStep {
 		return 0
@@ -77,7 +77,7 @@
 }
 
 // detectStall returns by how much the turn comes later than it was due.
-func (c *Clock) detectStall(mono time.Duration) time.Duration {
+func (c *DelayEstimator) detectStall(mono time.Duration) time.Duration {
 	delay := mono - c.turnDue
 	if c.turnDue <= 0 || delay < minStall {
 		return 0
@@ -90,18 +90,18 @@
 }
 
 // ExpectTurn records when the next turn is due at the latest.
-func (c *Clock) ExpectTurn(mono time.Duration) { c.turnDue = mono }
+func (c *DelayEstimator) ExpectTurn(mono time.Duration) { c.turnDue = mono }
 
 // Diverged reports whether the clocks have disagreed.
-func (c *Clock) Diverged() bool { return c.diverged }
+func (c *DelayEstimator) Diverged() bool { return c.diverged }
 
 // stalledLately reports whether what lay unread during the last stall is still being read.
-func (c *Clock) stalledLately() bool {
+func (c *DelayEstimator) stalledLately() bool {
 	return c.stall.to > 0 && c.mono-c.stall.to <= stallCatchUp
 }
 
 // maxPlausibleDelay returns how long a request that is read now may have lain unread, by what the node knows of itself.
-func (c *Clock) maxPlausibleDelay() time.Duration {
+func (c *DelayEstimator) maxPlausibleDelay() time.Duration {
 	if c.stalledLately() {
 		return c.mono - c.stall.from + maxPromptDelay
 	}
@@ -111,7 +111,7 @@
 // QueueDelay returns how long a request that is read in the present turn lay unread, by its stamp, a time of day. Once the
 // clocks have diverged, that is its age beyond the age of the youngest request of late, within what is plausible. Only
 // stamps of trusted front ends tell anything of the clocks.
-func (c *Clock) QueueDelay(stamp time.Duration, trusted bool) time.Duration {
+func (c *DelayEstimator) QueueDelay(stamp time.Duration, trusted bool) time.Duration {
 	age := c.wall - stamp
 	if trusted {
 		c.ages.add(c.mono, age)
@@ -124,7 +124,7 @@
 }
 
 // detectDivergence finds clocks that disagreed from the start: each request seems older than is plausible, for a while.
-func (c *Clock) detectDivergence(age time.Duration) {
+func (c *DelayEstimator) detectDivergence(age time.Duration) {
 	if age <= c.maxPlausibleDelay() {
 		c.implausibleCount = 0
 		return
--- a/arrival/arrival_test.go
+++ b/arrival/arrival_test.go
@@ -13,7 +13,7 @@
 
 // node takes turns, with a wall clock that is off by a given time.
 type node struct {
-	Clock
+	DelayEstimator
 	mono   time.Duration
 	offset time.Duration
 }
@@ -21,7 +21,7 @@
 // takeTurn takes a turn after the given time.
 func (n *node) takeTurn(after time.Duration) (step, delay time.Duration) {
 	n.mono += after
-	step, delay = n.Turn(n.mono, epoch+n.mono+n.offset)
+	step, delay = n.BeginTurn(n.mono, epoch+n.mono+n.offset)
 	n.ExpectTurn(n.mono + turn)
 	return step, delay
 }
--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -62,7 +62,7 @@
 	}
 	b.ledger = ledger
 	for _, h := range b.handlers {
-		b.ledgerRows = append(b.ledgerRows, ledger.Handler(h.name))
+		b.ledgerRows = append(b.ledgerRows, ledger.HandlerIndex(h.name))
 	}
 	return nil
 }
@@ -81,13 +81,13 @@
 }
 
 func (b *Backend) recordFlush(before bool) {
-	b.ledger.Flush(b.wall, before)
+	b.ledger.SetFlushing(b.wall, before)
 	b.recorder.Append(b.ledger, b.wall)
 }
 
 // closeAccounts closes the accounts of a process that exits by itself.
 func (b *Backend) closeAccounts() {
-	b.ledger.CloseAll(accounting.OpenAtExit, accounting.Exited)
+	b.ledger.EndIncarnation(accounting.OpenAtExit, accounting.Exited)
 	if b.recorder != nil {
 		b.recorder.Close(b.ledger, b.wall)
 	}
--- a/backend/audit.go
+++ b/backend/audit.go
@@ -20,7 +20,7 @@
 
 // compareLedger compares the open accounts of the ledger with the requests that are known here.
 func (b *Backend) compareLedger() {
-	b.ledger.Compare(b.wall, func(open func(accounting.Ticket, uint64)) {
+	b.ledger.CompareOpenRequests(b.wall, func(open func(accounting.Ticket, uint64)) {
 		for _, r := range b.requests { // a sum: the order does not matter
 			if b.hasClient(r) || r.failedOver && !r.accounted {
 				open(r.ticket, r.id)
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -84,7 +84,7 @@
 	b.stats.Accepted++
 	accepted.MaxUnsent = connUnsentMax
 	accepted.OnSent = func() { f.confirmDelivered(client) }
-	accepted.ResponsePending = func() bool { return lifecycle.End(client.lifecycleState()) != lifecycle.Allowed }
+	accepted.ResponsePending = func() bool { return lifecycle.CheckCloseWrite(client.lifecycleState()) != lifecycle.Allowed }
 	accepted.OnData = func(input []byte) error {
 		f.read(client, input)
 		return nil
@@ -126,7 +126,7 @@
 		if client.conn.SendClosed() && !client.broken {
 			b.recordViolation("end a connection", r, lifecycle.RequestOpen)
 		}
-		b.clientGone(r, overload.BrokenOff)
+		b.clientGone(r, overload.ConnectionLost)
 	}
 	for _, answer := range client.undelivered {
 		f.recordUnanswered(answer.id, reason)
@@ -156,7 +156,7 @@
 
 // trackDelivery has the account of a request follow the answer that was just written.
 func (f *frontend) trackDelivery(client *clientConn, ticket accounting.Ticket, id uint64, reason accounting.Reason) {
-	if f.backend.ledger.Answer(f.backend.wall, ticket, reason) {
+	if f.backend.ledger.ResponseWritten(f.backend.wall, ticket, reason) {
 		answer := sentAnswer{mark: client.conn.QueuedTotal(), ticket: ticket, id: id}
 		client.undelivered = append(client.undelivered, answer)
 	}
@@ -166,7 +166,7 @@
 func (f *frontend) confirmDelivered(client *clientConn) {
 	n := 0
 	for n < len(client.undelivered) && client.undelivered[n].mark <= client.conn.SentTotal() {
-		f.backend.ledger.Sent(f.backend.wall, client.undelivered[n].ticket)
+		f.backend.ledger.ResponseSent(f.backend.wall, client.undelivered[n].ticket)
 		n++
 	}
 	client.undelivered = slices.Delete(client.undelivered, 0, n)
--- a/backend/cluster_link.go
+++ b/backend/cluster_link.go
@@ -133,7 +133,7 @@
 		From:          b.cfg.Name,
 		Incarnation:   c.incarnation,
 		RosterDigests: c.ownDigests,
-		Seq:           c.store.LastSeq(),
+		Seq:           c.store.DurableSeq(),
 		Mark:          c.mark,
 		QueryState:    queryState,
 		Features:      recovery.FeatureFences,
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -113,7 +113,7 @@
 		answer := c.peerStates.Answer(hello.From, hello.Mark)
 		c.links[hello.From].batch.PeerState = &answer
 	}
-	if c.peerStates.Returned(hello.From) {
+	if c.peerStates.MarkReturned(hello.From) {
 		c.backend.log.Warn("recovery", "back", hello.From, "so", "it is waited for again")
 		c.recovery.SetOthers(c.witnesses())
 	}
--- a/backend/cluster_operator.go
+++ b/backend/cluster_operator.go
@@ -27,7 +27,7 @@
 	switch {
 	case c.recovery == nil:
 		return ErrNoCluster
-	case c.store.Complete() && c.recovery.Phase() != recovery.Querying:
+	case c.store.HistoryComplete() && c.recovery.Phase() != recovery.Querying:
 		return ErrNothingUnknown
 	}
 	b.log.Warn("recovery", "said", "an operator answers for the disk")
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -52,7 +52,7 @@
 		from.Write(processor.AppendGaugeRequest(nil, 1)) // its answer follows all notices that are kept
 	case processor.Complete:
 		switch notice.Outcome {
-		case overload.OK, overload.Failed, overload.Stopped:
+		case overload.OK, overload.Failed, overload.Cancelled:
 			c.node.FinishFromProcessor(c.backend.guard.now(), node, notice.ID, entryKindOf(notice.Outcome), notice.Body)
 		}
 	case processor.Gauges:
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -69,8 +69,8 @@
 	}
 	r.accounted = true
 	ledger := c.backend.ledger
-	ledger.Answer(c.backend.wall, r.ticket, reason)
-	ledger.Sent(c.backend.wall, r.ticket)
+	ledger.ResponseWritten(c.backend.wall, r.ticket, reason)
+	ledger.ResponseSent(c.backend.wall, r.ticket)
 }
 
 // handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does.
@@ -90,7 +90,7 @@
 
 // acceptFailover submits a request of another node, which was lost, to the overload controller. Nobody waits for it on
 // a connection here.
-func (c *cluster) acceptFailover(outcome *failover.Outcome) {
+func (c *cluster) acceptFailover(outcome *failover.RequestDecision) {
 	b := c.backend
 	work := outcome.Work
 	handler := b.handlerOf(work.Handler)
@@ -131,7 +131,7 @@
 }
 
 // applyOutcome carries out what the failover node decided about a request.
-func (c *cluster) applyOutcome(outcome failover.Outcome) {
+func (c *cluster) applyOutcome(outcome failover.RequestDecision) {
 	b := c.backend
 	if outcome.Decision == failover.TakenOver {
 		c.acceptFailover(&outcome)
@@ -152,7 +152,7 @@
 }
 
 // applyClaimed carries out the answer to the claim of r.
-func (c *cluster) applyClaimed(r *request, outcome *failover.Outcome) {
+func (c *cluster) applyClaimed(r *request, outcome *failover.RequestDecision) {
 	b := c.backend
 	switch {
 	case outcome.Decision == idempotency.Fresh:
@@ -173,7 +173,7 @@
 }
 
 // applyLater carries out a decision about a request that was submitted to the overload controller.
-func (c *cluster) applyLater(r *request, outcome *failover.Outcome) {
+func (c *cluster) applyLater(r *request, outcome *failover.RequestDecision) {
 	b := c.backend
 	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.failedOver
 	switch {
--- a/backend/cluster_stats.go
+++ b/backend/cluster_stats.go
@@ -12,21 +12,21 @@
 
 // ClusterStats tells how a node sees its cluster, and what it has to do with the other nodes.
 type ClusterStats struct {
-	Name            string              `json:"name"`
-	Incarnation     uint64              `json:"life"`
-	Previous        int                 `json:"former"` // nodes of the previous list while the members change, else 0
-	Since           string              `json:"since"`  // since when all are known to have adopted both lists
-	RosterReason    string              `json:"why"`    // why the roster of the configuration is not adopted
-	Phase           string              `json:"phase"`  // of the recovery
-	PhaseReason     string              `json:"phase_why"`
-	Unanswered      []string            `json:"missing"`  // during recovery: the nodes that have not answered
-	Refill          []recovery.Progress `json:"told"`     // if the disk lacked something: how far each other node has sent it
-	UnknownOutcomes int                 `json:"doubts"`   // keys whose outcome the other nodes are asked for
-	OutcomeUnknown  map[string]int      `json:"in_doubt"` // keys whose outcome is unknown, by handler; "" where that is unknown too
-	LocalHealth     int                 `json:"unwell"`   // how slow this node takes itself to be, 0 to 8
-	Members         []MemberStats       `json:"members"`
-	Failover        failover.Stats      `json:"work"`
-	Requests        []failover.Request  `json:"reqs"` // some of those in flight, waited for or noted for others
+	Name            string                   `json:"name"`
+	Incarnation     uint64                   `json:"life"`
+	Previous        int                      `json:"former"` // nodes of the previous list while the members change, else 0
+	Since           string                   `json:"since"`  // since when all are known to have adopted both lists
+	RosterReason    string                   `json:"why"`    // why the roster of the configuration is not adopted
+	Phase           string                   `json:"phase"`  // of the recovery
+	PhaseReason     string                   `json:"phase_why"`
+	Unanswered      []string                 `json:"missing"`  // during recovery: the nodes that have not answered
+	Refill          []recovery.Progress      `json:"told"`     // if the disk lacked something: how far each other node has sent it
+	UnknownOutcomes int                      `json:"doubts"`   // keys whose outcome the other nodes are asked for
+	OutcomeUnknown  map[string]int           `json:"in_doubt"` // keys whose outcome is unknown, by handler; "" where that is unknown too
+	LocalHealth     int                      `json:"unwell"`   // how slow this node takes itself to be, 0 to 8
+	Members         []MemberStats            `json:"members"`
+	Failover        failover.Stats           `json:"work"`
+	Requests        []failover.RequestStatus `json:"reqs"` // some of those in flight, waited for or noted for others
 }
 
 // MemberStats tells what is believed of a node.
@@ -63,7 +63,7 @@
 	if c.node == nil {
 		return out
 	}
-	out.OutcomeUnknown = c.store.UnknownByHandler()
+	out.OutcomeUnknown = c.store.UnknownOutcomesByHandler()
 	out.UnknownOutcomes = c.refill.unknown.Remaining()
 	if c.refill.from != nil {
 		out.Refill = c.refill.from.Progress()
--- a/backend/config.go
+++ b/backend/config.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.StopTimeout = lifecycle.KillAfter(c.StopTimeout, c.longestTimeout())
+	c.StopTimeout = lifecycle.KillDelay(c.StopTimeout, c.longestTimeout())
 	return c, nil
 }
 
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -101,12 +101,12 @@
 		b.advice.shallowChecks = action.Shallow
 	case overload.Signal:
 		b.advice.signal = strconv.AppendFloat(b.advice.signal[:0], action.Value, 'f', 4, 64)
-	case overload.Wake:
+	case overload.SetTimer:
 		b.controllerWake = action.At
 		b.wakeBy(action.At)
 	case overload.CloseIdle:
 		b.advice.idleTimeout = action.Duration
-	case overload.Forget:
+	case overload.RemoveEntry:
 		b.forgetResult(action.ID)
 	default:
 		if r := b.requests[action.ID]; r != nil { // else it has ended in the same batch
@@ -126,7 +126,7 @@
 		b.applyReject(r, action)
 	case overload.Fail:
 		b.applyFail(r)
-	case overload.Remember:
+	case overload.StoreEntry:
 		b.results.remember(r, action.Duration)
 	case overload.Coalesce:
 		b.applyCoalesce(r)
@@ -152,7 +152,7 @@
 	if !invariant.Check(r.state == stateHeld && b.isWanted(r), "a request that is started is held") {
 		return
 	}
-	if verdict := b.process.Start(r.readAt); verdict != lifecycle.Allowed && !r.failedOver {
+	if verdict := b.process.CheckStart(r.readAt); verdict != lifecycle.Allowed && !r.failedOver {
 		b.recordViolation("start", r, verdict)
 		b.runEnded(r, overload.NeverRan, accounting.NotReady, 0, nil)
 		return
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -76,7 +76,7 @@
 	c := b.stats
 	if b.ledger != nil { // Serve has begun
 		c.Requests = b.ledger.Total()
-		c.Mismatches = b.ledger.Mismatches()
+		c.Mismatches = b.ledger.MismatchCount()
 		c.Reasons = reasonsOf(b.ledger)
 	}
 	c.ConnsRefused = b.connsRejected.Load()
@@ -132,7 +132,7 @@
 }
 
 // recordViolation counts and logs an act that a rule forbids at this moment. The caller leaves it undone.
-func (b *Backend) recordViolation(act string, r *request, verdict lifecycle.Verdict) {
+func (b *Backend) recordViolation(act string, r *request, verdict lifecycle.Decision) {
 	b.stats.Violations++
 	b.log.Error("lifecycle violation prevented", "act", act, "id", r.wireID, "reason", verdict)
 }
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -134,7 +134,7 @@
 // linkToOriginal tells the overload controller which request r repeats. If that is of an earlier incarnation, or has
 // ended, the controller knows nothing of it: it gets an id that is made of the key.
 func (g *idempotencyGuard) linkToOriginal(r *request) {
-	r.originalID = g.store.Original(r.guard.key)
+	r.originalID = g.store.OriginalRequest(r.guard.key)
 	if r.originalID == 0 || g.backend.requests[r.originalID] == nil {
 		r.originalID = binary.LittleEndian.Uint64(r.guard.key[:]) | 1
 	}
--- a/backend/idempotency_outcome.go
+++ b/backend/idempotency_outcome.go
@@ -132,7 +132,7 @@
 	for r := range g.awaitingDisk {
 		deadline := r.guard.answerBy
 		if b.process.Phase() > lifecycle.Serving {
-			deadline = min(deadline, b.process.AnswerBy())
+			deadline = min(deadline, b.process.AnswerDeadline())
 		}
 		if b.now < deadline {
 			b.wakeBy(deadline)
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -133,7 +133,7 @@
 	if disk == nil {
 		disk = wal.DirDisk(dir)
 	}
-	if _, err = wal.Identify(disk); err != nil {
+	if _, err = wal.ReadID(disk); err != nil {
 		return loaded, err
 	}
 	if loaded.lock, err = filelock.Acquire(filepath.Join(dir, wal.LockName)); err != nil {
@@ -238,7 +238,7 @@
 	case node != nil:
 		node.DiskFailed(g.now())
 	default:
-		g.applyOutcomes(g.store.DiskFailed())
+		g.applyOutcomes(g.store.MarkDiskFailed())
 	}
 }
 
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -27,8 +27,8 @@
 	now       time.Duration // monotonic time since start
 	wall      time.Duration // the same moment as a span since the start of 1970, for stamps alone
 	wakeAt    time.Duration // when the owner wakes next without news
-	heartbeat lifecycle.Heartbeat
-	arrivals  arrival.Clock
+	heartbeat lifecycle.EventTimeBound
+	arrivals  arrival.DelayEstimator
 }
 
 // clockReading is what reading the clocks has shown.
@@ -43,8 +43,8 @@
 	at := time.Now()
 	c.now = at.Sub(c.start)
 	c.wall = time.Duration(at.UnixNano()) + faultinject.ClockOffset()
-	c.heartbeat.Beat(c.now)
-	step, stall := c.arrivals.Turn(c.now, c.wall)
+	c.heartbeat.Record(c.now)
+	step, stall := c.arrivals.BeginTurn(c.now, c.wall)
 	return clockReading{at: at, step: step, stall: stall}
 }
 
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -43,7 +43,7 @@
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	case !r.startSent:
 		l.start(r)
-	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.Retry(command) == lifecycle.Allowed:
+	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.CheckRetry(command) == lifecycle.Allowed:
 		l.retryStart(r, command, "it may run again")
 	case maybeLost && !r.runHeard:
 		l.beginProbe(r)
@@ -98,7 +98,7 @@
 	r.cancelRequested = false
 	command := l.startCommand(r)
 	command.NeverRan = true
-	if lifecycle.Retry(command) == lifecycle.ClientGone {
+	if lifecycle.CheckRetry(command) == lifecycle.ClientGone {
 		l.backend.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		return
 	}
@@ -126,7 +126,7 @@
 
 // retryStart sends a start again if that is allowed.
 func (l *processorLink) retryStart(r *request, command lifecycle.Command, reason string) {
-	if verdict := lifecycle.Retry(command); verdict != lifecycle.Allowed {
+	if verdict := lifecycle.CheckRetry(command); verdict != lifecycle.Allowed {
 		l.backend.recordViolation("begin again", r, verdict)
 		return
 	}
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -39,7 +39,7 @@
 	c.recovery.StartLoading()
 	c.recovery.DiskLoaded(b.now, recovery.DiskState{
 		Incarnation: c.incarnation,
-		Seq:         store.LastSeq(),
+		Seq:         store.DurableSeq(),
 		NewStore:    c.incarnation == 1 && !loaded.setAside,
 	})
 	c.runRecovery()
@@ -144,7 +144,7 @@
 
 // announceLog tells the witnesses how far this node's log is, if it has grown.
 func (c *cluster) announceLog() {
-	last := c.store.LastSeq()
+	last := c.store.DurableSeq()
 	if last == c.peerStates.announcedSeq {
 		return
 	}
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -22,11 +22,11 @@
 // startRefill asks for what the store lacks of its history, if anything, and for the keys with an unknown outcome.
 func (c *cluster) startRefill() {
 	var keys [][16]byte
-	for _, key := range c.store.UnknownKeys(maxUnknownKeys) {
+	for _, key := range c.store.KeysWithUnknownOutcome(maxUnknownKeys) {
 		keys = append(keys, key)
 	}
 	c.refill = refillState{unknown: recovery.NewUnknownOutcomes(keys)}
-	if c.store.Complete() {
+	if c.store.HistoryComplete() {
 		return
 	}
 	refill := recovery.NewRefill[failover.Cursor](recovery.RefillConfig{Incarnation: c.incarnation, Others: c.others()}, c.mark)
@@ -36,7 +36,7 @@
 		}
 	}
 	c.refill.from = refill
-	c.store.SetProver(func(key idempotency.Key) bool { return refill.Covers(c.node.GroupPeers(key)) })
+	c.store.SetRefillCheck(func(key idempotency.Key) bool { return refill.Covers(c.node.GroupPeers(key)) })
 	c.finishRefill() // it is over at once if an operator has said of all others that they never come back
 }
 
@@ -103,7 +103,7 @@
 		Last:        page.Next.Step == failover.StepDone,
 		Complete:    page.Complete && page.FencesSupported,
 	}
-	if refill == nil || refill.Done() || !c.node.SameConfiguration(page) || !refill.Wants(from, incarnation, &info) {
+	if refill == nil || refill.Done() || !c.node.SameConfiguration(page) || !refill.Expects(from, incarnation, &info) {
 		return
 	}
 	refill.PageReceived(b.now, from, &info, c.node.ReceivePage(b.guard.now(), page))
@@ -119,7 +119,7 @@
 	if c.refill.from == nil || !c.refill.from.Done() {
 		return
 	}
-	kept := c.store.MarkComplete(b.guard.now())
+	kept := c.store.MarkRefilled(b.guard.now())
 	b.log.Info("state refill", "by", "all others", "also_for_later_incarnations", kept)
 	c.recovery.MarkComplete()
 	c.runRecovery()
--- a/backend/request.go
+++ b/backend/request.go
@@ -86,7 +86,7 @@
 		return
 	}
 	switch reason := b.results.lookup(r); reason {
-	case accounting.None:
+	case accounting.NoReason:
 		b.submitArrival(r)
 	case accounting.UnknownRequest:
 		b.frontend.rejectUnknown(r)
@@ -120,7 +120,7 @@
 // clientGone follows the client's abort, or with overload.BrokenOff the end of its connection.
 func (b *Backend) clientGone(r *request, outcome overload.Outcome) {
 	reason := accounting.Aborted
-	if outcome == overload.BrokenOff {
+	if outcome == overload.ConnectionLost {
 		reason = accounting.ConnectionLost
 	}
 	b.ledger.Close(b.wall, r.ticket, reason)
@@ -179,7 +179,7 @@
 	switch outcome {
 	case overload.OK:
 		return accounting.Completed
-	case overload.Stopped:
+	case overload.Cancelled:
 		return accounting.RunStopped
 	case overload.NeverRan:
 		return accounting.NeverRan
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -34,7 +34,7 @@
 	}
 	start := time.Duration(parsed.start * float64(time.Millisecond))
 	queueDelay := b.arrivals.QueueDelay(start, client.verified || !b.canCancel)
-	if reason := f.refuse(r, queueDelay); reason != accounting.None {
+	if reason := f.refuse(r, queueDelay); reason != accounting.NoReason {
 		f.answer(r.exchange(), f.rejection())
 		f.trackDelivery(client, r.ticket, r.id, reason)
 		return
@@ -90,14 +90,14 @@
 func (f *frontend) refuse(r *request, queueDelay time.Duration) accounting.Reason {
 	b := f.backend
 	switch {
-	case b.controller == nil || b.process.Accept() != lifecycle.Allowed:
+	case b.controller == nil || b.process.CheckAccept() != lifecycle.Allowed:
 		return accounting.NotReady
 	case queueDelay > b.handlers[r.handler].timeout:
 		return accounting.Expired
 	case r.clientTimeout > 0 && queueDelay > r.clientTimeout:
 		return accounting.Expired
 	}
-	return accounting.None
+	return accounting.NoReason
 }
 
 // rejectMalformed answers a request that can't be taken. A client that goes on with such requests has its connection
--- a/backend/response.go
+++ b/backend/response.go
@@ -59,7 +59,7 @@
 // how long to stay away from its address.
 func (f *frontend) rejection() *response {
 	rejection := &response{status: 503}
-	if f.backend.process.Accept() != lifecycle.Allowed {
+	if f.backend.process.CheckAccept() != lifecycle.Allowed {
 		rejection.retryAfter = f.backend.drain.retryAfter
 	}
 	return rejection
@@ -69,7 +69,7 @@
 func (f *frontend) sendFinal(r *request, reason accounting.Reason, answer *response) {
 	waits := r.client != nil
 	answered := waits && r.client.requests[r.slot] != r
-	if verdict := lifecycle.Answer(answered, waits); verdict != lifecycle.Allowed {
+	if verdict := lifecycle.CheckAnswer(answered, waits); verdict != lifecycle.Allowed {
 		f.backend.recordViolation("answer", r, verdict)
 		return
 	}
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -101,7 +101,7 @@
 // answered from the cache.
 func (c *resultCache) lookup(r *request) accounting.Reason {
 	if r.cacheKey.name == "" {
-		return accounting.None // nothing by which a repeat could be known
+		return accounting.NoReason // nothing by which a repeat could be known
 	}
 	if entry := c.find(r); entry != nil {
 		return c.linkRepeat(r, entry)
@@ -109,7 +109,7 @@
 	if c.backend.handlers[r.handler].deduplicated && !c.add(r) {
 		return accounting.StoreFull
 	}
-	return accounting.None
+	return accounting.NoReason
 }
 
 // linkRepeat marks r as a repeat of a cached request.
@@ -124,7 +124,7 @@
 	entry.recentRepeats = append(entry.recentRepeats[excess:], r.id)
 	r.originalID = entry.id
 	r.arrival.RepeatOf = entry.id
-	return accounting.None
+	return accounting.NoReason
 }
 
 // add caches a request and reports whether there was room, also for the result of one that must run once.
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -82,7 +82,7 @@
 	claim := func(id uint64, name int) *request { return newCacheRequest(b, id, claimHandler, fmt.Sprint(name), 0) }
 	admitted := 0
 	for i := range 100 {
-		if b.results.lookup(claim(uint64(i)+1, i)) == accounting.None {
+		if b.results.lookup(claim(uint64(i)+1, i)) == accounting.NoReason {
 			admitted++
 		}
 	}
@@ -92,12 +92,12 @@
 	for i := range admitted {
 		id := uint64(i) + 1
 		b.results.requestEnded(claim(id, i), requestEnd{outcome: overload.Failed, ran: true})
-		if r := claim(id+999, i); b.results.lookup(r) != accounting.None || r.originalID != id {
+		if r := claim(id+999, i); b.results.lookup(r) != accounting.NoReason || r.originalID != id {
 			t.Fatal(i, "is forgotten")
 		}
 	}
 	b.results.requestWithdrawn(&request{id: 1})
-	if r := claim(2000, 0); b.results.lookup(r) != accounting.None || r.originalID != 0 {
+	if r := claim(2000, 0); b.results.lookup(r) != accounting.NoReason || r.originalID != 0 {
 		t.Error("a request that never ran is still cached")
 	}
 }
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -22,10 +22,10 @@
 
 // startDrain follows the notice to leave. A second one changes nothing.
 func (b *Backend) startDrain() {
-	if !b.process.Notify(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
+	if !b.process.BeginDrain(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
 		return
 	}
-	b.log.Info("shutdown started", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.Notified())
+	b.log.Info("shutdown started", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.NoticeTime())
 	b.logPhase()
 	b.cluster.leave()
 	b.drain.unreported = true
@@ -36,8 +36,8 @@
 func (b *Backend) drainEvent() overload.Event {
 	return overload.Event{
 		Kind:       overload.Drain,
-		QueueDelay: b.now - b.process.Notified(),
-		Remaining:  b.process.AnswerBy() - b.now,
+		QueueDelay: b.now - b.process.NoticeTime(),
+		Remaining:  b.process.AnswerDeadline() - b.now,
 	}
 }
 
@@ -73,7 +73,7 @@
 	switch b.process.Phase() {
 	case lifecycle.Serving:
 	case lifecycle.Draining:
-		b.wakeBy(b.process.ClosesAt())
+		b.wakeBy(b.process.ClosingTime())
 	case lifecycle.Closing:
 		b.frontend.closeAll()
 		b.wakeBy(b.now + closingInterval)
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -19,7 +19,7 @@
 
 func (bed *testbed) beginClosingNow() {
 	bed.backend.startDrain()
-	bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ClosingBefore)
+	bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ClosingBeforeKill)
 	bed.backend.loop.Post(func() { bed.backend.process.SetKillTime(bed.backend.now + time.Minute) })
 }
 
@@ -91,7 +91,7 @@
 		client.send(fastcgiRequest(2, nil)[:30])
 		bed.awaitPartial(1)
 		bed.beginClosing()
-		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.EndingBefore) })
+		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.EndingBeforeKill) })
 		client.expect("2"+rejectedLine, "end")
 		bed.expectExit()
 	}},
@@ -132,7 +132,7 @@
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		bed.beginClosing()
-		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ExitBefore) })
+		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ExitBeforeKill) })
 		client.expect("1" + failedLine)
 		bed.expectExit()
 	}},
@@ -232,8 +232,8 @@
 		}},
 		{"the notice is heard of late", func(bed *testbed, client *testClient) {
 			bed.inTurn(func() {
-				bed.backend.heartbeat = lifecycle.Heartbeat{}
-				bed.backend.heartbeat.Beat(bed.backend.now - past - time.Millisecond) // it last ran then
+				bed.backend.heartbeat = lifecycle.EventTimeBound{}
+				bed.backend.heartbeat.Record(bed.backend.now - past - time.Millisecond) // it last ran then
 				bed.backend.startDrain()
 			})
 			client.send(fastcgiRequest(2, nil))
@@ -286,8 +286,8 @@
 
 // noticeAgo has the notice to leave have come so long ago.
 func (bed *testbed) noticeAgo(ago time.Duration) {
-	bed.backend.heartbeat = lifecycle.Heartbeat{}
-	bed.backend.heartbeat.Beat(bed.backend.now - ago)
+	bed.backend.heartbeat = lifecycle.EventTimeBound{}
+	bed.backend.heartbeat.Record(bed.backend.now - ago)
 	bed.backend.startDrain()
 }
 
@@ -297,7 +297,7 @@
 	t.Parallel()
 	for _, step := range []time.Duration{-time.Hour, -time.Second, time.Second, time.Hour} {
 		bed := startReady(t, nil)
-		bed.inTurn(func() { bed.backend.arrivals.Turn(bed.backend.now, bed.backend.wall-step) }) // the next turn sees it step
+		bed.inTurn(func() { bed.backend.arrivals.BeginTurn(bed.backend.now, bed.backend.wall-step) }) // the next turn sees it step
 		client := bed.dialClient()
 		bed.serve(client, 1)
 		stamped := time.Now().Add(-step)
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -101,7 +101,7 @@
 		NeverRan:   !r.callOutcomeUnknown,
 		Wanted:     b.isWanted(r),
 	}
-	if verdict := lifecycle.Retry(command); verdict != lifecycle.Allowed {
+	if verdict := lifecycle.CheckRetry(command); verdict != lifecycle.Allowed {
 		b.recordViolation("call", r, verdict)
 		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
 		return
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -149,7 +149,7 @@
 		u.retryElsewhere(broken, loadbalance.Fault, overload.NoConnection)
 	default:
 		u.leaveTarget(broken, loadbalance.Fault)
-		u.end(broken, overload.BrokenOff)
+		u.end(broken, overload.ConnectionLost)
 	}
 }
 
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -224,7 +224,7 @@
 		if broken.sentMark > 0 && u.backend.now-broken.sentAt <= deadConnWindow {
 			u.maxIdle = min(u.maxIdle, time.Duration(idleBackoff*float64(broken.connIdle)))
 		}
-		u.end(broken, overload.BrokenOff)
+		u.end(broken, overload.ConnectionLost)
 	}
 	u.dialMore()
 }
--- a/cmd/frosthub/accounting_test.go
+++ b/cmd/frosthub/accounting_test.go
@@ -57,9 +57,9 @@
 			slots[change.Slot] = change.ID
 			entries[change.ID] = ledgerEntry{}
 			continue
-		case accounting.EntryAnswer:
+		case accounting.EntryResponseWritten:
 			entry.reason = change.Reason
-		case accounting.EntrySent:
+		case accounting.EntryResponseSent:
 			entry.sent = true
 		case accounting.EntryClose:
 			entry.closed = true
@@ -202,7 +202,7 @@
 	r.t.Helper()
 	entries, ledger := readLedger(r.t, r.accountingPath)
 	if killed {
-		ledger.CloseAll(accounting.OpenAtKill, accounting.Killed)
+		ledger.EndIncarnation(accounting.OpenAtKill, accounting.Killed)
 	}
 	incarnations, _, _ := ledger.Incarnations()
 	incarnation := incarnations[len(incarnations)-1]
--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -39,7 +39,7 @@
 	switch {
 	case n.store.MayBeExpired(key): // it may have ended at a peer that has expired it
 		return VoteExpired
-	case !n.store.KnowsHistoryOf(key): // the disk may have lost the outcome
+	case !n.store.HasFullHistory(key): // the disk may have lost the outcome
 		return VoteAbstain
 	default:
 		return VoteOutcomeUnknown
--- a/failover/acquire.go
+++ b/failover/acquire.go
@@ -34,7 +34,7 @@
 		claim.originalNotified = true
 		n.stats.TakenOver++
 		work := n.workNow(claim)
-		n.outcomes = append(n.outcomes, Outcome{
+		n.outcomes = append(n.outcomes, RequestDecision{
 			Key:     claim.key,
 			Made:    claim.made,
 			Work:    &work,
--- a/failover/claim.go
+++ b/failover/claim.go
@@ -153,7 +153,7 @@
 
 // notify queues the decision on one request of a claim.
 func (n *Node) notify(claim *claim, id uint64, decision idempotency.Decision, result []byte) {
-	n.outcomes = append(n.outcomes, Outcome{
+	n.outcomes = append(n.outcomes, RequestDecision{
 		Key:     claim.key,
 		Made:    claim.made,
 		Outcome: idempotency.Outcome{ID: id, Decision: decision, Result: result},
@@ -253,7 +253,7 @@
 
 // decideFresh decides on a request without a claim that it never ran.
 func (n *Node) decideFresh(key idempotency.Key, id uint64) {
-	n.outcomes = append(n.outcomes, Outcome{
+	n.outcomes = append(n.outcomes, RequestDecision{
 		Key:     key,
 		Outcome: idempotency.Outcome{ID: id, Decision: idempotency.Fresh},
 	})
--- a/failover/message.go
+++ b/failover/message.go
@@ -173,13 +173,13 @@
 	Replayable bool
 }
 
-// Outcome is a decision on a request of this node.
+// RequestDecision is a decision on a request of this node.
 //
 // Beside the decisions of package idempotency: idempotency.Fresh in answer to
 // [Node.Claim] lets the request go on; at any other time it rejects the request,
 // which never ran, and the key is free again. idempotency.Duplicate lets the
 // request join the original one.
-type Outcome struct {
+type RequestDecision struct {
 	Key idempotency.Key
 	// Made is when the request was made; see Message.
 	Made time.Duration
--- a/failover/node.go
+++ b/failover/node.go
@@ -7,9 +7,9 @@
 	"frosthub/internal/prng"
 )
 
-// Peers is a failure detector: what is believed of other nodes. Beliefs may be
+// FailureDetector is a failure detector: what is believed of other nodes. Beliefs may be
 // wrong: they decide when a node acts, not what is safe.
-type Peers interface {
+type FailureDetector interface {
 	// Alive reports whether a node answers.
 	Alive(name string) bool
 	// Dead reports whether a node is believed to have failed, not merely to be
@@ -29,7 +29,7 @@
 type Node struct {
 	cfg    Config
 	store  *idempotency.Store
-	peers  Peers
+	peers  FailureDetector
 	now    time.Duration
 	random prng.Source
 	stats  Stats // only the counters; Node.Stats computes the rest
@@ -57,13 +57,13 @@
 	lastIntentID uint64
 
 	outbox           []Envelope
-	outcomes         []Outcome
+	outcomes         []RequestDecision
 	processorQueries []ProcessorQuery
 }
 
 // New returns a node that records on the store. The seed determines its random
 // draws; two nodes with equal seeds and equal events behave alike.
-func New(cfg Config, store *idempotency.Store, peers Peers, seed uint64, now time.Duration) *Node {
+func New(cfg Config, store *idempotency.Store, peers FailureDetector, seed uint64, now time.Duration) *Node {
 	cfg = cfg.withDefaults()
 	return &Node{
 		cfg:           cfg,
@@ -82,7 +82,7 @@
 
 // Ready returns the messages to send and the decisions on requests since the
 // last call, in the order in which they came up.
-func (n *Node) Ready() ([]Envelope, []Outcome) {
+func (n *Node) Ready() ([]Envelope, []RequestDecision) {
 	outbox, outcomes := n.outbox, n.outcomes
 	n.outbox = nil
 	n.outcomes = nil
--- a/failover/reservation.go
+++ b/failover/reservation.go
@@ -124,7 +124,7 @@
 // nothing any more.
 func (n *Node) DiskFailed(now time.Duration) {
 	n.advance(now)
-	n.applyStoreOutcomes(n.store.DiskFailed())
+	n.applyStoreOutcomes(n.store.MarkDiskFailed())
 }
 
 // applyStoreOutcomes follows what the store has decided on intents.
@@ -197,7 +197,7 @@
 	case reservation.started:
 		n.scheduleProcessorQuery(reservation)
 		if n.now > reservation.deadline+unknownAfter && n.suspects(reservation.ballot) {
-			n.store.MarkUnknown(n.now, reservation.key)
+			n.store.MarkOutcomeUnknown(n.now, reservation.key)
 			n.reservations.remove(reservation)
 		}
 	case expired:
--- a/failover/sim_node_test.go
+++ b/failover/sim_node_test.go
@@ -119,7 +119,7 @@
 	if x.diskOutdated {
 		x.store.MarkOutdated(x.cluster.Now)
 	}
-	if !x.store.Complete() {
+	if !x.store.HistoryComplete() {
 		x.startRefill()
 	}
 	x.scheduleTick()
--- a/failover/sim_outcome_test.go
+++ b/failover/sim_outcome_test.go
@@ -10,7 +10,7 @@
 )
 
 // handleOutcome plays the part of a node's callers, and judges what they hear.
-func (x *simNode) handleOutcome(outcome Outcome) {
+func (x *simNode) handleOutcome(outcome RequestDecision) {
 	c := x.cluster
 	truth := c.keys[outcome.Key]
 	c.decisions[outcome.Decision]++
@@ -45,7 +45,7 @@
 }
 
 // enqueue has a request wait for its turn and then ask to start, or give up.
-func (x *simNode) enqueue(outcome Outcome, truth *keyTruth) {
+func (x *simNode) enqueue(outcome RequestDecision, truth *keyTruth) {
 	c := x.cluster
 	delete(x.requests, outcome.ID)
 	x.after(c.drawUpTo(5*time.Millisecond), func() {
@@ -61,7 +61,7 @@
 	})
 }
 
-func (x *simNode) runReplayable(outcome Outcome, truth *keyTruth) {
+func (x *simNode) runReplayable(outcome RequestDecision, truth *keyTruth) {
 	c := x.cluster
 	x.machine.MarkRunning(c.Now, outcome.Key, outcome.ID)
 	truth.runs++
@@ -73,7 +73,7 @@
 }
 
 // run executes a request at the node's processor, or gives it up.
-func (x *simNode) run(outcome Outcome, truth *keyTruth) {
+func (x *simNode) run(outcome RequestDecision, truth *keyTruth) {
 	c := x.cluster
 	if c.random.IntN(10) == 0 { // its caller has gone
 		x.machine.Finish(c.Now, outcome.Key, outcome.ID, idempotency.EntryNeverRan, nil)
@@ -113,7 +113,7 @@
 }
 
 // judgeResult checks that all callers get the same result.
-func (c *simCluster) judgeResult(outcome Outcome, truth *keyTruth) {
+func (c *simCluster) judgeResult(outcome RequestDecision, truth *keyTruth) {
 	if truth.replayable {
 		c.joinedReplayables++
 		return
@@ -129,7 +129,7 @@
 }
 
 // recordAnswer adds an answer to the history.
-func (c *simCluster) recordAnswer(outcome Outcome, served bool) {
+func (c *simCluster) recordAnswer(outcome RequestDecision, served bool) {
 	at, ok := c.requestedAt[outcome.ID]
 	if !ok || c.keys[outcome.Key].replayable {
 		return
--- a/failover/sim_transfer_test.go
+++ b/failover/sim_transfer_test.go
@@ -17,7 +17,7 @@
 		}
 	}
 	x.refill = recovery.NewRefill[Cursor](config, x.cluster.random.Uint64())
-	x.store.SetProver(func(key idempotency.Key) bool {
+	x.store.SetRefillCheck(func(key idempotency.Key) bool {
 		peers := x.machine.GroupPeers(key)
 		if disabledRule == ruleAllGroupPeers {
 			return slices.ContainsFunc(peers, func(name string) bool { return x.refill.Covers([]string{name}) })
@@ -59,14 +59,14 @@
 		Last:        page.Next.Step == StepDone,
 		Complete:    page.Complete,
 	}
-	if x.refill == nil || !x.machine.SameConfiguration(page) || !x.refill.Wants(from, incarnation, &info) {
+	if x.refill == nil || !x.machine.SameConfiguration(page) || !x.refill.Expects(from, incarnation, &info) {
 		return
 	}
 	x.refill.PageReceived(c.Now, from, &info, x.machine.ReceivePage(c.Now, page))
 	if x.refill.Done() {
 		c.log("%s/%d has everything transferred", x.name, x.incarnation)
 		c.finishedRefills++
-		x.store.MarkComplete(c.Now)
+		x.store.MarkRefilled(c.Now)
 	}
 }
 
--- a/failover/status.go
+++ b/failover/status.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Request describes what a node has to do with a request, for reports.
-type Request struct {
+// RequestStatus describes what a node has to do with a request, for reports.
+type RequestStatus struct {
 	Key     string `json:"key"` // in hexadecimal
 	Handler string `json:"handler"`
-	// Part is the node's: "holds", "waits" (another holds it) or "notes" (it
+	// Role is the node's: "holds", "waits" (another holds it) or "notes" (it
 	// records it for the holder).
-	Part string `json:"part"`
-	// Step is how far the request has come.
-	Step   string `json:"step"`
+	Role string `json:"part"`
+	// State is how far the request has come.
+	State  string `json:"step"`
 	Holder string `json:"holder"` // empty if not known
-	// Taken is set if the node has taken it over from another.
-	Taken bool `json:"taken"`
+	// TakenOver is set if the node has taken it over from another.
+	TakenOver bool `json:"taken"`
 	// Left is for how long the caller still waits, in nanoseconds.
 	Left time.Duration `json:"left"`
 }
@@ -32,43 +32,43 @@
 
 // Requests returns the requests that the node holds, waits for or records, at
 // most limit, in the order of their keys.
-func (n *Node) Requests(limit int) []Request {
-	var requests []Request
+func (n *Node) Requests(limit int) []RequestStatus {
+	var requests []RequestStatus
 	for _, claim := range n.claims {
 		requests = append(requests, n.claimStatus(claim))
 	}
 	for _, reservation := range n.reservations.byKey {
 		requests = append(requests, n.reservationStatus(reservation))
 	}
-	slices.SortFunc(requests, func(x, y Request) int {
-		return cmp.Or(cmp.Compare(x.Key, y.Key), cmp.Compare(x.Part, y.Part))
+	slices.SortFunc(requests, func(x, y RequestStatus) int {
+		return cmp.Or(cmp.Compare(x.Key, y.Key), cmp.Compare(x.Role, y.Role))
 	})
 	return requests[:min(limit, len(requests))]
 }
 
-func (n *Node) claimStatus(claim *claim) Request {
-	status := Request{
-		Key:     fmt.Sprintf("%x", claim.key),
-		Handler: claim.work.Handler,
-		Part:    partHolder,
-		Step:    claim.state.String(),
-		Holder:  n.cfg.Name,
-		Taken:   claim.takenOver,
-		Left:    claim.deadline - n.now,
+func (n *Node) claimStatus(claim *claim) RequestStatus {
+	status := RequestStatus{
+		Key:       fmt.Sprintf("%x", claim.key),
+		Handler:   claim.work.Handler,
+		Role:      partHolder,
+		State:     claim.state.String(),
+		Holder:    n.cfg.Name,
+		TakenOver: claim.takenOver,
+		Left:      claim.deadline - n.now,
 	}
 	if claim.otherHolds() {
-		status.Part = partWaiter
+		status.Role = partWaiter
 		status.Holder = claim.holder.Node
 	}
 	return status
 }
 
-func (n *Node) reservationStatus(reservation *reservation) Request {
-	return Request{
+func (n *Node) reservationStatus(reservation *reservation) RequestStatus {
+	return RequestStatus{
 		Key:     fmt.Sprintf("%x", reservation.key),
 		Handler: reservation.work.Handler,
-		Part:    partRecords,
-		Step:    reservation.step(),
+		Role:    partRecords,
+		State:   reservation.step(),
 		Holder:  reservation.ballot.Node,
 		Left:    reservation.deadline - n.now,
 	}
--- a/failover/transfer.go
+++ b/failover/transfer.go
@@ -16,7 +16,7 @@
 
 // Cursor is the position that a transfer has come to.
 type Cursor struct {
-	Step     Step
+	Step     TransferStep
 	Position uint64 // in the store (StepRecords)
 	// End is where StepRecords ends: what came later is in the messages
 	// of the protocol.
@@ -24,19 +24,19 @@
 	Segment uint64 // of fingerprints (StepExpired)
 }
 
-// Step is a part of a transfer.
-type Step uint8
+// TransferStep is a part of a transfer.
+type TransferStep uint8
 
 // The steps, in their order. The numbers stand on the wire.
 const (
 	// StepInFlight transfers started requests without an outcome.
-	StepInFlight Step = 0
+	StepInFlight TransferStep = 0
 	// StepRecords transfers outcomes.
-	StepRecords Step = 1
+	StepRecords TransferStep = 1
 	// StepExpired transfers fingerprints of expired keys.
-	StepExpired Step = 2
+	StepExpired TransferStep = 2
 	// StepDone ends the transfer.
-	StepDone Step = 3
+	StepDone TransferStep = 3
 )
 
 // PageRequest asks a peer for a page.
@@ -59,12 +59,12 @@
 	// older versions don't.
 	FencesSupported bool
 	Records         []idempotency.Record
-	InFlight        []InFlight
+	InFlight        []InFlightRequest
 	Expired         []idempotency.ExpiredKeys
 }
 
-// InFlight is a request that may be running.
-type InFlight struct {
+// InFlightRequest is a request that may be running.
+type InFlightRequest struct {
 	Key    idempotency.Key
 	Ballot Ballot
 	Made   time.Duration // see Message
@@ -93,7 +93,7 @@
 		Configuration: n.configuration,
 		From:          request.From,
 		Next:          request.From,
-		Complete:      n.store.Complete() || disabledRule == ruleCompleteSource,
+		Complete:      n.store.HistoryComplete() || disabledRule == ruleCompleteSource,
 	}
 	shares := func(key idempotency.Key) bool { return slices.Contains(n.membersOf(key), to) }
 	switch request.From.Step {
@@ -122,7 +122,7 @@
 }
 
 // inFlight returns the started requests whose keys satisfy the condition.
-func (n *Node) inFlight(satisfies func(idempotency.Key) bool) (requests []InFlight) {
+func (n *Node) inFlight(satisfies func(idempotency.Key) bool) (requests []InFlightRequest) {
 	if disabledRule == ruleTransferInFlight {
 		return nil
 	}
@@ -130,7 +130,7 @@
 		if !n.reservations.contains(reservation) || !reservation.started || !satisfies(reservation.key) {
 			continue
 		}
-		requests = append(requests, InFlight{
+		requests = append(requests, InFlightRequest{
 			Key:    reservation.key,
 			Ballot: reservation.ballot,
 			Made:   reservation.made,
@@ -195,7 +195,7 @@
 
 // receiveInFlight reserves a key that a peer has recorded as started, and reports
 // whether it could.
-func (n *Node) receiveInFlight(request *InFlight) bool {
+func (n *Node) receiveInFlight(request *InFlightRequest) bool {
 	if existing := n.reservations.get(request.Key); existing != nil {
 		if existing.transferred {
 			existing.addBallot(request.Ballot)
@@ -216,7 +216,7 @@
 }
 
 // reserveTransferred reserves a key whose start is in the store.
-func (n *Node) reserveTransferred(request *InFlight) {
+func (n *Node) reserveTransferred(request *InFlightRequest) {
 	created := n.reservations.add(request.Key)
 	created.transferred = true
 	created.started = true
--- a/idempotency/finish.go
+++ b/idempotency/finish.go
@@ -73,10 +73,10 @@
 	return outcomes
 }
 
-// DiskFailed says that nothing can be written any more. Requests whose intent is not durable never
+// MarkDiskFailed says that nothing can be written any more. Requests whose intent is not durable never
 // started, and are rejected. Results whose record is lost are answered nevertheless: their requests
 // have run, and retries meet them as long as this process lives.
-func (s *Store) DiskFailed() []Outcome {
+func (s *Store) MarkDiskFailed() []Outcome {
 	s.failed = true
 	s.unwritten = nil
 	var outcomes []Outcome
@@ -97,9 +97,9 @@
 	return outcomes
 }
 
-// MarkUnknown says that nobody will tell how the run of a key ended: its outcome is unknown, as
+// MarkOutcomeUnknown says that nobody will tell how the run of a key ended: its outcome is unknown, as
 // after a restart. Its end may still turn up. It returns the outcomes of those that wait for it.
-func (s *Store) MarkUnknown(now time.Duration, key Key) []Outcome {
+func (s *Store) MarkOutcomeUnknown(now time.Duration, key Key) []Outcome {
 	s.advanceClock(now)
 	rec := s.records[key]
 	if rec == nil || rec.flight == nil || rec.state != stateRunning {
--- a/idempotency/history.go
+++ b/idempotency/history.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Forever is the end of a loss that no record follows. FinishLoading ends it.
-const Forever = time.Duration(math.MaxInt64)
+// UnboundedLoss is the end of a loss that no record follows. FinishLoading ends it.
+const UnboundedLoss = time.Duration(math.MaxInt64)
 
 // mayBeLost reports whether a request that was made at that time, or later, and is not remembered
 // may have run.
@@ -57,24 +57,24 @@
 	seg.Accepted = true
 }
 
-// SetProver sets a function that reports whether all that may be lost here of a key has been
+// SetRefillCheck sets a function that reports whether all that may be lost here of a key has been
 // supplied by other nodes.
-func (s *Store) SetProver(prover func(Key) bool) { s.prover = prover }
+func (s *Store) SetRefillCheck(prover func(Key) bool) { s.prover = prover }
 
-// Complete reports whether the store can answer for all that it has ever had.
-func (s *Store) Complete() bool {
+// HistoryComplete reports whether the store can answer for all that it has ever had.
+func (s *Store) HistoryComplete() bool {
 	return !s.failed && (s.lostBefore == 0 || s.refilled)
 }
 
-// KnowsHistoryOf reports whether what the store has of a key is all that it ever had.
-func (s *Store) KnowsHistoryOf(key Key) bool {
-	return s.Complete() || s.prover != nil && s.prover(key)
+// HasFullHistory reports whether what the store has of a key is all that it ever had.
+func (s *Store) HasFullHistory(key Key) bool {
+	return s.HistoryComplete() || s.prover != nil && s.prover(key)
 }
 
-// MarkComplete says that other nodes have supplied all that was lost, for all keys. It counts like
+// MarkRefilled says that other nodes have supplied all that was lost, for all keys. It counts like
 // an operator's acceptance, and reports whether that holds in later incarnations too. It doesn't if
 // fingerprints of other nodes were merged, as those are not on this disk.
-func (s *Store) MarkComplete(now time.Duration) bool {
+func (s *Store) MarkRefilled(now time.Duration) bool {
 	s.refilled = true
 	s.Sweep(now)
 	if len(s.peerFingerprints) > 0 || s.failed {
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -146,7 +146,7 @@
 		if rapid.IntRange(0, 40).Draw(m.t, "disk") == 29 {
 			m.diskFailed = true
 			m.lostRun = true
-			m.check(m.store.DiskFailed())
+			m.check(m.store.MarkDiskFailed())
 		}
 	case 9:
 		m.withdraw()
@@ -277,7 +277,7 @@
 func (m *modelTest) checkBounds() {
 	stats := m.store.Stats()
 	if stats.Keys > m.cfg.MaxEntries+stats.OutcomeUnknown ||
-		stats.Bytes > m.cfg.MaxBytes ||
+		stats.ResultBytes > m.cfg.MaxBytes ||
 		stats.Segments > m.cfg.MaxSegments+1 {
 		m.t.Fatalf("over its bounds: %+v", stats)
 	}
--- a/idempotency/reserve.go
+++ b/idempotency/reserve.go
@@ -67,9 +67,9 @@
 	return outcome
 }
 
-// Original returns the request in flight that a retry of the key would wait for, 0 if there is
+// OriginalRequest returns the request in flight that a retry of the key would wait for, 0 if there is
 // none.
-func (s *Store) Original(key Key) uint64 {
+func (s *Store) OriginalRequest(key Key) uint64 {
 	rec := s.records[key]
 	if rec == nil || rec.flight == nil {
 		return 0
--- a/idempotency/stats.go
+++ b/idempotency/stats.go
@@ -12,8 +12,8 @@
 	OutcomeUnknown int `json:"in_doubt"`
 	// InFlight is how many of those run or wait for the disk.
 	InFlight int `json:"in_hand"`
-	// Bytes is the size of all results.
-	Bytes int `json:"bytes"`
+	// ResultBytes is the size of all results.
+	ResultBytes int `json:"bytes"`
 	// Fingerprints is the number of keys in retired segments, of which only a fingerprint is left.
 	Fingerprints int `json:"prints"`
 	// Segments is the number of segments.
@@ -33,7 +33,7 @@
 		Keys:           len(s.records),
 		OutcomeUnknown: s.unknown,
 		InFlight:       s.inFlight,
-		Bytes:          s.resultBytes,
+		ResultBytes:    s.resultBytes,
 		Segments:       len(s.segments),
 		LostBefore:     s.lostBefore,
 		Failed:         s.failed,
@@ -49,17 +49,17 @@
 	return stats
 }
 
-// Each calls f for each key that is remembered with more than a fingerprint, in no order. at is
+// ForEachKey calls f for each key that is remembered with more than a fingerprint, in no order. at is
 // when it ended, or when its intent was made; state is how the operators' commands name its state;
 // bytes is the size of its result.
-func (s *Store) Each(f func(key Key, at time.Duration, state string, bytes int)) {
+func (s *Store) ForEachKey(f func(key Key, at time.Duration, state string, bytes int)) {
 	for key, rec := range s.records {
 		f(key, rec.at, rec.stateName(), len(rec.result))
 	}
 }
 
-// UnknownKeys returns the keys whose outcome is unknown, the oldest first, at most limit of them.
-func (s *Store) UnknownKeys(limit int) []Key {
+// KeysWithUnknownOutcome returns the keys whose outcome is unknown, the oldest first, at most limit of them.
+func (s *Store) KeysWithUnknownOutcome(limit int) []Key {
 	var keys []Key
 	for _, key := range s.expiryQueue {
 		if len(keys) >= min(limit, s.unknown) {
@@ -72,9 +72,9 @@
 	return keys
 }
 
-// UnknownByHandler returns how many keys have an unknown outcome, by handler; "" stands for those
+// UnknownOutcomesByHandler returns how many keys have an unknown outcome, by handler; "" stands for those
 // whose handler is not known.
-func (s *Store) UnknownByHandler() map[string]int {
+func (s *Store) UnknownOutcomesByHandler() map[string]int {
 	counts := map[string]int{}
 	for _, handler := range s.unknownHandlers {
 		counts[handler]++
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -63,5 +63,5 @@
 	return entries
 }
 
-// LastSeq returns the sequence number of the last durable record.
-func (s *Store) LastSeq() uint64 { return s.durableSeq }
+// DurableSeq returns the sequence number of the last durable record.
+func (s *Store) DurableSeq() uint64 { return s.durableSeq }
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -239,12 +239,12 @@
 			return s.MarkDurable(endSeq)
 		}, []string{"2 replay yes"}},
 		{"the disk fails before its intent is durable", func(s *Store) []Outcome {
-			return s.DiskFailed()
+			return s.MarkDiskFailed()
 		}, []string{"1 store failed ", "2 store failed "}},
 		{"the disk fails before its end is durable", func(s *Store) []Outcome {
 			s.MarkDurable(intentSeq)
 			finish(s, EntryResult, "yes")
-			return append(s.DiskFailed(), retry(s))
+			return append(s.MarkDiskFailed(), retry(s))
 		}, []string{"1 completed yes", "2 replay yes", "3 replay yes"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -293,7 +293,7 @@
 	s.Finish(noon, keyOf(1), EntryResult, []byte("filed"))
 	s.Reserve(noon, 0, keyOf(3), "status", 4)
 	s.AbandonInFlight(noon)
-	if got := s.UnknownByHandler(); got["status"] != 3 || s.inFlight != 1 {
+	if got := s.UnknownOutcomesByHandler(); got["status"] != 3 || s.inFlight != 1 {
 		t.Error(got, s.inFlight)
 	}
 	s.Finish(noon, keyOf(2), EntryResult, []byte("late"))
@@ -328,7 +328,7 @@
 		x.disk.load(x.store)
 		x.store.FinishLoading(noon+time.Second, false, 0)
 		x.sync()
-		if keys := x.store.UnknownKeys(5); !slices.Equal(keys, []Key{keyOf(1)}) {
+		if keys := x.store.KeysWithUnknownOutcome(5); !slices.Equal(keys, []Key{keyOf(1)}) {
 			t.Errorf("after %d restarts the outcome of %x is unknown", incarnation+1, keys)
 		}
 	}
--- a/idempotency/transfer_test.go
+++ b/idempotency/transfer_test.go
@@ -46,17 +46,17 @@
 
 		x.run(rapid.IntRange(0, 30).Draw(t, "before"))
 		x.to.MarkOutdated(x.now)
-		x.to.SetProver(func(Key) bool { return true })
+		x.to.SetRefillCheck(func(Key) bool { return true })
 		before := x.newest // what runs later reaches the other store as it runs
 		x.transferRecords()
 		x.transferFingerprints()
 		x.compare(before)
 
-		if x.to.Complete() {
+		if x.to.HistoryComplete() {
 			t.Fatal("complete before it is marked so")
 		}
-		x.to.MarkComplete(x.now)
-		if !x.to.Complete() {
+		x.to.MarkRefilled(x.now)
+		if !x.to.HistoryComplete() {
 			t.Fatal("not complete after it is marked so")
 		}
 		x.checkUnknownByHandler()
@@ -81,7 +81,7 @@
 		case 1:
 			x.from.Finish(x.now, key, EntryResult, make([]byte, x.cfg.MaxResultBytes+1))
 		case 2:
-			x.from.MarkUnknown(x.now, key)
+			x.from.MarkOutcomeUnknown(x.now, key)
 		default:
 			x.from.Finish(x.now, key, EntryResult, fmt.Append(nil, "result ", x.newest))
 		}
@@ -137,14 +137,14 @@
 
 func (x *transferTest) checkUnknownByHandler() {
 	unknown := 0
-	for handler, n := range x.from.UnknownByHandler() {
+	for handler, n := range x.from.UnknownOutcomesByHandler() {
 		if handler != "even" && handler != "odd" {
 			x.t.Fatal("a handler that does not exist: ", handler)
 		}
 		unknown += n
 	}
 	if unknown != x.from.Stats().OutcomeUnknown {
-		x.t.Fatal("unknown by handler: ", x.from.UnknownByHandler(), " of ", x.from.Stats().OutcomeUnknown)
+		x.t.Fatal("unknown by handler: ", x.from.UnknownOutcomesByHandler(), " of ", x.from.Stats().OutcomeUnknown)
 	}
 }
 
@@ -157,7 +157,7 @@
 	disk.load(restarted)
 	restarted.FinishLoading(x.now, false, 0)
 	allOnDisk := len(x.to.peerFingerprints) == 0
-	if restarted.Complete() != allOnDisk {
+	if restarted.HistoryComplete() != allOnDisk {
 		x.t.Fatal("a later incarnation is complete without the fingerprints, or not complete without any")
 	}
 	for key := range x.ran {
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -143,7 +143,7 @@
 	s.gauge(storeKeys, float64(store.OutcomeUnknown), "in-doubt")
 	s.gauge(storeKeys, float64(store.InFlight), "in-hand")
 	s.gauge(storeKeys, float64(store.Fingerprints), "print")
-	s.gauge(storeResultBytes, float64(store.Bytes))
+	s.gauge(storeResultBytes, float64(store.ResultBytes))
 	s.flag(storeProtects, !stats.Loading && !stats.StoreFailed)
 	s.counter(storeVerdicts, stats.Replayed, "repeated")
 	s.counter(storeVerdicts, stats.OutcomeUnknown, "in-doubt")
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -136,10 +136,10 @@
 		table.println("key\thandler\tpart\tstep\tholder\ttime left\ttaken over")
 		for _, r := range stats.Requests {
 			takenOver := ""
-			if r.Taken {
+			if r.TakenOver {
 				takenOver = "yes"
 			}
-			table.printf("%.*s\t%s\t%s\t%s\t%s\t%s\t%s\n", shownKeyDigits, r.Key, r.Handler, r.Part, r.Step, r.Holder,
+			table.printf("%.*s\t%s\t%s\t%s\t%s\t%s\t%s\n", shownKeyDigits, r.Key, r.Handler, r.Role, r.State, r.Holder,
 				r.Left.Round(time.Millisecond), takenOver)
 		}
 	})
--- a/internal/cli/cluster_test.go
+++ b/internal/cli/cluster_test.go
@@ -44,11 +44,11 @@
 			{Name: "n1", Incarnation: 2, State: "alive", Roster: "as here"},
 			{Name: "n2", Incarnation: 7, State: "suspected", Roster: "unknown"},
 		},
-		Requests: []failover.Request{{
+		Requests: []failover.RequestStatus{{
 			Key:     "00112233445566778899aabbccddeeff",
 			Handler: "file-claim",
-			Part:    "notes",
-			Step:    "begun",
+			Role:    "notes",
+			State:   "begun",
 			Holder:  "n2",
 			Left:    1500 * time.Millisecond,
 		}},
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -155,7 +155,7 @@
 	}
 	node := nodeFigures{File: file, InUse: statsfile.Locked(file)}
 	if !node.InUse && wasKilled(ledger) {
-		ledger.CloseAll(accounting.OpenAtKill, accounting.Killed) // as the next start of the node will
+		ledger.EndIncarnation(accounting.OpenAtKill, accounting.Killed) // as the next start of the node will
 	}
 	node.Report = ledger.Report(o.cutoff > 0 || o.by == byPeriod || o.json)
 	node.settle(outcomes)
@@ -175,7 +175,7 @@
 	if len(incarnations) == 0 {
 		return false
 	}
-	return incarnations[len(incarnations)-1].Ending == accounting.Running
+	return incarnations[len(incarnations)-1].State == accounting.Running
 }
 
 func (o *figuresOptions) print(out io.Writer, nodes []nodeFigures) error {
--- a/internal/cli/figures_table.go
+++ b/internal/cli/figures_table.go
@@ -95,7 +95,7 @@
 	for i := range node.Report.Incarnations {
 		incarnation := &node.Report.Incarnations[i]
 		number := strconv.FormatUint(incarnation.Number, 10)
-		key := node.File + " life " + number + ", " + timestampSeconds(incarnation.Started) + ", " + incarnation.Ending.String()
+		key := node.File + " life " + number + ", " + timestampSeconds(incarnation.Started) + ", " + incarnation.State.String()
 		t.add(key, incarnation.Counts)
 	}
 }
--- a/internal/cli/figures_test.go
+++ b/internal/cli/figures_test.go
@@ -36,14 +36,14 @@
 		for i, reason := range []accounting.Reason{accounting.Completed, accounting.Shed, accounting.RunFailed} {
 			id := uint64(16*incarnation + i + 1)
 			ticket := ledger.Open(now, id, uint16(1+i%2), accounting.FastCGI, accounting.NewCustomerName([]byte("4")))
-			ledger.Answer(now, ticket, reason)
+			ledger.ResponseWritten(now, ticket, reason)
 			if i < 2 || incarnation == 0 {
-				ledger.Sent(now, ticket)
+				ledger.ResponseSent(now, ticket)
 			}
 		}
 		recorder.Append(ledger, now)
 		if incarnation == 0 {
-			ledger.CloseAll(accounting.OpenAtExit, accounting.Exited)
+			ledger.EndIncarnation(accounting.OpenAtExit, accounting.Exited)
 			recorder.Close(ledger, at)
 		} else {
 			recorder.Abandon()
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -156,7 +156,7 @@
 		bytes int
 	}
 	var entries []entry
-	store.Each(func(key idempotency.Key, at time.Duration, state string, bytes int) {
+	store.ForEachKey(func(key idempotency.Key, at time.Duration, state string, bytes int) {
 		if !unknownOnly || state == "in doubt" {
 			entries = append(entries, entry{key, at, state, bytes})
 		}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	disk := wal.DirDisk(dir)
-	if _, err := wal.Identify(disk); err != nil {
+	if _, err := wal.ReadID(disk); err != nil {
 		return err
 	}
 	lock, err := filelock.Acquire(filepath.Join(dir, wal.LockName))
@@ -101,7 +101,7 @@
 	out.printf("%s: box %s, %s, %d lives, %d records in %d segments since %s\n",
 		r.Dir, r.Node, state, s.Incarnation, r.Records, s.Segments, timestamp(s.Since))
 	out.printf("%s: %d keys, %d of them in doubt, %d bytes of results, prints of %d more\n",
-		r.Dir, s.Keys, s.OutcomeUnknown, s.Bytes, s.Fingerprints)
+		r.Dir, s.Keys, s.OutcomeUnknown, s.ResultBytes, s.Fingerprints)
 	if r.TornBytes > 0 {
 		out.printf("%s: %d bytes at its end were never confirmed, and are cut\n", r.Dir, r.TornBytes)
 	}
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -113,8 +113,8 @@
 	d.synced[name] = file
 }
 
-// Append opens a file for appending after size bytes. It creates the file if there is none.
-func (d *Disk) Append(name string, size int64) (wal.File, error) {
+// OpenAppend opens a file for appending after size bytes. It creates the file if there is none.
+func (d *Disk) OpenAppend(name string, size int64) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	interrupted, err := d.begin("open", name)
@@ -158,8 +158,8 @@
 	return err
 }
 
-// Sync makes the names of files durable.
-func (d *Disk) Sync() error {
+// SyncDir makes the names of files durable.
+func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, err := d.begin("sync", ""); err != nil {
--- a/internal/peerproto/page.go
+++ b/internal/peerproto/page.go
@@ -43,7 +43,7 @@
 			if f.uint > uint64(failover.StepDone) {
 				return ErrMalformed
 			}
-			cursor.Step = failover.Step(f.uint)
+			cursor.Step = failover.TransferStep(f.uint)
 		case cursorPosition:
 			cursor.Position = f.uint
 		case cursorEnd:
@@ -94,7 +94,7 @@
 			record, err = parseRecord(f.bytes)
 			page.Records = append(page.Records, record)
 		case pageInFlight:
-			var inFlight failover.InFlight
+			var inFlight failover.InFlightRequest
 			inFlight, err = parseInFlight(f.bytes)
 			page.InFlight = append(page.InFlight, inFlight)
 		case pageExpired:
@@ -142,7 +142,7 @@
 	return 0, ErrMalformed
 }
 
-func appendInFlight(b []byte, inFlight *failover.InFlight) []byte {
+func appendInFlight(b []byte, inFlight *failover.InFlightRequest) []byte {
 	b = appendBytes(b, inFlightKey, inFlight.Key[:])
 	b = appendBytes(b, inFlightBallot, appendBallot(nil, inFlight.Ballot))
 	b = appendUint(b, inFlightMade, uint64(inFlight.Made))
@@ -152,8 +152,8 @@
 	return b
 }
 
-func parseInFlight(b []byte) (failover.InFlight, error) {
-	var inFlight failover.InFlight
+func parseInFlight(b []byte) (failover.InFlightRequest, error) {
+	var inFlight failover.InFlightRequest
 	err := forEachField(b, func(f field) (err error) {
 		switch f.number {
 		case inFlightKey:
--- a/internal/peerproto/peerproto_test.go
+++ b/internal/peerproto/peerproto_test.go
@@ -73,7 +73,7 @@
 		Complete:        true,
 		FencesSupported: true,
 		Records:         []idempotency.Record{{Key: idempotency.Key{4}, Kind: idempotency.EntryResult, Result: []byte("filed")}, {}},
-		InFlight: []failover.InFlight{{
+		InFlight: []failover.InFlightRequest{{
 			Key:    idempotency.Key{5},
 			Ballot: failover.Ballot{Number: 2, Node: "n2", Incarnation: 1},
 			Made:   6,
--- a/internal/processor/processor.go
+++ b/internal/processor/processor.go
@@ -49,7 +49,7 @@
 var outcomes = map[string]overload.Outcome{
 	"ok":     overload.OK,
 	"failed": overload.Failed,
-	"halted": overload.Stopped,
+	"halted": overload.Cancelled,
 	"void":   overload.NeverRan,
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -87,8 +87,8 @@
 	}
 }
 
-func decodeRules(o object) overload.Rules {
-	return overload.Rules{
+func decodeRules(o object) overload.PlatformRules {
+	return overload.PlatformRules{
 		CollapseFactor: o.number("fallMultiple"),
 		ColdCapacity:   o.number("coldFrom"),
 		WarmUpTime:     o.micros("coldUs").Value,
@@ -96,8 +96,8 @@
 	}
 }
 
-func decodeLimits(o object) overload.Limits {
-	return overload.Limits{
+func decodeLimits(o object) overload.RetryAfterLimits {
+	return overload.RetryAfterLimits{
 		RetryAfter:    o.bool("retryAfter"),
 		MaxRetryAfter: o.micros("maxRetryAfterUs"),
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -55,11 +55,11 @@
 				ReuseFor: 800 * time.Millisecond, EdgeNodes: 5,
 				Gauges: []overload.Gauge{overload.GaugeBusy, overload.GaugeOther, overload.GaugeRunnable, overload.GaugeOther},
 			},
-			Rules: overload.Rules{
+			Rules: overload.PlatformRules{
 				CollapseFactor: overload.Some(8.0), ColdCapacity: overload.Some(0.21), WarmUpTime: 18 * time.Second,
 				DrainGrace: 1800 * time.Millisecond,
 			},
-			Limits:    overload.Limits{RetryAfter: true, MaxRetryAfter: overload.Some(time.Second)},
+			Limits:    overload.RetryAfterLimits{RetryAfter: true, MaxRetryAfter: overload.Some(time.Second)},
 			Customers: []overload.Customer{{Name: "donau-apo", QuotaPerSecond: 114}, {}},
 		}},
 		{"empty", `{}`, overload.Settings{}},
--- a/internal/simproto/action.go
+++ b/internal/simproto/action.go
@@ -8,19 +8,19 @@
 
 // actionWords are the protocol's words for actions.
 var actionWords = [...]string{
-	overload.Start:     "admit",
-	overload.Cancel:    "yank",
-	overload.Reject:    "turnAway",
-	overload.Fail:      "reportFailure",
-	overload.Call:      "dial",
-	overload.SkipCall:  "degrade",
-	overload.Remember:  "storeKey",
-	overload.Forget:    "releaseKey",
-	overload.Coalesce:  "attach",
-	overload.Health:    "readiness",
-	overload.Signal:    "advertise",
-	overload.Wake:      "sleep",
-	overload.CloseIdle: "closeIdle",
+	overload.Start:       "admit",
+	overload.Cancel:      "yank",
+	overload.Reject:      "turnAway",
+	overload.Fail:        "reportFailure",
+	overload.Call:        "dial",
+	overload.SkipCall:    "degrade",
+	overload.StoreEntry:  "storeKey",
+	overload.RemoveEntry: "releaseKey",
+	overload.Coalesce:    "attach",
+	overload.Health:      "readiness",
+	overload.Signal:      "advertise",
+	overload.SetTimer:    "sleep",
+	overload.CloseIdle:   "closeIdle",
 }
 
 const (
@@ -41,7 +41,7 @@
 	case overload.Signal:
 		b = appendName(b, "value")
 		b = strconv.AppendFloat(b, action.Value, 'f', signalPrecision, 64)
-	case overload.Wake:
+	case overload.SetTimer:
 		b = appendInt(b, "whenUs", action.At.Microseconds())
 		b = appendInt(b, "handle", timerHandle)
 	case overload.CloseIdle:
@@ -65,7 +65,7 @@
 		}
 	case overload.Call:
 		b = appendInt(b, "timeoutUs", action.Duration.Microseconds())
-	case overload.Remember:
+	case overload.StoreEntry:
 		b = appendInt(b, "keepForUs", action.Duration.Microseconds())
 	}
 	return b
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -16,8 +16,8 @@
 	"QueueFull":    overload.Overloaded,
 	"TimedOut":     overload.TimedOut,
 	"ConnectError": overload.NoConnection,
-	"ResetByPeer":  overload.BrokenOff,
-	"Canceled":     overload.Stopped,
+	"ResetByPeer":  overload.ConnectionLost,
+	"Canceled":     overload.Cancelled,
 	"Ignored":      overload.NeverRan,
 }
 
--- a/internal/statsfile/bench_test.go
+++ b/internal/statsfile/bench_test.go
@@ -32,8 +32,8 @@
 		at += 10 * time.Millisecond
 		for k := range 100 {
 			ticket := openRequest(ledger, at, uint64(i*100+k))
-			ledger.Answer(at, ticket, accounting.Completed)
-			ledger.Sent(at, ticket)
+			ledger.ResponseWritten(at, ticket, accounting.Completed)
+			ledger.ResponseSent(at, ticket)
 		}
 		recorder.Append(ledger, at)
 	}
@@ -51,11 +51,11 @@
 		customer := accounting.NewCustomerName([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
 		ticket := ledger.Open(at, uint64(i), 1, accounting.FastCGI, customer)
 		recorder.Append(ledger, at)
-		ledger.Answer(at, ticket, accounting.Completed)
-		ledger.Flush(at, true)
+		ledger.ResponseWritten(at, ticket, accounting.Completed)
+		ledger.SetFlushing(at, true)
 		recorder.Append(ledger, at)
-		ledger.Sent(at, ticket)
-		ledger.Flush(at, false)
+		ledger.ResponseSent(at, ticket)
+		ledger.SetFlushing(at, false)
 		recorder.Append(ledger, at)
 	}
 }
--- a/internal/statsfile/helpers_test.go
+++ b/internal/statsfile/helpers_test.go
@@ -51,11 +51,11 @@
 		customer := accounting.NewCustomerName([]byte{byte(i % 7)})
 		open = append(open, ledger.Open(at, uint64(i), uint16(i%3), accounting.Frontend(i%2), customer))
 	case 2:
-		ledger.Answer(at, open[0], accounting.Completed)
-		ledger.Flush(at, true)
+		ledger.ResponseWritten(at, open[0], accounting.Completed)
+		ledger.SetFlushing(at, true)
 	case 3:
-		ledger.Sent(at, open[0])
-		ledger.Flush(at, false)
+		ledger.ResponseSent(at, open[0])
+		ledger.SetFlushing(at, false)
 		open = open[1:]
 	case 4:
 		last := len(open) - 1
--- a/internal/statsfile/layout.go
+++ b/internal/statsfile/layout.go
@@ -91,10 +91,10 @@
 	open := int(ledger.Total().Open) + spareOpenRequests
 	l := layout{
 		entries:      entries,
-		snapshotSize: wholePages(snapshotHeaderSize + ledger.SnapshotSize(open)),
+		snapshotSize: wholePages(snapshotHeaderSize + ledger.MaxSnapshotSize(open)),
 	}
 	if periods > 0 {
-		l.periodSize = periodHeaderSize + ledger.PeriodSize()
+		l.periodSize = periodHeaderSize + ledger.MaxPeriodSize()
 		l.periodSlots = periods + sparePeriods
 	}
 	return l
--- a/internal/statsfile/read_test.go
+++ b/internal/statsfile/read_test.go
@@ -131,7 +131,7 @@
 		f.Fatal(err)
 	}
 	ledger.StartIncarnation(noon, 0)
-	ledger.RecordEntries(true)
+	ledger.SetRecording(true)
 	l := layout{entries: MinEntries, snapshotSize: 4096}
 	seed := &file{layout: l, data: make([]byte, l.size())}
 	l.encode(seed.data)
--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -89,7 +89,7 @@
 		fresh.StartIncarnation(at, bootTime())
 		ledger = fresh
 	}
-	ledger.RecordEntries(r.Recording())
+	ledger.SetRecording(r.Recording())
 	if r.Recording() {
 		r.log.Info("figures file opened", "file", r.path, "incarnation", lastIncarnation(ledger))
 	}
@@ -210,7 +210,7 @@
 		return
 	}
 	r.file = created
-	ledger.RecordEntries(true)
+	ledger.SetRecording(true)
 	r.publishFile(created, now)
 }
 
@@ -220,7 +220,7 @@
 	r.file.unmap()
 	r.file = nil
 	r.nextTask = now + retryInterval
-	ledger.RecordEntries(false)
+	ledger.SetRecording(false)
 }
 
 // Abandon releases the file with nothing more written, as the end of the process would.
--- a/internal/statsfile/recorder_test.go
+++ b/internal/statsfile/recorder_test.go
@@ -32,7 +32,7 @@
 	}
 	list, _, _ := ledger.Incarnations()
 	last := list[len(list)-1]
-	return strings.Join([]string{last.Ending.String(), countsText(last.Counts), countsText(ledger.Total())}, ", ")
+	return strings.Join([]string{last.State.String(), countsText(last.Counts), countsText(ledger.Total())}, ", ")
 }
 
 // TestIncarnations checks that the counts of a process that exited, of one that was killed, and of one whose handlers have
@@ -40,24 +40,24 @@
 func TestIncarnations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
 	open := func(ledger *accounting.Ledger, id uint64, handler string) accounting.Ticket {
-		return ledger.Open(noon, id, ledger.Handler(handler), accounting.FastCGI, accounting.CustomerName{})
+		return ledger.Open(noon, id, ledger.HandlerIndex(handler), accounting.FastCGI, accounting.CustomerName{})
 	}
 	var got []string
 
 	ledger, recorder, _ := openLedger(t, path)
 	ticket := open(ledger, 1, "file-claim")
-	ledger.Answer(noon, ticket, accounting.Completed)
-	ledger.Sent(noon, ticket)
+	ledger.ResponseWritten(noon, ticket, accounting.Completed)
+	ledger.ResponseSent(noon, ticket)
 	open(ledger, 2, "status")
-	ledger.CloseAll(accounting.OpenAtExit, accounting.Exited)
+	ledger.EndIncarnation(accounting.OpenAtExit, accounting.Exited)
 	recorder.Close(ledger, noon)
 	got = append(got, lastIncarnationText(t, path))
 
 	ledger, recorder, _ = openLedger(t, path)
 	ticket = open(ledger, 3, "status")
 	open(ledger, 4, "status")
-	ledger.Answer(noon, ticket, accounting.Shed)
-	ledger.Flush(noon, true)
+	ledger.ResponseWritten(noon, ticket, accounting.Shed)
+	ledger.SetFlushing(noon, true)
 	recorder.Append(ledger, noon)
 	recorder.Abandon()
 	got = append(got, lastIncarnationText(t, path))
@@ -65,7 +65,7 @@
 	ledger, recorder, _ = openLedgerWith(t, path, accounting.Config{Handlers: []string{"claims", "status"}})
 	list, _, _ := ledger.Incarnations()
 	killed := list[len(list)-2]
-	got = append(got, killed.Ending.String()+", "+countsText(killed.Counts))
+	got = append(got, killed.State.String()+", "+countsText(killed.Counts))
 	if killed.Uncertain != 1 || killed.UncertainIDs[0] != 3 {
 		t.Error("of uncertain delivery: ", killed.UncertainIDs)
 	}
@@ -255,8 +255,8 @@
 			}
 			customer := accounting.NewCustomerName([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
 			ticket := ledger.Open(at, uint64(i), uint16(i%3), accounting.FastCGI, customer)
-			ledger.Answer(at, ticket, accounting.Shed)
-			ledger.Sent(at, ticket)
+			ledger.ResponseWritten(at, ticket, accounting.Shed)
+			ledger.ResponseSent(at, ticket)
 			if i%10 == 0 {
 				recorder.Append(ledger, at)
 			}
@@ -272,7 +272,7 @@
 	}
 	ledger.Audit(at)
 	recorded, _, err := ReadFile(path)
-	if err != nil || recorded.Total().Received != 1_020_000 || ledger.Mismatches() > 0 {
+	if err != nil || recorded.Total().Received != 1_020_000 || ledger.MismatchCount() > 0 {
 		t.Error(err, recorded.Total())
 	}
 	recorder.Close(ledger, at)
--- a/internal/wal/compat_test.go
+++ b/internal/wal/compat_test.go
@@ -201,7 +201,7 @@
 	store.FinishLoading(now, found.NeedsNewSegment(), found.LastSegment)
 	fmt.Fprintln(&b, "keys:")
 	var keys []string
-	store.Each(func(key idempotency.Key, at time.Duration, state string, bytes int) {
+	store.ForEachKey(func(key idempotency.Key, at time.Duration, state string, bytes int) {
 		keys = append(keys, fmt.Sprintf("  %x at %s: %s, %d bytes\n", key, at-noon, state, bytes))
 	})
 	slices.Sort(keys)
@@ -214,13 +214,13 @@
 			n, recent.Decision, recent.Result, undated.Decision, undated.Result)
 	}
 	fmt.Fprintln(&b, "unknown outcomes:")
-	for _, key := range store.UnknownKeys(100) {
+	for _, key := range store.KeysWithUnknownOutcome(100) {
 		fmt.Fprintf(&b, "  %x\n", key)
 	}
 	stats := store.Stats()
 	fmt.Fprintln(&b, "stats:")
 	fmt.Fprintf(&b, "  incarnation %d, %d keys, %d unknown, %d in flight, %d bytes\n",
-		stats.Incarnation, stats.Keys, stats.OutcomeUnknown, stats.InFlight, stats.Bytes)
+		stats.Incarnation, stats.Keys, stats.OutcomeUnknown, stats.InFlight, stats.ResultBytes)
 	fmt.Fprintf(&b, "  %d fingerprints in %d segments since %s, history lost before %s\n",
 		stats.Fingerprints, stats.Segments, stats.Since-noon, stats.LostBefore-noon)
 	return b.String()
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -36,7 +36,7 @@
 	}
 	remove := func(name string) func(disk *fake.Disk) {
 		return func(disk *fake.Disk) {
-			if err := errors.Join(disk.Remove(name), disk.Sync()); err != nil {
+			if err := errors.Join(disk.Remove(name), disk.SyncDir()); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/wal/dirdisk_powerloss.go
+++ b/internal/wal/dirdisk_powerloss.go
@@ -53,8 +53,8 @@
 	return names, err
 }
 
-// Append implements Disk.
-func (d *recordingDisk) Append(name string, size int64) (File, error) {
+// OpenAppend implements Disk.
+func (d *recordingDisk) OpenAppend(name string, size int64) (File, error) {
 	_, err := os.Stat(d.path(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		err = errors.Join(d.recordDurableSize(name, 0), d.recordPending("create", name))
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	file, err := d.dirDisk.Append(name, size)
+	file, err := d.dirDisk.OpenAppend(name, size)
 	return &recordingFile{File: file, disk: d, name: name, size: size}, err
 }
 
@@ -90,9 +90,9 @@
 	return d.recordPending("remove", name, old)
 }
 
-// Sync implements Disk. It makes all changes of names durable.
-func (d *recordingDisk) Sync() error {
-	if err := d.dirDisk.Sync(); err != nil {
+// SyncDir implements Disk. It makes all changes of names durable.
+func (d *recordingDisk) SyncDir() error {
+	if err := d.dirDisk.SyncDir(); err != nil {
 		return err
 	}
 	if err := d.dirDisk.Remove(pendingName); err != nil {
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -16,15 +16,15 @@
 	Names() ([]string, error)
 	// Read returns a file's content. The error is fs.ErrNotExist if there is no such file.
 	Read(name string) ([]byte, error)
-	// Append opens a file to be written to from that size on. It is created if it doesn't exist,
+	// OpenAppend opens a file to be written to from that size on. It is created if it doesn't exist,
 	// and truncated if it is longer.
-	Append(name string, size int64) (File, error)
+	OpenAppend(name string, size int64) (File, error)
 	// Rename renames a file, replacing one that has the new name.
 	Rename(from, to string) error
 	// Remove removes a file. It is no error if there is none.
 	Remove(name string) error
-	// Sync makes durable which files there are and under which names.
-	Sync() error
+	// SyncDir makes durable which files there are and under which names.
+	SyncDir() error
 }
 
 // File is a file that is written to.
@@ -54,8 +54,8 @@
 // Read implements Disk.
 func (d dirDisk) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// Append implements Disk.
-func (d dirDisk) Append(name string, size int64) (File, error) {
+// OpenAppend implements Disk.
+func (d dirDisk) OpenAppend(name string, size int64) (File, error) {
 	file, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_WRONLY, 0o640)
 	if err != nil {
 		return nil, err
@@ -83,8 +83,8 @@
 	return err
 }
 
-// Sync implements Disk.
-func (d dirDisk) Sync() error {
+// SyncDir implements Disk.
+func (d dirDisk) SyncDir() error {
 	dir, err := os.Open(string(d))
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 	if err := disk.Rename(temporary, name); err != nil {
 		return fmt.Errorf("rename %s: %w", temporary, err)
 	}
-	if err := disk.Sync(); err != nil {
+	if err := disk.SyncDir(); err != nil {
 		return fmt.Errorf("sync the directory of %s: %w", name, err)
 	}
 	return nil
@@ -111,7 +111,7 @@
 
 // writeAndSync writes a file anew and makes its content durable.
 func writeAndSync(disk Disk, name string, data []byte) error {
-	file, err := disk.Append(name, 0)
+	file, err := disk.OpenAppend(name, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/wal/identity.go
+++ b/internal/wal/identity.go
@@ -50,9 +50,9 @@
 	return WriteFile(disk, identityName, id.encode())
 }
 
-// Identify returns whose store it is. The error is ErrNoStore, ErrWrongOwner, ErrVersion or one of
+// ReadID returns whose store it is. The error is ErrNoStore, ErrWrongOwner, ErrVersion or one of
 // the disk.
-func Identify(disk Disk) (ID, error) {
+func ReadID(disk Disk) (ID, error) {
 	text, err := disk.Read(identityName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return ID{}, ErrNoStore
--- a/internal/wal/identity_test.go
+++ b/internal/wal/identity_test.go
@@ -79,7 +79,7 @@
 			if err := os.WriteFile(filepath.Join(dir, "store"), []byte(c.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := wal.Identify(disk); !errors.Is(err, c.want) {
+			if _, err := wal.ReadID(disk); !errors.Is(err, c.want) {
 				t.Errorf("%q: %v, not %v", c.text, err, c.want)
 			}
 		})
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -30,8 +30,8 @@
 	Records int64 `json:"records"`
 	// Commits is how often that was done.
 	Commits int64 `json:"commits"`
-	// Longest is how long the slowest commit took.
-	Longest time.Duration `json:"longest"`
+	// LongestCommit is how long the slowest commit took.
+	LongestCommit time.Duration `json:"longest"`
 }
 
 // NewLog starts a log. notify is called on its goroutine, with the sequence number up to which all
@@ -165,7 +165,7 @@
 	l.mu.Lock()
 	l.stats.Records += int64(len(batch))
 	l.stats.Commits++
-	l.stats.Longest = max(l.stats.Longest, time.Since(begin))
+	l.stats.LongestCommit = max(l.stats.LongestCommit, time.Since(begin))
 	l.mu.Unlock()
 	l.notify(seq, nil)
 	return true
--- a/internal/wal/quarantine.go
+++ b/internal/wal/quarantine.go
@@ -42,7 +42,7 @@
 // writeAttempts writes the number of attempts without making it durable. It outlives the process; a
 // power failure that takes it back costs one more attempt.
 func writeAttempts(disk Disk, attempts int) error {
-	file, err := disk.Append(readAttemptsName, 0)
+	file, err := disk.OpenAppend(readAttemptsName, 0)
 	if err != nil {
 		return err
 	}
@@ -66,5 +66,5 @@
 			return err
 		}
 	}
-	return disk.Sync()
+	return disk.SyncDir()
 }
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -80,7 +80,7 @@
 
 func (r *reader) read(node string) error {
 	var err error
-	r.ID, err = Identify(r.disk)
+	r.ID, err = ReadID(r.disk)
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 // finish reports losses at either end to the store.
 func (r *reader) finish() {
 	if r.inLoss {
-		r.store.AddHistoryLoss(idempotency.Forever)
+		r.store.AddHistoryLoss(idempotency.UnboundedLoss)
 	}
 	if r.requiredSegment > 0 && r.firstSegment > r.requiredSegment {
 		r.addDamage("segments %d to %d are missing", r.requiredSegment, r.firstSegment-1)
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	if created {
-		if err := w.disk.Sync(); err != nil {
+		if err := w.disk.SyncDir(); err != nil {
 			return err
 		}
 	}
@@ -143,7 +143,7 @@
 		w.segment = segment
 		w.size = 0
 	}
-	w.file, err = w.disk.Append(logName(segment), w.size)
+	w.file, err = w.disk.OpenAppend(logName(segment), w.size)
 	if err != nil {
 		return false, err
 	}
@@ -189,7 +189,7 @@
 			return err
 		}
 	}
-	return w.disk.Sync()
+	return w.disk.SyncDir()
 }
 
 // Close closes the file. It makes nothing durable.
--- a/lab/outage/node.go
+++ b/lab/outage/node.go
@@ -58,8 +58,8 @@
 			Cancellation:    overload.CancelDrop,
 			Gauges:          []overload.Gauge{overload.GaugeBusy, overload.GaugeRunnable},
 		},
-		Rules:  overload.Rules{CollapseFactor: overload.Some(8.0), DrainGrace: time.Second},
-		Limits: overload.Limits{RetryAfter: true, MaxRetryAfter: overload.Some(time.Second)},
+		Rules:  overload.PlatformRules{CollapseFactor: overload.Some(8.0), DrainGrace: time.Second},
+		Limits: overload.RetryAfterLimits{RetryAfter: true, MaxRetryAfter: overload.Some(time.Second)},
 	}
 }
 
@@ -161,7 +161,7 @@
 
 // apply does what the controller of a node has decided.
 func (f *fleet) apply(n *node, action *overload.Action) {
-	if action.Kind == overload.Wake {
+	if action.Kind == overload.SetTimer {
 		n.nextControl = min(max(action.At, f.Now+simStep), f.Now+controlInterval)
 	}
 	r := n.requests[action.ID]
@@ -185,6 +185,6 @@
 	case overload.Cancel:
 		n.running = slices.DeleteFunc(n.running, func(other *request) bool { return other == r })
 		delete(n.requests, r.id)
-		n.events = append(n.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: overload.Stopped})
+		n.events = append(n.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: overload.Cancelled})
 	}
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -11,10 +11,10 @@
 // TestServing checks that a process that was not notified never ends, and that the first termination notice alone counts.
 func TestServing(t *testing.T) {
 	var p Process
-	if p.Advance(time.Hour, PendingWork{}) || p.Start(time.Hour) != Allowed || p.Accept() != Allowed {
+	if p.Advance(time.Hour, PendingWork{}) || p.CheckStart(time.Hour) != Allowed || p.CheckAccept() != Allowed {
 		t.Error("a process that serves ends, or accepts nothing")
 	}
-	if !p.Notify(1000*ms, 400*ms, 2000*ms) || p.Notify(1500*ms, 400*ms, 9000*ms) || p.KillTime() != 3000*ms {
+	if !p.BeginDrain(1000*ms, 400*ms, 2000*ms) || p.BeginDrain(1500*ms, 400*ms, 9000*ms) || p.KillTime() != 3000*ms {
 		t.Error("the first notice counts, and no other: kill at", p.KillTime())
 	}
 }
@@ -22,31 +22,31 @@
 // TestPhases checks the phases in their order, by the time of the kill alone while work is pending.
 func TestPhases(t *testing.T) {
 	var p Process
-	p.Notify(1000*ms, 400*ms, 2000*ms)
-	p.Notify(1500*ms, 400*ms, 9000*ms) // changes nothing
+	p.BeginDrain(1000*ms, 400*ms, 2000*ms)
+	p.BeginDrain(1500*ms, 400*ms, 9000*ms) // changes nothing
 	pending := PendingWork{Unanswered: 1}
 	for _, test := range []struct {
 		now     time.Duration
 		pending PendingWork
 		phase   Phase
-		start   Verdict // of a request that is read now
-		accept  Verdict
+		start   Decision // of a request that is read now
+		accept  Decision
 	}{
 		{1000 * ms, pending, Draining, Allowed, Allowed},
 		{1400 * ms, pending, Draining, Allowed, Allowed},
-		{1401 * ms, PendingWork{}, Draining, AfterGrace, Allowed}, // nothing is pending, and it still listens
-		{2699 * ms, pending, Draining, AfterGrace, Allowed},
-		{2700 * ms, pending, Closing, AfterGrace, ProcessEnds},
-		{2899 * ms, pending, Closing, AfterGrace, ProcessEnds},
-		{2900 * ms, pending, Ending, AfterGrace, ProcessEnds},
-		{2979 * ms, pending, Ending, AfterGrace, ProcessEnds},
-		{2980 * ms, pending, Ended, AfterGrace, ProcessEnds},
+		{1401 * ms, PendingWork{}, Draining, AfterGracePeriod, Allowed}, // nothing is pending, and it still listens
+		{2699 * ms, pending, Draining, AfterGracePeriod, Allowed},
+		{2700 * ms, pending, Closing, AfterGracePeriod, ProcessExiting},
+		{2899 * ms, pending, Closing, AfterGracePeriod, ProcessExiting},
+		{2900 * ms, pending, Ending, AfterGracePeriod, ProcessExiting},
+		{2979 * ms, pending, Ending, AfterGracePeriod, ProcessExiting},
+		{2980 * ms, pending, Ended, AfterGracePeriod, ProcessExiting},
 	} {
 		t.Run(test.now.String(), func(t *testing.T) {
 			for p.Advance(test.now, test.pending) {
 			}
-			if p.Phase() != test.phase || p.Start(test.now) != test.start || p.Accept() != test.accept {
-				t.Errorf("%v, start %v, accept %v", p.Phase(), p.Start(test.now), p.Accept())
+			if p.Phase() != test.phase || p.CheckStart(test.now) != test.start || p.CheckAccept() != test.accept {
+				t.Errorf("%v, start %v, accept %v", p.Phase(), p.CheckStart(test.now), p.CheckAccept())
 			}
 		})
 	}
@@ -64,12 +64,12 @@
 	} {
 		t.Run(fmt.Sprintf("%+v", pending), func(t *testing.T) {
 			var p Process
-			p.Notify(0, 0, 1000*ms)
+			p.BeginDrain(0, 0, 1000*ms)
 			p.Advance(700*ms, pending)
-			if p.Advance(701*ms, pending) || p.Exit(701*ms, pending) != WorkLeft {
+			if p.Advance(701*ms, pending) || p.CheckExit(701*ms, pending) != WorkPending {
 				t.Error("it ends, and work is pending")
 			}
-			if !p.Advance(702*ms, PendingWork{}) || p.Phase() != Ended || p.Exit(702*ms, PendingWork{}) != Allowed {
+			if !p.Advance(702*ms, PendingWork{}) || p.Phase() != Ended || p.CheckExit(702*ms, PendingWork{}) != Allowed {
 				t.Error("it does not end, and nothing is pending")
 			}
 		})
@@ -84,7 +84,7 @@
 		{1000 * ms, 2500 * ms, 1000 * ms},
 		{9000 * ms, 0, 3000 * ms},
 	} {
-		if got := KillAfter(test.configured, test.longestTimeout); got != test.want {
+		if got := KillDelay(test.configured, test.longestTimeout); got != test.want {
 			t.Errorf("configured %v, longest timeout %v: %v", test.configured, test.longestTimeout, got)
 		}
 	}
@@ -92,14 +92,14 @@
 
 // TestHeartbeat checks that what a node hears of after it was suspended counts from before that.
 func TestHeartbeat(t *testing.T) {
-	var h Heartbeat
+	var h EventTimeBound
 	for now := time.Hour; now <= time.Hour+1000*ms; now += 10 * ms {
-		h.Beat(now)
+		h.Record(now)
 	}
 	if ago := time.Hour + 1000*ms - h.Earliest(); ago < maxUnnoticedHold || ago > 2*maxUnnoticedHold+10*ms {
 		t.Error("the earliest moment of a node that runs on is ago by", ago)
 	}
-	h.Beat(time.Hour + 3000*ms)
+	h.Record(time.Hour + 3000*ms)
 	if h.Earliest() > time.Hour+1000*ms {
 		t.Error("a suspension is not counted:", h.Earliest()-time.Hour)
 	}
@@ -109,7 +109,7 @@
 func TestEnd(t *testing.T) {
 	for _, test := range []struct {
 		connection Connection
-		want       Verdict
+		want       Decision
 	}{
 		{Connection{}, Allowed},
 		{Connection{OpenRequests: 1}, RequestOpen},
@@ -120,7 +120,7 @@
 		{Connection{Broken: true, OpenRequests: 1}, RequestOpen},
 	} {
 		t.Run(fmt.Sprintf("%+v", test.connection), func(t *testing.T) {
-			if got := End(test.connection); got != test.want {
+			if got := CheckCloseWrite(test.connection); got != test.want {
 				t.Error(got)
 			}
 		})
@@ -132,7 +132,7 @@
 func TestRepeat(t *testing.T) {
 	for _, test := range []struct {
 		command Command
-		want    Verdict
+		want    Decision
 	}{
 		{Command{Wanted: true}, MayHaveRun},
 		{Command{Wanted: true, Idempotent: true}, Allowed},
@@ -140,7 +140,7 @@
 		{Command{Idempotent: true, NeverRan: true}, ClientGone},
 	} {
 		t.Run(fmt.Sprintf("%+v", test.command), func(t *testing.T) {
-			if got := Retry(test.command); got != test.want {
+			if got := CheckRetry(test.command); got != test.want {
 				t.Error(got)
 			}
 		})
@@ -149,7 +149,7 @@
 
 // TestAnswer checks that a request is answered once, and only while its client waits.
 func TestAnswer(t *testing.T) {
-	if Answer(false, true) != Allowed || Answer(true, true) != AlreadyAnswered || Answer(false, false) != ClientGone {
+	if CheckAnswer(false, true) != Allowed || CheckAnswer(true, true) != AlreadyAnswered || CheckAnswer(false, false) != ClientGone {
 		t.Error("a request is not answered once, or without a client")
 	}
 }
--- a/lifecycle/permission.go
+++ b/lifecycle/permission.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Verdict is whether something may be done now, and if not, why.
-type Verdict uint8
+// Decision is whether something may be done now, and if not, why.
+type Decision uint8
 
 // The verdicts.
 const (
-	Allowed         Verdict = iota
-	AfterGrace              // the request was read after the grace period that follows the termination notice
-	ProcessEnds             // the process closes: what is read now is rejected
-	RequestOpen             // a request on the connection has no response
-	PartiallyRead           // part of a request was received, its rest may be on the way
-	InputUnread             // received bytes were not looked at: there may be a request in them
-	OutputUnsent            // part of a response was not handed to the operating system
-	MayHaveRun              // it may have run, and must not run twice
-	AlreadyAnswered         // the request was answered before
-	WorkLeft                // work is pending
-	ClientGone              // the client has gone
+	Allowed          Decision = iota
+	AfterGracePeriod          // the request was read after the grace period that follows the termination notice
+	ProcessExiting            // the process closes: what is read now is rejected
+	RequestOpen               // a request on the connection has no response
+	PartiallyRead             // part of a request was received, its rest may be on the way
+	InputUnread               // received bytes were not looked at: there may be a request in them
+	OutputUnsent              // part of a response was not handed to the operating system
+	MayHaveRun                // it may have run, and must not run twice
+	AlreadyAnswered           // the request was answered before
+	WorkPending               // work is pending
+	ClientGone                // the client has gone
 )
 
 // verdictNames are the words of the verdicts in log lines.
 var verdictNames = [...]string{
-	Allowed:         "allowed",
-	AfterGrace:      "read after the grace",
-	ProcessEnds:     "the process ends",
-	RequestOpen:     "a request is open",
-	PartiallyRead:   "a request is half read",
-	InputUnread:     "input is unread",
-	OutputUnsent:    "output is unsent",
-	MayHaveRun:      "it may have run",
-	AlreadyAnswered: "it was answered",
-	WorkLeft:        "work is left",
-	ClientGone:      "nobody waits",
+	Allowed:          "allowed",
+	AfterGracePeriod: "read after the grace",
+	ProcessExiting:   "the process ends",
+	RequestOpen:      "a request is open",
+	PartiallyRead:    "a request is half read",
+	InputUnread:      "input is unread",
+	OutputUnsent:     "output is unsent",
+	MayHaveRun:       "it may have run",
+	AlreadyAnswered:  "it was answered",
+	WorkPending:      "work is left",
+	ClientGone:       "nobody waits",
 }
 
 // String returns the verdict's words.
-func (v Verdict) String() string { return verdictNames[v] }
+func (v Decision) String() string { return verdictNames[v] }
 
-// Start decides whether a request that was received completely at the given moment may start a run:
+// CheckStart decides whether a request that was received completely at the given moment may start a run:
 //
 //	phase    read                     verdict
 //	Serving  at any time              Allowed
@@ -47,37 +47,37 @@
 //
 // The moment at which the request was read counts, not the one that its stamp tells: that is by another clock, which may
 // step, and for the first byte of the request, while its last may come much later.
-func (p *Process) Start(read time.Duration) Verdict {
+func (p *Process) CheckStart(read time.Duration) Decision {
 	if p.phase != Serving && read > p.notified+p.gracePeriod {
-		return AfterGrace
+		return AfterGracePeriod
 	}
 	return Allowed
 }
 
-// Accept decides whether a request that is read now may be handed to the overload controller. Otherwise it is rejected at
+// CheckAccept decides whether a request that is read now may be handed to the overload controller. Otherwise it is rejected at
 // once:
 //
 //	phase                   verdict
 //	Serving, Draining       Allowed
 //	Closing, Ending, Ended  ProcessEnds
-func (p *Process) Accept() Verdict {
+func (p *Process) CheckAccept() Decision {
 	if p.phase >= Closing {
-		return ProcessEnds
+		return ProcessExiting
 	}
 	return Allowed
 }
 
-// Exit decides whether the process may exit now, whatever its phase:
+// CheckExit decides whether the process may exit now, whatever its phase:
 //
 //	pending work  time                            verdict
 //	none          any                             Allowed
 //	any           ExitBefore the kill, or later   Allowed
 //	some          before that                     WorkLeft
-func (p *Process) Exit(now time.Duration, pending PendingWork) Verdict {
-	if pending.empty() || now >= p.kill-ExitBefore {
+func (p *Process) CheckExit(now time.Duration, pending PendingWork) Decision {
+	if pending.empty() || now >= p.kill-ExitBeforeKill {
 		return Allowed
 	}
-	return WorkLeft
+	return WorkPending
 }
 
 // Connection is the state of a client connection that is to be ended.
@@ -89,7 +89,7 @@
 	Broken       bool // its stream can't be followed any more: what is received means nothing
 }
 
-// End decides whether the sending side of a connection may be closed. The first line that fits counts:
+// CheckCloseWrite decides whether the sending side of a connection may be closed. The first line that fits counts:
 //
 //	connection           verdict
 //	has an open request  RequestOpen
@@ -101,7 +101,7 @@
 //
 // A peer goes on sending until it sees the end of the stream, so the wish to end a connection is no reason to drop what it
 // has sent.
-func End(c Connection) Verdict {
+func CheckCloseWrite(c Connection) Decision {
 	switch {
 	case c.OpenRequests > 0:
 		return RequestOpen
@@ -124,13 +124,13 @@
 	Wanted     bool // a client waits for its outcome
 }
 
-// Retry decides whether a command may be sent again:
+// CheckRetry decides whether a command may be sent again:
 //
 //	wanted  idempotent or never ran  verdict
 //	no      any                      ClientGone
 //	yes     yes                      Allowed
 //	yes     no                       MayHaveRun
-func Retry(c Command) Verdict {
+func CheckRetry(c Command) Decision {
 	switch {
 	case !c.Wanted:
 		return ClientGone
@@ -140,13 +140,13 @@
 	return MayHaveRun
 }
 
-// Answer decides whether a request may be answered now: once, and only if its client waits:
+// CheckAnswer decides whether a request may be answered now: once, and only if its client waits:
 //
 //	answered  client waits  verdict
 //	yes       any           AlreadyAnswered
 //	no        no            ClientGone
 //	no        yes           Allowed
-func Answer(answered, clientWaits bool) Verdict {
+func CheckAnswer(answered, clientWaits bool) Decision {
 	switch {
 	case answered:
 		return AlreadyAnswered
--- a/lifecycle/shutdown.go
+++ b/lifecycle/shutdown.go
@@ -55,12 +55,12 @@
 
 // When the phases begin, as time before the kill.
 const (
-	// ClosingBefore begins Closing: time for requests that cross the closing, and for peers to close as well.
-	ClosingBefore = 300 * time.Millisecond
-	// EndingBefore begins Ending: time to end connections on which only part of a request was received.
-	EndingBefore = 100 * time.Millisecond
-	// ExitBefore begins Ended: the process exits whatever is pending.
-	ExitBefore = 20 * time.Millisecond
+	// ClosingBeforeKill begins Closing: time for requests that cross the closing, and for peers to close as well.
+	ClosingBeforeKill = 300 * time.Millisecond
+	// EndingBeforeKill begins Ending: time to end connections on which only part of a request was received.
+	EndingBeforeKill = 100 * time.Millisecond
+	// ExitBeforeKill begins Ended: the process exits whatever is pending.
+	ExitBeforeKill = 20 * time.Millisecond
 
 	// answerBefore is when the last responses are to be decided, so that they are still delivered.
 	answerBefore = 150 * time.Millisecond
@@ -72,9 +72,9 @@
 	maxKillDelay = 3 * time.Second        // and no later than this after the notice
 )
 
-// KillAfter returns how long after the termination notice the process may be killed: the time that is configured, or less
+// KillDelay returns how long after the termination notice the process may be killed: the time that is configured, or less
 // where the platform's rules allow less. A longestTimeout of 0 says that the longest client timeout is not known.
-func KillAfter(configured, longestTimeout time.Duration) time.Duration {
+func KillDelay(configured, longestTimeout time.Duration) time.Duration {
 	delay := min(configured, maxKillDelay)
 	if longestTimeout > 0 {
 		delay = min(delay, longestTimeout+killMargin)
@@ -104,9 +104,9 @@
 	return w.Unanswered == 0 && w.Connections == 0 && !w.Accepting && !w.Unhandled && !w.Unsaved
 }
 
-// Notify handles the termination notice, which came at the given moment or later: Serving becomes Draining. It reports
+// BeginDrain handles the termination notice, which came at the given moment or later: Serving becomes Draining. It reports
 // whether this is the first notice. Later ones change nothing.
-func (p *Process) Notify(earliest, gracePeriod, killAfter time.Duration) bool {
+func (p *Process) BeginDrain(earliest, gracePeriod, killAfter time.Duration) bool {
 	if p.phase != Serving {
 		return false
 	}
@@ -130,18 +130,18 @@
 func (p *Process) next(now time.Duration, pending PendingWork) Phase {
 	switch p.phase {
 	case Draining:
-		if now >= p.kill-ClosingBefore {
+		if now >= p.kill-ClosingBeforeKill {
 			return Closing
 		}
 	case Closing:
-		if p.Exit(now, pending) == Allowed {
+		if p.CheckExit(now, pending) == Allowed {
 			return Ended
 		}
-		if now >= p.kill-EndingBefore {
+		if now >= p.kill-EndingBeforeKill {
 			return Ending
 		}
 	case Ending:
-		if p.Exit(now, pending) == Allowed {
+		if p.CheckExit(now, pending) == Allowed {
 			return Ended
 		}
 	}
@@ -154,14 +154,14 @@
 // Phase returns the present phase.
 func (p *Process) Phase() Phase { return p.phase }
 
-// Notified returns the earliest moment at which the termination notice can have come.
-func (p *Process) Notified() time.Duration { return p.notified }
+// NoticeTime returns the earliest moment at which the termination notice can have come.
+func (p *Process) NoticeTime() time.Duration { return p.notified }
 
 // KillTime returns the earliest moment at which the process can be killed.
 func (p *Process) KillTime() time.Duration { return p.kill }
 
-// AnswerBy returns the moment by which the last responses are to be decided.
-func (p *Process) AnswerBy() time.Duration { return p.kill - answerBefore }
+// AnswerDeadline returns the moment by which the last responses are to be decided.
+func (p *Process) AnswerDeadline() time.Duration { return p.kill - answerBefore }
 
-// ClosesAt returns the moment at which Closing begins.
-func (p *Process) ClosesAt() time.Duration { return p.kill - ClosingBefore }
+// ClosingTime returns the moment at which Closing begins.
+func (p *Process) ClosingTime() time.Duration { return p.kill - ClosingBeforeKill }
--- a/overload/action.go
+++ b/overload/action.go
@@ -7,35 +7,35 @@
 
 // The actions.
 const (
-	Start     ActionKind = iota + 1 // start a queued request
-	Cancel                          // stop a running request; an Ended event confirms it
-	Reject                          // final answer: refused by load shedding, never ran
-	Fail                            // final answer: an error
-	Call                            // let a waiting request call its dependency
-	SkipCall                        // go on without the call
-	Remember                        // keep the request in the idempotency table
-	Forget                          // remove it from that table
-	Coalesce                        // answer a repeat from its original
-	Health                          // answer health checks like this from now on
-	Signal                          // send this load signal with answers from now on
-	Wake                            // ask for a Timer event
-	CloseIdle                       // close connections that have been idle for this long
+	Start       ActionKind = iota + 1 // start a queued request
+	Cancel                            // stop a running request; an Ended event confirms it
+	Reject                            // final answer: refused by load shedding, never ran
+	Fail                              // final answer: an error
+	Call                              // let a waiting request call its dependency
+	SkipCall                          // go on without the call
+	StoreEntry                        // keep the request in the idempotency table
+	RemoveEntry                       // remove it from that table
+	Coalesce                          // answer a repeat from its original
+	Health                            // answer health checks like this from now on
+	Signal                            // send this load signal with answers from now on
+	SetTimer                          // ask for a Timer event
+	CloseIdle                         // close connections that have been idle for this long
 )
 
 var actionKindNames = [...]string{
-	Start:     "start",
-	Cancel:    "cancel",
-	Reject:    "reject",
-	Fail:      "fail",
-	Call:      "call",
-	SkipCall:  "skip-call",
-	Remember:  "remember",
-	Forget:    "forget",
-	Coalesce:  "coalesce",
-	Health:    "health",
-	Signal:    "signal",
-	Wake:      "wake",
-	CloseIdle: "close-idle",
+	Start:       "start",
+	Cancel:      "cancel",
+	Reject:      "reject",
+	Fail:        "fail",
+	Call:        "call",
+	SkipCall:    "skip-call",
+	StoreEntry:  "remember",
+	RemoveEntry: "forget",
+	Coalesce:    "coalesce",
+	Health:      "health",
+	Signal:      "signal",
+	SetTimer:    "wake",
+	CloseIdle:   "close-idle",
 }
 
 // String returns the name of the kind.
--- a/overload/calls.go
+++ b/overload/calls.go
@@ -121,7 +121,7 @@
 		return
 	}
 	c.failCall(now, r)
-	if e.Outcome == BrokenOff && c.mayRetryCall(r) {
+	if e.Outcome == ConnectionLost && c.mayRetryCall(r) {
 		r.callRetried = true
 		c.calls.waiting = append(c.calls.waiting, r)
 		return
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -131,7 +131,7 @@
 		c.patience.learn(now, r, false)
 	}
 	// A run that was stopped took at least so long: without it the mean would be that of the lucky ones.
-	long := outcome == Stopped && now-r.startedAt > fromSeconds(r.handler.expectedTime(now, 1))
+	long := outcome == Cancelled && now-r.startedAt > fromSeconds(r.handler.expectedTime(now, 1))
 	if outcome == OK || outcome == Failed || long {
 		r.handler.recordRun(now, r)
 	}
@@ -254,7 +254,7 @@
 	}
 	if !c.timerPending {
 		c.timerPending = true
-		actions = append(actions, Action{Kind: Wake, At: now + timerInterval})
+		actions = append(actions, Action{Kind: SetTimer, At: now + timerInterval})
 	}
 	return actions
 }
--- a/overload/event.go
+++ b/overload/event.go
@@ -34,25 +34,25 @@
 
 // The outcomes. Overloaded, NoConnection and NeverRan prove that nothing was run.
 const (
-	OK           Outcome = iota + 1
-	Failed               // ended with an error
-	Overloaded           // rejected by the dependency
-	TimedOut             // gave no answer in time
-	NoConnection         // could not be sent
-	BrokenOff            // the connection was lost
-	Stopped              // cancelled at the controller's request
-	NeverRan             // was not begun
+	OK             Outcome = iota + 1
+	Failed                 // ended with an error
+	Overloaded             // rejected by the dependency
+	TimedOut               // gave no answer in time
+	NoConnection           // could not be sent
+	ConnectionLost         // the connection was lost
+	Cancelled              // cancelled at the controller's request
+	NeverRan               // was not begun
 )
 
 var outcomeNames = [...]string{
-	OK:           "ok",
-	Failed:       "failed",
-	Overloaded:   "overloaded",
-	TimedOut:     "timed-out",
-	NoConnection: "no-connection",
-	BrokenOff:    "broken-off",
-	Stopped:      "stopped",
-	NeverRan:     "never-ran",
+	OK:             "ok",
+	Failed:         "failed",
+	Overloaded:     "overloaded",
+	TimedOut:       "timed-out",
+	NoConnection:   "no-connection",
+	ConnectionLost: "broken-off",
+	Cancelled:      "stopped",
+	NeverRan:       "never-ran",
 }
 
 // String returns the name of the outcome.
--- a/overload/example_test.go
+++ b/overload/example_test.go
@@ -23,7 +23,7 @@
 	handle := func(now time.Duration, events ...overload.Event) {
 		for _, action := range controller.Handle(now, events) {
 			switch action.Kind {
-			case overload.Wake:
+			case overload.SetTimer:
 				fmt.Println(now, action.Kind, "at", action.At)
 			case overload.Health:
 				fmt.Println(now, action.Kind, action.Healthy)
--- a/overload/patience.go
+++ b/overload/patience.go
@@ -35,7 +35,7 @@
 // onClientGone follows a client that no longer waits.
 func (c *Controller) onClientGone(now time.Duration, r *request, outcome Outcome) {
 	r.clientGone = true
-	if r.answer == noAnswer && r.handler.replayable() && outcome != BrokenOff {
+	if r.answer == noAnswer && r.handler.replayable() && outcome != ConnectionLost {
 		c.patience.learn(now, r, true)
 	}
 	switch {
--- a/overload/rejection.go
+++ b/overload/rejection.go
@@ -17,7 +17,7 @@
 	random   randomSource
 }
 
-func newRetryAdvice(limits Limits, seed uint64) retryAdvice {
+func newRetryAdvice(limits RetryAfterLimits, seed uint64) retryAdvice {
 	return retryAdvice{
 		enabled:  limits.RetryAfter,
 		maxDelay: limits.MaxRetryAfter.Or(defaultMaxRetryAfter),
--- a/overload/repeats.go
+++ b/overload/repeats.go
@@ -116,11 +116,11 @@
 			c.repeats.remembered = append(c.repeats.remembered, r)
 		}
 		r.rememberedTo = r.rememberUntil
-		return append(actions, Action{Kind: Remember, ID: r.id, Duration: r.rememberedTo - now})
+		return append(actions, Action{Kind: StoreEntry, ID: r.id, Duration: r.rememberedTo - now})
 	case r.rememberUntil == 0 && r.rememberedTo > now:
 		c.memory.usedKB -= c.memory.keySizeKB
 		r.rememberedTo = 0
-		return append(actions, Action{Kind: Forget, ID: r.id})
+		return append(actions, Action{Kind: RemoveEntry, ID: r.id})
 	}
 	return actions
 }
--- a/overload/settings.go
+++ b/overload/settings.go
@@ -34,8 +34,8 @@
 	Servers float64
 
 	Backend   Backend
-	Rules     Rules
-	Limits    Limits
+	Rules     PlatformRules
+	Limits    RetryAfterLimits
 	Handlers  []Handler
 	Customers []Customer
 }
@@ -74,8 +74,8 @@
 	Gauges []Gauge
 }
 
-// Rules are the properties of the platform that decisions have to respect.
-type Rules struct {
+// PlatformRules are the properties of the platform that decisions have to respect.
+type PlatformRules struct {
 	// CollapseFactor is how many requests per core may be in progress before the server collapses. If
 	// absent the server survives any number.
 	CollapseFactor Optional[float64]
@@ -87,8 +87,8 @@
 	DrainGrace time.Duration
 }
 
-// Limits bound the advice given to clients.
-type Limits struct {
+// RetryAfterLimits bound the advice given to clients.
+type RetryAfterLimits struct {
 	// RetryAfter allows rejections to say when to come back.
 	RetryAfter bool
 	// MaxRetryAfter is the longest such time; decisions take 1 s if it is absent.
--- a/overload/settings_test.go
+++ b/overload/settings_test.go
@@ -30,12 +30,12 @@
 			Signal:          SignalOff,
 			Gauges:          []Gauge{GaugeBusy, GaugeRunnable},
 		},
-		Rules: Rules{
+		Rules: PlatformRules{
 			CollapseFactor: Some(8.0),
 			DrainGrace:     time.Second,
 			WarmUpTime:     10 * time.Second,
 		},
-		Limits: Limits{RetryAfter: true, MaxRetryAfter: Some(time.Second)},
+		Limits: RetryAfterLimits{RetryAfter: true, MaxRetryAfter: Some(time.Second)},
 	}
 }
 
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -77,7 +77,7 @@
 	}
 	alike := 0
 	last := ActionKind(0)
-	for _, action := range append(p.controller.Handle(p.now, p.batch), Action{Kind: Wake}) {
+	for _, action := range append(p.controller.Handle(p.now, p.batch), Action{Kind: SetTimer}) {
 		if action.Kind == last && len(p.batch) > burst {
 			alike++
 			continue
@@ -85,7 +85,7 @@
 		if alike > 0 {
 			fmt.Fprintf(&p.out, "    and %d more alike\n", alike)
 		}
-		if action.Kind != Wake { // there is one each 25 ms
+		if action.Kind != SetTimer { // there is one each 25 ms
 			fmt.Fprintf(&p.out, "    %s\n", formatAction(action))
 		}
 		alike = 0
@@ -165,7 +165,7 @@
 			text += " no-retry"
 		}
 		return text
-	case Call, Remember:
+	case Call, StoreEntry:
 		return fmt.Sprintf("%v %d for %v", a.Kind, a.ID, a.Duration)
 	case Health:
 		return fmt.Sprintf("%v healthy=%v", a.Kind, a.Healthy)
--- a/recovery/peer_states.go
+++ b/recovery/peer_states.go
@@ -137,8 +137,8 @@
 // Forgotten reports whether Forget was called for a node and Returned was not since.
 func (s *PeerStates) Forgotten(name string) bool { return s.ForgottenAt[name] > 0 }
 
-// Returned records that a node was heard, and reports whether it had been forgotten.
-func (s *PeerStates) Returned(name string) bool {
+// MarkReturned records that a node was heard, and reports whether it had been forgotten.
+func (s *PeerStates) MarkReturned(name string) bool {
 	forgotten := s.Forgotten(name)
 	if forgotten {
 		delete(s.ForgottenAt, name)
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -177,9 +177,9 @@
 	s.nextQueryAt = now + r.randomSource.Jitter(s.timeout)
 }
 
-// Wants reports whether a page from a node's process of that incarnation is the one that is waited for; then the caller handles its content and
+// Expects reports whether a page from a node's process of that incarnation is the one that is waited for; then the caller handles its content and
 // calls PageReceived. If the node has restarted in the middle of the transfer, Wants returns false and begins with it from the start.
-func (r *Refill[C]) Wants(from string, incarnation uint64, page *PageInfo[C]) bool {
+func (r *Refill[C]) Expects(from string, incarnation uint64, page *PageInfo[C]) bool {
 	s := r.sources[from]
 	if s == nil || s.state == complete || !s.outstanding || page.Incarnation != r.cfg.Incarnation {
 		return false
--- a/recovery/refill_test.go
+++ b/recovery/refill_test.go
@@ -47,16 +47,16 @@
 			}
 			late := page
 			late.Incarnation = 6
-			if r.Wants(q.To, incarnations[q.To], &late) {
+			if r.Expects(q.To, incarnations[q.To], &late) {
 				t.Error("a page for an earlier incarnation is wanted")
 			}
-			if !r.Wants(q.To, incarnations[q.To], &page) {
+			if !r.Expects(q.To, incarnations[q.To], &page) {
 				record(now, "%s: page %d is stale", q.To, q.From)
 				continue
 			}
 			record(now, "%s sends page %d, last %v, complete %v", q.To, q.From, page.Last, page.Complete)
 			r.PageReceived(now, q.To, &page, true)
-			if r.Wants(q.To, incarnations[q.To], &page) {
+			if r.Expects(q.To, incarnations[q.To], &page) {
 				t.Error("the same page is wanted twice")
 			}
 		}
