--- a/accounting/apply.go
+++ b/accounting/apply.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Errors of Apply.
+// Errors returned by Apply.
 var (
-	// ErrEntryOrder says that the sequence number of an entry does not follow the last one.
+	// ErrEntryOrder is returned for an entry whose sequence number does not follow that of the last entry.
 	ErrEntryOrder = errors.New("entry out of order")
-	// ErrInvalidEntry says that an entry does not fit the state of the ledger.
-	ErrInvalidEntry = errors.New("entry does not fit the ledger")
+	// ErrInvalidEntry is returned for an entry that the state of the ledger does not allow.
+	ErrInvalidEntry = errors.New("entry not allowed in the state of the ledger")
 )
 
-// commit numbers an entry, applies it, and retains it if entries are recorded.
+// commit assigns the next sequence number to an entry and applies it. If entries are recorded, it also adds the entry to
+// the pending ones.
 func (l *Ledger) commit(entry Entry) {
 	entry.Seq = l.seq + 1
-	if err := l.Apply(entry); err != nil { // the callers check first: it does not happen
+	if err := l.Apply(entry); err != nil { // not reached: the callers check that the entry is allowed
 		l.recordMismatch(entry.At, err.Error(), int64(entry.Kind), int64(entry.Slot))
 		return
 	}
@@ -25,14 +26,14 @@
 	}
 }
 
-// Apply changes the ledger by one entry. Every change is made here, so that replaying the entries that were recorded after
-// a snapshot gives the same ledger. It returns ErrEntryOrder or ErrInvalidEntry, and changes nothing, if the entry can't
-// follow.
+// Apply changes the ledger by one entry. Apply makes all changes of the ledger, so that replaying the entries recorded
+// after a snapshot restores the same ledger. If the entry is not allowed, Apply changes nothing and returns
+// ErrEntryOrder or ErrInvalidEntry.
 func (l *Ledger) Apply(entry Entry) error {
 	if entry.Seq != l.seq+1 {
 		return ErrEntryOrder
 	}
-	if !l.fits(&entry) {
+	if !l.canApply(&entry) {
 		return ErrInvalidEntry
 	}
 	l.seq = entry.Seq
@@ -43,21 +44,21 @@
 	case EntryOpen:
 		l.applyOpen(&entry)
 	case EntryResponseWritten:
-		l.applyAnswer(&entry)
+		l.applyResponseWritten(&entry)
 	case EntryResponseSent:
 		l.closeSlot(entry.Slot, l.requests[entry.Slot].reason, entry.At)
 	case EntryClose:
 		l.closeSlot(entry.Slot, entry.Reason, entry.At)
 	case EntryFlush:
-		l.flushing = entry.Slot == flushBegins
+		l.flushing = entry.Slot == flushStart
 	case EntryMismatch:
 		l.mismatches++
 	}
 	return nil
 }
 
-// fits reports whether the ledger can apply the entry, its sequence number aside.
-func (l *Ledger) fits(entry *Entry) bool {
+// canApply reports whether the state of the ledger allows the entry. It does not check the sequence number.
+func (l *Ledger) canApply(entry *Entry) bool {
 	switch entry.Kind {
 	case EntryOpen:
 		known := int(entry.Handler) < len(l.handlers) && entry.Frontend < frontendCount
@@ -72,7 +73,7 @@
 	return false
 }
 
-// stateOf returns the state of the request in a slot. Slots that were never used are free.
+// stateOf returns the state of the request in a slot. A slot that was never used is free.
 func (l *Ledger) stateOf(slot uint32) requestState {
 	if int(slot) >= len(l.requests) {
 		return slotFree
@@ -86,31 +87,31 @@
 	*request = openRequest{
 		id:         entry.ID,
 		openedAt:   entry.At,
-		generation: max(1, request.generation+1), // 0 is for tickets of no request
+		generation: max(1, request.generation+1), // generation 0 is reserved for the zero Ticket
 		handler:    entry.Handler,
 		frontend:   entry.Frontend,
 		customer:   l.customers.assign(entry.Customer),
-		state:      awaitingAnswer,
+		state:      awaitingResponse,
 	}
 	l.countOpened(request)
 }
 
-// growSlots makes room for a slot.
+// growSlots extends the slots up to and including the given one.
 func (l *Ledger) growSlots(slot uint32) {
 	for int(slot) >= len(l.requests) {
 		l.requests = append(l.requests, openRequest{})
 	}
 }
 
-func (l *Ledger) applyAnswer(entry *Entry) {
+func (l *Ledger) applyResponseWritten(entry *Entry) {
 	request := &l.requests[entry.Slot]
-	request.state = answered
+	request.state = responseWritten
 	request.reason = entry.Reason
-	l.answeredCount++
-	l.flushing = true // see Flush
+	l.responseWrittenCount++
+	l.flushing = true // see SetFlushing
 }
 
-// countOpened counts a request that was received.
+// countOpened adds a request that was received to all counts.
 func (l *Ledger) countOpened(request *openRequest) {
 	row := rowIndex(request.handler, request.frontend)
 	cell := cellIndex(row, NoReason)
@@ -122,11 +123,11 @@
 	l.incarnations.current().addOpened()
 }
 
-// closeSlot counts the request in a slot as closed and frees the slot.
+// closeSlot adds the closing of the request in a slot to all counts and frees the slot.
 func (l *Ledger) closeSlot(slot uint32, reason Reason, at time.Duration) {
 	request := &l.requests[slot]
-	if request.state == answered {
-		l.answeredCount--
+	if request.state == responseWritten {
+		l.responseWrittenCount--
 	}
 	request.state = slotFree
 	l.freeSlots = append(l.freeSlots, slot)
--- a/accounting/audit.go
+++ b/accounting/audit.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	trailLength   = 16 // last entries that are shown with a mismatch
-	maxUnreported = 16 // mismatches that are held until they are taken; more are only counted
-	maxKnownGaps  = 2 * maxUnreported
+	trailLength            = 16 // recent entries that are shown with a mismatch
+	maxUnreported          = 16 // mismatches that are kept for TakeMismatches; further ones are only counted
+	maxRecordedDifferences = 2 * maxUnreported
 )
 
-// Mismatch is a pair of numbers that should be equal and aren't, or a transition that is not allowed.
+// Mismatch describes two numbers that should be equal but differ, or a transition that is not allowed.
 type Mismatch struct {
 	At          time.Duration
-	What        string // which numbers
+	What        string // names of the two numbers, or a description of the transition
 	Left, Right int64
-	Trail       string // the last entries before it was found
+	Trail       string // the last entries before the mismatch was found
 }
 
-// recordMismatch counts a mismatch, and holds it for TakeMismatches. One that was recorded with the same gap is not
-// recorded again until the gap changes.
+// recordMismatch counts a mismatch and keeps it for TakeMismatches. A mismatch that was already recorded is not recorded
+// again until the difference between its numbers changes. Mismatches whose numbers are equal, as those of transitions
+// may be, are always recorded.
 func (l *Ledger) recordMismatch(at time.Duration, what string, left, right int64) {
-	gap := left - right
-	if knownGap, known := l.knownGaps[what]; known && knownGap == gap && gap != 0 {
+	difference := left - right
+	if recorded, known := l.recordedDifferences[what]; known && recorded == difference && difference != 0 {
 		return
 	}
-	if len(l.knownGaps) < maxKnownGaps {
-		l.knownGaps[what] = gap
+	if len(l.recordedDifferences) < maxRecordedDifferences {
+		l.recordedDifferences[what] = difference
 	}
 	trail := l.trailText()
 	l.commit(Entry{Kind: EntryMismatch, At: at})
@@ -43,14 +44,14 @@
 	}
 }
 
-// TakeMismatches returns the mismatches since the last call and forgets them.
+// TakeMismatches returns the mismatches recorded since the last call, 16 at most, and clears them.
 func (l *Ledger) TakeMismatches() []Mismatch {
 	taken := l.unreported
 	l.unreported = nil
 	return taken
 }
 
-// trailText returns the last entries as text, in order.
+// trailText returns the last trailLength entries as text, oldest first.
 func (l *Ledger) trailText() string {
 	var out strings.Builder
 	for ago := uint64(trailLength); ago > 0; ago-- {
@@ -71,7 +72,7 @@
 	}
 }
 
-// expectEqualCounts records a mismatch for each of the counts that differs.
+// expectEqualCounts records a mismatch for each count in which left and right differ.
 func (l *Ledger) expectEqualCounts(at time.Duration, what string, left, right Counts) {
 	if left == right {
 		return
@@ -83,8 +84,8 @@
 	l.expectEqual(at, what+", open", left.Open, right.Open)
 }
 
-// Audit compares all sums that the ledger holds with what they are sums of, and records a mismatch for each that differs.
-// Its cost does not grow with the number of requests.
+// Audit recomputes all sums that the ledger holds and records a mismatch for each sum that differs. The cost does not
+// grow with the number of requests.
 func (l *Ledger) Audit(at time.Duration) {
 	l.auditTotals(at)
 	l.auditReasons(at)
@@ -92,7 +93,8 @@
 	l.auditPeriods(at)
 }
 
-// auditTotals compares the total with itself, and with the sums of rows, customers and incarnations.
+// auditTotals checks that the counts of the total, of each row and of each customer add up, and that the rows, the
+// customers and the incarnations each sum up to the total.
 func (l *Ledger) auditTotals(at time.Duration) {
 	l.expectEqual(at, "received and served + rejected + failed + open", l.total.Received, l.total.Sum())
 	var byRow, byCustomer Counts
@@ -125,7 +127,7 @@
 	}
 }
 
-// auditPeriods compares each cell with the sum of its periods.
+// auditPeriods compares each cell with its sum over all periods.
 func (l *Ledger) auditPeriods(at time.Duration) {
 	p := &l.periods
 	if !p.enabled() {
@@ -138,9 +140,9 @@
 	}
 }
 
-// CompareOpenRequests compares the ledger's open requests with what the node itself takes for open. forEach calls its argument once
-// for each of those, with the ticket and the id of the request.
-func (l *Ledger) CompareOpenRequests(at time.Duration, forEach func(isOpen func(ticket Ticket, id uint64))) {
+// CompareOpenRequests compares the open requests of the ledger with those of the node and records a mismatch for each
+// difference. forEach must call yield once for each open request of the node, with its ticket and its id.
+func (l *Ledger) CompareOpenRequests(at time.Duration, forEach func(yield func(ticket Ticket, id uint64))) {
 	l.comparison++
 	openInNode := int64(0)
 	forEach(func(ticket Ticket, id uint64) {
@@ -150,7 +152,8 @@
 	l.expectEqual(at, "requests open in the ledger and in the node", l.total.Open, openInNode)
 }
 
-// compareRequest looks for a request of the node among the open ones of the ledger.
+// compareRequest checks that an open request of the node is open in the ledger, and that no other request of the node
+// has the same slot.
 func (l *Ledger) compareRequest(at time.Duration, ticket Ticket, id uint64) {
 	if int(ticket.slot) >= len(l.requests) {
 		l.recordMismatch(at, "a request of the node has no slot in the ledger", int64(id), 0)
@@ -161,9 +164,9 @@
 	switch {
 	case request.state == slotFree || !current:
 		l.recordMismatch(at, "a request of the node is not open in the ledger", int64(id), int64(request.id))
-	case request.comparison == l.comparison:
+	case request.lastComparison == l.comparison:
 		l.recordMismatch(at, "two requests of the node have one slot in the ledger", int64(id), int64(request.id))
 	default:
-		request.comparison = l.comparison
+		request.lastComparison = l.comparison
 	}
 }
--- a/accounting/cells.go
+++ b/accounting/cells.go
@@ -6,15 +6,16 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Cells are the finest counts of the ledger: a flat array with a row for each handler and front end, and in each row a cell
-// for each reason. The cell of reason None counts the requests received, the others those closed for their reason.
+// Cells are the most detailed counts of the ledger. They are a flat array with one row for each handler and front end; a
+// row has one cell for each reason. The cell of NoReason counts the requests received, every other cell counts the
+// requests closed for its reason.
 
-// rowIndex returns the row of a handler and front end.
+// rowIndex returns the index of the row for a handler and front end.
 func rowIndex(handler uint16, frontend Frontend) int {
 	return int(handler)*frontendCount + int(frontend)
 }
 
-// cellIndex returns the cell of a reason in a row.
+// cellIndex returns the index of the cell for a reason in a row.
 func cellIndex(row int, reason Reason) int { return row*reasonCount + int(reason) }
 
 // rowCells returns the cells of a row.
@@ -22,7 +23,7 @@
 	return cells[row*reasonCount : (row+1)*reasonCount]
 }
 
-// sumCells returns the counts of a row by the sums of its cells.
+// sumCells computes the counts of a row from its cells.
 func sumCells(cells []int64, row int) Counts {
 	var counts Counts
 	for reason, n := range rowCells(cells, row) {
@@ -32,12 +33,12 @@
 	return counts
 }
 
-// rowName returns the name of a row in messages.
+// rowName returns the name of a row for the text of a mismatch.
 func (l *Ledger) rowName(row int) string {
 	return l.handlers[row/frontendCount] + " over " + Frontend(row%frontendCount).String()
 }
 
-// Layout of the key of an encoded cell, in bits.
+// Layout of the key of an encoded cell, in bits: the handler in the high bits, then the front end, then the reason.
 const (
 	keyHandlerShift  = 12
 	keyFrontendShift = 8
@@ -45,10 +46,11 @@
 	keyReasonMask    = 0xff
 )
 
-// maxCellSize is how long an encoded cell can be, in bytes: the varints of its key and its number.
+// maxCellSize is the largest size of an encoded cell in bytes. A cell is encoded as the varints of its key and its
+// count.
 const maxCellSize = 14
 
-// appendCells appends the cells that are not zero as a message Cells.
+// appendCells appends a message Cells with the cells that are not zero.
 func appendCells(b []byte, number protowire.Number, cells []int64) []byte {
 	return appendMessage(b, number, func(b []byte) []byte {
 		return appendMessage(b, cellsPairs, func(b []byte) []byte {
@@ -67,8 +69,9 @@
 	})
 }
 
-// forEachCell calls f for each cell of an encoded message Cells. The cell may be beyond those of the ledger, as the message
-// does not say how many handlers it has.
+// forEachCell calls f for each cell of an encoded message Cells and stops at the first error. It returns ErrCorrupt if
+// the message is not valid. The message does not contain the number of handlers, so the cell index may exceed the cells
+// of the ledger.
 func forEachCell(b []byte, f func(cell int, n int64) error) error {
 	return forEachField(b, func(pairs field) error {
 		for rest := pairs.bytes; len(rest) > 0; {
@@ -93,7 +96,8 @@
 	})
 }
 
-// decodeCellKey returns the cell of an encoded key.
+// decodeCellKey returns the cell index of an encoded key, or ErrCorrupt if the handler, the front end or the reason is
+// not valid.
 func decodeCellKey(key uint64) (int, error) {
 	handler := key >> keyHandlerShift
 	frontend := key >> keyFrontendShift & keyFrontendMask
@@ -107,7 +111,8 @@
 	return cellIndex(rowIndex(uint16(handler), Frontend(frontend)), Reason(reason)), nil
 }
 
-// addCells adds an encoded message Cells to cells.
+// addCells adds the counts of an encoded message Cells to cells. It returns ErrCorrupt if the message is not valid or
+// has a cell beyond the end of cells.
 func addCells(cells []int64, b []byte) error {
 	return forEachCell(b, func(cell int, n int64) error {
 		if cell >= len(cells) {
--- a/accounting/counts.go
+++ b/accounting/counts.go
@@ -1,7 +1,7 @@
 package accounting
 
-// Counts are the numbers of requests by what became of them. Received is always the sum of the others. The JSON keys are
-// read by scripts.
+// Counts holds the number of requests received, the numbers of those closed in each category, and the number of those
+// still open. Received equals the sum of the other counts. Scripts read the JSON keys, so the keys must not change.
 type Counts struct {
 	Received int64 `json:"taken"`
 	Served   int64 `json:"served"`
@@ -10,13 +10,13 @@
 	Open     int64 `json:"open"`
 }
 
-// Sum returns what Received must be: the sum of the other counts.
+// Sum returns the sum of all counts other than Received. It equals Received if the counts are correct.
 func (c Counts) Sum() int64 { return c.Served + c.Rejected + c.Failed + c.Open }
 
-// balanced reports whether the counts add up.
+// balanced reports whether Received equals the sum of the other counts.
 func (c *Counts) balanced() bool { return c.Received == c.Sum() }
 
-// Plus returns the sum of both.
+// Plus returns the sum of c and other.
 func (c Counts) Plus(other Counts) Counts {
 	return Counts{
 		Received: c.Received + other.Received,
@@ -27,7 +27,8 @@
 	}
 }
 
-// Add adds n requests that were closed for a reason, or received if the reason is None. It leaves Open alone.
+// Add adds n requests to the category of the reason, or to Received if the reason has no category, as is the case for
+// NoReason. It does not change Open.
 func (c *Counts) Add(reason Reason, n int64) {
 	switch reason.Category() {
 	case Served:
@@ -41,20 +42,20 @@
 	}
 }
 
-// addOpened counts a request that was received.
+// addOpened counts a request that was received and is open.
 func (c *Counts) addOpened() {
 	c.Received++
 	c.Open++
 }
 
-// addClosed counts a request that was open and is closed.
+// addClosed counts an open request as closed for the given reason.
 func (c *Counts) addClosed(reason Reason) {
 	c.Add(reason, 1)
 	c.Open--
 }
 
-// Reclassified returns the counts with one request moved from Failed, where requests of uncertain delivery are counted, to
-// the category it turned out to belong to.
+// Reclassified returns the counts with one request moved from Failed to the given category. Requests whose delivery is
+// unknown are counted as Failed; Reclassified corrects the counts once the actual category is determined.
 func (c Counts) Reclassified(to Category) Counts {
 	c.Failed--
 	switch to {
--- a/accounting/customer.go
+++ b/accounting/customer.go
@@ -6,17 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxNameLength is the longest name that is kept unchanged: with it an encoded entry has 64 bytes.
+// maxNameLength is the length in bytes of the longest name that is stored unchanged. With this length an encoded entry
+// takes 64 bytes.
 const maxNameLength = 24
 
-// CustomerName is the name of a customer, comparable and without a pointer. A name that is too long is cut and ends in a
-// hash of the whole, which tells it apart.
+// CustomerName is the name of a customer. It is comparable and contains no pointers. A name that is too long is
+// truncated and ends in a hash of the whole name, which distinguishes it from other names with the same beginning.
 type CustomerName struct {
 	length uint8
 	bytes  [maxNameLength]byte
 }
 
-// NewCustomerName returns the customer name of the given text.
+// NewCustomerName converts text to a customer name. It truncates text that is longer than maxNameLength.
 func NewCustomerName(text []byte) CustomerName {
 	var name CustomerName
 	if len(text) <= maxNameLength {
@@ -26,7 +27,7 @@
 	const (
 		hashDigits = 8
 		prefix     = maxNameLength - hashDigits - 1
-		topBit     = 1 << 31 // set, so that the hash always has all its digits
+		topBit     = 1 << 31 // always set, so that the hash has eight hexadecimal digits
 	)
 	copy(name.bytes[:prefix], text)
 	name.bytes[prefix] = '~'
@@ -36,24 +37,24 @@
 	return name
 }
 
-// String returns the name as text.
+// String returns the name as text, truncated if the original was too long.
 func (n CustomerName) String() string { return string(n.bytes[:n.length]) }
 
-// otherCustomers is the name of the row of all customers without a row of their own.
+// otherCustomers is the name of the row that counts all customers without a row of their own.
 const otherCustomers = "(others)"
 
-// otherCustomersRow is the number of that row.
+// otherCustomersRow is the index of the row named otherCustomers.
 const otherCustomersRow = 0
 
-// customerTable counts requests by customer in a bounded number of rows. A new customer who finds the table full takes the
-// row of the customer of least weight without an open request, whose counts are added to those of all others, so that no
-// count is lost. The newcomer inherits the weight, as in the space-saving sketch: frequent customers keep their row although
-// there are ever new ones.
+// customerTable counts requests by customer in a bounded number of rows with the space-saving algorithm. When the table
+// is full, a new customer replaces the customer that has the lowest weight and no open request. The counts of the
+// replaced customer are added to the row of all others, so that no count is lost. The new customer inherits the weight,
+// so that frequent customers keep their rows while new customers keep arriving.
 type customerTable struct {
-	rows     []customerRow // the first is that of all others
-	weights  []uint64      // by row: apart from the rows, as a newcomer looks at all of them
+	rows     []customerRow // the first row counts all customers without a row of their own
+	weights  []uint64      // by row; a separate slice because replacing a customer scans all weights
 	byName   map[CustomerName]uint16
-	capacity int // rows beside the first
+	capacity int // maximum number of rows, not counting the first
 }
 
 type customerRow struct {
@@ -72,23 +73,24 @@
 	return t
 }
 
-// add appends a row and returns its number.
+// add appends a row and returns its index.
 func (t *customerTable) add(row customerRow, weight uint64) uint16 {
-	number := uint16(len(t.rows))
+	index := uint16(len(t.rows))
 	t.rows = append(t.rows, row)
 	t.weights = append(t.weights, weight)
-	t.byName[row.name] = number
-	return number
+	t.byName[row.name] = index
+	return index
 }
 
-// full reports whether there is no room for another row.
+// full reports whether the table has no room for another row.
 func (t *customerTable) full() bool { return len(t.rows) > t.capacity }
 
-// assign returns the row of a customer, and makes one or takes over another's if there is none.
+// assign returns the index of the row that counts a customer. A customer without a row gets a new one or replaces
+// another customer. If neither is possible, assign returns the row of all others.
 func (t *customerTable) assign(name CustomerName) uint16 {
-	if number, ok := t.byName[name]; ok {
-		t.weights[number]++
-		return number
+	if index, ok := t.byName[name]; ok {
+		t.weights[index]++
+		return index
 	}
 	if t.capacity == 0 || name.length == 0 {
 		return otherCustomersRow
@@ -96,33 +98,34 @@
 	if !t.full() {
 		return t.add(customerRow{name: name}, 1)
 	}
-	number := t.lightest()
-	if number == otherCustomersRow {
+	index := t.evictionCandidate()
+	if index == otherCustomersRow {
 		return otherCustomersRow
 	}
-	row := &t.rows[number]
+	row := &t.rows[index]
 	t.addToOthers(row.Counts)
 	delete(t.byName, row.name)
 	*row = customerRow{name: name}
-	t.weights[number]++
-	t.byName[name] = uint16(number)
-	return uint16(number)
+	t.weights[index]++
+	t.byName[name] = uint16(index)
+	return uint16(index)
 }
 
-// lightest returns the row of least weight that has no open request, or that of all others if each has one.
-func (t *customerTable) lightest() int {
-	lightest := otherCustomersRow
+// evictionCandidate returns the index of the row with the lowest weight among the customers without open requests, or
+// otherCustomersRow if every customer has an open request.
+func (t *customerTable) evictionCandidate() int {
+	candidate := otherCustomersRow
 	for i, weight := range t.weights[1:] {
-		number := i + 1
-		lighter := lightest == otherCustomersRow || weight < t.weights[lightest]
-		if lighter && t.rows[number].Open == 0 {
-			lightest = number
+		index := i + 1
+		lighter := candidate == otherCustomersRow || weight < t.weights[candidate]
+		if lighter && t.rows[index].Open == 0 {
+			candidate = index
 		}
 	}
-	return lightest
+	return candidate
 }
 
-// addToOthers adds the counts of a customer who has no row any more.
+// addToOthers adds the counts of a customer that loses its row to the row of all others.
 func (t *customerTable) addToOthers(counts Counts) {
 	others := &t.rows[otherCustomersRow]
 	others.Counts = others.Plus(counts)
--- a/accounting/decode.go
+++ b/accounting/decode.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// corrupt returns an ErrCorrupt that says what is wrong.
-func corrupt(format string, args ...any) error {
+// corruptError returns an error that wraps ErrCorrupt and describes the invalid part.
+func corruptError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(format, args...))
 }
 
-// Restore returns the ledger of a snapshot that was made by AppendSnapshot. period returns a closed period by its number,
-// encoded as PeriodData gave it, or nil if it is lost. The entries that followed the snapshot can then be applied, and
-// EndReplay ends that. An ErrCorrupt says that the snapshot or a period is not valid, or that its counts do not add up.
-func Restore(snapshot []byte, period func(number uint64) []byte) (*Ledger, error) {
+// Restore returns the ledger of a snapshot made by AppendSnapshot. periodData must return the closed period with the
+// given number as PeriodData encoded it, or nil if the period is lost. The caller can then apply the entries that
+// followed the snapshot, and must call EndReplay after the last of them. Restore returns an error that wraps ErrCorrupt
+// if the snapshot or a period is not valid, or if the counts do not add up.
+func Restore(snapshot []byte, periodData func(number uint64) []byte) (*Ledger, error) {
 	dimensions, err := decodeDimensions(snapshot)
 	if err != nil {
 		return nil, err
 	}
 	l, err := New(dimensions.cfg)
 	if err != nil {
-		return nil, corrupt("%v", err)
+		return nil, corruptError("%v", err)
 	}
 	l.handlers = dimensions.handlers
 	l.allocateRows()
-	if err := l.periods.restore(dimensions.firstPeriod, dimensions.nextPeriod, period); err != nil {
+	if err := l.periods.restore(dimensions.firstPeriod, dimensions.nextPeriod, periodData); err != nil {
 		return nil, err
 	}
 	decoder := snapshotDecoder{ledger: l}
@@ -36,19 +37,19 @@
 	l.Audit(0)
 	if len(l.unreported) > 0 {
 		mismatch := l.unreported[0]
-		return nil, corrupt("%s: %d and %d", mismatch.What, mismatch.Left, mismatch.Right)
+		return nil, corruptError("%s: %d and %d", mismatch.What, mismatch.Left, mismatch.Right)
 	}
 	return l, nil
 }
 
-// dimensions are the fields of a snapshot that give the others their size.
+// dimensions are the fields of a snapshot that determine the sizes of the other fields.
 type dimensions struct {
 	cfg                     Config // without handlers
 	handlers                []string
 	firstPeriod, nextPeriod uint64
 }
 
-// decodeDimensions decodes the fields of a snapshot that give the others their size.
+// decodeDimensions decodes the fields of a snapshot that determine the sizes of the other fields.
 func decodeDimensions(snapshot []byte) (dimensions, error) {
 	var d dimensions
 	err := forEachField(snapshot, func(f field) error {
@@ -67,7 +68,7 @@
 			d.nextPeriod = f.value
 		}
 		if len(d.handlers) > maxHandlerRows {
-			return corrupt("more than %d handlers", maxHandlerRows)
+			return corruptError("more than %d handlers", maxHandlerRows)
 		}
 		return nil
 	})
@@ -75,15 +76,15 @@
 		return d, err
 	}
 	if len(d.handlers) == 0 || d.handlers[0] != unknownHandler {
-		return d, corrupt("no handlers")
+		return d, corruptError("the handlers do not begin with the unknown handler")
 	}
 	if d.nextPeriod < d.firstPeriod || d.nextPeriod-d.firstPeriod > uint64(d.cfg.MaxPeriods) {
-		return d, corrupt("periods %d to %d of %d", d.firstPeriod, d.nextPeriod, d.cfg.MaxPeriods)
+		return d, corruptError("closed periods %d to %d exceed the limit of %d", d.firstPeriod, d.nextPeriod, d.cfg.MaxPeriods)
 	}
 	return d, nil
 }
 
-// restore takes the closed periods from first to before next into an empty ring.
+// restore fills an empty ring with the closed periods from first up to, but not including, next.
 func (p *periodRing) restore(first, next uint64, encoded func(number uint64) []byte) error {
 	p.first = first
 	p.next = next
@@ -91,17 +92,17 @@
 		data := encoded(number)
 		period, err := decodePeriod(data)
 		if err != nil || addCells(p.retained, period.cells) != nil {
-			return corrupt("period %d", number)
+			return corruptError("period %d is lost or not valid", number)
 		}
 		p.encoded[p.slot(number)] = append([]byte(nil), data...)
 	}
 	return nil
 }
 
-// snapshotDecoder decodes the fields of a snapshot into a ledger that has its dimensions.
+// snapshotDecoder decodes the fields of a snapshot into a ledger that has the dimensions of the snapshot.
 type snapshotDecoder struct {
-	ledger       *Ledger
-	customersRow bool // the row of all other customers, which is the first, was decoded
+	ledger        *Ledger
+	othersDecoded bool // the first row, which counts the customers without a row of their own, was decoded
 }
 
 func (d *snapshotDecoder) decodeField(f field) (err error) {
@@ -167,7 +168,7 @@
 // decodeOpenRequest decodes a message Open into its slot.
 func (l *Ledger) decodeOpenRequest(message []byte) error {
 	var slot uint64
-	request := openRequest{generation: 1} // tickets do not outlive a process
+	request := openRequest{generation: 1} // no ticket of an earlier process is in use
 	err := forEachField(message, func(f field) error {
 		if f.number != requestID && f.number != requestOpenedAt && f.value > math.MaxUint32 {
 			return ErrCorrupt
@@ -196,11 +197,11 @@
 		return err
 	}
 	if slot >= maxOpenSlots || !l.validRequest(&request) {
-		return corrupt("an open request")
+		return corruptError("an open request is not valid")
 	}
 	l.growSlots(uint32(slot))
 	if l.requests[slot].state != slotFree {
-		return corrupt("two open requests in one slot")
+		return corruptError("two open requests in one slot")
 	}
 	l.requests[slot] = request
 	return nil
@@ -212,15 +213,15 @@
 		request.frontend < frontendCount &&
 		int(request.customer) <= l.customers.capacity
 	switch request.state {
-	case awaitingAnswer:
+	case awaitingResponse:
 		return known
-	case answered:
+	case responseWritten:
 		return known && request.reason.Category() != 0
 	}
 	return false
 }
 
-// decodeCustomer decodes a message Customer. The first is the row of all others.
+// decodeCustomer decodes a message Customer. The first one is the row of the customers without a row of their own.
 func (d *snapshotDecoder) decodeCustomer(message []byte) error {
 	var row customerRow
 	var weight uint64
@@ -239,19 +240,19 @@
 		return err
 	}
 	table := &d.ledger.customers
-	if !d.customersRow {
-		d.customersRow = true
+	if !d.othersDecoded {
+		d.othersDecoded = true
 		table.rows[otherCustomersRow] = row
 		return nil
 	}
-	if _, twice := table.byName[row.name]; twice || table.full() {
-		return corrupt("customers")
+	if _, duplicate := table.byName[row.name]; duplicate || table.full() {
+		return corruptError("customers")
 	}
 	table.add(row, weight)
 	return nil
 }
 
-// decode decodes a message Life and appends it.
+// decode decodes a message Life and appends it to the list.
 func (il *incarnationList) decode(message []byte) error {
 	var incarnation Incarnation
 	err := forEachField(message, func(f field) (err error) {
@@ -264,7 +265,7 @@
 			incarnation.Started = time.Duration(f.value)
 		case incarnationLastEntry:
 			incarnation.LastEntry = time.Duration(f.value)
-		case incarnationEnding:
+		case incarnationStateField:
 			incarnation.State = IncarnationState(min(f.value, uint64(Rebooted)))
 		case incarnationUncertain:
 			incarnation.Uncertain = int64(f.value)
@@ -279,13 +280,14 @@
 		return err
 	}
 	if len(il.list) >= maxIncarnations || len(incarnation.UncertainIDs) > maxUncertainIDs {
-		return corrupt("incarnations")
+		return corruptError("incarnations")
 	}
 	il.list = append(il.list, incarnation)
 	return nil
 }
 
-// recomputeRows computes what a snapshot does not hold.
+// recomputeRows computes the state that a snapshot does not contain: the counts by row, the free slots and the number of
+// written responses.
 func (l *Ledger) recomputeRows() {
 	for row := range l.rows {
 		l.rows[row] = sumCells(l.cells, row)
@@ -293,16 +295,17 @@
 	l.EndReplay()
 }
 
-// EndReplay ends a replay of entries: from here on, free slots are given to new requests.
+// EndReplay must be called after the last entry of a replay. It computes the free slots, which Open assigns to new
+// requests.
 func (l *Ledger) EndReplay() {
 	l.freeSlots = l.freeSlots[:0]
-	l.answeredCount = 0
+	l.responseWrittenCount = 0
 	for slot := range l.requests {
 		switch l.requests[slot].state {
 		case slotFree:
 			l.freeSlots = append(l.freeSlots, uint32(slot))
-		case answered:
-			l.answeredCount++
+		case responseWritten:
+			l.responseWrittenCount++
 		}
 	}
 }
--- a/accounting/encode.go
+++ b/accounting/encode.go
@@ -2,7 +2,8 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// AppendSnapshot appends all of the ledger but its closed periods, as a message Book, and returns the extended buffer.
+// AppendSnapshot appends a message Book with the state of the ledger, except its closed periods, and returns the
+// extended buffer.
 func (l *Ledger) AppendSnapshot(out []byte) []byte {
 	out = appendUint(out, ledgerSeq, l.seq)
 	for _, name := range l.handlers {
@@ -16,8 +17,8 @@
 		out = appendRequest(out, slot, &l.requests[slot])
 	}
 	out = appendUint(out, ledgerMaxCustomers, uint64(l.customers.capacity))
-	for number := range l.customers.rows {
-		out = appendCustomer(out, &l.customers.rows[number], l.customers.weights[number])
+	for index := range l.customers.rows {
+		out = appendCustomer(out, &l.customers.rows[index], l.customers.weights[index])
 	}
 	out = appendPeriods(out, &l.periods)
 	for i := range l.incarnations.list {
@@ -64,7 +65,8 @@
 	})
 }
 
-// appendPeriods appends the fields of the periods, those of the closed ones aside, if there are periods.
+// appendPeriods appends the fields of the periods, except those of the closed periods. It appends nothing if counting by
+// period is disabled.
 func appendPeriods(b []byte, p *periodRing) []byte {
 	if !p.enabled() {
 		return b
@@ -85,7 +87,7 @@
 		b = appendInt(b, incarnationBoot, incarnation.Boot)
 		b = appendInt(b, incarnationStarted, incarnation.Started)
 		b = appendInt(b, incarnationLastEntry, incarnation.LastEntry)
-		b = appendUint(b, incarnationEnding, uint64(incarnation.State))
+		b = appendUint(b, incarnationStateField, uint64(incarnation.State))
 		b = appendInt(b, incarnationUncertain, incarnation.Uncertain)
 		for _, id := range incarnation.UncertainIDs {
 			b = appendFixed(b, incarnationUncertainIDs, id)
@@ -94,7 +96,7 @@
 	})
 }
 
-// MaxSnapshotSize returns how long a snapshot of the ledger can be with so many open requests, in bytes.
+// MaxSnapshotSize returns the largest size in bytes of a snapshot of the ledger with the given number of open requests.
 func (l *Ledger) MaxSnapshotSize(open int) int {
 	const (
 		fixedSize       = 4096
--- a/accounting/entry.go
+++ b/accounting/entry.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// EntryKind tells what an entry changes. The numbers are stored.
+// EntryKind is the kind of change that an entry describes. The numbers are stored.
 type EntryKind uint8
 
 // The kinds of entries.
 const (
-	EntryOpen            EntryKind = iota + 1 // a request was received
-	EntryResponseWritten                      // its final response is written, and still to be handed to the operating system
-	EntryResponseSent                         // the last byte of the response was handed over: the request is closed
-	EntryClose                                // the request is closed otherwise
-	EntryFlush                                // handing over responses that were left begins (Slot is flushBegins) or ends (0)
-	EntryMismatch                             // counts were found that do not add up
+	EntryOpen            EntryKind = iota + 1 // the request was received
+	EntryResponseWritten                      // the final response was written, but not yet handed to the operating system
+	EntryResponseSent                         // the last byte of the response was handed over, which closes the request
+	EntryClose                                // the request was closed without a response, or before the response was handed over
+	EntryFlush                                // handing over the remaining responses begins (Slot is flushStart) or ends (Slot is 0)
+	EntryMismatch                             // a mismatch was recorded
 )
 
-// flushBegins is the Slot of an EntryFlush that begins.
-const flushBegins = 1
+// flushStart is the Slot of an EntryFlush that marks the beginning.
+const flushStart = 1
 
-// entryKindNames are the words of the kinds in trails.
+// entryKindNames are the names of the kinds in trails, the lists of recent entries.
 var entryKindNames = [...]string{
 	"none",
 	EntryOpen:            "open",
@@ -34,7 +34,7 @@
 	EntryMismatch:        "differ",
 }
 
-// String returns the kind's word.
+// String returns the name of the kind, or "none" if the kind is not valid.
 func (k EntryKind) String() string {
 	if int(k) < len(entryKindNames) {
 		return entryKindNames[k]
@@ -44,18 +44,18 @@
 
 // Entry is one change of a ledger. Fields that its kind does not use are zero.
 type Entry struct {
-	Seq      uint64        // 1 for the first entry of a ledger, one more for each
-	At       time.Duration // when it happened
-	ID       uint64        // of the request; EntryOpen
-	Slot     uint32        // where the ledger keeps the request while it is open; reused after its end
+	Seq      uint64        // sequence number: 1 for the first entry of a ledger, increased by 1 for each
+	At       time.Duration // time of the change
+	ID       uint64        // id of the request; only in EntryOpen
+	Slot     uint32        // slot of the request in the ledger while it is open; reused after the request is closed
 	Kind     EntryKind
-	Reason   Reason       // EntryAnswer, EntryClose
-	Frontend Frontend     // EntryOpen
-	Handler  uint16       // EntryOpen
-	Customer CustomerName // EntryOpen
+	Reason   Reason       // only in EntryResponseWritten and EntryClose
+	Frontend Frontend     // only in EntryOpen
+	Handler  uint16       // only in EntryOpen
+	Customer CustomerName // only in EntryOpen
 }
 
-// String returns the entry as it is shown in a trail.
+// String returns the entry in the format of trails.
 func (e *Entry) String() string {
 	switch e.Kind {
 	case EntryOpen:
@@ -66,10 +66,10 @@
 	return fmt.Sprintf("%d:%s(%d)", e.Seq, e.Kind, e.Slot)
 }
 
-// EntrySize is the length of an encoded entry, in bytes.
+// EntrySize is the size of an encoded entry in bytes.
 const EntrySize = 64
 
-// Offsets of the fields of an encoded entry. Numbers are little endian.
+// Offsets of the fields of an encoded entry. Numbers are little-endian.
 const (
 	offsetSeq        = 0
 	offsetAt         = 8
@@ -87,7 +87,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum returns the CRC-32C that guards all parts of a stored ledger.
+// Checksum returns the CRC-32C of b. It protects every part of a stored ledger.
 func Checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
 // Encode encodes the entry into the first EntrySize bytes of b.
@@ -108,8 +108,9 @@
 	le.PutUint32(b[offsetChecksum:], Checksum(b[:offsetChecksum]))
 }
 
-// Decode decodes an entry and reports whether b begins with a complete one. Otherwise it leaves the entry alone, except that
-// an entry without a sequence number is decoded and not complete.
+// Decode decodes the entry at the start of b and reports whether b begins with a complete entry. If b is too short or
+// the checksum does not match, Decode leaves e unchanged. An entry with the sequence number 0 is decoded, but not
+// complete.
 func (e *Entry) Decode(b []byte) bool {
 	if len(b) < EntrySize {
 		return false
--- a/accounting/incarnation.go
+++ b/accounting/incarnation.go
@@ -3,54 +3,56 @@
 import "time"
 
 const (
-	maxIncarnations = 64   // incarnations that are kept one by one; earlier ones are summed
-	maxUncertainIDs = 1024 // ids of uncertain delivery that are kept of an incarnation; more are only counted
+	maxIncarnations = 64   // incarnations that are kept individually; the counts of earlier ones are summed
+	maxUncertainIDs = 1024 // ids kept per incarnation of requests of uncertain delivery; further ones are only counted
 )
 
-// bootTolerance is how far the time of one boot may seem to move: it is derived from a clock that is adjusted at times.
+// bootTolerance is the difference up to which two boot times are taken for the same boot. The boot time is computed from
+// the system clock, which is adjusted at times.
 const bootTolerance = time.Minute
 
-// IncarnationState tells how an incarnation ended. The numbers are stored.
+// IncarnationState is whether an incarnation runs or how it ended. The numbers are stored.
 type IncarnationState uint8
 
-// The endings.
+// The states of an incarnation.
 const (
-	Running  IncarnationState = iota // it runs, or nothing is known of its end yet
-	Exited                           // it exited in order and recorded that
-	Killed                           // it ended without recording it
-	Rebooted                         // the same, and the machine has restarted since: what was not on disk is lost
+	Running  IncarnationState = iota // the process runs, or its end has not been determined yet
+	Exited                           // the process shut down in order and recorded its end
+	Killed                           // the process ended without recording its end
+	Rebooted                         // like Killed, and the machine has rebooted since; changes that were not on disk are lost
 )
 
-// endingNames are the words of the endings in reports.
-var endingNames = [...]string{
+// incarnationStateNames are the names of the states in reports.
+var incarnationStateNames = [...]string{
 	Running:  "runs",
 	Exited:   "left",
 	Killed:   "killed",
 	Rebooted: "rebooted",
 }
 
-// String returns the ending's word.
-func (e IncarnationState) String() string { return endingNames[min(e, Rebooted)] }
+// String returns the name of the state.
+func (s IncarnationState) String() string { return incarnationStateNames[min(s, Rebooted)] }
 
-// Incarnation is one process of a node: its number, when it ran, how it ended, and what became of the requests it
-// received. The JSON keys are read by scripts: they stay as they are.
+// Incarnation describes one process of a node: its number, when it ran, how it ended, and the counts of the requests
+// that it received. Scripts read the JSON keys, so the keys must not change.
 type Incarnation struct {
 	Counts
 	Number       uint64           `json:"Number"`
-	Boot         time.Duration    `json:"Boot"` // when the machine started, by its clock
+	Boot         time.Duration    `json:"Boot"` // boot time of the machine, by its clock
 	Started      time.Duration    `json:"Started"`
 	LastEntry    time.Duration    `json:"Last"`
 	State        IncarnationState `json:"Ending"`
-	Uncertain    int64            `json:"Doubted"` // requests whose response may have been delivered or not
-	UncertainIDs []uint64         `json:"Doubt"`   // the ids of the first maxUncertainIDs of them
+	Uncertain    int64            `json:"Doubted"` // requests for which it is unknown whether the response was delivered
+	UncertainIDs []uint64         `json:"Doubt"`   // ids of the first maxUncertainIDs of these requests
 }
 
-// Rebooted reports whether the machine, which started at boot, has restarted since the incarnation ran.
+// Rebooted reports whether the machine has rebooted since the incarnation ran. boot is the current boot time of the
+// machine.
 func (i *Incarnation) Rebooted(boot time.Duration) bool {
 	return (boot - i.Boot).Abs() > bootTolerance
 }
 
-// addUncertain notes a request whose response may have been delivered or not.
+// addUncertain records a request for which it is unknown whether the response was delivered.
 func (i *Incarnation) addUncertain(id uint64) {
 	i.Uncertain++
 	if len(i.UncertainIDs) < maxUncertainIDs {
@@ -58,14 +60,14 @@
 	}
 }
 
-// incarnationList holds the latest incarnations and the sum of all earlier ones.
+// incarnationList holds the latest incarnations and the summed counts of all earlier ones.
 type incarnationList struct {
-	list         []Incarnation // in order, the present one last
-	earlier      Counts        // of those before the list
-	earlierCount uint64        // how many those are
+	list         []Incarnation // oldest first, the current one last
+	earlier      Counts        // sum over the incarnations before the list
+	earlierCount uint64        // number of the incarnations before the list
 }
 
-// last returns the last incarnation, nil if there is none.
+// last returns the last incarnation, or nil if there is none.
 func (il *incarnationList) last() *Incarnation {
 	if len(il.list) == 0 {
 		return nil
@@ -73,7 +75,7 @@
 	return &il.list[len(il.list)-1]
 }
 
-// current returns the present incarnation, and makes one if there is none.
+// current returns the current incarnation. It adds one if there is none.
 func (il *incarnationList) current() *Incarnation {
 	if len(il.list) == 0 {
 		il.list = append(il.list, Incarnation{Number: il.earlierCount + 1})
@@ -81,13 +83,13 @@
 	return il.last()
 }
 
-// running reports whether the last incarnation has not been ended.
+// running reports whether the last incarnation has not ended.
 func (il *incarnationList) running() bool {
 	last := il.last()
 	return last != nil && last.State == Running
 }
 
-// add appends a new incarnation. The oldest one makes room for it if necessary.
+// add appends a new incarnation. If the list is full, the oldest incarnation moves to the earlier ones.
 func (il *incarnationList) add(at, boot time.Duration) {
 	number := il.earlierCount + uint64(len(il.list)) + 1
 	if len(il.list) >= maxIncarnations {
@@ -98,28 +100,29 @@
 	il.list = append(il.list, Incarnation{Number: number, Boot: boot, Started: at, LastEntry: at})
 }
 
-// Incarnations returns the latest incarnations, the present one last, the sum of the counts of all earlier ones, and how
-// many those are. The list belongs to the ledger.
-func (l *Ledger) Incarnations() (list []Incarnation, earlier Counts, before uint64) {
+// Incarnations returns the latest incarnations, the current one last, the summed counts of all earlier ones, and the
+// number of the earlier ones. The list belongs to the ledger; callers must not change it.
+func (l *Ledger) Incarnations() (list []Incarnation, earlier Counts, earlierCount uint64) {
 	return l.incarnations.list, l.incarnations.earlier, l.incarnations.earlierCount
 }
 
-// StartIncarnation begins a new incarnation at the given time, on a machine that started at boot. What the last one left
-// open is closed on its account first.
+// StartIncarnation begins a new incarnation at the given time. boot is the boot time of the machine. If the last
+// incarnation has not ended, StartIncarnation first ends it as Killed or Rebooted and closes its open requests as
+// OpenAtKill or DeliveryUnknown.
 func (l *Ledger) StartIncarnation(at, boot time.Duration) {
 	if l.incarnations.running() {
-		ending := Killed
+		state := Killed
 		if l.incarnations.last().Rebooted(boot) {
-			ending = Rebooted
+			state = Rebooted
 		}
-		l.EndIncarnation(OpenAtKill, ending)
+		l.EndIncarnation(OpenAtKill, state)
 	}
 	l.incarnations.add(at, boot)
 }
 
-// EndIncarnation ends the present incarnation: it closes all open requests, those whose response was being handed over as
-// DeliveryUnknown, the others for the given reason.
-func (l *Ledger) EndIncarnation(reason Reason, ending IncarnationState) {
+// EndIncarnation ends the current incarnation with the given state. It closes the open requests whose response was being
+// handed over as DeliveryUnknown, and all others for the given reason.
+func (l *Ledger) EndIncarnation(reason Reason, state IncarnationState) {
 	incarnation := l.incarnations.current()
 	for slot := range l.requests {
 		request := &l.requests[slot]
@@ -139,5 +142,5 @@
 		l.commit(entry)
 	}
 	l.SetFlushing(incarnation.LastEntry, false)
-	incarnation.State = ending
+	incarnation.State = state
 }
--- a/accounting/ledger_test.go
+++ b/accounting/ledger_test.go
@@ -20,7 +20,7 @@
 	PeriodLength: time.Second,
 }
 
-// newLedger returns a ledger with a first incarnation that records its entries.
+// newLedger returns a ledger that has begun its first incarnation and records its entries.
 func newLedger(t testing.TB, cfg Config) *Ledger {
 	t.Helper()
 	ledger, err := New(cfg)
@@ -32,12 +32,12 @@
 	return ledger
 }
 
-// restoreCopy returns a ledger that is restored from a snapshot of the given one.
+// restoreCopy returns a ledger restored from a snapshot of the given one.
 func restoreCopy(ledger *Ledger) (*Ledger, error) {
 	return Restore(ledger.AppendSnapshot(nil), ledger.PeriodData)
 }
 
-// TestMismatches checks that counts which were corrupted are found, recorded once with both sides, and counted.
+// TestMismatches checks that Audit finds corrupted counts, records a mismatch once, with both numbers, and counts it.
 func TestMismatches(t *testing.T) {
 	for name, corruptCounts := range map[string]func(l *Ledger){
 		"total":       func(l *Ledger) { l.total.Received++ },
@@ -60,23 +60,24 @@
 			recorded := ledger.MismatchCount()
 			found := ledger.TakeMismatches()
 			if recorded == 0 || len(found) == 0 || found[0].Left == found[0].Right || found[0].Trail != "1:open(0,0000000000000007)" {
-				t.Error("not found:", recorded, found)
+				t.Error("mismatch not found:", recorded, found)
 			}
 			ledger.Audit(time.Hour)
 			if ledger.MismatchCount() != recorded {
-				t.Error("recorded again")
+				t.Error("mismatch recorded again")
 			}
 			ledger.Close(time.Hour, ticket, Aborted)
-			ledger.CompareOpenRequests(time.Hour, func(isOpen func(Ticket, uint64)) { isOpen(ticket, 7) })
+			ledger.CompareOpenRequests(time.Hour, func(yield func(Ticket, uint64)) { yield(ticket, 7) })
 			found = ledger.TakeMismatches()
 			if len(found) == 0 || found[len(found)-1].What != "requests open in the ledger and in the node" {
-				t.Error("a request that is open in the node alone:", found)
+				t.Error("request that is open only in the node not found:", found)
 			}
 		})
 	}
 }
 
-// TestPeriods checks that a clock that jumps opens periods with earlier or later starts, and that they still add up.
+// TestPeriods checks that jumps of the clock open periods with earlier or later starts, and that the periods still add
+// up to the total.
 func TestPeriods(t *testing.T) {
 	cfg := testConfig
 	cfg.MaxPeriods = 5
@@ -111,12 +112,12 @@
 		t.Error(diff, ledger.Total())
 	}
 	if len(ledger.TakeMismatches()) > 0 {
-		t.Error(ledger.knownGaps)
+		t.Error(ledger.recordedDifferences)
 	}
 }
 
-// TestCustomers checks that a frequent customer keeps a row although there are ever new ones, and that the table does not
-// grow.
+// TestCustomers checks that a frequent customer keeps its row while new customers keep arriving, and that the table does
+// not grow.
 func TestCustomers(t *testing.T) {
 	ledger := newLedger(t, testConfig)
 	frequent := NewCustomerName([]byte("a co-operative whose name is far too long for an op"))
@@ -136,11 +137,11 @@
 		t.Errorf("row %d of %+v", number, table.rows)
 	}
 	if len(ledger.TakeMismatches()) > 0 {
-		t.Error(ledger.knownGaps)
+		t.Error(ledger.recordedDifferences)
 	}
 }
 
-// TestNoAllocations checks that the transitions of a request allocate nothing.
+// TestNoAllocations checks that the transitions of a request do not allocate memory.
 func TestNoAllocations(t *testing.T) {
 	ledger := newLedger(t, testConfig)
 	id := uint64(0)
@@ -159,7 +160,8 @@
 	}
 }
 
-// FuzzRestore checks that any bytes are restored or rejected, and that what is restored is a correct ledger.
+// FuzzRestore checks that Restore either rejects arbitrary bytes or returns a ledger whose counts add up, and which can
+// be restored again and restarted.
 func FuzzRestore(f *testing.F) {
 	ledger := newLedger(f, testConfig)
 	for i := range 12 {
@@ -180,7 +182,7 @@
 			return
 		}
 		if _, err := restoreCopy(ledger); err != nil {
-			t.Error("what was restored can't be restored again:", err)
+			t.Error("restoring a snapshot of the restored ledger:", err)
 		}
 		if _, err := ledger.Restart(testConfig, time.Hour, time.Hour); err != nil {
 			t.Error(err)
--- a/accounting/period.go
+++ b/accounting/period.go
@@ -6,24 +6,25 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// periodRing counts requests by periods of equal length, and keeps the latest of those that are closed.
+// periodRing counts requests by periods of equal length and keeps the latest closed periods.
 //
-// Periods without any entry are left out. They are in the order in which the node went through them: a clock that is set
-// back by more than a period opens one with an earlier start, and no sum depends on the order of starts. A request counts as
-// received in the period of its EntryOpen, and for its reason in the period in which it was closed.
+// A period without entries is left out. The periods are in the order in which the node opened them. When the clock is
+// set back by more than a period, the next period has an earlier start than the one before it; no sum depends on the
+// order of the starts. A request counts as received in the period of its EntryOpen, and for its reason in the period in
+// which it was closed.
 //
-// For each cell, expired + retained + current is the ledger's count.
+// For each cell, expired + retained + current equals the count of the ledger.
 type periodRing struct {
-	capacity int           // closed periods that are kept; with 0 there are no periods at all
-	length   time.Duration // of a period
+	capacity int           // closed periods that are kept; 0 disables counting by period
+	length   time.Duration // length of a period
 	first    uint64        // number of the oldest closed period that is kept
 	next     uint64        // number of the current period
-	encoded  [][]byte      // closed periods; number n is at n modulo capacity
+	encoded  [][]byte      // encoded closed periods; period n is at index n modulo capacity
 
-	start    time.Duration // of the current period; 0 if there is none yet
+	start    time.Duration // start of the current period; 0 if there is none yet
 	current  []int64       // cells of the current period
 	retained []int64       // sums of the cells of the closed periods in the ring
-	expired  []int64       // sums of the cells of the periods that have left it
+	expired  []int64       // sums of the cells of the periods removed from the ring
 }
 
 func newPeriodRing(cfg Config, cells int) periodRing {
@@ -39,15 +40,15 @@
 
 func (p *periodRing) enabled() bool { return p.capacity > 0 }
 
-// add adds to a cell of the current period.
+// add adds n to a cell of the current period.
 func (p *periodRing) add(cell int, n int64) {
 	if p.enabled() {
 		p.current[cell] += n
 	}
 }
 
-// advance closes the current period and begins another one if the given time is outside of it. A clock that was set back
-// by less than a period stays in the current one.
+// advance closes the current period and begins another one if the given time is outside of it. When the clock is set
+// back to at most one period before the start, the current period continues.
 func (p *periodRing) advance(at time.Duration) {
 	if !p.enabled() {
 		return
@@ -58,10 +59,11 @@
 	if p.start != 0 {
 		p.closeCurrent(p.length)
 	}
-	p.start = max(1, at-at%p.length) // 0 means none
+	p.start = max(1, at-at%p.length) // 0 would mean that there is no current period
 }
 
-// closeCurrent puts the current period into the ring as one of the given length. The oldest of a full ring leaves it.
+// closeCurrent adds the current period to the ring with the given length. If the ring is full, the oldest period
+// expires.
 func (p *periodRing) closeCurrent(length time.Duration) {
 	if p.next-p.first == uint64(p.capacity) {
 		p.expireOldest()
@@ -75,9 +77,9 @@
 	p.next++
 }
 
-// expireOldest moves the counts of the oldest closed period to those of the expired ones.
+// expireOldest removes the oldest closed period from the ring and adds its counts to those of the expired ones.
 func (p *periodRing) expireOldest() {
-	// What the ring holds was encoded here or checked when it was decoded: there is no error.
+	// The errors are always nil: the periods in the ring were encoded by closeCurrent or checked by restore.
 	oldest, _ := decodePeriod(p.encoded[p.slot(p.first)])
 	_ = forEachCell(oldest.cells, func(cell int, n int64) error {
 		p.retained[cell] -= n
@@ -87,18 +89,19 @@
 	p.first++
 }
 
-// slot returns where the ring holds the closed period of that number.
+// slot returns the index in the ring of the closed period with the given number.
 func (p *periodRing) slot(number uint64) int { return int(number % uint64(p.capacity)) }
 
-// Periods returns the range of the numbers of the closed periods that are kept, from first to before next.
+// Periods returns the numbers of the closed periods that are kept: from first up to, but not including, next.
 func (l *Ledger) Periods() (first, next uint64) { return l.periods.first, l.periods.next }
 
-// PeriodData returns a closed period that is kept, encoded. The slice is valid until the next entry.
+// PeriodData returns the encoded closed period with the given number, which must be one of those that are kept. The
+// slice is valid until the next entry.
 func (l *Ledger) PeriodData(number uint64) []byte {
 	return l.periods.encoded[l.periods.slot(number)]
 }
 
-// MaxPeriodSize returns how long an encoded period can be, in bytes.
+// MaxPeriodSize returns the largest size of an encoded period in bytes.
 func (l *Ledger) MaxPeriodSize() int {
 	const startAndLength = 32
 	return startAndLength + maxCellSize*len(l.cells)
@@ -118,7 +121,7 @@
 	return appendCells(b, periodCells, cells)
 }
 
-// decodePeriod decodes a message Period.
+// decodePeriod decodes a message Period. It returns ErrCorrupt if the message is not valid.
 func decodePeriod(b []byte) (closedPeriod, error) {
 	var period closedPeriod
 	err := forEachField(b, func(f field) error {
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// Report is what a ledger says at one moment, without a reference to it. The JSON keys of a report and its parts are read
-// by scripts: they stay as they are.
+// Report holds the counts of a ledger at one moment. Later changes of the ledger do not affect it. Scripts read the JSON
+// keys of a report and its parts, so the keys must not change.
 type Report struct {
 	Total               Counts        `json:"total"`
 	Mismatches          int64         `json:"differences"`
-	Rows                []Row         `json:"rows"` // those in which a request was received
+	Rows                []Row         `json:"rows"` // rows with at least one request
 	Customers           []Customer    `json:"customers,omitempty"`
-	Periods             []Period      `json:"periods,omitempty"` // closed ones in order, and the current one
+	Periods             []Period      `json:"periods,omitempty"` // closed periods in order, then the current one
 	Incarnations        []Incarnation `json:"lives"`
-	Earlier             Counts        `json:"earlier"` // of incarnations that are no longer listed
-	EarlierIncarnations uint64        `json:"before"`  // how many those are
+	Earlier             Counts        `json:"earlier"` // sum over the incarnations that are no longer listed
+	EarlierIncarnations uint64        `json:"before"`  // number of the incarnations that are no longer listed
 }
 
-// Row holds the counts of a handler over a front end, and the reasons behind them. In the row of a period Open is what was
-// received and not closed in that period; it is negative where more was closed.
+// Row holds the counts of a handler and front end, and the numbers of closed requests by reason. In a row of a period,
+// Open is the number of requests received in the period minus the number closed in it; it is negative if more were
+// closed.
 type Row struct {
 	Handler  string           `json:"handler"`
 	Frontend string           `json:"front"`
 	Counts   Counts           `json:"figures"`
-	Reasons  map[string]int64 `json:"reasons"` // closed requests by the word of their reason
+	Reasons  map[string]int64 `json:"reasons"` // closed requests by the name of their reason
 }
 
-// Customer holds the counts of a customer since it has a row of its own.
+// Customer holds the counts of a customer since the customer got a row of its own.
 type Customer struct {
 	Name   string `json:"name"`
 	Counts Counts `json:"figures"`
@@ -42,9 +43,9 @@
 	Rows   []Row         `json:"rows"`
 }
 
-// Report returns a report of the ledger, with its periods or without.
-func (l *Ledger) Report(periods bool) Report {
-	list, earlier, before := l.Incarnations()
+// Report returns a report of the ledger. It includes the periods if withPeriods is true.
+func (l *Ledger) Report(withPeriods bool) Report {
+	list, earlier, earlierCount := l.Incarnations()
 	report := Report{
 		Total:               l.total,
 		Mismatches:          l.mismatches,
@@ -52,15 +53,15 @@
 		Customers:           l.reportCustomers(),
 		Incarnations:        slices.Clone(list),
 		Earlier:             earlier,
-		EarlierIncarnations: before,
+		EarlierIncarnations: earlierCount,
 	}
-	if periods {
+	if withPeriods {
 		report.Periods = l.reportPeriods()
 	}
 	return report
 }
 
-// reportRows returns the rows of cells in which there is any request.
+// reportRows converts cells to rows and leaves out the rows without requests.
 func (l *Ledger) reportRows(cells []int64) []Row {
 	var rows []Row
 	for row := range l.rows {
@@ -71,14 +72,14 @@
 			Handler:  l.handlers[row/frontendCount],
 			Frontend: Frontend(row % frontendCount).String(),
 			Counts:   sumCells(cells, row),
-			Reasons:  reasonsOf(rowCells(cells, row)),
+			Reasons:  closedByReason(rowCells(cells, row)),
 		})
 	}
 	return rows
 }
 
-// reasonsOf returns the numbers of closed requests by the word of their reason.
-func reasonsOf(cells []int64) map[string]int64 {
+// closedByReason returns the numbers of closed requests by the name of their reason.
+func closedByReason(cells []int64) map[string]int64 {
 	reasons := map[string]int64{}
 	for reason, n := range cells {
 		if n != 0 && Reason(reason) != NoReason {
@@ -88,7 +89,7 @@
 	return reasons
 }
 
-// reportCustomers returns the customers with any request, those with most requests first.
+// reportCustomers returns the customers with at least one request, in descending order of requests received.
 func (l *Ledger) reportCustomers() []Customer {
 	var customers []Customer
 	for _, row := range l.customers.rows {
@@ -114,7 +115,7 @@
 		period, err := decodePeriod(l.PeriodData(number))
 		clear(cells)
 		if err != nil || addCells(cells, period.cells) != nil {
-			continue // it was checked when it was restored: it does not happen
+			continue // not reached: the period was checked when it was restored
 		}
 		periods = append(periods, Period{Start: period.start, Length: period.length, Rows: l.reportRows(cells)})
 	}
@@ -140,7 +141,7 @@
 	return ""
 }
 
-// check returns a description of the row if its counts do not add up.
+// check returns a description of the row if its counts do not add up, or an empty string if they do.
 func (r *Row) check() string {
 	var closed int64
 	for _, n := range r.Reasons {
@@ -153,7 +154,7 @@
 		r.Handler, r.Frontend, r.Counts.Received, closed+r.Counts.Open)
 }
 
-// checkSums returns a description of the first sum that differs from the total.
+// checkSums returns a description of the first sum that differs from the total, or an empty string if there is none.
 func (r *Report) checkSums() string {
 	var byRow, byCustomer Counts
 	for _, row := range r.Rows {
--- a/accounting/restart.go
+++ b/accounting/restart.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
-// Restart returns a ledger for a new incarnation of the node, which starts at the given time on a machine that started at
-// boot, with another configuration and all accounts of the earlier incarnations.
+// Restart returns a ledger for a new incarnation of the node, with another configuration and all counts of the earlier
+// incarnations. The new incarnation starts at the given time; boot is the boot time of the machine. Restart returns an
+// error if the configuration exceeds the limits of a ledger.
 //
-// Handlers are matched by name; those that are no longer configured keep their row while there is one. Customers and periods
-// for which there is no room any more are added to all others and to the expired ones. The old ledger must not be used any
-// more: if its last incarnation was not ended, Restart ends it as killed.
+// Handlers are matched by name; those that are no longer configured keep a row of their own while rows are left.
+// Customers that no longer fit are added to the row of all others, and periods that no longer fit are added to the
+// expired ones. The old ledger must not be used any more: if its last incarnation has not ended, Restart ends it as
+// Killed or Rebooted.
 func (l *Ledger) Restart(cfg Config, at, boot time.Duration) (*Ledger, error) {
 	next, err := New(cfg)
 	if err != nil {
@@ -19,7 +21,7 @@
 	}
 	next.mismatches = l.mismatches
 	if l.incarnations.running() {
-		l.StartIncarnation(at, boot) // closes what is open, in the rows of the old configuration
+		l.StartIncarnation(at, boot) // closes the open requests, in the rows of the old configuration
 		next.adoptIncarnations(l)
 	} else {
 		next.adoptIncarnations(l)
@@ -35,14 +37,14 @@
 	return next, nil
 }
 
-// adoptIncarnations takes over the incarnations of an old ledger and the sequence of its entries.
+// adoptIncarnations copies the incarnations and the last sequence number of an old ledger.
 func (l *Ledger) adoptIncarnations(old *Ledger) {
 	l.seq = old.seq
 	l.incarnations = old.incarnations
 	l.incarnations.list = slices.Clone(old.incarnations.list)
 }
 
-// handlerMapping gives the new number of each handler of an old ledger.
+// handlerMapping maps the index of each handler of an old ledger to its index in the new one.
 type handlerMapping []int
 
 // addCells adds the cells of an old ledger to those of a new one.
@@ -54,29 +56,30 @@
 	}
 }
 
-// adoptHandlers adds the handlers of an old ledger that are no longer configured and have counts.
+// adoptHandlers adds the handlers of an old ledger that are no longer configured and have counts. It returns the mapping
+// of all handlers of the old ledger.
 func (l *Ledger) adoptHandlers(old *Ledger) handlerMapping {
 	mapping := make(handlerMapping, len(old.handlers))
-	for number, name := range old.handlers {
-		mapping[number] = l.adoptHandler(name, old.handlerUsed(number))
+	for index, name := range old.handlers {
+		mapping[index] = l.adoptHandler(name, old.handlerUsed(index))
 	}
 	return mapping
 }
 
-// handlerUsed reports whether the handler received any requests.
-func (l *Ledger) handlerUsed(number int) bool {
-	rows := l.rows[number*frontendCount : (number+1)*frontendCount]
+// handlerUsed reports whether any request for the handler was received.
+func (l *Ledger) handlerUsed(index int) bool {
+	rows := l.rows[index*frontendCount : (index+1)*frontendCount]
 	return slices.ContainsFunc(rows, func(counts Counts) bool { return counts.Received != 0 })
 }
 
-// adoptHandler returns the number of a handler of an old ledger, and adds it if it has counts. The last row is for all
-// those for which there is no other.
+// adoptHandler returns the new index of a handler of an old ledger, and adds the handler if it has counts. The last row
+// is shared by all handlers for which no other row is left.
 func (l *Ledger) adoptHandler(name string, used bool) int {
-	if number := slices.Index(l.handlers, name); number >= 0 {
-		return number
+	if index := slices.Index(l.handlers, name); index >= 0 {
+		return index
 	}
 	if !used {
-		return 0 // there is nothing to count
+		return 0 // the handler has no counts, so any index will do
 	}
 	limit := maxHandlerRows - 1
 	if name == formerHandlers {
@@ -85,36 +88,37 @@
 	if len(l.handlers) < limit {
 		return l.addHandler(name)
 	}
-	if number := slices.Index(l.handlers, formerHandlers); number >= 0 {
-		return number
+	if index := slices.Index(l.handlers, formerHandlers); index >= 0 {
+		return index
 	}
 	return l.addHandler(formerHandlers)
 }
 
-// addHandler appends a handler and returns its number.
+// addHandler appends a handler and returns its index.
 func (l *Ledger) addHandler(name string) int {
 	l.handlers = append(l.handlers, name)
 	return len(l.handlers) - 1
 }
 
-// adoptCustomers takes over the customers of an old ledger, those of most weight with a row of their own.
+// adoptCustomers copies the customers of an old ledger. If there is not enough room, the customers with the highest
+// weights keep a row of their own.
 func (l *Ledger) adoptCustomers(old *customerTable) {
 	l.customers.rows[otherCustomersRow].Counts = old.rows[otherCustomersRow].Counts
 	byWeight := make([]int, 0, len(old.rows)-1)
-	for number := 1; number < len(old.rows); number++ {
-		byWeight = append(byWeight, number)
+	for index := 1; index < len(old.rows); index++ {
+		byWeight = append(byWeight, index)
 	}
 	slices.SortStableFunc(byWeight, func(x, y int) int { return cmp.Compare(old.weights[y], old.weights[x]) })
-	for _, number := range byWeight {
+	for _, index := range byWeight {
 		if l.customers.full() {
-			l.customers.addToOthers(old.rows[number].Counts)
+			l.customers.addToOthers(old.rows[index].Counts)
 		} else {
-			l.customers.add(old.rows[number], old.weights[number])
+			l.customers.add(old.rows[index], old.weights[index])
 		}
 	}
 }
 
-// adoptPeriods takes over the periods of an old ledger, each with the length that it had.
+// adoptPeriods copies the periods of an old ledger. Each period keeps its length.
 func (l *Ledger) adoptPeriods(old *periodRing, mapping handlerMapping) {
 	p := &l.periods
 	if !p.enabled() {
@@ -135,7 +139,7 @@
 		period, err := decodePeriod(old.encoded[old.slot(number)])
 		clear(oldCells)
 		if err != nil || addCells(oldCells, period.cells) != nil {
-			continue // it was checked when it was restored: it does not happen
+			continue // not reached: the period was checked when it was restored
 		}
 		clear(p.current)
 		mapping.addCells(p.current, oldCells)
--- a/accounting/wire.go
+++ b/accounting/wire.go
@@ -6,11 +6,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Snapshots and closed periods are stored as protocol buffer messages, which figures.proto documents. They are encoded and
-// decoded by hand, with the field numbers of that file: a transition must not allocate, and a decoder must reject whatever
-// does not add up.
+// Snapshots and closed periods are stored as protocol buffer messages, which figures.proto documents. The code encodes
+// and decodes them by hand, with the field numbers of that file, because a transition must not allocate and decoding
+// must reject messages whose counts do not add up.
 
-// ErrCorrupt says that stored bytes are not a valid snapshot or period.
+// ErrCorrupt is returned for stored bytes that are not a valid snapshot or period.
 var ErrCorrupt = errors.New("corrupt record")
 
 // Field numbers of message Cells.
@@ -38,7 +38,7 @@
 	incarnationBoot         protowire.Number = 2
 	incarnationStarted      protowire.Number = 3
 	incarnationLastEntry    protowire.Number = 4
-	incarnationEnding       protowire.Number = 5
+	incarnationStateField   protowire.Number = 5
 	incarnationUncertain    protowire.Number = 6
 	incarnationUncertainIDs protowire.Number = 7
 	incarnationCounts       protowire.Number = 8
@@ -79,7 +79,7 @@
 	ledgerEarlierCount protowire.Number = 19
 )
 
-// appendUint appends a varint field, unless it is 0.
+// appendUint appends a varint field, unless the value is 0.
 func appendUint(b []byte, number protowire.Number, value uint64) []byte {
 	if value == 0 {
 		return b
@@ -87,29 +87,29 @@
 	return protowire.AppendVarint(protowire.AppendTag(b, number, protowire.VarintType), value)
 }
 
-// appendInt appends a varint field, unless it is 0.
+// appendInt appends a varint field, unless the value is 0.
 func appendInt[T ~int64](b []byte, number protowire.Number, value T) []byte {
 	return appendUint(b, number, uint64(value))
 }
 
-// appendFixed appends a field of eight bytes.
+// appendFixed appends a fixed-size field of eight bytes.
 func appendFixed(b []byte, number protowire.Number, value uint64) []byte {
 	return protowire.AppendFixed64(protowire.AppendTag(b, number, protowire.Fixed64Type), value)
 }
 
-// appendBytes appends a field of bytes or a string.
+// appendBytes appends a field of type bytes or string.
 func appendBytes[T ~string | ~[]byte](b []byte, number protowire.Number, value T) []byte {
 	b = protowire.AppendTag(b, number, protowire.BytesType)
 	b = protowire.AppendVarint(b, uint64(len(value)))
 	return append(b, value...)
 }
 
-// appendMessage appends a field with a message, whose content is appended by content. The length of the message, which is
-// known only afterwards, is written as a varint that is padded to its largest size.
+// appendMessage appends a field with a message. The function content appends the content of the message. The length of
+// the message is known only afterwards, so it is written as a varint that is padded to lengthSize bytes.
 func appendMessage(b []byte, number protowire.Number, content func(b []byte) []byte) []byte {
 	const (
-		lengthSize   = 4 // bytes: messages are under 256 MB
-		payloadBits  = 7 // of each byte of a varint
+		lengthSize   = 4 // in bytes; messages are smaller than 256 MB
+		payloadBits  = 7 // in each byte of a varint
 		payloadMask  = 1<<payloadBits - 1
 		continuation = 1 << payloadBits
 	)
@@ -120,18 +120,19 @@
 	for i := range lengthSize {
 		b[start+i] = byte(length>>(payloadBits*i))&payloadMask | continuation
 	}
-	b[start+lengthSize-1] &= payloadMask // the last byte has no continuation
+	b[start+lengthSize-1] &= payloadMask // the last byte has no continuation bit
 	return b
 }
 
 // field is a decoded field of a message.
 type field struct {
 	number protowire.Number
-	value  uint64 // of a varint or fixed field
-	bytes  []byte // of a field of bytes or a message
+	value  uint64 // value of a varint or fixed-size field
+	bytes  []byte // content of a bytes, string or message field
 }
 
-// forEachField calls f for each field of a message, and stops at the first error.
+// forEachField calls f for each field of a message and stops at the first error. It returns ErrCorrupt if the message is
+// not valid.
 func forEachField(message []byte, f func(field) error) error {
 	for len(message) > 0 {
 		next, size := consumeField(message)
@@ -146,7 +147,8 @@
 	return nil
 }
 
-// consumeField decodes the first field of a message and returns its encoded size, which is negative if it is corrupt.
+// consumeField decodes the first field of a message. It returns the encoded size of the field, which is negative if the
+// field is corrupt.
 func consumeField(message []byte) (field, int) {
 	number, kind, tagSize := protowire.ConsumeTag(message)
 	if tagSize < 0 {
--- a/accounting/words_test.go
+++ b/accounting/words_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestStoredReasons checks the numbers of reasons, which are stored, and their words and categories, which stand in reports
-// and metrics. None of them may change; new ones are added.
+// TestStoredReasons checks the numbers of the reasons, which are stored, and their names and categories, which appear in
+// reports and metrics. None of them may change; new ones may be added.
 func TestStoredReasons(t *testing.T) {
 	for _, want := range []struct {
 		number   uint8
-		word     string
+		name     string
 		category string
 	}{
 		{0, "none", "none"},
@@ -56,16 +56,16 @@
 		{40, "none", "none"},
 	} {
 		reason := Reason(want.number)
-		if reason.String() != want.word || reason.Category().String() != want.category {
-			t.Errorf("%d: %v, %v; not %s, %s", want.number, reason, reason.Category(), want.word, want.category)
+		if reason.String() != want.name || reason.Category().String() != want.category {
+			t.Errorf("%d: got %v, %v; want %s, %s", want.number, reason, reason.Category(), want.name, want.category)
 		}
-		if want.category != "none" && ParseReason(want.word) != reason {
-			t.Errorf("%s: %d, not %d", want.word, ParseReason(want.word), reason)
+		if want.category != "none" && ParseReason(want.name) != reason {
+			t.Errorf("%s: got %d, want %d", want.name, ParseReason(want.name), reason)
 		}
 	}
 }
 
-// TestStoredWords checks the words of the other enumerations by their numbers, those out of range included.
+// TestStoredWords checks the names of the other enumerations by their numbers, including numbers out of range.
 func TestStoredWords(t *testing.T) {
 	for name, test := range map[string]struct {
 		want  []string
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			for number, want := range test.want {
 				if got := test.value(uint8(number)).String(); got != want {
-					t.Errorf("%d: %s, not %s", number, got, want)
+					t.Errorf("%d: got %s, want %s", number, got, want)
 				}
 			}
 		})
