--- a/loadbalance/balancer.go
+++ b/loadbalance/balancer.go
@@ -112,7 +112,7 @@
 		if target == nil {
 			target = &Target{}
 		}
-		target.adopt(peer)
+		target.configure(peer)
 		b.targets = append(b.targets, target)
 	}
 }
--- a/loadbalance/balancer_test.go
+++ b/loadbalance/balancer_test.go
@@ -36,7 +36,7 @@
 }
 
 // history is a Balancer under random calls.
-type history struct {
+type balancerModel struct {
 	balancer    *Balancer
 	cfg         Config
 	now         time.Duration
@@ -45,10 +45,10 @@
 	retries     int
 }
 
-var historyOutcomes = rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Overloaded, Fault, TimedOut, Abandoned})
+var modelOutcomes = rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Overloaded, Fault, TimedOut, Abandoned})
 
 // step makes one random call of the Balancer.
-func (h *history) step(t *rapid.T) {
+func (h *balancerModel) step(t *rapid.T) {
 	h.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond
 	switch step := rapid.IntRange(0, 6).Draw(t, "step"); {
 	case step <= 2:
@@ -56,14 +56,14 @@
 	case step == 3 && len(h.outstanding) > 0:
 		h.retry(t)
 	case step <= 5 && step > 3 && len(h.outstanding) > 0:
-		h.end(t)
+		h.endCall(t)
 	case step == 6 && rapid.IntRange(0, 9).Draw(t, "update") == 0:
 		h.cfg.Peers = peers(rapid.IntRange(1, 6).Draw(t, "peers"))
 		h.balancer.Update(h.cfg)
 	}
 }
 
-func (h *history) firstAttempt(t *rapid.T) {
+func (h *balancerModel) firstAttempt(t *rapid.T) {
 	h.attempts++
 	picked := h.balancer.Pick(h.now, rapid.SampledFrom([]string{"", "w0", "w1", "none"}).Draw(t, "sticky"))
 	if picked == nil {
@@ -80,7 +80,7 @@
 	h.outstanding = append(h.outstanding, picked)
 }
 
-func (h *history) retry(t *rapid.T) {
+func (h *balancerModel) retry(t *rapid.T) {
 	tried := rapid.SampledFrom(h.outstanding).Draw(t, "tried")
 	picked := h.balancer.Pick(h.now, "", tried)
 	if picked == nil {
@@ -93,9 +93,9 @@
 	h.outstanding = append(h.outstanding, picked)
 }
 
-func (h *history) end(t *rapid.T) {
+func (h *balancerModel) endCall(t *rapid.T) {
 	i := rapid.IntRange(0, len(h.outstanding)-1).Draw(t, "call")
-	h.balancer.Done(h.now, h.outstanding[i], historyOutcomes.Draw(t, "outcome"))
+	h.balancer.Done(h.now, h.outstanding[i], modelOutcomes.Draw(t, "outcome"))
 	h.outstanding = slices.Delete(h.outstanding, i, i+1)
 }
 
@@ -111,7 +111,7 @@
 			cfg.Peers[i].MaxCalls = rapid.IntRange(1, 5).Draw(t, "max calls")
 			cfg.Peers[i].Weight = float64(rapid.IntRange(1, 3).Draw(t, "weight"))
 		}
-		h := history{balancer: New(cfg), cfg: cfg}
+		h := balancerModel{balancer: New(cfg), cfg: cfg}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			h.step(t)
 			for _, target := range h.balancer.Targets() {
@@ -135,14 +135,14 @@
 }
 
 // script is a Balancer and what it did, as people read it.
-type script struct {
+type scriptRecorder struct {
 	balancer *Balancer
 	now      time.Duration
 	lines    []string
 }
 
 // pick picks a peer and records its address.
-func (s *script) pick(sticky string, tried ...*Target) *Target {
+func (s *scriptRecorder) recordPick(sticky string, tried ...*Target) *Target {
 	picked := s.balancer.Pick(s.now, sticky, tried...)
 	if picked == nil {
 		s.lines = append(s.lines, "none")
@@ -153,7 +153,7 @@
 }
 
 // state records the state of all peers.
-func (s *script) state() {
+func (s *scriptRecorder) recordState() {
 	var states []string
 	for _, target := range s.balancer.Targets() {
 		states = append(states, fmt.Sprint(target.Address, " ", target.State, " ", target.Outstanding))
@@ -171,14 +171,14 @@
 		},
 		Seed: 7,
 	})
-	s := script{balancer: balancer}
-	s.pick("")
-	b := s.pick("")
-	s.pick("")
-	s.pick("")
-	s.pick("wb")
-	s.pick("wb") // b has its limit
-	s.state()
+	s := scriptRecorder{balancer: balancer}
+	s.recordPick("")
+	b := s.recordPick("")
+	s.recordPick("")
+	s.recordPick("")
+	s.recordPick("wb")
+	s.recordPick("wb") // b has its limit
+	s.recordState()
 	for range 3 { // the two outstanding calls at b and one more fail
 		balancer.Done(s.now, b, Fault)
 		if b.Outstanding == 0 {
@@ -190,19 +190,19 @@
 			balancer.Done(s.now, target, Succeeded)
 		}
 	}
-	s.state()
-	a := s.pick("")
+	s.recordState()
+	a := s.recordPick("")
 	balancer.Done(s.now, a, Fault)
 	balancer.retryTokens = 1
-	s.pick("", a)
-	s.pick("", a) // the budget is spent
+	s.recordPick("", a)
+	s.recordPick("", a) // the budget is spent
 	s.now = 900 * time.Millisecond
-	s.state()
+	s.recordState()
 	s.now = 2 * time.Second
 	for range 600 { // the trial of b: one in ten picks, until five calls succeeded
 		balancer.Done(s.now, balancer.Pick(s.now, ""), Succeeded)
 	}
-	s.state()
+	s.recordState()
 	want := []string{
 		"a",
 		"b",
--- a/loadbalance/outcome.go
+++ b/loadbalance/outcome.go
@@ -34,17 +34,17 @@
 	switch outcome {
 	case Succeeded:
 		target.consecutiveOverloads = 0
-		b.countWorking(now, target)
+		b.recordResponse(now, target)
 	case Overloaded:
 		target.consecutiveOverloads++
-		b.countWorking(now, target)
+		b.recordResponse(now, target)
 	case Fault, TimedOut:
-		b.countFault(now, target)
+		b.recordFault(now, target)
 	}
 }
 
 // countWorking follows an answer, which shows that the peer works.
-func (b *Balancer) countWorking(now time.Duration, target *Target) {
+func (b *Balancer) recordResponse(now time.Duration, target *Target) {
 	target.consecutiveFaults = 0
 	if target.State == Recovering {
 		target.trialSuccesses++
@@ -52,12 +52,12 @@
 			target.recover(now)
 		}
 	}
-	target.forgetEjections(now)
+	target.resetEjections(now)
 }
 
 // countFault follows a fault. If the peer ought to be ejected and can't be spared, the one that was ejected first returns
 // early instead.
-func (b *Balancer) countFault(now time.Duration, target *Target) {
+func (b *Balancer) recordFault(now time.Duration, target *Target) {
 	target.consecutiveFaults++
 	switch target.State {
 	case Recovering:
@@ -69,7 +69,7 @@
 		if b.canEject() {
 			b.eject(now, target)
 		} else {
-			b.recallEarliest(now)
+			b.endEarliestEjection(now)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 }
 
 // recallEarliest ends the ejection that would end first, unless a peer is recovering already.
-func (b *Balancer) recallEarliest(now time.Duration) {
+func (b *Balancer) endEarliestEjection(now time.Duration) {
 	var earliest *Target
 	for _, target := range b.targets {
 		if target.State == Recovering {
--- a/loadbalance/schedule_test.go
+++ b/loadbalance/schedule_test.go
@@ -26,22 +26,22 @@
 
 // The faults: peer 0 is slow, peer 1 resets half of its calls, peer 2 is down.
 var (
-	slowTime  = interval{10 * time.Second, 30 * time.Second}
-	resetTime = interval{30 * time.Second, 50 * time.Second}
-	downTime  = interval{50 * time.Second, 65 * time.Second}
+	slowInterval  = interval{10 * time.Second, 30 * time.Second}
+	resetInterval = interval{30 * time.Second, 50 * time.Second}
+	downInterval  = interval{50 * time.Second, 65 * time.Second}
 )
 
 const (
-	slowPeer, slowFactor    = 0, 10
-	resetPeer, resetShare   = 1, 0.5
-	downPeer                = 2
-	notRepeatable, outOfAll = 0, 3 // one call in three must not run twice
+	slowPeer, slowFactor                       = 0, 10
+	resetPeer, resetShare                      = 1, 0.5
+	downPeer                                   = 2
+	nonIdempotentRemainder, idempotencyModulus = 0, 3 // one call in three must not run twice
 )
 
 // event is what happens at a moment of virtual time.
 type event struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
 // eventQueue is a heap of events by time.
@@ -80,36 +80,36 @@
 	tally
 	random *rand.Rand
 	events eventQueue
-	busy   map[string]int // calls at each peer
-	ran    map[int]int    // attempts of each call that ran
+	active map[string]int // calls at each peer
+	runs   map[int]int    // attempts of each call that ran
 }
 
 // playSchedule plays the schedule with a picker.
-func playSchedule(p picker) tally {
+func runSchedule(p picker) tally {
 	s := simulation{
 		picker: p,
 		tally:  tally{calls: scheduleCalls, spread: make([]int, 4)},
 		random: rand.New(rand.NewPCG(1, 2)),
-		busy:   map[string]int{},
-		ran:    map[int]int{},
+		active: map[string]int{},
+		runs:   map[int]int{},
 	}
 	for id := range scheduleCalls {
 		at := time.Duration(id) * callInterval
-		s.at(at, func() { s.attempt(at, id, nil) })
+		s.schedule(at, func() { s.attempt(at, id, nil) })
 	}
 	for s.events.Len() > 0 {
-		heap.Pop(&s.events).(event).do()
+		heap.Pop(&s.events).(event).run()
 	}
 	return s.tally
 }
 
-func (s *simulation) at(at time.Duration, do func()) { heap.Push(&s.events, event{at, do}) }
+func (s *simulation) schedule(at time.Duration, do func()) { heap.Push(&s.events, event{at, do}) }
 
-func repeatable(id int) bool { return id%outOfAll != notRepeatable }
+func idempotent(id int) bool { return id%idempotencyModulus != nonIdempotentRemainder }
 
 // isDown reports whether a peer refuses connections.
 func isDown(peer int, now time.Duration) bool {
-	if peer == downPeer && downTime.contains(now) {
+	if peer == downPeer && downInterval.contains(now) {
 		return true
 	}
 	return now >= restartsFrom && (now-restartsFrom)/restartTime == time.Duration(peer)
@@ -134,7 +134,7 @@
 	}
 	if isDown(peer, now) {
 		refusedAt := now + refusalTime
-		s.at(refusedAt, func() {
+		s.schedule(refusedAt, func() {
 			s.done(refusedAt, target, Fault)
 			retry(refusedAt) // it is proved never to have run
 		})
@@ -145,39 +145,39 @@
 
 // run has a peer work on a call.
 func (s *simulation) run(now time.Duration, id, peer int, target *Target, retry func(at time.Duration)) {
-	took := s.drawWorkTime(now, peer, s.busy[target.Address])
-	s.busy[target.Address]++
-	s.ran[id]++
-	if s.ran[id] > 1 && !repeatable(id) {
+	duration := s.drawWorkTime(now, peer, s.active[target.Address])
+	s.active[target.Address]++
+	s.runs[id]++
+	if s.runs[id] > 1 && !idempotent(id) {
 		s.twice++
 	}
-	reset := peer == resetPeer && resetTime.contains(now) && s.random.Float64() < resetShare
-	end := now + min(took, callTimeout)
-	s.at(end, func() {
-		s.busy[target.Address]--
+	reset := peer == resetPeer && resetInterval.contains(now) && s.random.Float64() < resetShare
+	endsAt := now + min(duration, callTimeout)
+	s.schedule(endsAt, func() {
+		s.active[target.Address]--
 		switch {
-		case reset && repeatable(id):
-			s.done(end, target, Fault)
-			retry(end)
+		case reset && idempotent(id):
+			s.done(endsAt, target, Fault)
+			retry(endsAt)
 		case reset: // it may have run
-			s.done(end, target, Fault)
+			s.done(endsAt, target, Fault)
 			s.lost++
-		case took > callTimeout:
-			s.done(end, target, TimedOut)
+		case duration > callTimeout:
+			s.done(endsAt, target, TimedOut)
 			s.late++
 		default:
-			s.done(end, target, Succeeded)
+			s.done(endsAt, target, Succeeded)
 		}
 	})
 }
 
 // drawWorkTime draws how long a peer takes for a call.
-func (s *simulation) drawWorkTime(now time.Duration, peer, busy int) time.Duration {
-	took := time.Duration(float64(workTime) * (0.5 + s.random.Float64()) * (1 + float64(busy)/workers))
-	if peer == slowPeer && slowTime.contains(now) {
-		took *= slowFactor
+func (s *simulation) drawWorkTime(now time.Duration, peer, active int) time.Duration {
+	duration := time.Duration(float64(workTime) * (0.5 + s.random.Float64()) * (1 + float64(active)/workers))
+	if peer == slowPeer && slowInterval.contains(now) {
+		duration *= slowFactor
 	}
-	return took
+	return duration
 }
 
 // roundRobin picks peers in turn, without any regard to how they are.
@@ -203,22 +203,22 @@
 // does.
 func TestSchedule(t *testing.T) {
 	b := New(Config{Peers: peers(4), Seed: 3})
-	balanced := playSchedule(picker{
+	balancerTally := runSchedule(picker{
 		pick: func(now time.Duration, tried ...*Target) *Target { return b.Pick(now, "", tried...) },
 		done: b.Done,
 	})
-	inTurn := playSchedule(roundRobin())
+	roundRobinTally := runSchedule(roundRobin())
 	t.Logf("%-12s %7s %7s %7s %8s %7s  %s", "", "calls", "lost", "late", "attempts", "twice", "spread")
 	for _, row := range []struct {
 		name string
 		tally
 	}{
-		{"balanced", balanced},
-		{"round robin", inTurn},
+		{"balanced", balancerTally},
+		{"round robin", roundRobinTally},
 	} {
 		t.Logf("%-12s %7d %7d %7d %8d %7d  %v", row.name, row.calls, row.lost, row.late, row.attempts, row.twice, row.spread)
 	}
-	if balanced.twice > 0 || balanced.lost+balanced.late > (inTurn.lost+inTurn.late)/5 {
+	if balancerTally.twice > 0 || balancerTally.lost+balancerTally.late > (roundRobinTally.lost+roundRobinTally.late)/5 {
 		t.Error("more calls are lost than promised")
 	}
 }
--- a/loadbalance/target.go
+++ b/loadbalance/target.go
@@ -31,7 +31,7 @@
 func (s State) String() string { return stateNames[min(s, Recovering)] }
 
 // ejectionMemory is after how many times its last ejection time a peer that serves well counts as never ejected.
-const ejectionMemory = 2.0
+const ejectionResetFactor = 2.0
 
 // Target is a peer as a Balancer knows it. Calls hold on to it until they end.
 type Target struct {
@@ -52,7 +52,7 @@
 }
 
 // adopt takes over the configuration of the peer.
-func (t *Target) adopt(peer Peer) {
+func (t *Target) configure(peer Peer) {
 	peer.Weight = valueOr(peer.Weight, defaultWeight)
 	peer.MaxCalls = valueOr(peer.MaxCalls, defaultMaxCalls)
 	t.Peer = peer
@@ -108,8 +108,8 @@
 }
 
 // forgetEjections has the next ejection be a first one, if the peer has served well for long enough.
-func (t *Target) forgetEjections(now time.Duration) {
-	memory := time.Duration(ejectionMemory * float64(t.lastEjectionTime))
+func (t *Target) resetEjections(now time.Duration) {
+	memory := time.Duration(ejectionResetFactor * float64(t.lastEjectionTime))
 	if t.State == InService && t.consecutiveEjections > 0 && now-t.recoveredAt >= memory {
 		t.consecutiveEjections = 0
 	}
--- a/membership/detector.go
+++ b/membership/detector.go
@@ -35,7 +35,7 @@
 // peer is what the local node believes of another.
 type peer struct {
 	Update
-	suspicionEnds time.Duration // when State is Suspect: declared dead then
+	suspicionEndsAt time.Duration // when State is Suspect: declared dead then
 }
 
 // New returns a Detector to which all other nodes are Unknown. The seed decides all random choices.
@@ -126,7 +126,7 @@
 		deadline = min(deadline, d.probeDeadline(&d.probes[i]))
 	}
 	for _, p := range d.suspects {
-		deadline = min(deadline, p.suspicionEnds)
+		deadline = min(deadline, p.suspicionEndsAt)
 	}
 	return deadline
 }
--- a/membership/detector_test.go
+++ b/membership/detector_test.go
@@ -15,24 +15,24 @@
 
 // simCluster is a cluster whose nodes gossip over links that delay and lose messages.
 type simCluster struct {
-	random    *rand.Rand
-	now       time.Duration
-	detectors []*Detector
-	up        []bool
-	names     []string
-	queue     map[time.Duration][]func() // deliveries by their time
-	loss      float64                    // share of the messages that are lost
-	lag       map[int]time.Duration      // by node: added to the delay of each message to it
-	bytes     int                        // sent, as an estimate
+	random     *rand.Rand
+	now        time.Duration
+	detectors  []*Detector
+	running    []bool
+	names      []string
+	queue      map[time.Duration][]func() // deliveries by their time
+	loss       float64                    // share of the messages that are lost
+	extraDelay map[int]time.Duration      // by node: added to the delay of each message to it
+	bytes      int                        // sent, as an estimate
 }
 
 func newSimCluster(size int, seed uint64) *simCluster {
 	c := &simCluster{
-		random:    rand.New(rand.NewPCG(seed, 9)),
-		detectors: make([]*Detector, size),
-		up:        make([]bool, size),
-		queue:     map[time.Duration][]func(){},
-		lag:       map[int]time.Duration{},
+		random:     rand.New(rand.NewPCG(seed, 9)),
+		detectors:  make([]*Detector, size),
+		running:    make([]bool, size),
+		queue:      map[time.Duration][]func(){},
+		extraDelay: map[int]time.Duration{},
 	}
 	for i := range size {
 		c.names = append(c.names, fmt.Sprint("n", i))
@@ -46,7 +46,7 @@
 // start starts a node, or restarts it.
 func (c *simCluster) start(node int, incarnation uint64) {
 	cfg := Config{Name: c.names[node], Incarnation: incarnation, Others: c.names}
-	c.up[node] = true
+	c.running[node] = true
 	c.detectors[node] = New(cfg, uint64(node)*7919+incarnation, c.now)
 }
 
@@ -58,7 +58,7 @@
 }
 
 // run has that much time pass.
-func (c *simCluster) run(duration time.Duration) {
+func (c *simCluster) advance(duration time.Duration) {
 	for end := c.now + duration; c.now < end; c.now += simStep {
 		due := c.queue[c.now]
 		delete(c.queue, c.now)
@@ -66,7 +66,7 @@
 			deliver()
 		}
 		for i, detector := range c.detectors {
-			if c.up[i] {
+			if c.running[i] {
 				detector.Tick(c.now)
 				c.flush(i)
 			}
@@ -86,9 +86,9 @@
 		to := c.index(envelope.To)
 		message := envelope.Message
 		incarnation := detector.self.Incarnation
-		at := c.now + simStep*time.Duration(1+c.random.IntN(2)) + c.lag[to].Truncate(simStep)
+		at := c.now + simStep*time.Duration(1+c.random.IntN(2)) + c.extraDelay[to].Truncate(simStep)
 		c.queue[at] = append(c.queue[at], func() {
-			if c.up[to] {
+			if c.running[to] {
 				c.detectors[to].Receive(c.now, c.names[node], incarnation, &message)
 				c.flush(to)
 			}
@@ -97,10 +97,10 @@
 }
 
 // believers counts the running nodes that believe another to be in that state.
-func (c *simCluster) believers(node int, state State) int {
+func (c *simCluster) countViews(node int, state State) int {
 	count := 0
 	for i, detector := range c.detectors {
-		if i != node && c.up[i] && detector.Lookup(c.names[node]).State == state {
+		if i != node && c.running[i] && detector.Lookup(c.names[node]).State == state {
 			count++
 		}
 	}
@@ -112,12 +112,12 @@
 func (c *simCluster) timeToDetect(node int) (first, last time.Duration) {
 	stoppedAt := c.now
 	for c.now < stoppedAt+60*time.Second && last == 0 {
-		c.run(50 * time.Millisecond)
-		believers := c.believers(node, Dead)
-		if believers > 0 && first == 0 {
+		c.advance(50 * time.Millisecond)
+		views := c.countViews(node, Dead)
+		if views > 0 && first == 0 {
 			first = c.now - stoppedAt
 		}
-		if believers == len(c.names)-1 {
+		if views == len(c.names)-1 {
 			last = c.now - stoppedAt
 		}
 	}
@@ -134,50 +134,50 @@
 
 func testDetection(t *testing.T, size int) {
 	c := newSimCluster(size, uint64(size))
-	c.run(time.Duration(size)*200*time.Millisecond + 2*time.Second)
-	if got := c.believers(0, Alive); got != size-1 {
+	c.advance(time.Duration(size)*200*time.Millisecond + 2*time.Second)
+	if got := c.countViews(0, Alive); got != size-1 {
 		t.Fatalf("%d nodes: %d know of the first", size, got)
 	}
 	c.bytes = 0
-	c.run(2 * time.Second)
+	c.advance(2 * time.Second)
 	bytesPerSecond := float64(c.bytes) / 2 / float64(size)
 
-	c.up[1] = false
+	c.running[1] = false
 	first, last := c.timeToDetect(1)
 	if last == 0 || last > 20*time.Second {
-		t.Errorf("%d nodes: not all know in time: %d", size, c.believers(1, Dead))
+		t.Errorf("%d nodes: not all know in time: %d", size, c.countViews(1, Dead))
 	}
 
 	c.start(1, 2)
-	c.run(3*time.Second + time.Duration(size)*100*time.Millisecond)
-	if got := c.believers(1, Alive); got != size-1 || c.detectors[0].Lookup("n1").Incarnation != 2 {
+	c.advance(3*time.Second + time.Duration(size)*100*time.Millisecond)
+	if got := c.countViews(1, Alive); got != size-1 || c.detectors[0].Lookup("n1").Incarnation != 2 {
 		t.Errorf("%d nodes: %d know that it is back, in incarnation %d", size, got, c.detectors[0].Lookup("n1").Incarnation)
 	}
 
 	c.loss = 0.1
-	wrong, beliefs := 0, 0
+	falseDeaths, views := 0, 0
 	for range 100 {
-		c.run(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 		for i := range c.names {
-			wrong += c.believers(i, Dead)
-			beliefs += size - 1
+			falseDeaths += c.countViews(i, Dead)
+			views += size - 1
 		}
 	}
-	if share := float64(wrong) / float64(beliefs); share > 0.001 {
+	if share := float64(falseDeaths) / float64(views); share > 0.001 {
 		t.Errorf("%d nodes at a loss of 0.1: %.4f of beliefs are wrong", size, share)
 	}
 	c.loss = 0
 
-	c.lag[2] = 400 * time.Millisecond
-	c.run(8 * time.Second)
+	c.extraDelay[2] = 400 * time.Millisecond
+	c.advance(8 * time.Second)
 	health := c.detectors[2].LocalHealth()
-	delete(c.lag, 2)
-	c.run(time.Duration(size)*200*time.Millisecond + 6*time.Second)
-	if got := c.believers(2, Alive); got != size-1 {
+	delete(c.extraDelay, 2)
+	c.advance(time.Duration(size)*200*time.Millisecond + 6*time.Second)
+	if got := c.countViews(2, Alive); got != size-1 {
 		t.Errorf("%d nodes: one that was slow is alive for %d only", size, got)
 	}
 	t.Logf("%d nodes: first knows after %s, all after %s; %.0f bytes a node and second; wrong at a loss of 0.1: %d of %d; local health %d",
-		size, first, last, bytesPerSecond, wrong, beliefs, health)
+		size, first, last, bytesPerSecond, falseDeaths, views, health)
 }
 
 // TestStaleIncarnations checks that messages of an earlier incarnation do no harm, and that a node refutes what is falsely said of it.
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -34,8 +34,8 @@
 	latest map[string]uint64
 	// byTransmits has the entries by how often they were passed on, each list in the order of its arrivals. Entries that are not the latest
 	// of their name are skipped when they are reached.
-	byTransmits [][]gossipEntry
-	sequence    uint64 // of the newest entry
+	byTransmitCount [][]gossipEntry
+	sequence        uint64 // of the newest entry
 }
 
 // gossipEntry is a name in the queue.
@@ -45,7 +45,7 @@
 }
 
 // takenEntry is an entry that was passed on, and how often that was so before.
-type takenEntry struct {
+type transmittedEntry struct {
 	gossipEntry
 	transmits int
 }
@@ -54,11 +54,11 @@
 func (q *gossipQueue) enqueue(name string) {
 	if q.latest == nil {
 		q.latest = map[string]uint64{}
-		q.byTransmits = make([][]gossipEntry, 1)
+		q.byTransmitCount = make([][]gossipEntry, 1)
 	}
 	q.sequence++
 	q.latest[name] = q.sequence
-	q.byTransmits[0] = append(q.byTransmits[0], gossipEntry{name: name, sequence: q.sequence})
+	q.byTransmitCount[0] = append(q.byTransmitCount[0], gossipEntry{name: name, sequence: q.sequence})
 }
 
 // remove takes a name from the queue.
@@ -66,21 +66,21 @@
 
 // take passes names to use, in order, until it returns false. Each name that was passed to it counts as passed on once more, and is dropped
 // when that was more often than limit.
-func (q *gossipQueue) take(limit int, use func(name string) bool) {
-	var taken []takenEntry
+func (q *gossipQueue) take(limit int, visit func(name string) bool) {
+	var taken []transmittedEntry
 	more := true
-	for transmits := 0; transmits < len(q.byTransmits) && more; transmits++ {
-		entries := q.byTransmits[transmits]
+	for transmits := 0; transmits < len(q.byTransmitCount) && more; transmits++ {
+		entries := q.byTransmitCount[transmits]
 		for len(entries) > 0 && more {
 			entry := entries[0]
 			entries = entries[1:]
 			if q.latest[entry.name] != entry.sequence {
 				continue
 			}
-			more = use(entry.name)
-			taken = append(taken, takenEntry{gossipEntry: entry, transmits: transmits})
+			more = visit(entry.name)
+			taken = append(taken, transmittedEntry{gossipEntry: entry, transmits: transmits})
 		}
-		q.byTransmits[transmits] = entries
+		q.byTransmitCount[transmits] = entries
 	}
 	for _, entry := range taken {
 		q.requeue(entry, limit)
@@ -88,14 +88,14 @@
 }
 
 // requeue puts back an entry that was passed on, or drops it.
-func (q *gossipQueue) requeue(entry takenEntry, limit int) {
+func (q *gossipQueue) requeue(entry transmittedEntry, limit int) {
 	transmits := entry.transmits + 1
 	if transmits > limit {
 		q.remove(entry.name)
 		return
 	}
-	if transmits == len(q.byTransmits) {
-		q.byTransmits = append(q.byTransmits, nil)
+	if transmits == len(q.byTransmitCount) {
+		q.byTransmitCount = append(q.byTransmitCount, nil)
 	}
-	q.byTransmits[transmits] = append(q.byTransmits[transmits], entry.gossipEntry)
+	q.byTransmitCount[transmits] = append(q.byTransmitCount[transmits], entry.gossipEntry)
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -71,7 +71,7 @@
 		}
 		switch p.stage {
 		case directProbe:
-			d.askHelpers(&p)
+			d.sendPingRequests(&p)
 			pending = append(pending, p)
 		case indirectProbe:
 			// That no ack came may be the fault of this node.
@@ -86,15 +86,15 @@
 }
 
 // askHelpers has other nodes ping the target of a probe.
-func (d *Detector) askHelpers(p *probe) {
+func (d *Detector) sendPingRequests(p *probe) {
 	p.stage = indirectProbe
-	for _, helper := range d.pickHelpers(p.target) {
-		d.send(helper, Message{Kind: PingRequest, Number: p.number, Target: p.target})
+	for _, relay := range d.pickRelays(p.target) {
+		d.send(relay, Message{Kind: PingRequest, Number: p.number, Target: p.target})
 	}
 }
 
 // pickHelpers draws nodes that are Alive to probe a target.
-func (d *Detector) pickHelpers(target string) []string {
+func (d *Detector) pickRelays(target string) []string {
 	var candidates []string
 	for _, name := range d.probeOrder {
 		if name != target && d.peers[name].State == Alive {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -83,7 +83,7 @@
 func (d *Detector) startSuspicion(now time.Duration, p *peer) {
 	intervals := d.scaleByClusterSize(d.cfg.SuspicionFactor)
 	timeout := time.Duration(intervals * float64(d.cfg.ProbeInterval))
-	p.suspicionEnds = now + d.scaleByLocalHealth(timeout)
+	p.suspicionEndsAt = now + d.scaleByLocalHealth(timeout)
 	d.suspects = append(d.suspects, p)
 }
 
@@ -91,14 +91,14 @@
 // refutation convinces the other nodes.
 func (d *Detector) extendSuspicion(now time.Duration, p *peer) {
 	if p.State == Suspect {
-		p.suspicionEnds = max(p.suspicionEnds, now+d.scaleByLocalHealth(d.cfg.ProbeInterval))
+		p.suspicionEndsAt = max(p.suspicionEndsAt, now+d.scaleByLocalHealth(d.cfg.ProbeInterval))
 	}
 }
 
 // expireSuspicions declares those dead that did not refute in time.
 func (d *Detector) expireSuspicions(now time.Duration) {
 	for _, p := range slices.Clone(d.suspects) {
-		if now >= p.suspicionEnds {
+		if now >= p.suspicionEndsAt {
 			u := p.Update
 			u.State = Dead
 			d.apply(now, u)
--- a/membership/suspicion_test.go
+++ b/membership/suspicion_test.go
@@ -12,7 +12,7 @@
 	observe := func(incarnation uint64) step {
 		return func(d *Detector, now time.Duration) { d.Observe(now, name, incarnation) }
 	}
-	hear := func(u Update) step {
+	receiveUpdate := func(u Update) step {
 		u.Name = name
 		return func(d *Detector, now time.Duration) {
 			d.Receive(now, "other", 1, &Message{Kind: Ack, Updates: []Update{u}})
@@ -33,16 +33,16 @@
 		{"failed probe of an unknown node", []step{failProbe}, Unknown},
 		{"failed probe", []step{observe(1), failProbe}, Suspect},
 		{"message while suspected", []step{observe(1), failProbe, observe(1)}, Suspect},
-		{"refuted", []step{observe(1), failProbe, hear(Update{Incarnation: 1, Refutation: 1, State: Alive})}, Alive},
-		{"refuted, and the suspicion would be over", []step{observe(1), failProbe, hear(Update{Incarnation: 1, Refutation: 1, State: Alive}), expire}, Alive},
+		{"refuted", []step{observe(1), failProbe, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive})}, Alive},
+		{"refuted, and the suspicion would be over", []step{observe(1), failProbe, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive}), expire}, Alive},
 		{"not refuted", []step{observe(1), failProbe, expire}, Dead},
-		{"refuted when dead", []step{observe(1), failProbe, expire, hear(Update{Incarnation: 1, Refutation: 1, State: Alive})}, Alive},
+		{"refuted when dead", []step{observe(1), failProbe, expire, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive})}, Alive},
 		{"message of the dead incarnation", []step{observe(1), failProbe, expire, observe(1)}, Dead},
 		{"restarted", []step{observe(1), failProbe, expire, observe(2)}, Alive},
-		{"suspected by another", []step{observe(1), hear(suspected)}, Suspect},
-		{"suspected by another in an earlier incarnation", []step{observe(2), hear(suspected)}, Alive},
-		{"left", []step{observe(1), hear(Update{Incarnation: 1, State: Left})}, Left},
-		{"suspected when left", []step{observe(1), hear(Update{Incarnation: 1, State: Left}), hear(suspected)}, Left},
+		{"suspected by another", []step{observe(1), receiveUpdate(suspected)}, Suspect},
+		{"suspected by another in an earlier incarnation", []step{observe(2), receiveUpdate(suspected)}, Alive},
+		{"left", []step{observe(1), receiveUpdate(Update{Incarnation: 1, State: Left})}, Left},
+		{"suspected when left", []step{observe(1), receiveUpdate(Update{Incarnation: 1, State: Left}), receiveUpdate(suspected)}, Left},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/recovery/component.go
+++ b/recovery/component.go
@@ -5,16 +5,16 @@
 
 // The ways to treat such state.
 const (
-	Kept    Trust = iota + 1 // used as it is
-	Checked                  // compared with what peers know
-	Dropped                  // discarded, and learnt anew
+	Trusted   Trust = iota + 1 // used as it is
+	Checked                    // compared with what peers know
+	Discarded                  // discarded, and learnt anew
 )
 
 // trustNames are printed by the recovery subcommand: they stay as they are.
 var trustNames = [...]string{
-	Kept:    "trusted",
-	Checked: "checked",
-	Dropped: "thrown away",
+	Trusted:   "trusted",
+	Checked:   "checked",
+	Discarded: "thrown away",
 }
 
 // String returns the name of the treatment.
@@ -36,19 +36,19 @@
 var Components = []Component{
 	{
 		Name:   "results and failures on the disk",
-		Trust:  Kept,
+		Trust:  Trusted,
 		Reason: "checksums, and numbers without a gap",
 		Risk:   "none: what ran stays so",
 	},
 	{
 		Name:   "intents without an end",
-		Trust:  Kept,
+		Trust:  Trusted,
 		Reason: "they say that a run may have begun",
 		Risk:   "none: in doubt until somebody knows the end",
 	},
 	{
 		Name:   "prints of what has aged",
-		Trust:  Kept,
+		Trust:  Trusted,
 		Reason: "checksums",
 		Risk:   "none: a false hit costs an errored answer",
 	},
@@ -66,43 +66,43 @@
 	},
 	{
 		Name:   "the lists of members",
-		Trust:  Kept,
+		Trust:  Trusted,
 		Reason: "on the disk before they are acted on; others hear by which lists a box goes",
 		Risk:   "refusals, where others go by none of them",
 	},
 	{
 		Name:   "what is remembered of others",
-		Trust:  Kept,
+		Trust:  Trusted,
 		Reason: "only ever the highest that they told",
 		Risk:   "too low a number: a loss of the last second is not found",
 	},
 	{
 		Name:   "which boxes are there",
-		Trust:  Dropped,
+		Trust:  Discarded,
 		Reason: "all may have changed",
 		Risk:   "wrong guesses, for a moment",
 	},
 	{
 		Name:   "notes of what others hold and have not begun",
-		Trust:  Dropped,
+		Trust:  Discarded,
 		Reason: "grants are not on the disk; who begins under a forgotten one is refused",
 		Risk:   "none",
 	},
 	{
 		Name:   "what the module learnt",
-		Trust:  Dropped,
+		Trust:  Discarded,
 		Reason: "the processor is cold, the load another",
 		Risk:   "limits of another day",
 	},
 	{
 		Name:   "ejected peers of the next tier",
-		Trust:  Dropped,
+		Trust:  Discarded,
 		Reason: "they may be well",
 		Risk:   "one more try",
 	},
 	{
 		Name:   "figures",
-		Trust:  Kept,
+		Trust:  Trusted,
 		Reason: "checksums; the last moment is in doubt, by id",
 		Risk:   "none",
 	},
--- a/recovery/node.go
+++ b/recovery/node.go
@@ -81,7 +81,7 @@
 	disk   DiskState
 
 	// waitingSince is when Querying began, or when the latest loss of history was found.
-	waitingSince time.Duration
+	waitStartedAt time.Duration
 
 	// Queries to the peers.
 	nextQueryAt   time.Duration
@@ -122,7 +122,7 @@
 // DiskLoaded says that the store was read, and what it holds.
 func (n *Node) DiskLoaded(now time.Duration, disk DiskState) {
 	n.disk = disk
-	n.waitingSince = now
+	n.waitStartedAt = now
 	n.nextQueryAt = now
 	n.queryInterval = minQueryInterval
 	n.enter(Querying, "others are asked whether that is all")
@@ -139,7 +139,7 @@
 		return
 	}
 	if n.diskLacks(answer.PeerState) {
-		n.historyLost(now, from, answer.PeerState)
+		n.handleHistoryLoss(now, from, answer.PeerState)
 	}
 	if n.phase == Querying {
 		n.answers[from] = answer
@@ -181,7 +181,7 @@
 	case Querying:
 		return n.nextQueryAt
 	case Degraded:
-		return n.waitingSince + n.cfg.RetryHorizon
+		return n.waitStartedAt + n.cfg.RetryHorizon
 	default:
 		return noDeadline
 	}
@@ -190,7 +190,7 @@
 // Tick does what is due: it ends waits whose time is over, and repeats the query to the peers that have not answered.
 func (n *Node) Tick(now time.Duration) {
 	n.evaluateAnswers(now)
-	if n.phase == Degraded && now >= n.waitingSince+n.cfg.RetryHorizon {
+	if n.phase == Degraded && now >= n.waitStartedAt+n.cfg.RetryHorizon {
 		n.serve("nothing is asked for again that it could not know")
 	}
 	if n.phase == Querying && now >= n.nextQueryAt {
@@ -217,7 +217,7 @@
 }
 
 // historyLost follows the proof, by a peer, that the disk is outdated.
-func (n *Node) historyLost(now time.Duration, from string, remembered PeerState) {
+func (n *Node) handleHistoryLoss(now time.Duration, from string, remembered PeerState) {
 	action := Action{HistoryLost: true}
 	if remembered.Incarnation >= n.disk.Incarnation {
 		action.Incarnation = remembered.Incarnation + 1
@@ -233,10 +233,10 @@
 		return
 	}
 	peers := len(n.cfg.Others)
-	confirmed := n.confirmations()
+	confirmed := n.countConfirmations()
 	majority := 2*confirmed >= peers // of all nodes: this one counts too
 	allAnswered := len(n.answers) == peers
-	waited := now - n.waitingSince
+	waited := now - n.waitStartedAt
 	switch {
 	case confirmed == peers:
 		n.serve("all others know of nothing more")
@@ -250,7 +250,7 @@
 
 // confirmations counts the peers that confirm that the disk is complete. One that remembers nothing from before its own start confirms it only
 // for a node that is new.
-func (n *Node) confirmations() int {
+func (n *Node) countConfirmations() int {
 	count := 0
 	for _, name := range n.cfg.Others {
 		if answer, answered := n.answers[name]; answered && (!answer.Empty || n.disk.NewStore) {
@@ -263,7 +263,7 @@
 // degrade goes to Degraded after a loss of history, which the action describes. In Degraded already, the retry horizon begins anew.
 func (n *Node) degrade(now time.Duration, loss Action, reason string) {
 	n.actions = append(n.actions, loss)
-	n.waitingSince = now
+	n.waitStartedAt = now
 	if n.phase != Degraded {
 		n.enter(Degraded, reason)
 	}
--- a/recovery/node_test.go
+++ b/recovery/node_test.go
@@ -25,7 +25,7 @@
 type rule uint8
 
 const (
-	allRules             rule = iota
+	noRule               rule = iota
 	compareIncarnations       // a disk of an earlier incarnation than a peer remembers is outdated
 	compareSeqs               // a disk with fewer records than a peer remembers is outdated
 	distrustEmptyAnswers      // a peer that remembers nothing from before its start does not confirm anything
@@ -33,8 +33,8 @@
 )
 
 // withoutRule returns what is left of an answer for a node that does not follow a rule.
-func withoutRule(off rule, answer Answer) Answer {
-	switch off {
+func withoutRule(disabled rule, answer Answer) Answer {
+	switch disabled {
 	case compareIncarnations:
 		answer.Incarnation = 0
 	case compareSeqs:
@@ -56,11 +56,11 @@
 
 // simulate has the node write and tell its peers for some incarnations, with a loss and a restart after each. It returns what was wrong with a
 // restart, or "".
-func simulate(t *rapid.T, off rule) string {
+func simulate(t *rapid.T, disabled rule) string {
 	m := newModel(rapid.IntRange(2, 6).Draw(t, "peers"))
 	for range rapid.IntRange(1, 6).Draw(t, "incarnations") {
-		if wrong := m.restart(t, off); wrong != "" {
-			return wrong
+		if violation := m.restart(t, disabled); violation != "" {
+			return violation
 		}
 		m.write(t)
 		m.lose(t)
@@ -78,7 +78,7 @@
 }
 
 // restart starts the node's next process, with answers of some of the peers.
-func (m *model) restart(t *rapid.T, off rule) string {
+func (m *model) restart(t *rapid.T, disabled rule) string {
 	m.mark++
 	n := New(Config{Mark: m.mark, Others: m.names, MajorityAfter: time.Second, DegradeAfter: time.Minute, RetryHorizon: time.Hour}, m.mark)
 	n.StartLoading()
@@ -93,7 +93,7 @@
 		}
 		answer := peer.Answer("me", m.mark)
 		before := n.Phase()
-		n.Receive(m.now, m.names[i], withoutRule(off, answer))
+		n.Receive(m.now, m.names[i], withoutRule(disabled, answer))
 		answered++
 		if m.provesOutdated(i) {
 			outdated = true
@@ -111,7 +111,7 @@
 	}
 	m.now += 2 * time.Second
 	n.Tick(m.now)
-	if off == awaitMajority {
+	if disabled == awaitMajority {
 		n.TrustDisk()
 	}
 	switch {
@@ -175,8 +175,8 @@
 // that the node always comes back.
 func TestRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if wrong := simulate(t, allRules); wrong != "" {
-			t.Fatal(wrong)
+		if violation := simulate(t, noRule); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
@@ -189,17 +189,17 @@
 		distrustEmptyAnswers: "distrust empty answers",
 		awaitMajority:        "await majority",
 	}
-	for off, name := range tests {
+	for disabled, name := range tests {
 		t.Run(name, func(t *testing.T) {
-			wrong := ""
-			example := rapid.Custom(func(t *rapid.T) string { return simulate(t, off) })
+			violation := ""
+			example := rapid.Custom(func(t *rapid.T) string { return simulate(t, disabled) })
 			for seed := range 2000 {
-				if wrong = example.Example(seed); wrong != "" {
-					t.Logf("%s off: found by example %d: %s", name, seed, wrong)
+				if violation = example.Example(seed); violation != "" {
+					t.Logf("%s off: found by example %d: %s", name, seed, violation)
 					break
 				}
 			}
-			if wrong == "" {
+			if violation == "" {
 				t.Errorf("%s is off, and nothing is found", name)
 			}
 		})
--- a/recovery/peer_state.go
+++ b/recovery/peer_state.go
@@ -15,7 +15,7 @@
 }
 
 // furthest returns the one of two states that is further.
-func furthest(x, y PeerState) PeerState {
+func higherState(x, y PeerState) PeerState {
 	if x.Covers(y) {
 		return x
 	}
--- a/recovery/peer_states.go
+++ b/recovery/peer_states.go
@@ -74,7 +74,7 @@
 func (r *peerRecord) startProcess(mark uint64, state PeerState) {
 	r.EarlierMarks = append(r.EarlierMarks, r.Mark)
 	r.EarlierMarks = r.EarlierMarks[max(0, len(r.EarlierMarks)-maxEarlierMarks):]
-	r.Earlier = furthest(r.Earlier, r.PeerState)
+	r.Earlier = higherState(r.Earlier, r.PeerState)
 	r.PeerState = state
 	r.Mark = mark
 }
@@ -89,7 +89,7 @@
 		answer.PeerState = record.Earlier
 		answer.Empty = s.empty && record.Earlier == PeerState{}
 	default:
-		answer.PeerState = furthest(record.Earlier, record.PeerState)
+		answer.PeerState = higherState(record.Earlier, record.PeerState)
 	}
 	return answer
 }
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -44,7 +44,7 @@
 type sourceState uint8
 
 const (
-	notAsked sourceState = iota
+	notQueried sourceState = iota
 	sending
 	incomplete
 	complete
@@ -52,7 +52,7 @@
 
 // Names of Progress.State. They are read in operators' reports and stay as they are.
 const (
-	progressNotAsked   = "not asked"
+	progressNotQueried = "not asked"
 	progressSending    = "tells"
 	progressSilent     = "silent"
 	progressIncomplete = "not whole"
@@ -138,13 +138,13 @@
 // Tick returns the queries that are due. alive reports whether a node seems to be running: the first query to a node waits for that.
 func (r *Refill[C]) Tick(now time.Duration, alive func(string) bool) []PageQuery[C] {
 	var queries []PageQuery[C]
-	concurrent := r.concurrent()
+	concurrent := r.countActive()
 	for _, name := range r.order {
 		s := r.sources[name]
 		if s.state == complete || now < s.nextQueryAt {
 			continue
 		}
-		if s.state == notAsked {
+		if s.state == notQueried {
 			if concurrent >= r.cfg.MaxConcurrent || !alive(name) {
 				continue
 			}
@@ -157,7 +157,7 @@
 }
 
 // concurrent counts the sources that are being asked, without those that have long been silent.
-func (r *Refill[C]) concurrent() int {
+func (r *Refill[C]) countActive() int {
 	count := 0
 	for _, s := range r.sources {
 		if s.state == sending && s.timeout < maxPageTimeout {
@@ -197,10 +197,10 @@
 }
 
 // PageReceived says that a page for which Wants returned true was handled. If not all of it could be taken, it is asked for again later.
-func (r *Refill[C]) PageReceived(now time.Duration, from string, page *PageInfo[C], all bool) {
+func (r *Refill[C]) PageReceived(now time.Duration, from string, page *PageInfo[C], stored bool) {
 	s := r.sources[from]
 	s.outstanding = false
-	if !all {
+	if !stored {
 		s.nextQueryAt = now + maxPageTimeout
 		return
 	}
@@ -276,8 +276,8 @@
 		return progressComplete
 	case s.state == incomplete:
 		return progressIncomplete
-	case s.state == notAsked:
-		return progressNotAsked
+	case s.state == notQueried:
+		return progressNotQueried
 	case s.timeout > minPageTimeout:
 		return progressSilent
 	default:
--- a/recovery/refill_test.go
+++ b/recovery/refill_test.go
@@ -21,7 +21,7 @@
 		fmt.Fprintf(&events, "%s ", now)
 		fmt.Fprintf(&events, format+"\n", args...)
 	}
-	lostQueries := 0 // of those to a
+	unansweredQueries := 0 // of those to a
 	for now := time.Duration(0); now < 12*time.Second && !r.Done(); now += 10 * time.Millisecond {
 		if now == 40*time.Millisecond {
 			incarnations["c"] = 2
@@ -32,8 +32,8 @@
 			record(now, "b is complete")
 		}
 		for _, q := range r.Tick(now, func(name string) bool { return name != "d" || now > time.Second }) {
-			if q.To == "a" && q.From == 1 && lostQueries < 3 {
-				lostQueries++
+			if q.To == "a" && q.From == 1 && unansweredQueries < 3 {
+				unansweredQueries++
 				record(now, "a is silent")
 				continue
 			}
--- a/recovery/unknown_outcomes.go
+++ b/recovery/unknown_outcomes.go
@@ -5,7 +5,7 @@
 const (
 	// Pace of the queries: some three hundred keys a second, beside the other work.
 	outcomeQueryInterval = 50 * time.Millisecond
-	outcomeBatch         = 16 // keys
+	outcomeBatchSize     = 16 // keys
 
 	// Queries about one key: the interval doubles from the minimum to the maximum, so that the last one comes after some minutes.
 	maxOutcomeQueries   = 8
@@ -16,13 +16,13 @@
 // UnknownOutcomes paces the queries to other nodes about keys whose run was begun and has no known outcome. It gives up on keys of which nobody
 // can tell: their outcome stays unknown. Make it with NewUnknownOutcomes. It is not safe for concurrent use.
 type UnknownOutcomes struct {
-	attempts    map[[16]byte]*outcomeAttempts
+	queries     map[[16]byte]*outcomeQueries
 	order       [][16]byte
 	nextBatchAt time.Duration
 }
 
 // outcomeAttempts counts the queries about one key.
-type outcomeAttempts struct {
+type outcomeQueries struct {
 	count  int
 	nextAt time.Duration
 }
@@ -30,15 +30,15 @@
 // NewUnknownOutcomes takes the keys whose outcome is unknown when the node starts, in the order in which they are asked about. It keeps the
 // slice.
 func NewUnknownOutcomes(keys [][16]byte) *UnknownOutcomes {
-	o := &UnknownOutcomes{attempts: map[[16]byte]*outcomeAttempts{}, order: keys}
+	o := &UnknownOutcomes{queries: map[[16]byte]*outcomeQueries{}, order: keys}
 	for _, key := range keys {
-		o.attempts[key] = &outcomeAttempts{}
+		o.queries[key] = &outcomeQueries{}
 	}
 	return o
 }
 
 // Remaining returns the number of keys that are still asked about.
-func (o *UnknownOutcomes) Remaining() int { return len(o.attempts) }
+func (o *UnknownOutcomes) Remaining() int { return len(o.queries) }
 
 // Tick returns the keys to be asked about now. unknown reports whether the outcome of a key is still unknown.
 func (o *UnknownOutcomes) Tick(now time.Duration, unknown func([16]byte) bool) [][16]byte {
@@ -49,17 +49,17 @@
 	var batch [][16]byte
 	remaining := o.order[:0]
 	for _, key := range o.order {
-		attempts := o.attempts[key]
-		resolved := attempts.count > 0 && !unknown(key)
-		exhausted := attempts.count >= maxOutcomeQueries && now >= attempts.nextAt
+		queries := o.queries[key]
+		resolved := queries.count > 0 && !unknown(key)
+		exhausted := queries.count >= maxOutcomeQueries && now >= queries.nextAt
 		if resolved || exhausted {
-			delete(o.attempts, key)
+			delete(o.queries, key)
 			continue
 		}
 		remaining = append(remaining, key)
-		if now >= attempts.nextAt && len(batch) < outcomeBatch {
-			attempts.nextAt = now + min(minOutcomeRetryWait<<attempts.count, maxOutcomeRetryWait)
-			attempts.count++
+		if now >= queries.nextAt && len(batch) < outcomeBatchSize {
+			queries.nextAt = now + min(minOutcomeRetryWait<<queries.count, maxOutcomeRetryWait)
+			queries.count++
 			batch = append(batch, key)
 		}
 	}
--- a/recovery/unknown_outcomes_test.go
+++ b/recovery/unknown_outcomes_test.go
@@ -23,7 +23,7 @@
 		for _, key := range batch {
 			queries[key[0]]++
 		}
-		if len(batch) > outcomeBatch {
+		if len(batch) > outcomeBatchSize {
 			t.Fatal("too many at a time: ", len(batch))
 		}
 		if now == 100*time.Millisecond && len(queries) != 40 {
