--- a/membership/config.go
+++ b/membership/config.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Config says whom a Detector watches and how. Fields that are zero take the default, except for Name, Incarnation and Others.
+// Config configures a Detector. A zero field takes its default, except for Name, Incarnation and Others, which have none.
 type Config struct {
 	// Name is the name of the local node.
 	Name string
-	// Incarnation numbers the local process. It must be higher than that of any earlier process of the node.
+	// Incarnation numbers the processes of the local node. It must be higher than that of any earlier process.
 	Incarnation uint64
-	// Others names all nodes that may exist. It may contain Name, which is ignored.
+	// Others lists the names of all nodes that may exist. It may contain Name, which is ignored.
 	Others []string
-	// ProbeInterval is the time from one probe to the next, SWIM's protocol period.
+	// ProbeInterval is the time between the starts of two probes, SWIM's protocol period.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct ping may take before helpers are asked to probe the target.
+	// ProbeTimeout is how long to wait for the ack of a direct ping before relays are requested to ping the target.
 	ProbeTimeout time.Duration
-	// IndirectProbes is the number of those helpers.
+	// IndirectProbes is the number of relays per indirect probe.
 	IndirectProbes int
-	// SuspicionFactor is how long a node stays suspected before it is declared dead: this many probe intervals, times the logarithm of the
-	// cluster's size.
+	// SuspicionFactor determines how long a node stays suspected before it is declared dead: this many probe intervals, times the logarithm
+	// of the cluster size.
 	SuspicionFactor float64
 }
 
@@ -32,7 +32,7 @@
 	defaultSuspicionFactor = 3
 )
 
-// withDefaults returns cfg with the default in place of each tunable that is zero.
+// withDefaults returns cfg with each tunable that is zero replaced by its default.
 func (cfg Config) withDefaults() Config {
 	cfg.ProbeInterval = cmp.Or(cfg.ProbeInterval, defaultProbeInterval)
 	cfg.ProbeTimeout = cmp.Or(cfg.ProbeTimeout, defaultProbeTimeout)
--- a/membership/detector.go
+++ b/membership/detector.go
@@ -9,7 +9,7 @@
 	"frosthub/internal/prng"
 )
 
-// Detector is one node's view of the cluster. Make it with New. It is not safe for concurrent use.
+// Detector is one node's view of the cluster. Create it with New. It is not safe for concurrent use.
 type Detector struct {
 	cfg   Config
 	self  Update
@@ -19,12 +19,12 @@
 	probeOrder   []string // names of all peers, shuffled at the start of each round
 	nextTarget   int      // index in probeOrder
 	nextProbeAt  time.Duration
-	probes       []probe // in flight, in the order in which they began
+	probes       []probe // pending, in the order in which they started
 	lastProbe    uint64  // number of the latest probe
-	healthScore  int     // Lifeguard's local health multiplier: see LocalHealth
+	healthScore  int     // Lifeguard's local health score: see LocalHealth
 	randomSource prng.Source
 
-	suspects []*peer // in the order in which they became suspected
+	suspects []*peer // in the order in which their suspicions started
 	gossip   gossipQueue
 
 	// Output that Ready has not yet returned.
@@ -32,13 +32,13 @@
 	changes []Change
 }
 
-// peer is what the local node believes of another.
+// peer is the state that the local node has recorded for another node.
 type peer struct {
 	Update
-	suspicionEndsAt time.Duration // when State is Suspect: declared dead then
+	suspicionEndsAt time.Duration // only if State is Suspect: when the peer is declared dead
 }
 
-// New returns a Detector to which all other nodes are Unknown. The seed decides all random choices.
+// New returns a Detector with all other nodes in state Unknown. The seed determines all random choices.
 func New(cfg Config, seed uint64, now time.Duration) *Detector {
 	cfg = cfg.withDefaults()
 	d := &Detector{
@@ -59,8 +59,7 @@
 	return d
 }
 
-// SetOthers replaces the names of all nodes that may exist. New ones are Unknown; all that was believed of those no longer named is
-// forgotten.
+// SetOthers replaces the names of all nodes that may exist. Added nodes start as Unknown; the recorded states of removed nodes are dropped.
 func (d *Detector) SetOthers(others []string) {
 	for _, name := range others {
 		if name != d.cfg.Name && d.peers[name] == nil {
@@ -77,7 +76,7 @@
 	d.gossip.enqueue(d.cfg.Name)
 }
 
-// forget drops all that is known of a peer.
+// forget removes a peer with its recorded state, its suspicion and the probes of it.
 func (d *Detector) forget(p *peer) {
 	delete(d.peers, p.Name)
 	d.gossip.remove(p.Name)
@@ -85,7 +84,7 @@
 	d.probes = slices.DeleteFunc(d.probes, func(pending probe) bool { return pending.target == p.Name })
 }
 
-// Lookup returns what is believed of a node. A node that is not among the others is Unknown.
+// Lookup returns the recorded state of a node. A name that is neither the local node's nor in Config.Others has state Unknown.
 func (d *Detector) Lookup(name string) Update {
 	if name == d.cfg.Name {
 		return d.self
@@ -96,13 +95,13 @@
 	return Update{Name: name}
 }
 
-// Alive reports whether a node seems to be running: it is Alive, or no more than suspected.
+// Alive reports whether a node appears to be running: its state is Alive or Suspect.
 func (d *Detector) Alive(name string) bool {
 	state := d.Lookup(name).State
 	return state == Alive || state == Suspect
 }
 
-// Snapshot returns what is believed of all nodes, the local one included, ordered by name.
+// Snapshot returns the recorded states of all nodes, including the local one, ordered by name.
 func (d *Detector) Snapshot() []Update {
 	all := []Update{d.self}
 	for _, p := range d.peers {
@@ -112,14 +111,14 @@
 	return all
 }
 
-// Ready returns the messages to be sent and the changes of belief since the last call.
+// Ready returns the messages to send and the state changes since the last call.
 func (d *Detector) Ready() ([]Envelope, []Change) {
 	outbox, changes := d.outbox, d.changes
 	d.outbox, d.changes = nil, nil
 	return outbox, changes
 }
 
-// NextDeadline returns the time by which Tick has to be called, unless another call comes first.
+// NextDeadline returns the time by which the caller must call Tick. Any other call may change it.
 func (d *Detector) NextDeadline() time.Duration {
 	deadline := d.nextProbeAt
 	for i := range d.probes {
@@ -131,7 +130,7 @@
 	return deadline
 }
 
-// Tick does what is due: it gives up on probes and suspicions whose time is over, and begins the next probe.
+// Tick handles the timeouts of probes and suspicions that have passed, and starts the next probe if it is due.
 func (d *Detector) Tick(now time.Duration) {
 	d.expireProbes(now)
 	d.expireSuspicions(now)
@@ -141,7 +140,8 @@
 	}
 }
 
-// Observe takes note that a message of any kind, of this package or another, came from a node in that incarnation: the node is there.
+// Observe records that a message, of this package or any other, has arrived from a node in the given incarnation. It marks a node as Alive
+// that was Unknown or had a lower incarnation.
 func (d *Detector) Observe(now time.Duration, from string, incarnation uint64) {
 	p := d.peers[from]
 	if p == nil || incarnation < p.Incarnation {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Receive handles a message from a node in that incarnation. Messages of nodes that are not among the others, or of an earlier incarnation
-// than the latest known, are ignored.
+// Receive handles a message from a node in the given incarnation. It ignores messages from nodes that are not in Config.Others and messages
+// from an earlier incarnation than the recorded one.
 func (d *Detector) Receive(now time.Duration, from string, incarnation uint64, m *Message) {
 	p := d.peers[from]
 	if p == nil || incarnation < p.Incarnation {
@@ -173,7 +173,7 @@
 	}
 }
 
-// Leave announces to all nodes that seem to be running that the local node leaves.
+// Leave announces to all nodes that appear to be running that the local node is leaving the cluster.
 func (d *Detector) Leave() {
 	d.self.State = Left
 	d.gossip.enqueue(d.cfg.Name)
@@ -184,13 +184,13 @@
 	}
 }
 
-// send queues a message, with gossip piggybacked on it.
+// send adds a message to the outbox with gossip piggybacked on it.
 func (d *Detector) send(to string, m Message) {
 	m.Updates = d.selectGossip(to)
 	d.outbox = append(d.outbox, Envelope{To: to, Message: m})
 }
 
-// scaleByClusterSize returns factor times 1 + log2 of the number of nodes, the logarithm rounded down.
+// scaleByClusterSize returns factor * (1 + floor(log2(number of nodes))).
 func (d *Detector) scaleByClusterSize(factor float64) float64 {
 	logarithm := 1.0
 	for nodes := len(d.peers) + 1; nodes > 1; nodes /= 2 {
--- a/membership/detector_test.go
+++ b/membership/detector_test.go
@@ -13,17 +13,17 @@
 // simStep is the resolution of the simulated time.
 const simStep = 5 * time.Millisecond
 
-// simCluster is a cluster whose nodes gossip over links that delay and lose messages.
+// simCluster is a simulated cluster whose links delay and lose messages.
 type simCluster struct {
 	random     *rand.Rand
 	now        time.Duration
 	detectors  []*Detector
 	running    []bool
 	names      []string
-	queue      map[time.Duration][]func() // deliveries by their time
-	loss       float64                    // share of the messages that are lost
-	extraDelay map[int]time.Duration      // by node: added to the delay of each message to it
-	bytes      int                        // sent, as an estimate
+	queue      map[time.Duration][]func() // deliveries by simulated time
+	loss       float64                    // fraction of the messages that are lost
+	extraDelay map[int]time.Duration      // by receiving node: added to the delay of each message
+	bytes      int                        // estimate of the bytes sent
 }
 
 func newSimCluster(size int, seed uint64) *simCluster {
@@ -43,21 +43,21 @@
 	return c
 }
 
-// start starts a node, or restarts it.
+// start starts or restarts a node in the given incarnation.
 func (c *simCluster) start(node int, incarnation uint64) {
 	cfg := Config{Name: c.names[node], Incarnation: incarnation, Others: c.names}
 	c.running[node] = true
 	c.detectors[node] = New(cfg, uint64(node)*7919+incarnation, c.now)
 }
 
-// index returns the number of the node of that name.
+// index returns the index of the node with the given name.
 func (c *simCluster) index(name string) int {
 	node := 0
 	_, _ = fmt.Sscanf(name, "n%d", &node)
 	return node
 }
 
-// run has that much time pass.
+// advance simulates the given duration.
 func (c *simCluster) advance(duration time.Duration) {
 	for end := c.now + duration; c.now < end; c.now += simStep {
 		due := c.queue[c.now]
@@ -74,7 +74,7 @@
 	}
 }
 
-// flush puts the messages of a node on their way.
+// flush schedules the delivery of the messages that a node has queued, and drops some at random.
 func (c *simCluster) flush(node int) {
 	detector := c.detectors[node]
 	outbox, _ := detector.Ready()
@@ -96,7 +96,7 @@
 	}
 }
 
-// believers counts the running nodes that believe another to be in that state.
+// countViews returns how many other running nodes have recorded the given state for a node.
 func (c *simCluster) countViews(node int, state State) int {
 	count := 0
 	for i, detector := range c.detectors {
@@ -107,8 +107,8 @@
 	return count
 }
 
-// timeToDetect runs until all nodes believe that a node which was just stopped is dead, or a minute is over. It returns after what time the
-// first of them did, and the last; 0 if that did not happen.
+// timeToDetect simulates up to a minute until all nodes have declared a node dead that was just stopped. It returns the time after which
+// the first and the last of them did so, or 0 if that did not happen.
 func (c *simCluster) timeToDetect(node int) (first, last time.Duration) {
 	stoppedAt := c.now
 	for c.now < stoppedAt+60*time.Second && last == 0 {
@@ -124,8 +124,8 @@
 	return first, last
 }
 
-// TestDetection checks that all nodes find a dead node in bounded time, that a running one is not taken for dead when messages are lost, that
-// one which restarts is known by its new incarnation, and that one which was wrongly taken for dead refutes that.
+// TestDetection checks that all nodes detect a dead node in bounded time, that message loss does not cause running nodes to be declared
+// dead, that a restarted node is recorded with its new incarnation, and that a node that was falsely declared dead refutes this.
 func TestDetection(t *testing.T) {
 	for _, size := range []int{5, *largestCluster} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) { testDetection(t, size) })
@@ -136,7 +136,7 @@
 	c := newSimCluster(size, uint64(size))
 	c.advance(time.Duration(size)*200*time.Millisecond + 2*time.Second)
 	if got := c.countViews(0, Alive); got != size-1 {
-		t.Fatalf("%d nodes: %d know of the first", size, got)
+		t.Fatalf("%d nodes: %d have recorded the first node as alive", size, got)
 	}
 	c.bytes = 0
 	c.advance(2 * time.Second)
@@ -145,13 +145,13 @@
 	c.running[1] = false
 	first, last := c.timeToDetect(1)
 	if last == 0 || last > 20*time.Second {
-		t.Errorf("%d nodes: not all know in time: %d", size, c.countViews(1, Dead))
+		t.Errorf("%d nodes: not all detected the dead node in time: %d", size, c.countViews(1, Dead))
 	}
 
 	c.start(1, 2)
 	c.advance(3*time.Second + time.Duration(size)*100*time.Millisecond)
 	if got := c.countViews(1, Alive); got != size-1 || c.detectors[0].Lookup("n1").Incarnation != 2 {
-		t.Errorf("%d nodes: %d know that it is back, in incarnation %d", size, got, c.detectors[0].Lookup("n1").Incarnation)
+		t.Errorf("%d nodes: %d have recorded the restarted node as alive, in incarnation %d", size, got, c.detectors[0].Lookup("n1").Incarnation)
 	}
 
 	c.loss = 0.1
@@ -164,7 +164,7 @@
 		}
 	}
 	if share := float64(falseDeaths) / float64(views); share > 0.001 {
-		t.Errorf("%d nodes at a loss of 0.1: %.4f of beliefs are wrong", size, share)
+		t.Errorf("%d nodes at a message loss of 0.1: %.4f of the recorded states are falsely dead", size, share)
 	}
 	c.loss = 0
 
@@ -174,13 +174,13 @@
 	delete(c.extraDelay, 2)
 	c.advance(time.Duration(size)*200*time.Millisecond + 6*time.Second)
 	if got := c.countViews(2, Alive); got != size-1 {
-		t.Errorf("%d nodes: one that was slow is alive for %d only", size, got)
+		t.Errorf("%d nodes: only %d have recorded the node that was slow as alive", size, got)
 	}
-	t.Logf("%d nodes: first knows after %s, all after %s; %.0f bytes a node and second; wrong at a loss of 0.1: %d of %d; local health %d",
+	t.Logf("%d nodes: first detects after %s, all after %s; %.0f bytes per node and second; falsely dead at a message loss of 0.1: %d of %d; local health %d",
 		size, first, last, bytesPerSecond, falseDeaths, views, health)
 }
 
-// TestStaleIncarnations checks that messages of an earlier incarnation do no harm, and that a node refutes what is falsely said of it.
+// TestStaleIncarnations checks that messages from an earlier incarnation are ignored, and that a node refutes false reports about itself.
 func TestStaleIncarnations(t *testing.T) {
 	d := New(Config{Name: "a", Incarnation: 3, Others: []string{"a", "b", "c"}}, 1, 0)
 	d.Receive(0, "b", 2, &Message{Kind: Ping, Number: 1})
@@ -203,12 +203,12 @@
 	}
 	d.Receive(0, "x", 1, &Message{Kind: Ping})
 	if _, known := d.peers["x"]; known {
-		t.Error("a node that is not among the others is taken in")
+		t.Error("a node that is not in Config.Others was added")
 	}
 }
 
-// TestMemoryBound checks that what is remembered is bounded by the nodes that exist: ten times as many that come and go, send messages and are
-// the subject of updates leave nothing behind.
+// TestMemoryBound checks that the memory of a Detector is bounded by the number of nodes that exist: ten times as many nodes that are
+// added, send messages, are the subject of updates and are removed leave no state behind.
 func TestMemoryBound(t *testing.T) {
 	const size, rounds = 50, 11
 	namesOf := func(round int) []string {
@@ -241,7 +241,7 @@
 			}
 		}
 		if len(d.peers) != size || len(d.probeOrder) != size || len(d.probes) > size || len(d.suspects) > size || len(d.gossip.latest) > size+1 {
-			t.Fatalf("round %d: %d peers, %d in probe order, %d probes, %d suspects, %d names to gossip", round, len(d.peers), len(d.probeOrder),
+			t.Fatalf("round %d: %d peers, %d in probe order, %d probes, %d suspects, %d names in the gossip queue", round, len(d.peers), len(d.probeOrder),
 				len(d.probes), len(d.suspects), len(d.gossip.latest))
 		}
 	}
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -1,15 +1,15 @@
 package membership
 
 const (
-	// maxPiggybackedUpdates bounds the updates on one message, to keep it within a packet.
+	// maxPiggybackedUpdates limits the updates on one message so that the message fits into one packet.
 	maxPiggybackedUpdates = 12
-	// retransmitFactor, times the logarithm of the cluster's size, is SWIM's dissemination limit: an update is dropped once it was passed on
-	// more often.
+	// retransmitFactor, times the logarithm of the cluster size, is SWIM's dissemination limit: an update that was transmitted more often
+	// is dropped.
 	retransmitFactor = 3
 )
 
-// selectGossip returns the updates to piggyback on a message: those that were passed on least often so far. A node that is not believed to
-// be alive hears of that first, so that it can refute it.
+// selectGossip returns the updates to piggyback on a message: those with the fewest transmissions so far. If the receiver is recorded as
+// suspected, dead or left, that update comes first, so that the receiver can refute it.
 func (d *Detector) selectGossip(to string) []Update {
 	var updates []Update
 	if p := d.peers[to]; p != nil && p.State >= Suspect {
@@ -26,31 +26,31 @@
 	return updates
 }
 
-// gossipQueue orders the names of the nodes whose updates are still to be passed on: those that were passed on least often come first, and
-// those that reached the dissemination limit are dropped. It holds names alone, so that the latest update on a node is what is sent. The
-// zero value is empty and ready to use.
+// gossipQueue orders the names of the nodes whose updates are still being disseminated. Names with the fewest transmissions come first;
+// those over the dissemination limit are dropped. The queue holds names only, so that the sender looks up the latest update on a node at
+// the time of sending. The zero value is empty and ready to use.
 type gossipQueue struct {
-	// latest has the sequence number of the valid entry of each name.
+	// latest maps each name to the sequence number of its valid entry.
 	latest map[string]uint64
-	// byTransmits has the entries by how often they were passed on, each list in the order of its arrivals. Entries that are not the latest
-	// of their name are skipped when they are reached.
+	// byTransmitCount holds the entries by their number of transmissions, each list in the order of insertion. An entry that is not the
+	// latest of its name is skipped.
 	byTransmitCount [][]gossipEntry
 	sequence        uint64 // of the newest entry
 }
 
-// gossipEntry is a name in the queue.
+// gossipEntry is a name in a gossipQueue.
 type gossipEntry struct {
 	name     string
 	sequence uint64
 }
 
-// takenEntry is an entry that was passed on, and how often that was so before.
+// transmittedEntry is an entry that was just transmitted, with the number of its earlier transmissions.
 type transmittedEntry struct {
 	gossipEntry
 	transmits int
 }
 
-// enqueue puts a name at the start of its dissemination, also if it was in the queue already.
+// enqueue adds a name with no transmissions, and resets the count of one that is in the queue already.
 func (q *gossipQueue) enqueue(name string) {
 	if q.latest == nil {
 		q.latest = map[string]uint64{}
@@ -61,11 +61,11 @@
 	q.byTransmitCount[0] = append(q.byTransmitCount[0], gossipEntry{name: name, sequence: q.sequence})
 }
 
-// remove takes a name from the queue.
+// remove removes a name from the queue.
 func (q *gossipQueue) remove(name string) { delete(q.latest, name) }
 
-// take passes names to use, in order, until it returns false. Each name that was passed to it counts as passed on once more, and is dropped
-// when that was more often than limit.
+// take calls visit with the names in order until visit returns false. Each call counts as one transmission of the name; a name with more
+// than limit transmissions is dropped.
 func (q *gossipQueue) take(limit int, visit func(name string) bool) {
 	var taken []transmittedEntry
 	more := true
@@ -87,7 +87,7 @@
 	}
 }
 
-// requeue puts back an entry that was passed on, or drops it.
+// requeue returns a transmitted entry to the queue, or drops it if it is over the limit.
 func (q *gossipQueue) requeue(entry transmittedEntry, limit int) {
 	transmits := entry.transmits + 1
 	if transmits > limit {
--- a/membership/gossip_test.go
+++ b/membership/gossip_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGossipQueue checks that names are taken in the order of how often they were, that they are dropped at the limit, and that a new update
-// begins anew.
+// TestGossipQueue checks that the queue returns names in the order of their transmissions, drops names that are over the limit, and resets
+// the count of a name that is enqueued again.
 func TestGossipQueue(t *testing.T) {
 	const limit = 2
 	var queue gossipQueue
@@ -28,13 +28,13 @@
 	for _, name := range []string{"a", "b", "c"} {
 		queue.enqueue(name)
 	}
-	check("oldest first", take(2), "a", "b")
-	check("least often first", take(2), "c", "a")
+	check("oldest entry first", take(2), "a", "b")
+	check("fewest transmissions first", take(2), "c", "a")
 	queue.enqueue("a")
-	check("a new update begins anew", take(1), "a")
+	check("enqueuing again resets the count", take(1), "a")
 	check("the rest", take(9), "b", "c", "a")
-	// Of limit 2 each name may be taken three times: b and c were so twice, and a twice since it began anew.
+	// With a limit of 2, each name is taken three times at most: b and c were taken twice so far, a twice since it was enqueued again.
 	queue.remove("c")
-	check("without a removed name", take(9), "b", "a")
-	check("all are at the limit", take(9))
+	check("removed name is skipped", take(9), "b", "a")
+	check("all names are over the limit", take(9))
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// probeStage is how far a probe has come.
+// probeStage is the stage of a pending probe.
 //
 //	from    to        when
-//	direct  indirect  no ack within the probe timeout: askHelpers
-//	any     (gone)    an ack arrived: receiveAck; the time is over: expireProbes; its target was forgotten
+//	direct  indirect  no ack arrived within the probe timeout: sendPingRequests
+//	any     (gone)    an ack arrived: receiveAck; the last timeout passed: expireProbes; its target was removed: forget
 type probeStage uint8
 
 const (
-	directProbe   probeStage = iota // the target was pinged
-	indirectProbe                   // so were helpers asked to ping it
-	relayedProbe                    // the target was pinged on behalf of another node
+	directProbe   probeStage = iota // the target was sent a ping
+	indirectProbe                   // relays were sent ping requests as well
+	relayedProbe                    // the target was sent a ping on behalf of another node
 )
 
-// probe is a ping that was not yet answered.
+// probe is a pending probe: a ping without an ack so far.
 type probe struct {
 	target    string
 	number    uint64
 	startedAt time.Duration
 	stage     probeStage
 
-	// Of a relayed probe: who asked for it, and the number of its probe there.
+	// Only for a relayed probe: the node that requested it, and the number of the probe at that node.
 	requester       string
 	requesterNumber uint64
 }
 
-// probeDeadline returns when the present stage of a probe ends.
+// probeDeadline returns when the current stage of a probe times out.
 func (d *Detector) probeDeadline(p *probe) time.Duration {
 	timeout := d.cfg.ProbeInterval
 	if p.stage == directProbe {
@@ -39,8 +39,8 @@
 	return p.startedAt + d.scaleByLocalHealth(timeout)
 }
 
-// probeNext begins a probe of the next node of the round. Nodes that are not believed to run are pinged too, so that they are found when they
-// are back, but no answer is expected of them.
+// probeNext starts a probe of the next node of the round. Nodes that are not recorded as running are pinged too, so that their return is
+// detected, but a missing ack has no consequence for them.
 func (d *Detector) probeNext(now time.Duration) {
 	if d.nextTarget == 0 {
 		order := d.probeOrder
@@ -54,14 +54,14 @@
 	}
 }
 
-// sendPing pings a node under a new number, which it returns.
+// sendPing sends a ping with a new probe number and returns the number.
 func (d *Detector) sendPing(to string) uint64 {
 	d.lastProbe++
 	d.send(to, Message{Kind: Ping, Number: d.lastProbe})
 	return d.lastProbe
 }
 
-// expireProbes has each probe whose deadline has passed go on to its next stage, or ends it.
+// expireProbes moves each probe whose deadline has passed to its next stage, or ends it.
 func (d *Detector) expireProbes(now time.Duration) {
 	pending := d.probes[:0]
 	for _, p := range d.probes {
@@ -74,18 +74,18 @@
 			d.sendPingRequests(&p)
 			pending = append(pending, p)
 		case indirectProbe:
-			// That no ack came may be the fault of this node.
+			// The ack may be missing because the local node is slow.
 			d.adjustLocalHealth(1)
 			d.suspect(now, p.target)
 		case relayedProbe:
-			// The requester has its own deadline.
+			// The requester applies its own deadline.
 		}
 	}
 	clear(d.probes[len(pending):])
 	d.probes = pending
 }
 
-// askHelpers has other nodes ping the target of a probe.
+// sendPingRequests starts the indirect stage of a probe: it requests relays to ping the target.
 func (d *Detector) sendPingRequests(p *probe) {
 	p.stage = indirectProbe
 	for _, relay := range d.pickRelays(p.target) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// pickHelpers draws nodes that are Alive to probe a target.
+// pickRelays selects random nodes that are Alive to ping a target.
 func (d *Detector) pickRelays(target string) []string {
 	var candidates []string
 	for _, name := range d.probeOrder {
@@ -109,7 +109,7 @@
 	return candidates[:count]
 }
 
-// relayProbe pings the target of a ping request on behalf of its sender.
+// relayProbe handles a ping request: it pings the target on behalf of the requester.
 func (d *Detector) relayProbe(now time.Duration, requester string, m *Message) {
 	if d.peers[m.Target] == nil {
 		return
@@ -124,7 +124,7 @@
 	})
 }
 
-// receiveAck ends the probe of that number, and passes the ack on if the probe was relayed.
+// receiveAck ends the probe with the given target and number. It forwards the ack to the requester of a relayed probe.
 func (d *Detector) receiveAck(now time.Duration, target string, number uint64) {
 	for i, p := range d.probes {
 		if p.number != number || p.target != target {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// maxHealthScore bounds the local health multiplier: probes and suspicions take 1 + maxHealthScore times as long at most.
+// maxHealthScore limits the local health multiplier: timeouts of probes and suspicions grow to at most 1 + maxHealthScore times their
+// value.
 const maxHealthScore = 8
 
-// LocalHealth returns Lifeguard's local health score, from 0 to 8: 0 means that the local node seems to be well. The timeouts of its probes
-// and suspicions are multiplied by the score plus one, so that a node which is slow itself accuses others later.
+// LocalHealth returns Lifeguard's local health score, from 0 to 8; 0 means that the local node appears to be healthy. The timeouts of its
+// probes and suspicions are multiplied by the score plus one, so that a node that is slow itself suspects others later.
 func (d *Detector) LocalHealth() int { return d.healthScore }
 
-// adjustLocalHealth worsens the score of the local node, or improves it by a negative delta.
+// adjustLocalHealth adds delta to the health score of the local node, within its bounds. A positive delta makes it less healthy.
 func (d *Detector) adjustLocalHealth(delta int) {
 	d.healthScore = min(max(d.healthScore+delta, 0), maxHealthScore)
 }
 
-// scaleByLocalHealth applies the local health multiplier to a timeout.
+// scaleByLocalHealth multiplies a timeout by the local health multiplier.
 func (d *Detector) scaleByLocalHealth(timeout time.Duration) time.Duration {
 	return timeout * time.Duration(1+d.healthScore)
 }
 
-// apply takes over an update if it supersedes what is known of the node. It is the one place where the state of a peer changes. A false one
-// about the local node is refuted instead.
+// apply records an update if it supersedes the recorded one. It is the only place where the state of a peer changes. A false update on the
+// local node is refuted instead.
 //
-// Within one incarnation and refutation a node's state only ever rises:
+// Within one incarnation and refutation, the state of a node only increases:
 //
 //	from            to       when
 //	Unknown         Alive    the first message from it: Observe
 //	Alive           Suspect  neither direct nor indirect probes were answered: suspect
 //	Suspect         Dead     the suspicion was not refuted in time: expireSuspicions
-//	any lower       any      another node's update says so: Receive
+//	any lower       any      another node's update reports it: Receive
 //
-// With a higher refutation, which only the node itself issues, or a higher incarnation any state may follow any other:
+// With a higher refutation, which only the node itself issues, or a higher incarnation, any state may follow any other:
 //
-//	Suspect, Dead   Alive    the node refutes what is said of it
+//	Suspect, Dead   Alive    the node refutes the suspicion
 //	any             Alive    the node has restarted
 func (d *Detector) apply(now time.Duration, u Update) {
 	if u.Name == d.cfg.Name {
@@ -56,8 +57,9 @@
 	d.changes = append(d.changes, Change{Update: u, Previous: previous})
 }
 
-// refute answers an update on the local node that says it is not alive, by an Alive of a higher refutation. Updates on earlier incarnations,
-// and those that were refuted already, need no answer; nor does any once the node has left.
+// refute handles an update that reports the local node as suspected, dead or left: it disseminates an Alive update with a higher
+// refutation. Updates on earlier incarnations and updates that were refuted already are ignored, and so is any update after the local node
+// has left.
 func (d *Detector) refute(u Update) {
 	if d.self.State == Left || u.State <= Alive {
 		return
@@ -70,7 +72,7 @@
 	d.gossip.enqueue(d.cfg.Name)
 }
 
-// suspect marks a node that did not answer a probe, if it was Alive.
+// suspect marks a node that did not answer a probe as Suspect, if it was Alive.
 func (d *Detector) suspect(now time.Duration, name string) {
 	u := d.peers[name].Update
 	if u.State == Alive {
@@ -79,7 +81,7 @@
 	}
 }
 
-// startSuspicion gives a suspected node the time to refute.
+// startSuspicion sets the time by which a suspected node must refute the suspicion.
 func (d *Detector) startSuspicion(now time.Duration, p *peer) {
 	intervals := d.scaleByClusterSize(d.cfg.SuspicionFactor)
 	timeout := time.Duration(intervals * float64(d.cfg.ProbeInterval))
@@ -87,15 +89,15 @@
 	d.suspects = append(d.suspects, p)
 }
 
-// extendSuspicion gives a suspected node that has answered the time of one more probe interval. The answer does not clear it: only its own
-// refutation convinces the other nodes.
+// extendSuspicion keeps a node that answered while suspected from being declared dead for at least one more probe interval. The answer
+// alone does not end the suspicion: the other nodes clear it only after a refutation by the node itself.
 func (d *Detector) extendSuspicion(now time.Duration, p *peer) {
 	if p.State == Suspect {
 		p.suspicionEndsAt = max(p.suspicionEndsAt, now+d.scaleByLocalHealth(d.cfg.ProbeInterval))
 	}
 }
 
-// expireSuspicions declares those dead that did not refute in time.
+// expireSuspicions declares suspected nodes dead that did not refute the suspicion in time.
 func (d *Detector) expireSuspicions(now time.Duration) {
 	for _, p := range slices.Clone(d.suspects) {
 		if now >= p.suspicionEndsAt {
@@ -106,7 +108,7 @@
 	}
 }
 
-// removeSuspect takes a peer from the list of suspects, if it is there.
+// removeSuspect removes a peer from the list of suspects, if it is there.
 func (d *Detector) removeSuspect(p *peer) {
 	d.suspects = slices.DeleteFunc(d.suspects, func(other *peer) bool { return other == p })
 }
--- a/membership/suspicion_test.go
+++ b/membership/suspicion_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestTransitions checks the table of Detector.apply: each event leads a peer to the state that it names, or nowhere.
+// TestTransitions checks the transition table of Detector.apply: each event moves a peer to the state in the table or leaves its state
+// unchanged.
 func TestTransitions(t *testing.T) {
 	const name = "peer"
 	type step func(d *Detector, now time.Duration)
@@ -19,7 +20,7 @@
 		}
 	}
 	failProbe := func(d *Detector, now time.Duration) { d.suspect(now, name) }
-	// expire is past the end of any suspicion, without the probes that Tick begins.
+	// expire passes a time after the end of any suspicion, and does not start probes as Tick does.
 	expire := func(d *Detector, now time.Duration) { d.expireSuspicions(now + time.Hour) }
 
 	suspected := Update{Incarnation: 1, State: Suspect}
@@ -28,21 +29,21 @@
 		steps []step
 		want  State
 	}{
-		{"never heard of", nil, Unknown},
+		{"no message", nil, Unknown},
 		{"first message", []step{observe(1)}, Alive},
 		{"failed probe of an unknown node", []step{failProbe}, Unknown},
 		{"failed probe", []step{observe(1), failProbe}, Suspect},
 		{"message while suspected", []step{observe(1), failProbe, observe(1)}, Suspect},
 		{"refuted", []step{observe(1), failProbe, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive})}, Alive},
-		{"refuted, and the suspicion would be over", []step{observe(1), failProbe, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive}), expire}, Alive},
-		{"not refuted", []step{observe(1), failProbe, expire}, Dead},
-		{"refuted when dead", []step{observe(1), failProbe, expire, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive})}, Alive},
-		{"message of the dead incarnation", []step{observe(1), failProbe, expire, observe(1)}, Dead},
+		{"refuted before the suspicion times out", []step{observe(1), failProbe, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive}), expire}, Alive},
+		{"suspicion times out", []step{observe(1), failProbe, expire}, Dead},
+		{"refuted after declared dead", []step{observe(1), failProbe, expire, receiveUpdate(Update{Incarnation: 1, Refutation: 1, State: Alive})}, Alive},
+		{"message from the dead incarnation", []step{observe(1), failProbe, expire, observe(1)}, Dead},
 		{"restarted", []step{observe(1), failProbe, expire, observe(2)}, Alive},
-		{"suspected by another", []step{observe(1), receiveUpdate(suspected)}, Suspect},
-		{"suspected by another in an earlier incarnation", []step{observe(2), receiveUpdate(suspected)}, Alive},
+		{"suspected by another node", []step{observe(1), receiveUpdate(suspected)}, Suspect},
+		{"earlier incarnation suspected by another node", []step{observe(2), receiveUpdate(suspected)}, Alive},
 		{"left", []step{observe(1), receiveUpdate(Update{Incarnation: 1, State: Left})}, Left},
-		{"suspected when left", []step{observe(1), receiveUpdate(Update{Incarnation: 1, State: Left}), receiveUpdate(suspected)}, Left},
+		{"suspected after it left", []step{observe(1), receiveUpdate(Update{Incarnation: 1, State: Left}), receiveUpdate(suspected)}, Left},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/membership/update.go
+++ b/membership/update.go
@@ -2,16 +2,16 @@
 
 import "cmp"
 
-// State is what is believed of a node.
+// State is the state of a node as the local node has recorded it.
 type State uint8
 
-// The states of a node. The numbers go over the wire, and their order decides between updates: see Update.
+// The states of a node. The numbers are part of the wire format, and their order decides which of two updates takes precedence: see Update.
 const (
-	Unknown State = iota // nothing was ever heard of it
-	Alive                // it answers
-	Suspect              // it did not answer a probe, and may still refute that
+	Unknown State = iota // no message from it and no update on it was ever received
+	Alive                // it answers probes
+	Suspect              // it did not answer a probe, and can still refute the suspicion
 	Dead                 // it did not refute the suspicion in time
-	Left                 // it announced that it leaves
+	Left                 // it announced that it is leaving the cluster
 )
 
 var stateNames = [...]string{
@@ -25,18 +25,18 @@
 // String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// Update is what somebody believes of a node.
+// Update is the state of a node as one node reports it to others.
 //
-// Of two updates on the same node the one with the higher Incarnation stands, then the one with the higher Refutation, then the one with the
-// later State.
+// Of two updates on the same node, the one with the higher Incarnation takes precedence, then the one with the higher Refutation, then the
+// one with the higher State.
 type Update struct {
 	Name        string
-	Incarnation uint64 // of the node's process: a restart raises it
-	Refutation  uint64 // raised by the node itself to refute a suspicion; SWIM's incarnation number
+	Incarnation uint64 // of the node's process: a restart increases it
+	Refutation  uint64 // increased by the node itself to refute a suspicion; SWIM's incarnation number
 	State       State
 }
 
-// supersedes reports whether u stands against other, an update on the same node.
+// supersedes reports whether u takes precedence over other, an update on the same node.
 func (u Update) supersedes(other Update) bool {
 	order := cmp.Or(
 		cmp.Compare(u.Incarnation, other.Incarnation),
@@ -46,7 +46,7 @@
 	return order > 0
 }
 
-// Change tells that the belief about a node has changed.
+// Change is a change in the recorded state of a node, with the update that it replaces.
 type Change struct {
 	Update
 	Previous Update
--- a/membership/update_test.go
+++ b/membership/update_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSupersedes checks the order of updates on one node.
+// TestSupersedes checks which of two updates on the same node takes precedence.
 func TestSupersedes(t *testing.T) {
 	tests := []struct {
 		name   string
