--- a/recovery/component.go
+++ b/recovery/component.go
@@ -1,115 +1,112 @@
 package recovery
 
-// Trust is what a restarted node does with a piece of state from before the restart.
+// Trust is how a restarted node treats a component of its state from before the restart.
 type Trust uint8
 
-// The ways to treat such state.
+// The degrees of trust.
 const (
-	Trusted   Trust = iota + 1 // used as it is
-	Checked                    // compared with what peers know
-	Discarded                  // discarded, and learnt anew
+	Trusted   Trust = iota + 1 // used without a check
+	Checked                    // compared with the records of peers
+	Discarded                  // discarded and rebuilt
 )
 
-// trustNames are printed by the recovery subcommand: they stay as they are.
+// trustNames are printed by the recovery subcommand, and must not change.
 var trustNames = [...]string{
 	Trusted:   "trusted",
 	Checked:   "checked",
 	Discarded: "thrown away",
 }
 
-// String returns the name of the treatment.
+// String returns the name of the degree of trust.
 func (t Trust) String() string { return trustNames[t] }
 
-// Component is one piece of state that a node may have from before a restart.
+// Component is one component of the state that a node may have from before a restart.
 type Component struct {
 	Name   string
 	Trust  Trust
-	Reason string // why it is treated so
-	Risk   string // what goes wrong if it were trusted without a check, or what may still go wrong
+	Reason string // why this degree of trust applies
+	Risk   string // the failure that trust without a check would cause, or the failure that remains possible
 }
 
-// Components is the trust table: each piece of state and how it is treated. The recovery subcommand prints it word for word, so the texts stay
-// as they are. It must not be modified.
-//
-// Terms of the texts: prints are Bloom filters of expired keys; a life is an incarnation; a box is a node; in doubt means that the outcome
-// is unknown.
+// Components lists each component with its degree of trust. The recovery subcommand prints the table for operators. Callers must not modify
+// it.
 var Components = []Component{
 	{
-		Name:   "results and failures on the disk",
+		Name:   "stored results and failures",
 		Trust:  Trusted,
-		Reason: "checksums, and numbers without a gap",
-		Risk:   "none: what ran stays so",
+		Reason: "checksums and gapless sequence numbers",
+		Risk:   "none: a completed run stays completed",
 	},
 	{
-		Name:   "intents without an end",
+		Name:   "intents without an outcome",
 		Trust:  Trusted,
-		Reason: "they say that a run may have begun",
-		Risk:   "none: in doubt until somebody knows the end",
+		Reason: "they prove that a run may have started",
+		Risk:   "none: the outcome is unknown until another node reports it",
 	},
 	{
-		Name:   "prints of what has aged",
+		Name:   "fingerprints of expired keys",
 		Trust:  Trusted,
 		Reason: "checksums",
-		Risk:   "none: a false hit costs an errored answer",
+		Risk:   "none: a false positive causes one error response",
 	},
 	{
-		Name:   "that there is no more than these",
+		Name:   "completeness of the stored records",
 		Trust:  Checked,
-		Reason: "an older copy, a lost last second or an empty disk is whole too",
-		Risk:   "what ran there would run again",
+		Reason: "an older copy, a disk without its last second of writes or an empty disk also passes the checksums",
+		Risk:   "requests whose records are missing would run again",
 	},
 	{
-		Name:   "the number of this life",
+		Name:   "number of this incarnation",
 		Trust:  Checked,
-		Reason: "an older disk counts lives anew",
-		Risk:   "others would take its messages for those of an earlier life",
+		Reason: "an older disk reuses incarnation numbers",
+		Risk:   "other nodes would treat its messages as those of an earlier incarnation",
 	},
 	{
-		Name:   "the lists of members",
+		Name:   "member lists",
 		Trust:  Trusted,
-		Reason: "on the disk before they are acted on; others hear by which lists a box goes",
-		Risk:   "refusals, where others go by none of them",
+		Reason: "written to disk before use; each node reports to the others which lists it uses",
+		Risk:   "rejected requests if the other nodes use none of these lists",
 	},
 	{
-		Name:   "what is remembered of others",
+		Name:   "recorded states of other nodes",
 		Trust:  Trusted,
-		Reason: "only ever the highest that they told",
-		Risk:   "too low a number: a loss of the last second is not found",
+		Reason: "only the highest state that each node has reported is kept",
+		Risk:   "a recorded state that is too low: the loss of the last second of writes is not detected",
 	},
 	{
-		Name:   "which boxes are there",
+		Name:   "which nodes are alive",
 		Trust:  Discarded,
-		Reason: "all may have changed",
-		Risk:   "wrong guesses, for a moment",
+		Reason: "any of it may have changed",
+		Risk:   "wrong node states for a short time",
 	},
 	{
-		Name:   "notes of what others hold and have not begun",
+		Name:   "reservations of other nodes for runs that have not started",
 		Trust:  Discarded,
-		Reason: "grants are not on the disk; who begins under a forgotten one is refused",
+		Reason: "grants are not stored; a node that starts a run under a lost grant is rejected",
 		Risk:   "none",
 	},
 	{
-		Name:   "what the module learnt",
+		Name:   "limits learned by the overload controller",
 		Trust:  Discarded,
-		Reason: "the processor is cold, the load another",
-		Risk:   "limits of another day",
+		Reason: "the processor is cold and the load has changed",
+		Risk:   "limits that do not fit the current load",
 	},
 	{
 		Name:   "ejected peers of the next tier",
 		Trust:  Discarded,
-		Reason: "they may be well",
-		Risk:   "one more try",
+		Reason: "they may have recovered",
+		Risk:   "one more failed attempt",
 	},
 	{
 		Name:   "figures",
 		Trust:  Trusted,
-		Reason: "checksums; the last moment is in doubt, by id",
+		Reason: "checksums; requests open at the last moment are listed by id as in doubt",
 		Risk:   "none",
 	},
 	{
 		Name:   "the clock",
 		Trust:  Checked,
-		Reason: "the store's time never goes back",
-		Risk:   "a clock that is behind: results age later, never earlier",
+		Reason: "the time of the store never goes back",
+		Risk:   "a clock that is behind: results expire later, never earlier",
 	},
 }
--- a/recovery/node.go
+++ b/recovery/node.go
@@ -9,17 +9,17 @@
 	"frosthub/internal/prng"
 )
 
-// Config says whom a node asks, and how long it waits. MajorityAfter and DegradeAfter take a default if they are zero.
+// Config configures a Node. MajorityAfter and DegradeAfter take their defaults if they are zero.
 type Config struct {
-	// Mark identifies the process of this node: each draws its own.
+	// Mark identifies the process of this node. Each process draws its own.
 	Mark uint64
-	// Others names the peers that remember this node's state.
+	// Others lists the names of the peers that record this node's state.
 	Others []string
-	// MajorityAfter is how long to wait for the answers of all peers; after that a majority is enough.
+	// MajorityAfter is how long to wait for the answers of all peers. After that, the answers of a majority suffice.
 	MajorityAfter time.Duration
-	// DegradeAfter is how long to wait for a majority; after that the disk is taken to be outdated.
+	// DegradeAfter is how long to wait for the answers of a majority. After that, the disk is treated as outdated.
 	DegradeAfter time.Duration
-	// RetryHorizon is how long a client may retry a request. Once it has passed, no retry can come of a request that the lost history knew.
+	// RetryHorizon is how long a client may retry a request. Once it has passed, no request in the lost history can be retried any more.
 	RetryHorizon time.Duration
 }
 
@@ -28,51 +28,51 @@
 	defaultMajorityAfter = 500 * time.Millisecond
 	defaultDegradeAfter  = 60 * time.Second
 
-	// Time between queries to the peers that have not answered, doubled each time.
+	// Interval between queries to the peers that have not answered. It doubles after each query.
 	minQueryInterval = 50 * time.Millisecond
 	maxQueryInterval = time.Second
 
-	// noDeadline is a time that never comes.
+	// noDeadline is a time that is never reached.
 	noDeadline = time.Duration(math.MaxInt64)
 )
 
-// DiskState is what was read from the node's own disk.
+// DiskState is the state that was loaded from the node's own disk.
 type DiskState struct {
-	Incarnation uint64 // of the process that has read it
-	Seq         uint64 // number of the last record; 0 if there is none
-	NewStore    bool   // the store was made by this process, under a name without history
+	Incarnation uint64 // of the process that loaded it
+	Seq         uint64 // sequence number of the last record; 0 if there is none
+	NewStore    bool   // this process created the store, and the node's name has no history
 }
 
-// Action is something that the caller has to do. Each Action has one of the three parts.
+// Action is an action for the caller to perform. Each Action has exactly one of the three parts below.
 type Action struct {
-	// Query names peers to be asked what they remember of this node.
+	// Query lists the names of the peers to query for the recorded states of this node.
 	Query []string
 
-	// HistoryLost says that the disk is outdated: no request made before now whose key is not on it can be proved fresh.
+	// HistoryLost is set if the disk is outdated: a request from before this moment whose key is not on the disk can't be proved to be new.
 	HistoryLost bool
-	// Incarnation, if not 0, is the least number that this process may have. It comes with HistoryLost.
+	// Incarnation, if not 0, is the lowest incarnation that this process may use. It is set only together with HistoryLost.
 	Incarnation uint64
 
-	// From and To differ if the phase has changed, for this Reason.
+	// From and To differ if the phase has changed. Reason is then the reason for the change.
 	From   Phase
 	To     Phase
 	Reason string
 }
 
-// Node is the state machine of one node's way back. Make it with New. It is not safe for concurrent use.
+// Node is the state machine of a node's recovery. Create it with New. It is not safe for concurrent use.
 //
-// Its phase changes as follows:
+// The transitions between phases are:
 //
 //	from      to        when
-//	Cold      Loading   the caller begins to read the store: StartLoading
-//	Loading   Querying  the store is read: DiskLoaded
+//	Cold      Loading   the caller starts to load the store: StartLoading
+//	Loading   Querying  the store is loaded: DiskLoaded
 //	Querying  Serving   enough peers confirm that the disk is complete: evaluateAnswers
-//	Querying  Serving   an operator vouches for the disk: TrustDisk
-//	Querying  Degraded  a peer remembers more than the disk has: Receive
+//	Querying  Serving   an operator confirms that the disk is complete: TrustDisk
+//	Querying  Degraded  a peer has recorded more than the disk holds: Receive
 //	Querying  Degraded  too few peers answer in time: evaluateAnswers
-//	Serving   Degraded  a peer that was away remembers more than the disk has: Receive
-//	Degraded  Serving   an operator vouches for the disk: TrustDisk
-//	Degraded  Serving   the peers have sent all that the disk lacks: MarkComplete
+//	Serving   Degraded  the late answer of a peer shows more than the disk holds: Receive
+//	Degraded  Serving   an operator confirms that the disk is complete: TrustDisk
+//	Degraded  Serving   the peers have sent all records that the disk lacks: MarkComplete
 //	Degraded  Serving   the retry horizon has passed: Tick
 type Node struct {
 	cfg    Config
@@ -80,7 +80,7 @@
 	reason string // of the last change of phase
 	disk   DiskState
 
-	// waitingSince is when Querying began, or when the latest loss of history was found.
+	// waitStartedAt is when Querying started or when the latest loss of history was detected.
 	waitStartedAt time.Duration
 
 	// Queries to the peers.
@@ -89,51 +89,52 @@
 	answers       map[string]Answer // by the name of the peer
 	randomSource  prng.Source
 
-	actions []Action // that Ready has not yet returned
+	actions []Action // not yet returned by Ready
 }
 
-// New returns a node that is Cold. The seed decides the moments of its queries.
+// New returns a Node in phase Cold. The seed determines the times of its queries.
 func New(cfg Config, seed uint64) *Node {
 	cfg.MajorityAfter = cmp.Or(cfg.MajorityAfter, defaultMajorityAfter)
 	cfg.DegradeAfter = cmp.Or(cfg.DegradeAfter, defaultDegradeAfter)
 	return &Node{cfg: cfg, answers: map[string]Answer{}, randomSource: prng.New(seed)}
 }
 
-// Ready returns what is to be done since the last call, in that order.
+// Ready returns the actions since the last call, in the order in which to perform them.
 func (n *Node) Ready() []Action {
 	actions := n.actions
 	n.actions = nil
 	return actions
 }
 
-// Phase returns how far the node has come.
+// Phase returns the current phase.
 func (n *Node) Phase() Phase { return n.phase }
 
-// Reason says why the node is in its phase. It is shown to operators.
+// Reason returns the reason for the last change of phase, as a text for operators.
 func (n *Node) Reason() string { return n.reason }
 
-// Established reports whether the node may take part in the decisions of its cluster: no other process of it has the same incarnation, and it
-// knows whether its history is complete.
+// Established reports whether the node may take part in decisions of its cluster: its incarnation is unique among its processes, and it has
+// determined whether its history is complete.
 func (n *Node) Established() bool { return n.phase >= Degraded }
 
-// StartLoading says that the caller begins to read the store.
-func (n *Node) StartLoading() { n.enter(Loading, "its store is read") }
+// StartLoading records that the caller starts to load the store.
+func (n *Node) StartLoading() { n.enter(Loading, "the node is loading its store") }
 
-// DiskLoaded says that the store was read, and what it holds.
+// DiskLoaded records that the store is loaded, with the state that it holds, and starts the queries to the peers.
 func (n *Node) DiskLoaded(now time.Duration, disk DiskState) {
 	n.disk = disk
 	n.waitStartedAt = now
 	n.nextQueryAt = now
 	n.queryInterval = minQueryInterval
-	n.enter(Querying, "others are asked whether that is all")
+	n.enter(Querying, "the node is querying its peers to confirm that its store is complete")
 	n.evaluateAnswers(now)
 	n.Tick(now)
 }
 
-// SetOthers replaces the names of the peers that remember this node's state.
+// SetOthers replaces the names of the peers that record this node's state.
 func (n *Node) SetOthers(others []string) { n.cfg.Others = others }
 
-// Receive takes a peer's answer. Answers are heeded in later phases too: a peer that was away may be the only one that remembers.
+// Receive handles a peer's answer. Answers count in later phases too: a peer that was unreachable may be the only one with a record of the
+// lost history.
 func (n *Node) Receive(now time.Duration, from string, answer Answer) {
 	if n.phase < Querying || answer.Mark != n.cfg.Mark || !slices.Contains(n.cfg.Others, from) {
 		return
@@ -147,21 +148,21 @@
 	}
 }
 
-// TrustDisk says that an operator vouches that the disk is complete.
+// TrustDisk records an operator's assurance that the disk is complete.
 func (n *Node) TrustDisk() {
 	if n.phase == Querying || n.phase == Degraded {
-		n.serve("an operator answers for its disk")
+		n.serve("an operator has confirmed that its store is complete")
 	}
 }
 
-// MarkComplete says that the peers have sent all that the disk lacked.
+// MarkComplete records that the peers have sent all records that the disk lacked.
 func (n *Node) MarkComplete() {
 	if n.phase == Degraded {
-		n.serve("the others have told it all that its disk lacked")
+		n.serve("its peers have sent all records that its store lacked")
 	}
 }
 
-// Unanswered returns the names of the peers that have not answered, while the node is Querying.
+// Unanswered returns the names of the peers that have not answered. It returns nil in any phase but Querying.
 func (n *Node) Unanswered() []string {
 	if n.phase != Querying {
 		return nil
@@ -175,7 +176,7 @@
 	return names
 }
 
-// NextDeadline returns the time by which Tick has to be called; one that never comes if there is nothing to wait for.
+// NextDeadline returns the time by which the caller must call Tick, or a time that is never reached if nothing is due.
 func (n *Node) NextDeadline() time.Duration {
 	switch n.phase {
 	case Querying:
@@ -187,18 +188,18 @@
 	}
 }
 
-// Tick does what is due: it ends waits whose time is over, and repeats the query to the peers that have not answered.
+// Tick handles the timeouts that have passed, and repeats the query to the peers that have not answered if it is due.
 func (n *Node) Tick(now time.Duration) {
 	n.evaluateAnswers(now)
 	if n.phase == Degraded && now >= n.waitStartedAt+n.cfg.RetryHorizon {
-		n.serve("nothing is asked for again that it could not know")
+		n.serve("the retry horizon has passed: no request of the lost history is retried any more")
 	}
 	if n.phase == Querying && now >= n.nextQueryAt {
 		n.query(now)
 	}
 }
 
-// query asks the peers that have not answered, and backs off.
+// query queues a query to the peers that have not answered, and increases the interval to the next one.
 func (n *Node) query(now time.Duration) {
 	if names := n.Unanswered(); len(names) > 0 {
 		n.actions = append(n.actions, Action{Query: names})
@@ -207,8 +208,8 @@
 	n.queryInterval = min(2*n.queryInterval, maxQueryInterval)
 }
 
-// diskLacks reports whether a peer remembers more than the disk had when this process started. A peer that heard of the present incarnation
-// from an earlier process proves that the disk counts incarnations anew.
+// diskLacks reports whether a peer has recorded more than the disk held when this process started. If an earlier process has reported the
+// current incarnation to a peer, the disk is outdated too: it has led to the reuse of an incarnation number.
 func (n *Node) diskLacks(remembered PeerState) bool {
 	if remembered.Incarnation >= n.disk.Incarnation {
 		return true
@@ -216,7 +217,7 @@
 	return remembered.Incarnation+1 == n.disk.Incarnation && remembered.Seq > n.disk.Seq
 }
 
-// historyLost follows the proof, by a peer, that the disk is outdated.
+// handleHistoryLoss handles a peer's answer that proves the disk outdated.
 func (n *Node) handleHistoryLoss(now time.Duration, from string, remembered PeerState) {
 	action := Action{HistoryLost: true}
 	if remembered.Incarnation >= n.disk.Incarnation {
@@ -224,32 +225,32 @@
 		n.disk.Incarnation = action.Incarnation
 	}
 	n.disk.Seq = max(n.disk.Seq, remembered.Seq)
-	n.degrade(now, action, "its disk is older than what "+from+" knows")
+	n.degrade(now, action, "its store is older than the state that "+from+" has recorded")
 }
 
-// evaluateAnswers ends Querying if enough peers have answered, or the time for that is over.
+// evaluateAnswers ends the phase Querying if enough peers have answered or the time for answers has passed.
 func (n *Node) evaluateAnswers(now time.Duration) {
 	if n.phase != Querying {
 		return
 	}
 	peers := len(n.cfg.Others)
 	confirmed := n.countConfirmations()
-	majority := 2*confirmed >= peers // of all nodes: this one counts too
+	majority := 2*confirmed >= peers // of all nodes, including this one
 	allAnswered := len(n.answers) == peers
 	waited := now - n.waitStartedAt
 	switch {
 	case confirmed == peers:
-		n.serve("all others know of nothing more")
+		n.serve("all peers have confirmed that its store is complete")
 	case majority && (allAnswered || waited >= n.cfg.MajorityAfter):
-		n.serve("most others know of nothing more")
+		n.serve("most peers have confirmed that its store is complete")
 	case waited >= n.cfg.DegradeAfter:
-		// The peers that did not answer may remember more, and may be back when this node has run again what had run before.
-		n.degrade(now, Action{HistoryLost: true}, "too few of those who could know more have answered in time")
+		// The peers without an answer may have recorded more, and may return only after this node has run requests a second time.
+		n.degrade(now, Action{HistoryLost: true}, "too few peers with records of this node have answered in time")
 	}
 }
 
-// confirmations counts the peers that confirm that the disk is complete. One that remembers nothing from before its own start confirms it only
-// for a node that is new.
+// countConfirmations returns the number of peers whose answers confirm that the disk is complete. A peer without records from before its
+// own start confirms it only for a node that is new.
 func (n *Node) countConfirmations() int {
 	count := 0
 	for _, name := range n.cfg.Others {
@@ -260,7 +261,7 @@
 	return count
 }
 
-// degrade goes to Degraded after a loss of history, which the action describes. In Degraded already, the retry horizon begins anew.
+// degrade enters Degraded after the loss of history that the action describes. If the node is Degraded already, the retry horizon restarts.
 func (n *Node) degrade(now time.Duration, loss Action, reason string) {
 	n.actions = append(n.actions, loss)
 	n.waitStartedAt = now
@@ -269,10 +270,10 @@
 	}
 }
 
-// serve goes from Querying or Degraded to Serving.
+// serve changes from Querying or Degraded to Serving.
 func (n *Node) serve(reason string) { n.enter(Serving, reason) }
 
-// enter changes the phase. The reason is shown to operators.
+// enter changes the phase. The reason is a text for operators.
 func (n *Node) enter(phase Phase, reason string) {
 	n.actions = append(n.actions, Action{From: n.phase, To: phase, Reason: reason})
 	n.phase = phase
--- a/recovery/node_test.go
+++ b/recovery/node_test.go
@@ -10,29 +10,29 @@
 	"pgregory.net/rapid"
 )
 
-// model is a node that loses its disk or parts of it, and its peers, which remember what it reported to them as far as their own disks do.
+// model is a node that loses its disk or parts of it, and its peers, which record its reported states and may lose their own disks.
 type model struct {
 	names    []string      // of the peers
-	peers    []*PeerStates // what each remembers
-	reported []PeerState   // the furthest state that was reported to each and that it has not forgotten
-	empty    []bool        // whether each has forgotten what was before, and nothing was reported to it since
-	disk     DiskState     // as the node would read it
-	mark     uint64        // of the node's present process
+	peers    []*PeerStates // the records of each peer
+	reported []PeerState   // the highest state that was reported to each peer and that the peer has not lost
+	empty    []bool        // whether each peer has lost its records and received no report since
+	disk     DiskState     // the state that the node would load
+	mark     uint64        // of the node's current process
 	now      time.Duration
 }
 
-// rule is one of the rules that the test switches off to show that it finds what is wrong without it.
+// rule is a rule of Node that TestRulesAreNeeded disables to show that the simulation detects the violation.
 type rule uint8
 
 const (
 	noRule               rule = iota
-	compareIncarnations       // a disk of an earlier incarnation than a peer remembers is outdated
-	compareSeqs               // a disk with fewer records than a peer remembers is outdated
-	distrustEmptyAnswers      // a peer that remembers nothing from before its start does not confirm anything
+	compareIncarnations       // a disk with a lower incarnation than a peer has recorded is outdated
+	compareSeqs               // a disk with fewer records than a peer has recorded is outdated
+	distrustEmptyAnswers      // a peer without records from before its start confirms nothing
 	awaitMajority             // a majority of the peers must answer
 )
 
-// withoutRule returns what is left of an answer for a node that does not follow a rule.
+// withoutRule changes an answer so that a node that receives it behaves as if the rule were disabled.
 func withoutRule(disabled rule, answer Answer) Answer {
 	switch disabled {
 	case compareIncarnations:
@@ -54,8 +54,8 @@
 	return m
 }
 
-// simulate has the node write and tell its peers for some incarnations, with a loss and a restart after each. It returns what was wrong with a
-// restart, or "".
+// simulate runs the node for several incarnations, in each of which it writes records and reports to its peers, with a loss and a restart
+// after each. It returns a description of the first violation at a restart, or "".
 func simulate(t *rapid.T, disabled rule) string {
 	m := newModel(rapid.IntRange(2, 6).Draw(t, "peers"))
 	for range rapid.IntRange(1, 6).Draw(t, "incarnations") {
@@ -68,7 +68,7 @@
 	return ""
 }
 
-// provesOutdated tells whether the node reported more to a peer than the disk holds.
+// provesOutdated reports whether a peer has recorded more than the node's disk holds.
 func (m *model) provesOutdated(peer int) bool {
 	reported := m.reported[peer]
 	if reported == (PeerState{}) || m.empty[peer] {
@@ -77,7 +77,7 @@
 	return reported.Incarnation >= m.disk.Incarnation || reported.Incarnation+1 == m.disk.Incarnation && reported.Seq > m.disk.Seq
 }
 
-// restart starts the node's next process, with answers of some of the peers.
+// restart starts the node's next process, which receives answers from a random subset of the peers. It returns a violation or "".
 func (m *model) restart(t *rapid.T, disabled rule) string {
 	m.mark++
 	n := New(Config{Mark: m.mark, Others: m.names, MajorityAfter: time.Second, DegradeAfter: time.Minute, RetryHorizon: time.Hour}, m.mark)
@@ -102,12 +102,12 @@
 			confirmed++
 		}
 		if n.Phase() == Serving && outdated {
-			return fmt.Sprintf("it trusts a disk that peers know to be outdated (was %s)", before)
+			return fmt.Sprintf("the node trusts a disk that answers of peers prove outdated (previous phase: %s)", before)
 		}
 	}
 	peers := len(m.peers)
 	if n.Phase() == Serving && answered < peers {
-		return "it serves before all have answered or the time is over"
+		return "the node serves before all peers have answered or the time for answers has passed"
 	}
 	m.now += 2 * time.Second
 	n.Tick(m.now)
@@ -116,16 +116,16 @@
 	}
 	switch {
 	case outdated && n.Phase() != Degraded:
-		return "it trusts a disk that peers know to be outdated"
+		return "the node trusts a disk that answers of peers prove outdated"
 	case !outdated && n.Phase() == Serving && 2*confirmed < peers:
-		return "it serves though too few could know"
+		return "the node serves although too few peers with records have answered"
 	case !outdated && n.Phase() == Querying && 2*confirmed >= peers:
-		return "it waits though a majority has answered"
+		return "the node still queries although a majority has answered"
 	}
 	m.now += 2 * time.Minute
 	n.Tick(m.now)
 	if !n.Established() {
-		return "it never comes back"
+		return "the node never leaves the phase Querying"
 	}
 	incarnation := m.disk.Incarnation
 	for _, action := range n.Ready() {
@@ -133,14 +133,14 @@
 	}
 	for i := range m.peers {
 		if outdated && !m.empty[i] && m.reported[i].Incarnation >= incarnation && answered == peers {
-			return "its incarnation is that of an earlier process"
+			return "the node reuses the incarnation of an earlier process"
 		}
 	}
 	m.disk.Incarnation = incarnation
 	return ""
 }
 
-// write has the node write some records, and tell some of the peers.
+// write adds several records to the node's disk and reports each to a random subset of the peers.
 func (m *model) write(t *rapid.T) {
 	for range rapid.IntRange(0, 5).Draw(t, "records") {
 		m.disk.Seq++
@@ -155,7 +155,7 @@
 	}
 }
 
-// lose has the node lose a part of its disk, or a peer all that it remembers, or nothing be lost.
+// lose drops a part of the node's disk, all records of one peer, or nothing.
 func (m *model) lose(t *rapid.T) {
 	switch rapid.IntRange(0, 3).Draw(t, "loss") {
 	case 0: // the last records
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestRestarts checks that a loss is found if a peer answers to which more was reported, that peers which remember nothing don't confirm a disk, and
-// that the node always comes back.
+// TestRestarts checks that a node detects a loss of history if a peer that has recorded more answers, that peers without records do not
+// confirm a disk, and that the node always recovers.
 func TestRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := simulate(t, noRule); violation != "" {
@@ -181,7 +181,7 @@
 	})
 }
 
-// TestRulesAreNeeded checks that something wrong is found with any of the rules switched off.
+// TestRulesAreNeeded checks that the simulation detects a violation if any one of the rules is disabled.
 func TestRulesAreNeeded(t *testing.T) {
 	tests := map[rule]string{
 		compareIncarnations:  "compare incarnations",
@@ -195,19 +195,19 @@
 			example := rapid.Custom(func(t *rapid.T) string { return simulate(t, disabled) })
 			for seed := range 2000 {
 				if violation = example.Example(seed); violation != "" {
-					t.Logf("%s off: found by example %d: %s", name, seed, violation)
+					t.Logf("disabled rule: %s; violation found by example %d: %s", name, seed, violation)
 					break
 				}
 			}
 			if violation == "" {
-				t.Errorf("%s is off, and nothing is found", name)
+				t.Errorf("disabled rule: %s; no violation found", name)
 			}
 		})
 	}
 }
 
-// TestQueries checks that peers which have not answered are asked again at growing intervals, and that the answer of one that was away for long
-// is heeded.
+// TestQueries checks that peers that have not answered are queried again at growing intervals, and that a late answer from a peer that was
+// unreachable still counts.
 func TestQueries(t *testing.T) {
 	n := New(Config{Others: []string{"n2", "n3", "n4", "n5"}, RetryHorizon: time.Hour}, 3)
 	n.StartLoading()
@@ -231,8 +231,8 @@
 			n.Receive(now, "n4", Answer{PeerState: PeerState{Incarnation: 3, Seq: 21}})
 		}
 	}
-	want := "0s: reading, its store is read\n0s: asking, others are asked whether that is all\n2.01s: serving, most others know of nothing more\n" +
-		"5.01s: serving in part, its disk is older than what n4 knows\n"
+	want := "0s: reading, the node is loading its store\n0s: asking, the node is querying its peers to confirm that its store is complete\n" +
+		"2.01s: serving, most peers have confirmed that its store is complete\n5.01s: serving in part, its store is older than the state that n4 has recorded\n"
 	if phases.String() != want {
 		t.Error(phases.String())
 	}
@@ -241,7 +241,7 @@
 	}
 }
 
-// TestTransitions checks the table of Node: each of the events that end a phase leads to the phase that it names, or nowhere.
+// TestTransitions checks the transition table of Node: each event that can end a phase leads to the phase in the table or changes nothing.
 func TestTransitions(t *testing.T) {
 	config := Config{Mark: 1, Others: []string{"a", "b"}, MajorityAfter: time.Second, DegradeAfter: time.Minute, RetryHorizon: time.Hour}
 	confirmation := Answer{PeerState: PeerState{Incarnation: 1, Seq: 5}, Mark: 1}
@@ -256,19 +256,19 @@
 		want  Phase
 	}{
 		{"new", nil, Cold},
-		{"answer before the store is read", []step{receive("a", confirmation)}, Cold},
+		{"answer before the store is loaded", []step{receive("a", confirmation)}, Cold},
 		{"reads", []step{(*Node).StartLoading}, Loading},
-		{"operator before the store is read", []step{(*Node).StartLoading, (*Node).TrustDisk}, Loading},
-		{"store is read", []step{load}, Querying},
-		{"one of two before the time", []step{load, receive("a", confirmation)}, Querying},
-		{"all confirm", []step{load, receive("a", confirmation), receive("b", confirmation)}, Serving},
-		{"majority in time", []step{load, receive("a", confirmation), tick(time.Second)}, Serving},
-		{"answer of another process", []step{load, receive("a", Answer{Mark: 2}), receive("b", confirmation)}, Querying},
-		{"operator while querying", []step{load, (*Node).TrustDisk}, Serving},
-		{"peer knows more", []step{load, receive("a", outdated)}, Degraded},
-		{"nobody answers", []step{load, tick(time.Minute)}, Degraded},
-		{"peer knows more, late", []step{load, (*Node).TrustDisk, receive("a", outdated)}, Degraded},
-		{"operator while degraded", []step{load, receive("a", outdated), (*Node).TrustDisk}, Serving},
+		{"operator confirms before the store is loaded", []step{(*Node).StartLoading, (*Node).TrustDisk}, Loading},
+		{"store loaded", []step{load}, Querying},
+		{"one of two confirms before the timeout", []step{load, receive("a", confirmation)}, Querying},
+		{"all peers confirm", []step{load, receive("a", confirmation), receive("b", confirmation)}, Serving},
+		{"majority after the timeout", []step{load, receive("a", confirmation), tick(time.Second)}, Serving},
+		{"answer for another process", []step{load, receive("a", Answer{Mark: 2}), receive("b", confirmation)}, Querying},
+		{"operator confirms while querying", []step{load, (*Node).TrustDisk}, Serving},
+		{"peer has recorded more", []step{load, receive("a", outdated)}, Degraded},
+		{"no peer answers", []step{load, tick(time.Minute)}, Degraded},
+		{"late answer of a peer that has recorded more", []step{load, (*Node).TrustDisk, receive("a", outdated)}, Degraded},
+		{"operator confirms while degraded", []step{load, receive("a", outdated), (*Node).TrustDisk}, Serving},
 		{"refilled", []step{load, receive("a", outdated), (*Node).MarkComplete}, Serving},
 		{"horizon", []step{load, receive("a", outdated), tick(time.Hour)}, Serving},
 		{"not refilled while querying", []step{load, (*Node).MarkComplete}, Querying},
--- a/recovery/peer_state.go
+++ b/recovery/peer_state.go
@@ -1,12 +1,12 @@
 package recovery
 
-// PeerState is how far a node's durable history goes, as the node reported it to a peer.
+// PeerState is the extent of a node's durable history as the node has reported it to a peer.
 type PeerState struct {
 	Incarnation uint64 `json:"life"`
-	Seq         uint64 `json:"seq"` // number of the last durable record
+	Seq         uint64 `json:"seq"` // sequence number of the last durable record
 }
 
-// Covers reports whether s is at least as far as other.
+// Covers reports whether s includes all the history that other includes.
 func (s PeerState) Covers(other PeerState) bool {
 	if s.Incarnation != other.Incarnation {
 		return s.Incarnation > other.Incarnation
@@ -14,7 +14,7 @@
 	return s.Seq >= other.Seq
 }
 
-// furthest returns the one of two states that is further.
+// higherState returns the state with the longer history.
 func higherState(x, y PeerState) PeerState {
 	if x.Covers(y) {
 		return x
@@ -22,9 +22,9 @@
 	return y
 }
 
-// Answer is what a peer remembers of the node that asked: the furthest state that processes of the node before the asking one reported.
+// Answer is a peer's answer to a node's query: the highest state that it has recorded from earlier processes of the node.
 type Answer struct {
 	PeerState
-	Mark  uint64 // identifies the process that asked
-	Empty bool   // the peer remembers nothing from before its own start, so that its knowing nothing proves nothing
+	Mark  uint64 // identifies the process that sent the query
+	Empty bool   // the peer has no records from before its own start, so a missing state proves nothing
 }
--- a/recovery/peer_states.go
+++ b/recovery/peer_states.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// maxEarlierMarks is how many processes of a node before its latest are told apart.
+// maxEarlierMarks is the number of earlier processes of a node whose marks are kept. Messages of even earlier processes are not recognized.
 const maxEarlierMarks = 8
 
-// FeatureFences is the feature level of programs that leave out what an incarnation before a fence has said.
+// FeatureFences is the feature level of programs that ignore messages from incarnations before a fence.
 const FeatureFences = 1
 
-// PeerStates is what a node remembers of the others across its own restarts. Its JSON form is a stored format: the keys stay as they are. Make
-// it with NewPeerStates, and decode into what that returns. It is not safe for concurrent use.
+// PeerStates holds the states that other nodes have reported to this node, across restarts of this node. Its JSON form is a stored format,
+// so the keys must not change. Create one with NewPeerStates and decode stored content into the result. It is not safe for concurrent use.
 type PeerStates struct {
-	// Peers has what each node has reported, by its name.
+	// Peers maps the name of each node to the states that it has reported.
 	Peers map[string]*peerRecord `json:"of"`
-	// Fences has the nodes that were sent again what they had lost, with the incarnation in which that was.
+	// Fences maps the name of each node that had lost history and has received it again to the incarnation in which it did.
 	Fences map[string]uint64 `json:"fences,omitempty"`
-	// ForgottenAt has the nodes of which an operator said that they never come back, with the time of that since 1970.
+	// ForgottenAt maps the name of each node that an operator has declared gone for good to the time of that, since 1970.
 	ForgottenAt map[string]time.Duration `json:"gone,omitempty"`
 
-	empty   bool // nothing is remembered from before this process
+	empty   bool // there are no records from before this process
 	changed bool // since the last call of Changed
 }
 
-// peerRecord is what one other node has reported of itself.
+// peerRecord holds the states that one other node has reported.
 type peerRecord struct {
-	PeerState              // the furthest of its latest process
-	Mark         uint64    `json:"mark"`   // identifies that process
-	Earlier      PeerState `json:"before"` // the furthest of the processes before
-	EarlierMarks []uint64  `json:"past"`   // identify those, the latest last
+	PeerState              // the highest state from its latest process
+	Mark         uint64    `json:"mark"`   // identifies the latest process
+	Earlier      PeerState `json:"before"` // the highest state from all earlier processes
+	EarlierMarks []uint64  `json:"past"`   // identify the earlier processes, the latest last
 	Features     uint64    `json:"knows"`  // feature level of its program: see SetFeatures
 }
 
-// NewPeerStates returns a PeerStates without content. empty tells that this is all there is; it is false where the content from before is about
-// to be decoded.
+// NewPeerStates returns a PeerStates without records. empty is true if there are no stored records, and false if the caller is about to
+// decode stored records into the result.
 func NewPeerStates(empty bool) *PeerStates {
 	return &PeerStates{Peers: map[string]*peerRecord{}, empty: empty}
 }
 
-// Changed reports whether there is anything to be saved since the last call.
+// Changed reports whether the records have changed since the last call and must be saved.
 func (s *PeerStates) Changed() bool {
 	changed := s.changed
 	s.changed = false
 	return changed
 }
 
-// Update takes what a process of a node, identified by its mark, says of itself. Only the furthest state is kept: one of the latest process,
-// and one of all processes before.
+// Update records the state that a process of a node, identified by its mark, has reported. It keeps only the highest state of the latest
+// process and the highest state of all earlier processes.
 func (s *PeerStates) Update(name string, mark uint64, state PeerState) {
 	record := s.Peers[name]
 	switch {
@@ -59,7 +59,7 @@
 			return
 		}
 		record.PeerState = state
-	case slices.Contains(record.EarlierMarks, mark): // a delayed message of a process that has ended
+	case slices.Contains(record.EarlierMarks, mark): // a delayed message from a process that has exited
 		if record.Earlier.Covers(state) {
 			return
 		}
@@ -70,7 +70,7 @@
 	s.changed = true
 }
 
-// startProcess makes the process of that mark the latest.
+// startProcess makes the process with the given mark the latest one.
 func (r *peerRecord) startProcess(mark uint64, state PeerState) {
 	r.EarlierMarks = append(r.EarlierMarks, r.Mark)
 	r.EarlierMarks = r.EarlierMarks[max(0, len(r.EarlierMarks)-maxEarlierMarks):]
@@ -79,7 +79,7 @@
 	r.Mark = mark
 }
 
-// Answer returns the answer to a process of a node that asks what is remembered of the processes before it.
+// Answer returns the answer to a query from a process of a node: the highest state that earlier processes of the node have reported.
 func (s *PeerStates) Answer(name string, mark uint64) Answer {
 	answer := Answer{Mark: mark}
 	switch record := s.Peers[name]; {
@@ -94,7 +94,7 @@
 	return answer
 }
 
-// SetFeatures records the feature level of a node's program. A program of a higher level has all features of the lower ones.
+// SetFeatures records the feature level of a node's program. A higher level includes all features of the lower levels.
 func (s *PeerStates) SetFeatures(name string, level uint64) {
 	if record := s.Peers[name]; record != nil && record.Features != level {
 		record.Features = level
@@ -102,7 +102,7 @@
 	}
 }
 
-// AllSupport reports whether the programs of all these nodes are known to have that feature level. Nodes that never come back don't count.
+// AllSupport reports whether all named nodes have reported at least the given feature level. It ignores nodes that were forgotten.
 func (s *PeerStates) AllSupport(names []string, level uint64) bool {
 	return !slices.ContainsFunc(names, func(name string) bool {
 		if s.Forgotten(name) {
@@ -113,7 +113,8 @@
 	})
 }
 
-// AddFence records that a node was sent again what it had lost, in that incarnation: what its earlier incarnations said does not count any more.
+// AddFence records that a node has received its lost history again in the given incarnation. Messages from its earlier incarnations are
+// invalid from then on.
 func (s *PeerStates) AddFence(name string, incarnation uint64) {
 	if s.Fences == nil {
 		s.Fences = map[string]uint64{}
@@ -124,8 +125,8 @@
 	}
 }
 
-// Forget records an operator's statement, made at that time since 1970, that a node never comes back: nobody waits any longer for what it may
-// know.
+// Forget records an operator's decision, made at the given time since 1970, that a node is gone for good: no node waits any longer for
+// records that only that node may have.
 func (s *PeerStates) Forget(name string, at time.Duration) {
 	if s.ForgottenAt == nil {
 		s.ForgottenAt = map[string]time.Duration{}
@@ -134,10 +135,10 @@
 	s.changed = true
 }
 
-// Forgotten reports whether Forget was called for a node and Returned was not since.
+// Forgotten reports whether Forget was called for a node and MarkReturned was not called since.
 func (s *PeerStates) Forgotten(name string) bool { return s.ForgottenAt[name] > 0 }
 
-// MarkReturned records that a node was heard, and reports whether it had been forgotten.
+// MarkReturned records that a message from a node has arrived, and reports whether the node had been forgotten.
 func (s *PeerStates) MarkReturned(name string) bool {
 	forgotten := s.Forgotten(name)
 	if forgotten {
--- a/recovery/peer_states_test.go
+++ b/recovery/peer_states_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestEarlierProcesses checks that a delayed message of an earlier process does not pass for one of the latest.
+// TestEarlierProcesses checks that a delayed message from an earlier process is not attributed to the latest process.
 func TestEarlierProcesses(t *testing.T) {
 	s := NewPeerStates(true)
 	if answer := s.Answer("x", 1); !answer.Empty {
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestStoredFormat checks that the JSON form of PeerStates, which is on the disks of nodes, stays as it is.
+// TestStoredFormat checks that the JSON form of PeerStates, which nodes store on disk, does not change.
 func TestStoredFormat(t *testing.T) {
 	s := NewPeerStates(false)
 	s.Update("x", 1, PeerState{Incarnation: 1, Seq: 10})
--- a/recovery/phase.go
+++ b/recovery/phase.go
@@ -1,18 +1,18 @@
 package recovery
 
-// Phase is how far a node has come on its way back. See Node for the transitions.
+// Phase is the phase of a node's recovery. See Node for the transitions.
 type Phase uint8
 
-// The phases. A later one allows all that an earlier one does.
+// The phases. Each phase permits everything that the phases before it permit.
 const (
-	Cold     Phase = iota // the process runs and has read nothing
-	Loading               // the store is being read
-	Querying              // the store is read; peers are asked whether it is complete
-	Degraded              // history is lost, or may be: keys that are not in the store have unknown outcomes
-	Serving               // the store is trusted
+	Cold     Phase = iota // the process has started and has not read the store
+	Loading               // the process is reading the store
+	Querying              // the store is loaded; the node queries its peers to find out whether the store is complete
+	Degraded              // history is lost or may be lost: keys that are not in the store have unknown outcomes
+	Serving               // the node trusts the store
 )
 
-// phaseNames are read in logs and reports of operators: they stay as they are.
+// phaseNames are written to logs and operators' reports, and must not change.
 var phaseNames = [...]string{
 	Cold:     "cold",
 	Loading:  "reading",
@@ -24,10 +24,10 @@
 // String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[min(p, Serving)] }
 
-// maxFailedLoads is the number of starts in a row that may die while the store is read.
+// maxFailedLoads is the number of consecutive crashes while loading the store after which the store is quarantined.
 const maxFailedLoads = 3
 
-// ShouldQuarantine reports whether a node whose last starts died while they read the store, so many in a row, should set the store aside and
-// begin with an empty one rather than die once more. If the deaths had another cause, that costs a retry horizon in which outcomes of
-// earlier work are unknown.
+// ShouldQuarantine reports whether a node should move its store aside and start with an empty one instead of risking another crash. tries
+// is the number of consecutive starts that crashed while loading the store. If the crashes had another cause, the outcomes of earlier
+// requests are needlessly unknown for one retry horizon.
 func ShouldQuarantine(tries int) bool { return tries >= maxFailedLoads }
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -8,39 +8,39 @@
 	"frosthub/internal/prng"
 )
 
-// RefillConfig says whom a Refill asks, and how fast. PageInterval and MaxConcurrent take a default if they are zero.
+// RefillConfig configures a Refill. PageInterval and MaxConcurrent take their defaults if they are zero.
 type RefillConfig struct {
-	// Incarnation is that of this node's process: pages meant for an earlier one are ignored.
+	// Incarnation is the incarnation of this node. Pages for an earlier incarnation are ignored.
 	Incarnation uint64
-	// Others names all nodes that share keys with this one.
+	// Others lists the names of all nodes that share keys with this one.
 	Others []string
-	// PageInterval is the time from one page of a source to the query for its next.
+	// PageInterval is the time between the arrival of a page from a source and the query for the next one.
 	PageInterval time.Duration
-	// MaxConcurrent is how many sources are asked at a time.
+	// MaxConcurrent is the number of sources that are queried at the same time.
 	MaxConcurrent int
 }
 
 const (
-	// Defaults of RefillConfig: fifty pages a second and source are some hundred thousand keys. A source spends about a millisecond on a page,
-	// and this node some writes.
+	// Defaults of RefillConfig. Fifty pages per second and source carry about a hundred thousand keys. Each page costs the source about a
+	// millisecond and this node several writes.
 	defaultPageInterval  = 20 * time.Millisecond
 	defaultMaxConcurrent = 3
 
-	// Timeout of a page, doubled each time that none comes.
+	// Timeout of a page query. It doubles each time that no page arrives.
 	minPageTimeout = 300 * time.Millisecond
 	maxPageTimeout = 4 * time.Second
 
-	// incompleteInterval is how long a source that has lost history itself is left alone before it is asked from the start.
+	// incompleteInterval is how long to wait before a source that has lost history itself is queried again from the start.
 	incompleteInterval = 5 * time.Second
 )
 
-// sourceState is how far a source of a Refill has come.
+// sourceState is the transfer state of a source of a Refill.
 //
 //	from        to          when
-//	notAsked    sending     the first query: query
-//	sending     complete    its last page came, and it has lost nothing itself: finishPass
-//	sending     incomplete  its last page came, but it has lost history itself: finishPass
-//	incomplete  sending     it is asked again from the start: query
+//	notQueried  sending     the first query is sent: query
+//	sending     complete    the last page arrived, and the source has lost no history itself: finishPass
+//	sending     incomplete  the last page arrived, but the source has lost history itself: finishPass
+//	incomplete  sending     the source is queried again from the start: query
 type sourceState uint8
 
 const (
@@ -50,7 +50,7 @@
 	complete
 )
 
-// Names of Progress.State. They are read in operators' reports and stay as they are.
+// Values of Progress.State. They are part of operators' reports and must not change.
 const (
 	progressNotQueried = "not asked"
 	progressSending    = "tells"
@@ -59,49 +59,50 @@
 	progressComplete   = "told"
 )
 
-// source is a node that is asked for what it knows.
+// source is a node that is queried for its records.
 type source[C comparable] struct {
 	state       sourceState
-	incarnation uint64 // of its process: cursors of another process mean nothing
-	cursor      C      // where its next page begins; the zero value is the start
-	outstanding bool   // a page was asked for and did not come yet
+	incarnation uint64 // of the source's process: cursors are valid only for the process that issued them
+	cursor      C      // start of the next page; the zero value is the start of the first
+	outstanding bool   // a query was sent and its page has not arrived
 	nextQueryAt time.Duration
-	timeout     time.Duration // of the next page
+	timeout     time.Duration // of the next query
 	pages       int
 	keys        int
 }
 
-// PageQuery is a query to a node for a page.
+// PageQuery is a query for one page, sent to a source.
 type PageQuery[C comparable] struct {
 	To   string
-	From C // where the page begins, as that node said
+	From C // start of the page: a cursor that the source issued, or the zero value
 }
 
-// PageInfo describes a page without its content.
+// PageInfo is the metadata of a page.
 type PageInfo[C comparable] struct {
-	Incarnation uint64 // of the process that asked for it
-	From        C      // where it begins
-	Next        C      // where the next one begins
-	Keys        int    // how many it has
-	Last        bool   // there is no next one
-	Complete    bool   // the source has not lost any history itself
+	Incarnation uint64 // of the node that sent the query
+	From        C      // start of the page
+	Next        C      // start of the next page
+	Keys        int    // number of keys in the page
+	Last        bool   // no page follows
+	Complete    bool   // the source has lost no history itself
 }
 
-// Refill is the state transfer to a node that has lost history: the other nodes send it what they know, page by page, while it serves. Refill
-// decides whom to ask for the next page and when, and tells for which nodes' keys the history is complete again.
+// Refill controls the state transfer to a node that has lost history: the other nodes send their records page by page while the node serves
+// requests. Refill decides which source to query for its next page and when, and reports the nodes for whose shared keys the history is
+// complete again.
 //
-// C is the type of the cursors by which a source finds the place where a page begins. Their zero value is the start; otherwise they mean
-// something only to the process that made them. Make a Refill with NewRefill. It is not safe for concurrent use.
+// C is the type of the cursors with which a source finds the start of a page. The zero value is the start of the first page; any other
+// value is valid only for the process that issued it. Create a Refill with NewRefill. It is not safe for concurrent use.
 type Refill[C comparable] struct {
 	cfg          RefillConfig
 	sources      map[string]*source[C]
-	order        []string        // names of the sources, in which they are asked
-	excluded     map[string]bool // nodes that never come back, as an operator said
+	order        []string        // names of the sources in the order of their first queries
+	excluded     map[string]bool // nodes that an operator has declared gone for good
 	randomSource prng.Source
 	done         bool
 }
 
-// NewRefill returns a Refill that has asked nobody yet. The seed decides the order and the moments of its queries.
+// NewRefill returns a Refill that has sent no query yet. The seed determines the order and the times of its queries.
 func NewRefill[C comparable](cfg RefillConfig, seed uint64) *Refill[C] {
 	cfg.PageInterval = cmp.Or(cfg.PageInterval, defaultPageInterval)
 	cfg.MaxConcurrent = cmp.Or(cfg.MaxConcurrent, defaultMaxConcurrent)
@@ -110,8 +111,8 @@
 	return r
 }
 
-// SetOthers replaces the names of the nodes that share keys with this one. The transfer begins anew, since what a node sends depends on the
-// configuration of the cluster.
+// SetOthers replaces the names of the nodes that share keys with this one. The transfer restarts, because the records that a node sends
+// depend on the configuration of the cluster.
 func (r *Refill[C]) SetOthers(others []string) {
 	r.sources = map[string]*source[C]{}
 	r.order = nil
@@ -123,11 +124,12 @@
 		r.order = append(r.order, name)
 		r.sources[name] = &source[C]{timeout: minPageTimeout}
 	}
-	// Nodes that come back together should not all ask the same one first.
+	// The random order keeps nodes that restart together from all querying the same source first.
 	r.randomSource.Shuffle(len(r.order), func(i, j int) { r.order[i], r.order[j] = r.order[j], r.order[i] })
 }
 
-// Exclude says that a node never comes back. What only that one and this one knew is lost, and taken for never run.
+// Exclude removes a node that is gone for good from the sources. Requests that only that node and this one had recorded are lost, and are
+// treated as never run.
 func (r *Refill[C]) Exclude(name string) {
 	r.excluded[name] = true
 	delete(r.sources, name)
@@ -135,7 +137,8 @@
 	r.updateDone()
 }
 
-// Tick returns the queries that are due. alive reports whether a node seems to be running: the first query to a node waits for that.
+// Tick returns the queries that are due. alive reports whether a node appears to be running; the first query to a node is delayed until it
+// does.
 func (r *Refill[C]) Tick(now time.Duration, alive func(string) bool) []PageQuery[C] {
 	var queries []PageQuery[C]
 	concurrent := r.countActive()
@@ -156,7 +159,7 @@
 	return queries
 }
 
-// concurrent counts the sources that are being asked, without those that have long been silent.
+// countActive returns the number of sources that are sending, without those whose timeout has reached its maximum.
 func (r *Refill[C]) countActive() int {
 	count := 0
 	for _, s := range r.sources {
@@ -167,7 +170,7 @@
 	return count
 }
 
-// query asks a source for its next page, or again for one that did not come.
+// query records a query for the next page of a source, or the repetition of one that timed out.
 func (r *Refill[C]) query(now time.Duration, s *source[C]) {
 	if s.outstanding {
 		s.timeout = min(2*s.timeout, maxPageTimeout)
@@ -177,8 +180,9 @@
 	s.nextQueryAt = now + r.randomSource.Jitter(s.timeout)
 }
 
-// Expects reports whether a page from a node's process of that incarnation is the one that is waited for; then the caller handles its content and
-// calls PageReceived. If the node has restarted in the middle of the transfer, Wants returns false and begins with it from the start.
+// Expects reports whether a page from a node in the given incarnation is the one that was queried. If it is, the caller processes the
+// content of the page and calls PageReceived. If the node has restarted during the transfer, Expects returns false and restarts the
+// transfer from it.
 func (r *Refill[C]) Expects(from string, incarnation uint64, page *PageInfo[C]) bool {
 	s := r.sources[from]
 	if s == nil || s.state == complete || !s.outstanding || page.Incarnation != r.cfg.Incarnation {
@@ -196,7 +200,8 @@
 	return s.cursor == page.From
 }
 
-// PageReceived says that a page for which Wants returned true was handled. If not all of it could be taken, it is asked for again later.
+// PageReceived records that the caller has processed a page for which Expects returned true. If stored is false, a part of the page could
+// not be stored, and the page is queried again later.
 func (r *Refill[C]) PageReceived(now time.Duration, from string, page *PageInfo[C], stored bool) {
 	s := r.sources[from]
 	s.outstanding = false
@@ -206,7 +211,7 @@
 	}
 	interval := r.cfg.PageInterval
 	if s.cursor == page.Next {
-		interval = minPageTimeout // there was nothing new: the source waits for its own disk
+		interval = minPageTimeout // the page brought nothing new: the source is waiting for its own disk
 	}
 	s.cursor = page.Next
 	s.timeout = minPageTimeout
@@ -220,7 +225,7 @@
 	r.updateDone()
 }
 
-// finishPass follows the last page of a source.
+// finishPass handles the last page of a source: the source is complete, or is queried again from the start.
 func (s *source[C]) finishPass(now time.Duration, isComplete bool) {
 	if isComplete {
 		s.state = complete
@@ -232,12 +237,12 @@
 	s.nextQueryAt = now + incompleteInterval
 }
 
-// updateDone finds out whether all sources have sent all that they know.
+// updateDone sets done if all sources have sent all of their records.
 func (r *Refill[C]) updateDone() {
 	r.done = !slices.ContainsFunc(r.order, func(name string) bool { return r.sources[name].state != complete })
 }
 
-// Covers reports whether all these nodes have sent all that they know, so that the history of the keys which they share with this node is
+// Covers reports whether all named nodes have sent all of their records, so that the history of the keys that they share with this node is
 // complete.
 func (r *Refill[C]) Covers(others []string) bool {
 	return !slices.ContainsFunc(others, func(name string) bool {
@@ -246,20 +251,20 @@
 	})
 }
 
-// Done reports whether all nodes have sent all that they know.
+// Done reports whether all sources have sent all of their records.
 func (r *Refill[C]) Done() bool { return r.done }
 
-// Progress is how far the transfer from one node has come.
+// Progress is the progress of the transfer from one node.
 type Progress struct {
 	Name string `json:"name"`
-	// State is "not asked", "tells" (it sends), "silent" (it does not answer), "not whole" (it has sent all, but has lost history itself) or
-	// "told" (it has sent all).
+	// State is "not asked", "tells" (sending), "silent" (no answer within the timeout), "not whole" (all records sent, but the source has
+	// lost history itself) or "told" (all records sent).
 	State string `json:"state"`
 	Keys  int    `json:"keys"`  // received
 	Pages int    `json:"pages"` // received
 }
 
-// Progress returns the progress of each node, in the order in which they are asked.
+// Progress returns the progress of each source, in the order of their first queries.
 func (r *Refill[C]) Progress() []Progress {
 	var all []Progress
 	for _, name := range r.order {
@@ -269,7 +274,7 @@
 	return all
 }
 
-// progressState names the state of a source for Progress.
+// progressState returns the value of Progress.State for the source.
 func (s *source[C]) progressState() string {
 	switch {
 	case s.state == complete:
--- a/recovery/refill_test.go
+++ b/recovery/refill_test.go
@@ -9,8 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestRefill checks that pages are asked for one by one and of some nodes at a time, that a silent node is asked at growing intervals, that one
-// which restarts sends from the start, that one which has lost history itself does not count as complete, and that late pages are ignored.
+// TestRefill checks that pages are queried one by one and from a limited number of nodes at a time, that a silent node is queried at
+// growing intervals, that the transfer from a restarted node restarts, that a node that has lost history itself does not count as complete,
+// and that pages for an earlier incarnation are ignored.
 func TestRefill(t *testing.T) {
 	r := NewRefill[int](RefillConfig{Incarnation: 7, Others: []string{"a", "b", "c", "d"}, MaxConcurrent: 2}, 5)
 	const pages = 3
@@ -21,7 +22,7 @@
 		fmt.Fprintf(&events, "%s ", now)
 		fmt.Fprintf(&events, format+"\n", args...)
 	}
-	unansweredQueries := 0 // of those to a
+	unansweredQueries := 0 // queries to a
 	for now := time.Duration(0); now < 12*time.Second && !r.Done(); now += 10 * time.Millisecond {
 		if now == 40*time.Millisecond {
 			incarnations["c"] = 2
@@ -48,7 +49,7 @@
 			late := page
 			late.Incarnation = 6
 			if r.Expects(q.To, incarnations[q.To], &late) {
-				t.Error("a page for an earlier incarnation is wanted")
+				t.Error("a page for an earlier incarnation is accepted")
 			}
 			if !r.Expects(q.To, incarnations[q.To], &page) {
 				record(now, "%s: page %d is stale", q.To, q.From)
@@ -57,11 +58,11 @@
 			record(now, "%s sends page %d, last %v, complete %v", q.To, q.From, page.Last, page.Complete)
 			r.PageReceived(now, q.To, &page, true)
 			if r.Expects(q.To, incarnations[q.To], &page) {
-				t.Error("the same page is wanted twice")
+				t.Error("the same page is accepted twice")
 			}
 		}
 		if r.Covers([]string{"b"}) && !isComplete["b"] || r.Covers([]string{"a", "x"}) {
-			t.Fatal("it covers a node that has not sent all")
+			t.Fatal("Covers reports a node that has not sent all of its records")
 		}
 	}
 	record(0, "done %v, covers all %v, %v", r.Done(), r.Covers([]string{"a", "b", "c", "d"}), r.Progress())
--- a/recovery/unknown_outcomes.go
+++ b/recovery/unknown_outcomes.go
@@ -3,32 +3,33 @@
 import "time"
 
 const (
-	// Pace of the queries: some three hundred keys a second, beside the other work.
+	// Rate of the queries: about three hundred keys per second, in parallel with the node's other work.
 	outcomeQueryInterval = 50 * time.Millisecond
 	outcomeBatchSize     = 16 // keys
 
-	// Queries about one key: the interval doubles from the minimum to the maximum, so that the last one comes after some minutes.
+	// Queries about one key: the interval doubles from the minimum to the maximum, so that the last query follows after several minutes.
 	maxOutcomeQueries   = 8
 	minOutcomeRetryWait = 2 * time.Second
 	maxOutcomeRetryWait = time.Minute
 )
 
-// UnknownOutcomes paces the queries to other nodes about keys whose run was begun and has no known outcome. It gives up on keys of which nobody
-// can tell: their outcome stays unknown. Make it with NewUnknownOutcomes. It is not safe for concurrent use.
+// UnknownOutcomes schedules the queries to other nodes about keys whose runs have started and have no known outcome. It stops querying
+// about a key that no node has the outcome of; the outcome stays unknown. Create one with NewUnknownOutcomes. It is not safe for concurrent
+// use.
 type UnknownOutcomes struct {
 	queries     map[[16]byte]*outcomeQueries
 	order       [][16]byte
 	nextBatchAt time.Duration
 }
 
-// outcomeAttempts counts the queries about one key.
+// outcomeQueries counts the queries about one key.
 type outcomeQueries struct {
 	count  int
 	nextAt time.Duration
 }
 
-// NewUnknownOutcomes takes the keys whose outcome is unknown when the node starts, in the order in which they are asked about. It keeps the
-// slice.
+// NewUnknownOutcomes returns an UnknownOutcomes for the keys whose outcomes are unknown when the node starts, in the order in which to
+// query them. It retains the slice.
 func NewUnknownOutcomes(keys [][16]byte) *UnknownOutcomes {
 	o := &UnknownOutcomes{queries: map[[16]byte]*outcomeQueries{}, order: keys}
 	for _, key := range keys {
@@ -37,10 +38,10 @@
 	return o
 }
 
-// Remaining returns the number of keys that are still asked about.
+// Remaining returns the number of keys that still have queries to send.
 func (o *UnknownOutcomes) Remaining() int { return len(o.queries) }
 
-// Tick returns the keys to be asked about now. unknown reports whether the outcome of a key is still unknown.
+// Tick returns the keys to query now. unknown reports whether the outcome of a key is still unknown.
 func (o *UnknownOutcomes) Tick(now time.Duration, unknown func([16]byte) bool) [][16]byte {
 	if now < o.nextBatchAt {
 		return nil
