--- a/loadbalance/balancer.go
+++ b/loadbalance/balancer.go
@@ -1,9 +1,9 @@
-// Package loadbalance decides which peer of the upstream tier gets a call: the one with the least outstanding calls among those
-// in service, or the one of a sticky route. Peers that fail are ejected, return by a trial, and are never ejected below a
-// floor (outlier ejection). Retries have a budget.
+// Package loadbalance picks the peer of the upstream tier that receives a call: the peer in service with the fewest outstanding
+// calls for its weight, or the peer of a sticky route. It implements outlier ejection: failing peers are ejected and return to
+// service after a trial, and a minimum share of the peers is never ejected. A budget limits retries.
 //
-// A Balancer is a deterministic state machine without I/O, clock or goroutine: the same calls at the same times lead to the
-// same picks. Whether a call is made at all, and whether one that may have run is retried, is not decided here.
+// A Balancer is a deterministic state machine without I/O, clock or goroutines: the same calls at the same times result in the
+// same picks. The caller decides whether to make a call at all, and whether to retry a call that may have run.
 package loadbalance
 
 import (
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Config is the configuration of a Balancer. A zero value stands for the default that is named with the field.
+// Config is the configuration of a Balancer. A field that is zero takes the default at the end of its comment.
 type Config struct {
 	Peers                []Peer
-	MaxConsecutiveFaults int           // faults in a row that eject a peer; 3
-	EjectionTime         time.Duration // of a first ejection, 1 s; each further one lasts twice as long
-	MaxEjectionTime      time.Duration // 60 s
-	TrialShare           float64       // share of the picks that a recovering peer may have; 0.1
-	TrialSuccesses       int           // successful calls that end its trial; 5
-	MinHealthyShare      float64       // share of the peers that stay in service whatever their faults, at least one; 0.5
-	RetryBudget          float64       // retries as a share of first attempts; 0.1
-	Seed                 uint64        // of the random source
+	MaxConsecutiveFaults int           // consecutive faults that eject a peer; 3
+	EjectionTime         time.Duration // duration of a first ejection, doubled for each further one; 1 s
+	MaxEjectionTime      time.Duration // upper limit of the duration of an ejection, before jitter; 60 s
+	TrialShare           float64       // share of the picks that a recovering or unhealthy peer receives; 0.1
+	TrialSuccesses       int           // successful calls that end the trial of a recovering peer; 5
+	MinHealthyShare      float64       // share of the peers that are never ejected, at least one peer; 0.5
+	RetryBudget          float64       // retries per first attempt; 0.1
+	Seed                 uint64        // seed of the random source
 }
 
-// Defaults of the configuration.
+// Defaults of Config and Peer.
 const (
 	defaultMaxConsecutiveFaults = 3
 	defaultEjectionTime         = time.Second
@@ -38,13 +38,13 @@
 	defaultMaxCalls             = 64
 )
 
-// maxRetryTokens is how many retries may be saved up.
+// maxRetryTokens is the maximum number of retry tokens that accumulate while no call is retried.
 const maxRetryTokens = 10.0
 
-// randomStream tells the random source of a Balancer from others of the same seed.
+// randomStream separates the random numbers of a Balancer from those of other users of the same seed.
 const randomStream = 0x726f757465
 
-// setDefaults replaces zero values.
+// setDefaults replaces fields that are zero by their defaults.
 func (c *Config) setDefaults() {
 	c.MaxConsecutiveFaults = valueOr(c.MaxConsecutiveFaults, defaultMaxConsecutiveFaults)
 	c.EjectionTime = valueOr(c.EjectionTime, defaultEjectionTime)
@@ -55,7 +55,7 @@
 	c.RetryBudget = valueOr(c.RetryBudget, defaultRetryBudget)
 }
 
-// valueOr returns the value, or the default if it is zero.
+// valueOr returns value, or defaultValue if value is zero.
 func valueOr[T comparable](value, defaultValue T) T {
 	var zero T
 	if value == zero {
@@ -64,21 +64,21 @@
 	return value
 }
 
-// Peer is one server of the upstream tier.
+// Peer is the configuration of one server of the upstream tier.
 type Peer struct {
 	Address  string
-	Weight   float64 // its share relative to the others'; 1 if 0
-	Route    string  // its name for sticky calls; empty if it has none
-	MaxCalls int     // outstanding calls; 64 if 0
+	Weight   float64 // share of the load relative to other peers; 1 if 0
+	Route    string  // name of the peer's sticky route; empty if it has none
+	MaxCalls int     // limit of outstanding calls; 64 if 0
 }
 
-// Balancer picks peers. It is made by New, and not safe for concurrent use.
+// Balancer picks peers. Create one with New. It is not safe for concurrent use.
 type Balancer struct {
 	cfg         Config
 	targets     []*Target // in the order of the configuration
 	random      *rand.Rand
 	picks       uint64
-	retryTokens float64 // retries that the budget allows now
+	retryTokens float64 // retries that the budget currently permits
 }
 
 // New returns a Balancer with a full retry budget and all peers in service.
@@ -91,8 +91,8 @@
 	return b
 }
 
-// Update adopts a configuration. A peer that stays, by its address, keeps its state and its outstanding calls; one that is
-// removed gets no more calls. Addresses that stand twice count once.
+// Update replaces the configuration. A peer whose address is in the old and the new configuration keeps its state and its
+// outstanding calls; a peer that is no longer configured receives no more calls. Duplicate addresses are ignored.
 func (b *Balancer) Update(cfg Config) {
 	cfg.setDefaults()
 	former := map[string]*Target{}
@@ -117,13 +117,13 @@
 	}
 }
 
-// Targets returns the peers in the order of the configuration. The slice belongs to the Balancer.
+// Targets returns the peers in the order of the configuration. The caller must not modify the slice.
 func (b *Balancer) Targets() []*Target { return b.targets }
 
-// Pick picks the peer for a call and counts the call as outstanding there, until Done. It returns nil if no peer can take
-// the call. sticky names the route that is preferred, if any. tried lists the peers at which the call was attempted before:
-// without any it is a first attempt, which adds to the retry budget; a retry takes from the budget, and gets no peer if the
-// budget is spent or the tier as a whole fails.
+// Pick picks the peer for a call and counts the call as outstanding at that peer until Done. It returns nil if no peer can take
+// the call. sticky is the name of the preferred route, or empty. tried lists the peers of earlier attempts of the call. If it
+// is empty, the call is a first attempt, which adds to the retry budget. Otherwise it is a retry, which takes a token from the
+// budget; Pick returns nil for a retry if the budget is exhausted or the whole tier fails.
 func (b *Balancer) Pick(now time.Duration, sticky string, tried ...*Target) *Target {
 	retry := len(tried) > 0
 	if retry && (b.retryTokens < 1 || b.tierFailing()) {
@@ -145,7 +145,7 @@
 	return picked
 }
 
-// choose returns the peer that is to get a call, nil if none can take it.
+// choose returns the peer for a call, or nil if no peer can take it.
 func (b *Balancer) choose(now time.Duration, sticky string, tried []*Target) *Target {
 	var best *Target
 	for _, target := range b.targets {
@@ -153,7 +153,7 @@
 			continue
 		}
 		if target.State == Recovering {
-			return target // eligible for its share of the picks, however little the others have to do
+			return target // eligible for its share of the picks, regardless of the load of the other peers
 		}
 		if target.servesRoute(sticky) {
 			return target
@@ -165,7 +165,7 @@
 	return best
 }
 
-// eligible reports whether a peer may get a call now. It begins the trial of a peer whose ejection is over.
+// eligible reports whether a peer may receive a call now. It starts the trial of a peer whose ejection time has passed.
 func (b *Balancer) eligible(now time.Duration, target *Target) bool {
 	if target.State == Ejected && now >= target.ejectedUntil {
 		target.beginTrial()
@@ -178,19 +178,20 @@
 	case target.State == Recovering:
 		return target.Outstanding == 0 && b.drawTrial(target)
 	case target.unhealthy(b.cfg.MaxConsecutiveFaults):
-		// The floor keeps it in service. As it fails or declines at once, it would look least loaded.
+		// The peer is in service only because of MinHealthyShare. Because it fails or rejects calls at once, it would appear to
+		// be the least loaded.
 		return b.drawTrial(target)
 	}
 	return true
 }
 
-// drawTrial draws whether a peer that is recovering or unhealthy gets a call: for its share of the picks, or always if there
-// is no other.
+// drawTrial decides at random whether a recovering or unhealthy peer receives a call: with probability TrialShare, or always if
+// there is no alternative.
 func (b *Balancer) drawTrial(target *Target) bool {
 	return b.random.Float64() < b.cfg.TrialShare || !b.hasAlternative(target)
 }
 
-// hasAlternative reports whether another peer is in service, healthy, and has room.
+// hasAlternative reports whether another peer is in service, is healthy and is below its limit of outstanding calls.
 func (b *Balancer) hasAlternative(target *Target) bool {
 	return slices.ContainsFunc(b.targets, func(other *Target) bool {
 		return other != target &&
@@ -200,7 +201,7 @@
 	})
 }
 
-// tierFailing reports whether the tier as a whole fails: every peer is ejected, recovering, or has just failed.
+// tierFailing reports whether the whole tier fails: every peer is ejected, is recovering or had a fault in its last call.
 func (b *Balancer) tierFailing() bool {
 	return !slices.ContainsFunc(b.targets, func(target *Target) bool {
 		return target.State == InService && target.consecutiveFaults == 0
--- a/loadbalance/balancer_test.go
+++ b/loadbalance/balancer_test.go
@@ -15,7 +15,7 @@
 
 func init() { golden.FixSeeds() }
 
-// peers returns n peers p0, p1, ... of the routes w0, w1, ...
+// peers returns n peers p0, p1, ... with routes w0, w1, ...
 func peers(n int) []Peer {
 	list := make([]Peer, n)
 	for i := range list {
@@ -24,7 +24,7 @@
 	return list
 }
 
-// inService counts the peers in service.
+// inService returns the number of peers in service.
 func inService(b *Balancer) int {
 	n := 0
 	for _, target := range b.Targets() {
@@ -35,19 +35,19 @@
 	return n
 }
 
-// history is a Balancer under random calls.
+// balancerModel is a Balancer under random calls, with the counts that its invariants need.
 type balancerModel struct {
 	balancer    *Balancer
 	cfg         Config
 	now         time.Duration
 	outstanding []*Target // one for each outstanding call
-	attempts    int       // first ones
+	attempts    int       // first attempts
 	retries     int
 }
 
 var modelOutcomes = rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Overloaded, Fault, TimedOut, Abandoned})
 
-// step makes one random call of the Balancer.
+// step performs one random operation on the Balancer.
 func (h *balancerModel) step(t *rapid.T) {
 	h.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond
 	switch step := rapid.IntRange(0, 6).Draw(t, "step"); {
@@ -69,13 +69,13 @@
 	if picked == nil {
 		for _, target := range h.balancer.Targets() {
 			if target.State == InService && target.Outstanding < target.MaxCalls {
-				t.Fatal("a peer in service has room and is not picked")
+				t.Fatal("no peer is picked although one in service is below its limit of calls")
 			}
 		}
 		return
 	}
 	if picked.State == Ejected || picked.Outstanding > picked.MaxCalls || picked.Removed {
-		t.Fatalf("%+v is picked", picked)
+		t.Fatalf("picked a peer that must receive no call: %+v", picked)
 	}
 	h.outstanding = append(h.outstanding, picked)
 }
@@ -88,7 +88,7 @@
 	}
 	h.retries++
 	if picked == tried {
-		t.Fatal("a retry at the same peer")
+		t.Fatal("the retry goes to the peer that was tried before")
 	}
 	h.outstanding = append(h.outstanding, picked)
 }
@@ -99,8 +99,9 @@
 	h.outstanding = slices.Delete(h.outstanding, i, i+1)
 }
 
-// TestRules checks that whatever happens, no peer has more calls than its limit, no ejected peer is picked, peers in service
-// with room are picked, retries stay within their budget and go to another peer, and counts return to zero.
+// TestRules checks the invariants of a Balancer under random calls: no peer exceeds its limit of calls, no ejected peer is
+// picked, a call finds any peer in service that is below its limit, retries stay within the budget and go to another peer, and
+// the counts of outstanding calls return to zero.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
@@ -116,7 +117,7 @@
 			h.step(t)
 			for _, target := range h.balancer.Targets() {
 				if target.Outstanding < 0 {
-					t.Fatal("fewer outstanding calls than none")
+					t.Fatal("negative number of outstanding calls")
 				}
 			}
 			if float64(h.retries) > maxRetryTokens+0.1*float64(h.attempts) {
@@ -128,20 +129,20 @@
 		}
 		for _, target := range h.balancer.Targets() {
 			if target.Outstanding != 0 {
-				t.Fatal("outstanding after all calls have ended: ", target.Outstanding)
+				t.Fatal("outstanding calls after all calls have ended: ", target.Outstanding)
 			}
 		}
 	})
 }
 
-// script is a Balancer and what it did, as people read it.
+// scriptRecorder is a Balancer with a readable record of its picks and states.
 type scriptRecorder struct {
 	balancer *Balancer
 	now      time.Duration
 	lines    []string
 }
 
-// pick picks a peer and records its address.
+// recordPick picks a peer and records its address.
 func (s *scriptRecorder) recordPick(sticky string, tried ...*Target) *Target {
 	picked := s.balancer.Pick(s.now, sticky, tried...)
 	if picked == nil {
@@ -152,7 +153,7 @@
 	return picked
 }
 
-// state records the state of all peers.
+// recordState records the states of all peers.
 func (s *scriptRecorder) recordState() {
 	var states []string
 	for _, target := range s.balancer.Targets() {
@@ -161,7 +162,7 @@
 	s.lines = append(s.lines, strings.Join(states, ", "))
 }
 
-// TestScript plays a script of calls and checks the picks that follow.
+// TestScript runs a fixed sequence of calls and checks the picks and states.
 func TestScript(t *testing.T) {
 	balancer := New(Config{
 		Peers: []Peer{
@@ -177,9 +178,9 @@
 	s.recordPick("")
 	s.recordPick("")
 	s.recordPick("wb")
-	s.recordPick("wb") // b has its limit
+	s.recordPick("wb") // b is at its limit
 	s.recordState()
-	for range 3 { // the two outstanding calls at b and one more fail
+	for range 3 { // the two outstanding calls at b and one more end with a fault
 		balancer.Done(s.now, b, Fault)
 		if b.Outstanding == 0 {
 			balancer.Pick(s.now, "wb")
@@ -195,11 +196,11 @@
 	balancer.Done(s.now, a, Fault)
 	balancer.retryTokens = 1
 	s.recordPick("", a)
-	s.recordPick("", a) // the budget is spent
+	s.recordPick("", a) // the budget is exhausted
 	s.now = 900 * time.Millisecond
 	s.recordState()
 	s.now = 2 * time.Second
-	for range 600 { // the trial of b: one in ten picks, until five calls succeeded
+	for range 600 { // the trial of b: one in ten picks, until five calls have succeeded
 		balancer.Done(s.now, balancer.Pick(s.now, ""), Succeeded)
 	}
 	s.recordState()
@@ -223,7 +224,7 @@
 	}
 }
 
-// TestFloor checks that when all peers fail, at least half of them stay in service, and nothing is retried.
+// TestFloor checks that at least half of the peers stay in service and no call is retried when all peers fail.
 func TestFloor(t *testing.T) {
 	b := New(Config{Peers: peers(5)})
 	now := time.Duration(0)
@@ -240,8 +241,8 @@
 	}
 }
 
-// TestUpdate checks that a peer that stays keeps its state, and that one that is removed gets no more calls and may end
-// those that it has.
+// TestUpdate checks that a peer that stays configured keeps its state, and that a removed peer receives no more calls while its
+// outstanding calls may still end.
 func TestUpdate(t *testing.T) {
 	b := New(Config{Peers: peers(4)})
 	targets := b.Targets()
@@ -252,17 +253,17 @@
 	removed := b.Pick(0, "w0")
 	b.Update(Config{Peers: peers(4)[1:]})
 	if targets[1].State != Ejected || b.Targets()[0] != targets[1] || !removed.Removed {
-		t.Error("a peer that stays is another")
+		t.Error("a peer that stays configured has lost its state, or a removed peer is not marked")
 	}
 	for range 20 {
 		if picked := b.Pick(0, "w0"); picked == removed || picked == nil {
-			t.Error("a peer that is removed is picked, or none")
+			t.Error("a removed peer or no peer is picked")
 		}
 	}
 	b.Done(0, removed, Fault)
 	b.Update(Config{Peers: peers(4)})
 	if b.Targets()[0] == removed {
-		t.Error("a peer that comes back has its former state")
+		t.Error("a peer that was removed and added again has its former state")
 	}
 }
 
--- a/loadbalance/outcome.go
+++ b/loadbalance/outcome.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Outcome is how a call at a peer ended, as far as it says something of the peer.
+// Outcome is the outcome of a call at a peer, as far as it is evidence of the peer's health.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Succeeded  Outcome = iota + 1 // answered, whatever it said of the call
-	Overloaded                    // answered that it takes nothing more now
-	Fault                         // connection refused or reset, protocol violated, no CPong: it does not work
-	TimedOut                      // no answer in time: the peer, or what it depends on, is slow
-	Abandoned                     // cancelled by the caller: nothing is known
+	Succeeded  Outcome = iota + 1 // the peer answered, with a success or an error of the call itself
+	Overloaded                    // the peer answered that it accepts no more calls at the moment
+	Fault                         // connection refused or reset, protocol violation, or no CPong: the peer does not work
+	TimedOut                      // no answer within the timeout: the peer or one of its dependencies is slow
+	Abandoned                     // cancelled by the caller: no evidence of the peer's health
 )
 
 const (
-	// ejectionJitter is the share by which an ejection time varies either way, so that peers that failed together do not
-	// return together.
+	// ejectionJitter is the fraction by which an ejection time varies in either direction, so that peers that failed together
+	// do not return together.
 	ejectionJitter = 0.25
-	// maxDoublings bounds the doubling of the ejection time, before MaxEjectionTime does.
+	// maxDoublings limits the exponent of the ejection time before MaxEjectionTime limits the result.
 	maxDoublings = 30
 )
 
-// Done ends a call at a peer, which Pick began, with its outcome.
+// Done records the end of a call at a peer that Pick returned, with the outcome of the call.
 func (b *Balancer) Done(now time.Duration, target *Target, outcome Outcome) {
 	target.Outstanding--
 	if target.Removed {
@@ -43,7 +43,8 @@
 	}
 }
 
-// countWorking follows an answer, which shows that the peer works.
+// recordResponse records an answer of a peer, which proves that the peer works. It ends the trial of a recovering peer after
+// enough of them.
 func (b *Balancer) recordResponse(now time.Duration, target *Target) {
 	target.consecutiveFaults = 0
 	if target.State == Recovering {
@@ -55,8 +56,8 @@
 	target.resetEjections(now)
 }
 
-// countFault follows a fault. If the peer ought to be ejected and can't be spared, the one that was ejected first returns
-// early instead.
+// recordFault records a fault of a peer. If the peer is due for ejection but MinHealthyShare does not permit it, the ejection
+// that would end first ends now instead.
 func (b *Balancer) recordFault(now time.Duration, target *Target) {
 	target.consecutiveFaults++
 	switch target.State {
@@ -74,7 +75,7 @@
 	}
 }
 
-// eject ejects a peer, for twice as long as the last time if it has not served well since.
+// eject ejects a peer, for twice as long as the last time unless its ejections have been reset since.
 func (b *Balancer) eject(now time.Duration, target *Target) {
 	doublings := min(target.consecutiveEjections, maxDoublings)
 	duration := float64(b.cfg.EjectionTime) * math.Pow(2, float64(doublings))
@@ -83,7 +84,7 @@
 	target.eject(now, time.Duration(duration))
 }
 
-// canEject reports whether one more peer may be ejected.
+// canEject reports whether enough peers stay in service if one more is ejected.
 func (b *Balancer) canEject() bool {
 	inService := 0
 	for _, target := range b.targets {
@@ -95,7 +96,7 @@
 	return inService-1 >= max(1, floor)
 }
 
-// recallEarliest ends the ejection that would end first, unless a peer is recovering already.
+// endEarliestEjection ends the ejection that would end first, unless another peer is recovering already.
 func (b *Balancer) endEarliestEjection(now time.Duration) {
 	var earliest *Target
 	for _, target := range b.targets {
--- a/loadbalance/schedule_test.go
+++ b/loadbalance/schedule_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// The schedule is a simulation of faults in virtual time: 20,000 calls in 100 s at four peers of ten workers each.
+// The schedule is a simulation of faults in virtual time: 20,000 calls in 100 s to four peers of ten workers each.
 const (
 	scheduleCalls = 20_000
 	callInterval  = 5 * time.Millisecond
-	workTime      = 15 * time.Millisecond  // of a call, on average, at a peer without other calls
-	workers       = 10                     // calls that make a peer twice as slow
-	callTimeout   = 150 * time.Millisecond // of a call
-	refusalTime   = time.Millisecond       // until a refused connection is known
+	workTime      = 15 * time.Millisecond  // mean duration of a call at an idle peer
+	workers       = 10                     // concurrent calls that double the duration of a call
+	callTimeout   = 150 * time.Millisecond // timeout of a call
+	refusalTime   = time.Millisecond       // time until the caller detects a refused connection
 	restartTime   = 5 * time.Second
-	restartsFrom  = 70 * time.Second // all peers in turn
+	restartsFrom  = 70 * time.Second // all peers restart one after another
 )
 
-// interval is a span of virtual time.
+// interval is a half-open interval of virtual time.
 type interval struct{ from, to time.Duration }
 
 func (i interval) contains(now time.Duration) bool { return now >= i.from && now < i.to }
@@ -35,16 +35,16 @@
 	slowPeer, slowFactor                       = 0, 10
 	resetPeer, resetShare                      = 1, 0.5
 	downPeer                                   = 2
-	nonIdempotentRemainder, idempotencyModulus = 0, 3 // one call in three must not run twice
+	nonIdempotentRemainder, idempotencyModulus = 0, 3 // one call in three is not idempotent and must not run twice
 )
 
-// event is what happens at a moment of virtual time.
+// event is an event at a point in virtual time.
 type event struct {
 	at  time.Duration
 	run func()
 }
 
-// eventQueue is a heap of events by time.
+// eventQueue is a heap of events ordered by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int           { return len(q) }
@@ -58,33 +58,33 @@
 	return popped
 }
 
-// picker picks peers: a Balancer, or what it is compared with.
+// picker is a strategy that picks peers: a Balancer or the round robin that it is compared with.
 type picker struct {
 	pick func(now time.Duration, tried ...*Target) *Target
 	done func(now time.Duration, target *Target, outcome Outcome)
 }
 
-// tally is what became of the calls of a schedule.
+// tally counts the outcomes of the calls of a schedule.
 type tally struct {
 	calls    int
-	lost     int // failed
-	late     int // timed out
+	lost     int // calls that failed
+	late     int // calls that timed out
 	attempts int
-	twice    int // calls that ran twice and must not
+	twice    int // calls that ran twice although they are not idempotent
 	spread   []int
 }
 
-// simulation plays a schedule.
+// simulation is the state of a run of the schedule.
 type simulation struct {
 	picker
 	tally
 	random *rand.Rand
 	events eventQueue
-	active map[string]int // calls at each peer
-	runs   map[int]int    // attempts of each call that ran
+	active map[string]int // running calls by address of the peer
+	runs   map[int]int    // number of runs by call
 }
 
-// playSchedule plays the schedule with a picker.
+// runSchedule runs the schedule with a picker.
 func runSchedule(p picker) tally {
 	s := simulation{
 		picker: p,
@@ -115,7 +115,7 @@
 	return now >= restartsFrom && (now-restartsFrom)/restartTime == time.Duration(peer)
 }
 
-// attempt makes a first attempt of a call, or a retry at another peer than the one that was tried.
+// attempt starts the first attempt of a call, or a retry at another peer than the one in tried.
 func (s *simulation) attempt(now time.Duration, id int, tried []*Target) {
 	target := s.pick(now, tried...)
 	if target == nil {
@@ -136,14 +136,14 @@
 		refusedAt := now + refusalTime
 		s.schedule(refusedAt, func() {
 			s.done(refusedAt, target, Fault)
-			retry(refusedAt) // it is proved never to have run
+			retry(refusedAt) // a refused call has never run
 		})
 		return
 	}
 	s.run(now, id, peer, target, retry)
 }
 
-// run has a peer work on a call.
+// run simulates the run of a call at a peer.
 func (s *simulation) run(now time.Duration, id, peer int, target *Target, retry func(at time.Duration)) {
 	duration := s.drawWorkTime(now, peer, s.active[target.Address])
 	s.active[target.Address]++
@@ -159,7 +159,7 @@
 		case reset && idempotent(id):
 			s.done(endsAt, target, Fault)
 			retry(endsAt)
-		case reset: // it may have run
+		case reset: // the call may have run
 			s.done(endsAt, target, Fault)
 			s.lost++
 		case duration > callTimeout:
@@ -171,7 +171,7 @@
 	})
 }
 
-// drawWorkTime draws how long a peer takes for a call.
+// drawWorkTime draws the duration of a call at a peer with the given number of running calls.
 func (s *simulation) drawWorkTime(now time.Duration, peer, active int) time.Duration {
 	duration := time.Duration(float64(workTime) * (0.5 + s.random.Float64()) * (1 + float64(active)/workers))
 	if peer == slowPeer && slowInterval.contains(now) {
@@ -180,7 +180,7 @@
 	return duration
 }
 
-// roundRobin picks peers in turn, without any regard to how they are.
+// roundRobin returns a picker that picks peers in rotation, regardless of their state.
 func roundRobin() picker {
 	b := New(Config{Peers: peers(4)})
 	turn := 0
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestSchedule checks that under faults fewer calls are lost than by taking turns, and that no call that must not run twice
-// does.
+// TestSchedule checks that with a Balancer at most a fifth as many calls fail or time out under faults as with round robin, and
+// that no call that is not idempotent runs twice.
 func TestSchedule(t *testing.T) {
 	b := New(Config{Peers: peers(4), Seed: 3})
 	balancerTally := runSchedule(picker{
@@ -219,6 +219,6 @@
 		t.Logf("%-12s %7d %7d %7d %8d %7d  %v", row.name, row.calls, row.lost, row.late, row.attempts, row.twice, row.spread)
 	}
 	if balancerTally.twice > 0 || balancerTally.lost+balancerTally.late > (roundRobinTally.lost+roundRobinTally.late)/5 {
-		t.Error("more calls are lost than promised")
+		t.Error("a non-idempotent call ran twice, or more than a fifth as many calls failed or timed out as with round robin")
 	}
 }
--- a/loadbalance/target.go
+++ b/loadbalance/target.go
@@ -4,54 +4,54 @@
 
 // State is the state of a peer.
 //
-//	state       what happens                                           next
-//	InService   MaxConsecutiveFaults in a row, and it can be spared    Ejected
-//	Ejected     a pick after its ejection time                         Recovering
-//	Recovering  a fault                                                Ejected, for twice as long
-//	Recovering  TrialSuccesses                                         InService
+//	state       event                                                     next
+//	InService   MaxConsecutiveFaults faults in a row, ejection permitted  Ejected
+//	Ejected     a pick after the end of the ejection time                 Recovering
+//	Recovering  a fault                                                   Ejected, for twice as long
+//	Recovering  TrialSuccesses successful calls                           InService
 //
-// A peer can be spared while MinHealthyShare of the peers, and at least one, stay in service.
+// An ejection is permitted if MinHealthyShare of the peers, and at least one, stay in service.
 type State uint8
 
 // The states.
 const (
 	InService  State = iota
-	Ejected          // it gets no calls
-	Recovering       // it is on trial: it gets a share of the calls, one at a time
+	Ejected          // the peer receives no calls
+	Recovering       // on trial: the peer receives a share of the calls, one at a time
 )
 
-// stateNames are the words of the states in counters.
+// stateNames are the names of the states in reports and counters.
 var stateNames = [...]string{
 	InService:  "in",
 	Ejected:    "out",
 	Recovering: "trial",
 }
 
-// String returns the state's word.
+// String returns the name of the state.
 func (s State) String() string { return stateNames[min(s, Recovering)] }
 
-// ejectionMemory is after how many times its last ejection time a peer that serves well counts as never ejected.
+// ejectionResetFactor times the last ejection time is how long a peer must be in service before it counts as never ejected.
 const ejectionResetFactor = 2.0
 
-// Target is a peer as a Balancer knows it. Calls hold on to it until they end.
+// Target is a peer with its state in a Balancer. Calls keep a reference to it until they end.
 type Target struct {
 	Peer
 	State       State
-	Outstanding int  // calls
-	Removed     bool // no longer configured: it gets no more calls
+	Outstanding int  // calls without Done
+	Removed     bool // no longer configured: the peer receives no more calls
 
-	lastPick             uint64 // number of its last pick
+	lastPick             uint64 // sequence number of the last pick
 	consecutiveFaults    int
-	consecutiveOverloads int // it works, and takes nothing more
+	consecutiveOverloads int // consecutive answers that the peer accepts no more calls
 
-	consecutiveEjections int           // without good service between them
-	lastEjectionTime     time.Duration // how long the last one was
-	ejectedUntil         time.Duration // Ejected: when its trial may begin
-	trialSuccesses       int           // Recovering: successful calls so far
-	recoveredAt          time.Duration // InService: when its last trial ended
+	consecutiveEjections int           // ejections since the last reset: see resetEjections
+	lastEjectionTime     time.Duration // duration of the last ejection
+	ejectedUntil         time.Duration // Ejected: when the trial may start
+	trialSuccesses       int           // Recovering: successful calls of the trial so far
+	recoveredAt          time.Duration // InService: when the last trial ended
 }
 
-// adopt takes over the configuration of the peer.
+// configure sets the configuration of the peer, with defaults for fields that are zero.
 func (t *Target) configure(peer Peer) {
 	peer.Weight = valueOr(peer.Weight, defaultWeight)
 	peer.MaxCalls = valueOr(peer.MaxCalls, defaultMaxCalls)
@@ -59,21 +59,21 @@
 	t.Removed = false
 }
 
-// NeedsHealthCheck reports whether the peer is to be asked whether it works before it gets a call.
+// NeedsHealthCheck reports whether the caller must send the peer a health check before a call.
 func (t *Target) NeedsHealthCheck() bool { return t.consecutiveFaults > 0 || t.State == Recovering }
 
-// unhealthy reports whether the peer failed or declined so often in a row that it is of little use while it is in service.
+// unhealthy reports whether the peer has had limit or more consecutive faults, or as many consecutive rejections.
 func (t *Target) unhealthy(limit int) bool {
 	return t.consecutiveFaults >= limit || t.consecutiveOverloads >= limit
 }
 
-// servesRoute reports whether sticky calls of the route go to the peer.
+// servesRoute reports whether the peer is in service and is the one for sticky calls of the route.
 func (t *Target) servesRoute(sticky string) bool {
 	return sticky != "" && t.Route == sticky && t.State == InService
 }
 
-// lessLoaded reports whether the peer comes before the other: with this call it would have fewer outstanding calls for its
-// weight, or as many and its last pick is longer ago.
+// lessLoaded reports whether the peer is preferred over other: with one more call it has fewer outstanding calls relative to
+// its weight, or as many and an earlier last pick.
 func (t *Target) lessLoaded(other *Target) bool {
 	load, otherLoad := t.loadWithCall(), other.loadWithCall()
 	if load != otherLoad {
@@ -82,10 +82,10 @@
 	return t.lastPick < other.lastPick
 }
 
-// loadWithCall returns the outstanding calls for the peer's weight, with one more.
+// loadWithCall returns the load of the peer with one more call: outstanding calls divided by weight.
 func (t *Target) loadWithCall() float64 { return float64(t.Outstanding+1) / t.Weight }
 
-// eject takes the peer out of service for a time.
+// eject takes the peer out of service for a duration.
 func (t *Target) eject(now, duration time.Duration) {
 	t.State = Ejected
 	t.ejectedUntil = now + duration
@@ -95,19 +95,19 @@
 	t.consecutiveOverloads = 0
 }
 
-// beginTrial gives an ejected peer a share of the calls.
+// beginTrial starts the trial of an ejected peer.
 func (t *Target) beginTrial() {
 	t.State = Recovering
 	t.trialSuccesses = 0
 }
 
-// recover puts a peer back into service after its trial.
+// recover returns a peer to service after its trial.
 func (t *Target) recover(now time.Duration) {
 	t.State = InService
 	t.recoveredAt = now
 }
 
-// forgetEjections has the next ejection be a first one, if the peer has served well for long enough.
+// resetEjections makes the next ejection count as a first one if the peer has been in service for long enough.
 func (t *Target) resetEjections(now time.Duration) {
 	memory := time.Duration(ejectionResetFactor * float64(t.lastEjectionTime))
 	if t.State == InService && t.consecutiveEjections > 0 && now-t.recoveredAt >= memory {
