--- a/membership/detector_test.go
+++ b/membership/detector_test.go
@@ -193,11 +193,11 @@
 	if len(outbox) != 1 || outbox[0].To != "b" || outbox[0].Kind != Ack {
 		t.Error(outbox)
 	}
-	accusations := Message{Kind: Ack, Updates: []Update{
+	falseReports := Message{Kind: Ack, Updates: []Update{
 		{Name: "a", Incarnation: 3, State: Dead},
 		{Name: "a", Incarnation: 2, Refutation: 9, State: Dead},
 	}}
-	d.Receive(0, "b", 2, &accusations)
+	d.Receive(0, "b", 2, &falseReports)
 	if self := d.Lookup("a"); self.State != Alive || self.Refutation != 1 {
 		t.Error(self)
 	}
