--- a/idempotency/expiry.go
+++ b/idempotency/expiry.go
@@ -20,7 +20,7 @@
 // expireOverdue expires all records that are past their time.
 func (s *Store) expireOverdue() {
 	for {
-		oldest := s.oldest()
+		oldest := s.nextToExpire()
 		if oldest == nil || s.now-oldest.at < s.cfg.ResultTTL {
 			return
 		}
@@ -37,7 +37,7 @@
 
 // expireOldest expires the record that ended first, and reports whether there was one.
 func (s *Store) expireOldest() bool {
-	oldest := s.oldest()
+	oldest := s.nextToExpire()
 	if oldest == nil {
 		return false
 	}
@@ -49,7 +49,7 @@
 
 // oldest returns the record that expires next, nil if there is none. It drops keys from the queue
 // that are forgotten or in flight again.
-func (s *Store) oldest() *record {
+func (s *Store) nextToExpire() *record {
 	for len(s.expiryQueue) > 0 {
 		if rec := s.records[s.expiryQueue[0]]; rec != nil && rec.flight == nil {
 			return rec
--- a/idempotency/finish.go
+++ b/idempotency/finish.go
@@ -11,40 +11,40 @@
 // The answers of a run with a result come from MarkDurable, once its log record is durable. The
 // others come at once: without their log record the outcome is unknown after a restart, which is
 // answered as a failure too.
-func (s *Store) Finish(now time.Duration, key Key, end EntryKind, result []byte) []Outcome {
+func (s *Store) Finish(now time.Duration, key Key, completion EntryKind, result []byte) []Outcome {
 	s.advanceClock(now)
 	rec := s.records[key]
-	s.Resume(key, lateRequest)
+	s.Resume(key, lateRequestID)
 	if rec == nil || rec.flight == nil || rec.state == stateFinishing {
 		return nil
 	}
-	if end == EntryNeverRan {
+	if completion == EntryNeverRan {
 		outcomes := rec.flight.appendWaiting(nil, Fresh, nil)
-		s.forgetNeverRan(key, rec)
+		s.removeNeverRan(key, rec)
 		return outcomes
 	}
-	if end == EntryResult && len(result) > s.cfg.MaxResultBytes {
-		end = EntryResultTooLong
+	if completion == EntryResult && len(result) > s.cfg.MaxResultBytes {
+		completion = EntryResultTooLong
 	}
-	rec.end = end
+	rec.completion = completion
 	rec.result = nil
-	if end == EntryResult || end == EntryResultTooLong { // the original request gets it however long it is
+	if completion == EntryResult || completion == EntryResultTooLong { // the original request gets it however long it is
 		rec.result = append([]byte(nil), result...)
 	}
 	if s.failed { // it is answered, and retries meet it as long as this process lives
-		return s.finish(key, rec, end != EntryFailed)
+		return s.finish(key, rec, completion != EntryFailed)
 	}
 
 	data := rec.result
-	if end == EntryResultTooLong {
+	if completion == EntryResultTooLong {
 		data = nil
 	}
-	seg, seq := s.appendKeyEntry(end, key, data)
-	rec.setEndSegment(seg)
-	if end == EntryFailed {
+	seg, seq := s.appendKeyEntry(completion, key, data)
+	rec.setCompletionSegment(seg)
+	if completion == EntryFailed {
 		return s.finish(key, rec, false)
 	}
-	s.awaitEnd(key, rec, seq)
+	s.awaitCompletion(key, rec, seq)
 	return nil
 }
 
@@ -86,9 +86,9 @@
 			continue
 		}
 		if rec.state == stateReserved {
-			outcomes = append(outcomes, Outcome{ID: rec.flight.original, Decision: StoreFailed})
+			outcomes = append(outcomes, Outcome{ID: rec.flight.originalID, Decision: StoreFailed})
 			outcomes = rec.flight.appendWaiting(outcomes, StoreFailed, nil)
-			s.forget(key, rec)
+			s.removeInFlight(key, rec)
 		} else {
 			outcomes = append(outcomes, s.finish(key, rec, true)...)
 		}
@@ -105,7 +105,7 @@
 	if rec == nil || rec.flight == nil || rec.state != stateRunning {
 		return nil
 	}
-	return s.loseOutcome(key, rec)
+	return s.setOutcomeUnknown(key, rec)
 }
 
 // AbandonInFlight says that whoever had requests in flight is gone: their outcomes are unknown, as
@@ -120,7 +120,7 @@
 	}
 	slices.SortFunc(keys, func(a, b Key) int { return slices.Compare(a[:], b[:]) })
 	for _, key := range keys {
-		s.loseOutcome(key, s.records[key])
+		s.setOutcomeUnknown(key, s.records[key])
 	}
 }
 
--- a/idempotency/history.go
+++ b/idempotency/history.go
@@ -14,7 +14,7 @@
 	if s.lostBefore == 0 || madeAt > s.lostBefore {
 		return false
 	}
-	return s.prover == nil || !s.prover(key)
+	return s.refillCovers == nil || !s.refillCovers(key)
 }
 
 // AddHistoryLoss says that records are missing or unreadable, the last of them no later than that
@@ -59,7 +59,7 @@
 
 // SetRefillCheck sets a function that reports whether all that may be lost here of a key has been
 // supplied by other nodes.
-func (s *Store) SetRefillCheck(prover func(Key) bool) { s.prover = prover }
+func (s *Store) SetRefillCheck(covers func(Key) bool) { s.refillCovers = covers }
 
 // HistoryComplete reports whether the store can answer for all that it has ever had.
 func (s *Store) HistoryComplete() bool {
@@ -68,7 +68,7 @@
 
 // HasFullHistory reports whether what the store has of a key is all that it ever had.
 func (s *Store) HasFullHistory(key Key) bool {
-	return s.HistoryComplete() || s.prover != nil && s.prover(key)
+	return s.HistoryComplete() || s.refillCovers != nil && s.refillCovers(key)
 }
 
 // MarkRefilled says that other nodes have supplied all that was lost, for all keys. It counts like
--- a/idempotency/load.go
+++ b/idempotency/load.go
@@ -30,14 +30,14 @@
 	switch entry.Kind {
 	case EntryIncarnation:
 		s.incarnation++
-		s.queueUnterminated()
+		s.queueUncompletedIntents()
 	case EntrySegmentDropped: // its files are gone already, or are removed
 	case EntryHistoryAccepted:
 		s.acceptHistory()
 	case EntryHistoryLost:
 		s.AddHistoryLoss(entry.At)
 	default:
-		seg.count(entry.Kind, entry.At, len(entry.Data))
+		seg.countRecord(entry.Kind, entry.At, len(entry.Data))
 		s.loadKeyEntry(entry, seg)
 	}
 }
@@ -52,11 +52,11 @@
 		}
 	case EntryResult, EntryResultTooLong, EntryFailed:
 		if rec != nil && rec.state == stateUnknown { // else it had expired, or its intent is lost
-			s.loadEnd(entry, rec, seg)
+			s.loadCompletion(entry, rec, seg)
 		}
 	case EntryNeverRan:
 		if rec != nil && rec.state == stateUnknown {
-			s.forgetUnknown(entry.Key, rec)
+			s.removeUnknown(entry.Key, rec)
 		}
 	}
 }
@@ -66,13 +66,13 @@
 		s.expireOldest()
 	}
 	s.addUnknown(entry.Key, entry.At, seg)
-	s.unterminated[entry.Key] = struct{}{}
+	s.uncompletedIntents[entry.Key] = struct{}{}
 	if len(entry.Data) > 0 {
 		s.unknownHandlers[entry.Key] = string(entry.Data)
 	}
 }
 
-func (s *Store) loadEnd(entry LogEntry, rec *record, seg *segment) {
+func (s *Store) loadCompletion(entry LogEntry, rec *record, seg *segment) {
 	s.resolve(entry.Key, rec, entry.Kind, entry.At, seg)
 	if entry.Kind == EntryResult {
 		rec.result = slices.Clone(entry.Data)
@@ -120,11 +120,11 @@
 
 // queueUnterminated puts intents without an end of an incarnation that is over in the queue of what
 // expires.
-func (s *Store) queueUnterminated() {
-	keys := slices.SortedFunc(maps.Keys(s.unterminated), func(a, b Key) int {
+func (s *Store) queueUncompletedIntents() {
+	keys := slices.SortedFunc(maps.Keys(s.uncompletedIntents), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(s.records[a].at, s.records[b].at), slices.Compare(a[:], b[:]))
 	})
-	clear(s.unterminated)
+	clear(s.uncompletedIntents)
 	s.expiryQueue = append(s.expiryQueue, keys...)
 }
 
@@ -140,7 +140,7 @@
 		seg.LostBefore = min(seg.LostBefore, s.now)
 		seg.Until = min(seg.Until, s.now)
 	}
-	s.queueUnterminated()
+	s.queueUncompletedIntents()
 	s.durableSeq = s.lastSeq
 	if len(s.segments) == 0 || needsNewSegment || s.lastSegment().retired {
 		s.openSegment(lastSegment)
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -14,12 +14,12 @@
 func init() { golden.FixSeeds() }
 
 // keyOf returns the key of a request that a test numbered.
-func keyOf(n uint64) (key Key) {
+func testKey(n uint64) (key Key) {
 	binary.BigEndian.PutUint64(key[8:], n)
 	return key
 }
 
-const noon = 1000 * time.Hour
+const baseTime = 1000 * time.Hour
 
 // fakeDisk is what the log entries amount to: segments with their records, or their fingerprints.
 type fakeDisk struct {
@@ -90,14 +90,14 @@
 	store     *Store
 	unwritten []LogEntry // handed over, not yet durable
 
-	keys      map[uint64]*modelKey
-	newest    uint64            // the highest key so far
-	requestID uint64            // the last one given
-	keyOf     map[uint64]uint64 // by request ID
-	running   map[uint64]uint64 // request IDs, by key
+	keys           map[uint64]*modelKey
+	newestKey      uint64            // the highest key so far
+	requestID      uint64            // the last one given
+	keyByRequestID map[uint64]uint64 // by request ID
+	runningIDs     map[uint64]uint64 // request IDs, by key
 
-	diskFailed bool // in this incarnation
-	lostRun    bool // the disk failed once, so a run's result may be missing
+	diskFailed      bool // in this incarnation
+	resultMayBeLost bool // the disk failed once, so a run's result may be missing
 }
 
 // TestNeverRunsTwice: over any arrivals, ends, withdrawals, losses of what was not yet durable,
@@ -117,11 +117,11 @@
 				KeysPerSegment: 4,
 				SegmentBytes:   1000,
 			},
-			now:     noon,
-			disk:    newFakeDisk(),
-			keys:    map[uint64]*modelKey{},
-			keyOf:   map[uint64]uint64{},
-			running: map[uint64]uint64{},
+			now:            baseTime,
+			disk:           newFakeDisk(),
+			keys:           map[uint64]*modelKey{},
+			keyByRequestID: map[uint64]uint64{},
+			runningIDs:     map[uint64]uint64{},
 		}
 		m.store = New(m.cfg)
 		m.store.FinishLoading(m.now, true, 0)
@@ -145,8 +145,8 @@
 		m.store.Sweep(m.now)
 		if rapid.IntRange(0, 40).Draw(m.t, "disk") == 29 {
 			m.diskFailed = true
-			m.lostRun = true
-			m.check(m.store.MarkDiskFailed())
+			m.resultMayBeLost = true
+			m.applyOutcomes(m.store.MarkDiskFailed())
 		}
 	case 9:
 		m.withdraw()
@@ -158,35 +158,35 @@
 // request makes a request, fresh or a retry within the horizon.
 func (m *modelTest) request() {
 	key := uint64(rapid.IntRange(1, 12).Draw(m.t, "key"))
-	if key > m.newest || m.newest-key > 12 {
-		key = m.newest - min(m.newest, key) + 1
+	if key > m.newestKey || m.newestKey-key > 12 {
+		key = m.newestKey - min(m.newestKey, key) + 1
 	}
 	if m.keys[key] == nil {
-		m.newest = max(m.newest, key)
+		m.newestKey = max(m.newestKey, key)
 		m.keys[key] = &modelKey{madeAt: m.now}
 	}
 	if m.now-m.keys[key].madeAt > m.cfg.RetryHorizon-10*time.Second {
-		m.newest++ // so old a one is no longer retried
-		key = m.newest
+		m.newestKey++ // so old a one is no longer retried
+		key = m.newestKey
 		m.keys[key] = &modelKey{madeAt: m.now}
 	}
 	m.requestID++
-	m.keyOf[m.requestID] = key
-	outcome := m.store.Reserve(m.now, m.keys[key].madeAt, keyOf(key), "", m.requestID)
-	if outcome.Decision == OutcomeUnknown && m.lostRun {
+	m.keyByRequestID[m.requestID] = key
+	outcome := m.store.Reserve(m.now, m.keys[key].madeAt, testKey(key), "", m.requestID)
+	if outcome.Decision == OutcomeUnknown && m.resultMayBeLost {
 		return
 	}
-	m.check([]Outcome{outcome})
+	m.applyOutcomes([]Outcome{outcome})
 }
 
 // finishOne ends the run with the lowest key.
 func (m *modelTest) finishOne() {
-	for key := range m.newest + 1 {
-		if _, ok := m.running[key]; !ok {
+	for key := range m.newestKey + 1 {
+		if _, ok := m.runningIDs[key]; !ok {
 			continue
 		}
 		end := rapid.SampledFrom([]EntryKind{EntryResult, EntryResult, EntryFailed, EntryNeverRan}).Draw(m.t, "end")
-		delete(m.running, key)
+		delete(m.runningIDs, key)
 		result := bytes.Repeat([]byte{byte('a' + key%20)}, 1+int(key)%28)
 		switch end {
 		case EntryResult:
@@ -194,7 +194,7 @@
 		case EntryNeverRan:
 			m.keys[key].runs--
 		}
-		m.check(m.store.Finish(m.now, keyOf(key), end, result))
+		m.applyOutcomes(m.store.Finish(m.now, testKey(key), end, result))
 		return
 	}
 }
@@ -208,7 +208,7 @@
 	}
 	seq := m.disk.writeAll(m.unwritten[:n])
 	m.unwritten = m.unwritten[n:]
-	m.check(m.store.MarkDurable(seq))
+	m.applyOutcomes(m.store.MarkDurable(seq))
 }
 
 // withdraw has a caller go.
@@ -217,7 +217,7 @@
 		return
 	}
 	id := uint64(rapid.IntRange(1, int(m.requestID)).Draw(m.t, "who"))
-	m.store.Withdraw(m.now, keyOf(m.keyOf[id]), id)
+	m.store.Withdraw(m.now, testKey(m.keyByRequestID[id]), id)
 }
 
 // restart has the process die. Some of what was not durable may be on the disk all the same.
@@ -231,22 +231,22 @@
 	m.store = New(m.cfg)
 	m.disk.load(m.store)
 	m.store.FinishLoading(m.now, false, 0)
-	clear(m.running) // they died with it
+	clear(m.runningIDs) // they died with it
 	for key, model := range m.keys {
-		decision := m.store.Peek(m.now, model.madeAt, keyOf(key))
-		if model.answered && !m.lostRun && decision != Duplicate && decision != ResultExpired {
+		decision := m.store.Peek(m.now, model.madeAt, testKey(key))
+		if model.answered && !m.resultMayBeLost && decision != Duplicate && decision != ResultExpired {
 			m.t.Fatalf("key %d was answered, and is %s after a restart", key, decision)
 		}
-		if rec := m.store.records[keyOf(key)]; rec != nil && model.answered && !m.lostRun && rec.state == stateUnknown {
+		if rec := m.store.records[testKey(key)]; rec != nil && model.answered && !m.resultMayBeLost && rec.state == stateUnknown {
 			m.t.Fatalf("key %d was answered, and its outcome is unknown after a restart", key)
 		}
 	}
 }
 
 // check compares outcomes with the model, and has what may start run.
-func (m *modelTest) check(outcomes []Outcome) {
+func (m *modelTest) applyOutcomes(outcomes []Outcome) {
 	for _, outcome := range outcomes {
-		key := m.keyOf[outcome.ID]
+		key := m.keyByRequestID[outcome.ID]
 		model := m.keys[key]
 		switch outcome.Decision {
 		case Start:
@@ -254,7 +254,7 @@
 			if model.runs > 1 {
 				m.t.Fatalf("key %d runs twice", key)
 			}
-			m.running[key] = outcome.ID
+			m.runningIDs[key] = outcome.ID
 		case Completed, Replay:
 			if model.result == nil || !bytes.Equal(outcome.Result, model.result) {
 				m.t.Fatalf("key %d: %q, not the first result %q", key, outcome.Result, model.result)
--- a/idempotency/reserve.go
+++ b/idempotency/reserve.go
@@ -48,7 +48,7 @@
 	outcome := Outcome{ID: requestID, Decision: s.Peek(now, madeAt, key)}
 	switch outcome.Decision {
 	case Fresh:
-		if !s.makeRoom() {
+		if !s.ensureCapacity() {
 			outcome.Decision = StoreFull
 			break
 		}
@@ -57,7 +57,7 @@
 	case Duplicate:
 		rec := s.records[key]
 		if rec.flight != nil {
-			rec.flight.waiting = append(rec.flight.waiting, requestID)
+			rec.flight.waitingIDs = append(rec.flight.waitingIDs, requestID)
 			outcome.Decision = Wait
 			break
 		}
@@ -74,7 +74,7 @@
 	if rec == nil || rec.flight == nil {
 		return 0
 	}
-	return rec.flight.original
+	return rec.flight.originalID
 }
 
 // Withdraw says that a request no longer waits: its caller is gone, or has another answer. If it
@@ -87,23 +87,23 @@
 	}
 	flight := rec.flight
 	switch {
-	case flight.original != requestID:
-		flight.waiting = slices.DeleteFunc(flight.waiting, func(id uint64) bool { return id == requestID })
+	case flight.originalID != requestID:
+		flight.waitingIDs = slices.DeleteFunc(flight.waitingIDs, func(id uint64) bool { return id == requestID })
 	case rec.state != stateReserved:
-		flight.original = 0
-	case len(flight.waiting) > 0:
-		flight.original = flight.waiting[0]
-		flight.waiting = flight.waiting[1:]
+		flight.originalID = 0
+	case len(flight.waitingIDs) > 0:
+		flight.originalID = flight.waitingIDs[0]
+		flight.waitingIDs = flight.waitingIDs[1:]
 	default:
-		s.forgetNeverRan(key, rec)
+		s.removeNeverRan(key, rec)
 	}
 }
 
 // forgetNeverRan removes a record in flight whose request is proved not to have run, and writes
 // that.
-func (s *Store) forgetNeverRan(key Key, rec *record) {
+func (s *Store) removeNeverRan(key Key, rec *record) {
 	if !s.failed {
 		s.appendKeyEntry(EntryNeverRan, key, nil)
 	}
-	s.forget(key, rec)
+	s.removeInFlight(key, rec)
 }
--- a/idempotency/segment.go
+++ b/idempotency/segment.go
@@ -39,7 +39,7 @@
 }
 
 // count adds a record about a key.
-func (g *segment) count(kind EntryKind, at time.Duration, dataBytes int) {
+func (g *segment) countRecord(kind EntryKind, at time.Duration, dataBytes int) {
 	g.bytes += entryOverhead + dataBytes
 	g.Until = max(g.Until, at)
 	if kind == EntryIntent {
@@ -76,13 +76,13 @@
 
 // appendKeyEntry writes a record about a key to the last segment, and counts it there.
 func (s *Store) appendKeyEntry(kind EntryKind, key Key, data []byte) (*segment, uint64) {
-	s.lastSegment().count(kind, s.now, len(data))
+	s.lastSegment().countRecord(kind, s.now, len(data))
 	return s.appendEntry(LogEntry{Kind: kind, Key: key, Data: data})
 }
 
 // makeRoom makes sure that an intent can be kept, in memory and in a segment. It reports whether
 // that is so.
-func (s *Store) makeRoom() bool {
+func (s *Store) ensureCapacity() bool {
 	if len(s.records) >= s.cfg.MaxEntries && !s.expireOldest() {
 		return false
 	}
--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -45,35 +45,35 @@
 // record is what is remembered of a key. There are millions of them, so what only those in flight
 // need is kept apart.
 type record struct {
-	state         recordState
-	end           EntryKind     // how it ended; 0 if that is not known
-	at            time.Duration // of its end, or of its intent while the outcome is unknown
-	result        []byte
-	intentSegment *segment // that has its intent
-	endSegment    *segment // that has its end; nil without one
-	flight        *flight  // nil unless reserved, running or finishing
+	state             recordState
+	completion        EntryKind     // how it ended; 0 if that is not known
+	at                time.Duration // of its end, or of its intent while the outcome is unknown
+	result            []byte
+	intentSegment     *segment // that has its intent
+	completionSegment *segment // that has its end; nil without one
+	flight            *flight  // nil unless reserved, running or finishing
 }
 
 // flight is what a record needs until it has ended.
 type flight struct {
-	seq      uint64   // of the log record that is waited for
-	original uint64   // the request that runs; 0 once it was withdrawn
-	waiting  []uint64 // retries of it, which get the same outcome
-	handler  string
+	seq        uint64   // of the log record that is waited for
+	originalID uint64   // the request that runs; 0 once it was withdrawn
+	waitingIDs []uint64 // retries of it, which get the same outcome
+	handler    string
 }
 
 // lateRequest is the original request of a run whose end turned up after its outcome was unknown:
 // no caller waits for it.
-const lateRequest = math.MaxUint64
+const lateRequestID = math.MaxUint64
 
 // decision is what a retry meets once the record is no longer in flight.
 func (r *record) decision() Decision {
 	switch {
 	case r.state == stateUnknown:
 		return OutcomeUnknown
-	case r.end == EntryResult:
+	case r.completion == EntryResult:
 		return Replay
-	case r.end == EntryResultTooLong:
+	case r.completion == EntryResultTooLong:
 		return ResultExpired
 	default:
 		return OriginalFailed
@@ -84,7 +84,7 @@
 func (r *record) stateName() string {
 	switch r.state {
 	case stateFinished:
-		return r.end.String()
+		return r.completion.String()
 	case stateUnknown:
 		return nameUnknown
 	default:
@@ -98,14 +98,14 @@
 }
 
 // setEndSegment notes which segment has the record's end.
-func (r *record) setEndSegment(seg *segment) {
-	r.endSegment = seg
+func (r *record) setCompletionSegment(seg *segment) {
+	r.completionSegment = seg
 	seg.liveRecords++
 }
 
 // appendWaiting appends a decision for each request that waits for the flight's end.
 func (f *flight) appendWaiting(outcomes []Outcome, decision Decision, result []byte) []Outcome {
-	for _, id := range f.waiting {
+	for _, id := range f.waitingIDs {
 		outcomes = append(outcomes, Outcome{ID: id, Decision: decision, Result: result})
 	}
 	return outcomes
@@ -119,7 +119,7 @@
 		state:         stateReserved,
 		at:            s.now,
 		intentSegment: seg,
-		flight:        &flight{seq: seq, original: requestID, handler: handler},
+		flight:        &flight{seq: seq, originalID: requestID, handler: handler},
 	}
 	s.inFlight++
 	s.awaitingDisk = append(s.awaitingDisk, key)
@@ -130,18 +130,18 @@
 	seg.liveRecords++
 	rec := &record{state: stateUnknown, at: at, intentSegment: seg}
 	s.records[key] = rec
-	s.unknown++
+	s.unknownOutcomes++
 	return rec
 }
 
 // start lets the original request run.
 func (s *Store) start(rec *record) Outcome {
 	rec.state = stateRunning
-	return Outcome{ID: rec.flight.original, Decision: Start}
+	return Outcome{ID: rec.flight.originalID, Decision: Start}
 }
 
 // awaitEnd has the answers wait until the end is durable.
-func (s *Store) awaitEnd(key Key, rec *record, seq uint64) {
+func (s *Store) awaitCompletion(key Key, rec *record, seq uint64) {
 	rec.state = stateFinishing
 	rec.flight.seq = seq
 	s.awaitingDisk = append(s.awaitingDisk, key)
@@ -151,10 +151,10 @@
 // answerOriginal is set.
 func (s *Store) finish(key Key, rec *record, answerOriginal bool) []Outcome {
 	var outcomes []Outcome
-	if answerOriginal && rec.flight.original != 0 {
-		outcomes = append(outcomes, Outcome{ID: rec.flight.original, Decision: Completed, Result: rec.result})
+	if answerOriginal && rec.flight.originalID != 0 {
+		outcomes = append(outcomes, Outcome{ID: rec.flight.originalID, Decision: Completed, Result: rec.result})
 	}
-	if rec.end == EntryResultTooLong {
+	if rec.completion == EntryResultTooLong {
 		rec.result = nil // only the original request gets it
 	}
 	outcomes = rec.flight.appendWaiting(outcomes, rec.decision(), rec.result)
@@ -168,7 +168,7 @@
 }
 
 // loseOutcome ends a flight whose outcome nobody will tell.
-func (s *Store) loseOutcome(key Key, rec *record) []Outcome {
+func (s *Store) setOutcomeUnknown(key Key, rec *record) []Outcome {
 	outcomes := rec.flight.appendWaiting(nil, OutcomeUnknown, nil)
 	if rec.flight.handler != "" {
 		s.unknownHandlers[key] = rec.flight.handler
@@ -177,7 +177,7 @@
 	rec.flight = nil
 	rec.at = s.now
 	s.inFlight--
-	s.unknown++
+	s.unknownOutcomes++
 	s.expiryQueue = append(s.expiryQueue, key)
 	return outcomes
 }
@@ -185,35 +185,35 @@
 // resume puts a record whose outcome is unknown in flight again.
 func (s *Store) resume(key Key, rec *record, requestID uint64) {
 	rec.state = stateRunning
-	rec.flight = &flight{original: requestID, handler: s.unknownHandlers[key]}
+	rec.flight = &flight{originalID: requestID, handler: s.unknownHandlers[key]}
 	delete(s.unknownHandlers, key)
-	s.unknown--
+	s.unknownOutcomes--
 	s.inFlight++
 }
 
 // resolve gives a record whose outcome is unknown its end, whose log record is in that segment.
-func (s *Store) resolve(key Key, rec *record, end EntryKind, at time.Duration, seg *segment) {
+func (s *Store) resolve(key Key, rec *record, completion EntryKind, at time.Duration, seg *segment) {
 	rec.state = stateFinished
-	rec.end = end
+	rec.completion = completion
 	rec.at = at
-	rec.setEndSegment(seg)
-	s.unknown--
+	rec.setCompletionSegment(seg)
+	s.unknownOutcomes--
 	delete(s.unknownHandlers, key)
-	delete(s.unterminated, key)
+	delete(s.uncompletedIntents, key)
 }
 
 // forget removes a record in flight whose request has not run.
-func (s *Store) forget(key Key, rec *record) {
+func (s *Store) removeInFlight(key Key, rec *record) {
 	rec.intentSegment.liveRecords--
 	s.inFlight--
 	delete(s.records, key)
 }
 
 // forgetUnknown removes a record whose outcome was unknown until it was loaded that it never ran.
-func (s *Store) forgetUnknown(key Key, rec *record) {
+func (s *Store) removeUnknown(key Key, rec *record) {
 	rec.intentSegment.liveRecords--
-	s.unknown--
-	delete(s.unterminated, key)
+	s.unknownOutcomes--
+	delete(s.uncompletedIntents, key)
 	delete(s.unknownHandlers, key)
 	delete(s.records, key)
 }
@@ -222,14 +222,14 @@
 func (s *Store) expire(key Key, rec *record) {
 	s.resultBytes -= len(rec.result)
 	if rec.state == stateUnknown {
-		s.unknown--
+		s.unknownOutcomes--
 		delete(s.unknownHandlers, key)
 	}
 	delete(s.records, key)
-	delete(s.unterminated, key)
+	delete(s.uncompletedIntents, key)
 	rec.intentSegment.addFingerprint(key, s.cfg.KeysPerSegment)
 	rec.intentSegment.liveRecords--
-	if rec.endSegment != nil {
-		rec.endSegment.liveRecords--
+	if rec.completionSegment != nil {
+		rec.completionSegment.liveRecords--
 	}
 }
--- a/idempotency/stats.go
+++ b/idempotency/stats.go
@@ -31,7 +31,7 @@
 	stats := Stats{
 		Incarnation:    s.incarnation,
 		Keys:           len(s.records),
-		OutcomeUnknown: s.unknown,
+		OutcomeUnknown: s.unknownOutcomes,
 		InFlight:       s.inFlight,
 		ResultBytes:    s.resultBytes,
 		Segments:       len(s.segments),
@@ -62,7 +62,7 @@
 func (s *Store) KeysWithUnknownOutcome(limit int) []Key {
 	var keys []Key
 	for _, key := range s.expiryQueue {
-		if len(keys) >= min(limit, s.unknown) {
+		if len(keys) >= min(limit, s.unknownOutcomes) {
 			break
 		}
 		if rec := s.records[key]; rec != nil && rec.state == stateUnknown {
@@ -79,7 +79,7 @@
 	for _, handler := range s.unknownHandlers {
 		counts[handler]++
 	}
-	if n := s.unknown - len(s.unknownHandlers); n > 0 {
+	if n := s.unknownOutcomes - len(s.unknownHandlers); n > 0 {
 		counts[""] = n
 	}
 	return counts
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -16,14 +16,14 @@
 	records         map[Key]*record
 	resultBytes     int
 	inFlight        int            // records with a flight
-	unknown         int            // records in stateUnknown
+	unknownOutcomes int            // records in stateUnknown
 	unknownHandlers map[Key]string // handlers of those, where they are known
 
 	// expiryQueue has the keys that ended or whose outcome is unknown, the oldest first. Some may
 	// be forgotten already.
-	expiryQueue  []Key
-	queueStart   uint64           // position of the first key in expiryQueue, counted since the store was made
-	unterminated map[Key]struct{} // while loading: intents of the incarnation that is being loaded, without an end so far
+	expiryQueue        []Key
+	queueStart         uint64           // position of the first key in expiryQueue, counted since the store was made
+	uncompletedIntents map[Key]struct{} // while loading: intents of the incarnation that is being loaded, without an end so far
 
 	// The log.
 	segments     []*segment // the oldest first; the last takes records unless it is retired
@@ -36,17 +36,17 @@
 	// Lost history.
 	lostBefore       time.Duration // requests made before can't be proved fresh; 0 if all can
 	peerFingerprints []ExpiredKeys // of other stores, for what this one has lost
-	prover           func(Key) bool
+	refillCovers     func(Key) bool
 	refilled         bool // other nodes have supplied all that was lost
 }
 
 // New returns an empty store.
 func New(cfg Config) *Store {
 	return &Store{
-		cfg:             cfg.withMinimums(),
-		records:         map[Key]*record{},
-		unknownHandlers: map[Key]string{},
-		unterminated:    map[Key]struct{}{},
+		cfg:                cfg.withMinimums(),
+		records:            map[Key]*record{},
+		unknownHandlers:    map[Key]string{},
+		uncompletedIntents: map[Key]struct{}{},
 	}
 }
 
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -18,27 +18,27 @@
 }
 
 func newTestStore(cfg Config) *testStore {
-	x := &testStore{store: New(cfg), disk: newFakeDisk()}
-	x.store.FinishLoading(noon, true, 0)
-	x.sync()
-	return x
+	ts := &testStore{store: New(cfg), disk: newFakeDisk()}
+	ts.store.FinishLoading(baseTime, true, 0)
+	ts.commit()
+	return ts
 }
 
 // sync makes all entries durable.
-func (x *testStore) sync() {
-	x.store.MarkDurable(x.disk.writeAll(x.store.TakeEntries()))
+func (ts *testStore) commit() {
+	ts.store.MarkDurable(ts.disk.writeAll(ts.store.TakeEntries()))
 }
 
 // run takes a request from its arrival to its durable result.
-func (x *testStore) run(now time.Duration, key uint64, result string) Decision {
-	x.requestID++
-	outcome := x.store.Reserve(now, 0, keyOf(key), "", x.requestID)
+func (ts *testStore) run(now time.Duration, key uint64, result string) Decision {
+	ts.requestID++
+	outcome := ts.store.Reserve(now, 0, testKey(key), "", ts.requestID)
 	if outcome.Decision != Wait {
 		return outcome.Decision
 	}
-	x.sync()
-	x.store.Finish(now, keyOf(key), EntryResult, []byte(result))
-	x.sync()
+	ts.commit()
+	ts.store.Finish(now, testKey(key), EntryResult, []byte(result))
+	ts.commit()
 	return Completed
 }
 
@@ -55,8 +55,8 @@
 		KeysPerSegment: 100,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
-	x.run(noon, 7, "filed")
+	ts := newTestStore(cfg)
+	ts.run(baseTime, 7, "filed")
 	for i, c := range []struct {
 		after   time.Duration
 		restart bool
@@ -68,21 +68,21 @@
 		{after: 59 * time.Minute, restart: true, want: ResultExpired},
 		{after: 70 * time.Minute, want: Completed},
 	} {
-		x.store.Sweep(noon + c.after)
-		x.run(noon+c.after, uint64(100+i), "another") // segments follow each other
-		x.store.Sweep(noon + c.after)
-		x.sync()
+		ts.store.Sweep(baseTime + c.after)
+		ts.run(baseTime+c.after, uint64(100+i), "another") // segments follow each other
+		ts.store.Sweep(baseTime + c.after)
+		ts.commit()
 		if c.restart {
-			x.store = New(cfg)
-			x.disk.load(x.store)
-			x.store.FinishLoading(noon+c.after, false, 0)
-			x.sync()
+			ts.store = New(cfg)
+			ts.disk.load(ts.store)
+			ts.store.FinishLoading(baseTime+c.after, false, 0)
+			ts.commit()
 		}
-		if got := x.run(noon+c.after, 7, "again"); got != c.want {
-			t.Errorf("after %s: %s, not %s; %+v", c.after, got, c.want, x.store.Stats())
+		if got := ts.run(baseTime+c.after, 7, "again"); got != c.want {
+			t.Errorf("after %s: %s, not %s; %+v", c.after, got, c.want, ts.store.Stats())
 		}
 	}
-	if got := x.store.Peek(noon+71*time.Minute, noon, keyOf(9)); got != ResultExpired {
+	if got := ts.store.Peek(baseTime+71*time.Minute, baseTime, testKey(9)); got != ResultExpired {
 		t.Error("made long before the horizon: ", got)
 	}
 }
@@ -90,7 +90,7 @@
 // TestBounds: where keys come faster than they may be forgotten, the newest are rejected and none
 // is forgotten early.
 func TestBounds(t *testing.T) {
-	x := newTestStore(Config{
+	ts := newTestStore(Config{
 		MaxEntries:     20,
 		MaxBytes:       1000,
 		MaxResultBytes: 50,
@@ -101,21 +101,21 @@
 		SegmentBytes:   1 << 20,
 	})
 	ran := uint64(0)
-	for x.run(noon, ran+1, "filed") == Completed {
+	for ts.run(baseTime, ran+1, "filed") == Completed {
 		ran++
 	}
-	if stats := x.store.Stats(); ran != 20 || stats.Segments != 4 {
+	if stats := ts.store.Stats(); ran != 20 || stats.Segments != 4 {
 		t.Fatal(ran, stats)
 	}
 	for key := uint64(1); key <= ran; key++ {
-		if got := x.store.Peek(noon, 0, keyOf(key)); got != Duplicate && got != ResultExpired {
+		if got := ts.store.Peek(baseTime, 0, testKey(key)); got != Duplicate && got != ResultExpired {
 			t.Errorf("key %d: %s", key, got)
 		}
 	}
-	if got := x.run(noon+59*time.Minute, 99, "filed"); got != StoreFull {
+	if got := ts.run(baseTime+59*time.Minute, 99, "filed"); got != StoreFull {
 		t.Error("before the horizon: ", got)
 	}
-	if got := x.run(noon+61*time.Minute, 99, "filed"); got != Completed {
+	if got := ts.run(baseTime+61*time.Minute, 99, "filed"); got != Completed {
 		t.Error("past it: ", got)
 	}
 }
@@ -133,56 +133,56 @@
 		KeysPerSegment: 2,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
+	ts := newTestStore(cfg)
 	for key := uint64(1); key <= 5; key++ {
-		x.run(noon, key, "filed")
+		ts.run(baseTime, key, "filed")
 	}
 	// restart loads all but the second segment.
 	restart := func(now time.Duration, change func(s *Store)) {
-		x.store = New(cfg)
+		ts.store = New(cfg)
 		for number := uint64(1); number <= 9; number++ {
-			if fingerprints, ok := x.disk.fingerprints[number]; ok {
-				x.store.LoadFingerprints(fingerprints)
+			if fingerprints, ok := ts.disk.fingerprints[number]; ok {
+				ts.store.LoadFingerprints(fingerprints)
 				continue
 			}
 			if number == 2 {
-				x.store.LoadLostSegment(number)
+				ts.store.LoadLostSegment(number)
 				continue
 			}
-			records := x.disk.records[number]
+			records := ts.disk.records[number]
 			if number == 3 && len(records) > 0 {
-				x.store.AddHistoryLoss(records[0].At)
+				ts.store.AddHistoryLoss(records[0].At)
 			}
 			for _, entry := range records {
-				x.store.Load(entry)
+				ts.store.Load(entry)
 			}
 		}
-		x.store.FinishLoading(now, false, 0)
+		ts.store.FinishLoading(now, false, 0)
 		if change != nil {
-			change(x.store)
+			change(ts.store)
 		}
-		x.sync()
+		ts.commit()
 	}
 	var got []Decision
 	peek := func(now, madeAt time.Duration, key uint64) {
-		got = append(got, x.store.Peek(now, madeAt, keyOf(key)))
-	}
-	restart(noon+time.Minute, nil)
-	peek(noon+time.Minute, 0, 3)                // its segment is lost
-	peek(noon+time.Minute, 0, 9)                // a new one that says no time
-	peek(noon+time.Minute, noon+time.Second, 9) // and one that was made since
-	peek(noon+time.Minute, 0, 5)
-	restart(noon+50*time.Minute, func(s *Store) { s.Sweep(noon + 50*time.Minute) }) // the segments around it are retired now
-	peek(noon+50*time.Minute, 0, 9)
-	restart(noon+50*time.Minute, func(s *Store) { s.AcceptHistory(noon + 50*time.Minute) })
-	peek(noon+50*time.Minute, 0, 9)
-	restart(noon+51*time.Minute, nil)
-	peek(noon+51*time.Minute, 0, 9)
+		got = append(got, ts.store.Peek(now, madeAt, testKey(key)))
+	}
+	restart(baseTime+time.Minute, nil)
+	peek(baseTime+time.Minute, 0, 3)                    // its segment is lost
+	peek(baseTime+time.Minute, 0, 9)                    // a new one that says no time
+	peek(baseTime+time.Minute, baseTime+time.Second, 9) // and one that was made since
+	peek(baseTime+time.Minute, 0, 5)
+	restart(baseTime+50*time.Minute, func(s *Store) { s.Sweep(baseTime + 50*time.Minute) }) // the segments around it are retired now
+	peek(baseTime+50*time.Minute, 0, 9)
+	restart(baseTime+50*time.Minute, func(s *Store) { s.AcceptHistory(baseTime + 50*time.Minute) })
+	peek(baseTime+50*time.Minute, 0, 9)
+	restart(baseTime+51*time.Minute, nil)
+	peek(baseTime+51*time.Minute, 0, 9)
 	if want := []Decision{HistoryLost, HistoryLost, Fresh, Duplicate, HistoryLost, Fresh, Fresh}; !slices.Equal(got, want) {
 		t.Error(got, want)
 	}
-	restart(noon+62*time.Minute, func(s *Store) { s.Sweep(noon + 62*time.Minute) })
-	if stats := x.store.Stats(); stats.LostBefore != 0 {
+	restart(baseTime+62*time.Minute, func(s *Store) { s.Sweep(baseTime + 62*time.Minute) })
+	if stats := ts.store.Stats(); stats.LostBefore != 0 {
 		t.Error(stats)
 	}
 }
@@ -195,10 +195,10 @@
 		endSeq    = 99 // past that of the end
 	)
 	finish := func(s *Store, end EntryKind, result string) []Outcome {
-		return s.Finish(noon, keyOf(1), end, []byte(result))
+		return s.Finish(baseTime, testKey(1), end, []byte(result))
 	}
 	retry := func(s *Store) Outcome {
-		return s.Reserve(noon, 0, keyOf(1), "", 3)
+		return s.Reserve(baseTime, 0, testKey(1), "", 3)
 	}
 	for _, c := range []struct {
 		name string
@@ -224,17 +224,17 @@
 			return finish(s, EntryNeverRan, "")
 		}, []string{"2 fresh "}},
 		{"withdrawn before its intent is durable", func(s *Store) []Outcome {
-			s.Withdraw(noon, keyOf(1), 1)
+			s.Withdraw(baseTime, testKey(1), 1)
 			return s.MarkDurable(intentSeq)
 		}, []string{"2 start "}},
 		{"both withdrawn", func(s *Store) []Outcome {
-			s.Withdraw(noon, keyOf(1), 2)
-			s.Withdraw(noon, keyOf(1), 1)
+			s.Withdraw(baseTime, testKey(1), 2)
+			s.Withdraw(baseTime, testKey(1), 1)
 			return append(s.MarkDurable(intentSeq), retry(s))
 		}, []string{"3 wait "}},
 		{"withdrawn while it runs", func(s *Store) []Outcome {
 			s.MarkDurable(intentSeq)
-			s.Withdraw(noon, keyOf(1), 1)
+			s.Withdraw(baseTime, testKey(1), 1)
 			finish(s, EntryResult, "yes")
 			return s.MarkDurable(endSeq)
 		}, []string{"2 replay yes"}},
@@ -258,9 +258,9 @@
 				KeysPerSegment: 9,
 				SegmentBytes:   1 << 20,
 			})
-			s.FinishLoading(noon, true, 0)
-			s.Reserve(noon, 0, keyOf(1), "", 1)
-			s.Reserve(noon, 0, keyOf(1), "", 2)
+			s.FinishLoading(baseTime, true, 0)
+			s.Reserve(baseTime, 0, testKey(1), "", 1)
+			s.Reserve(baseTime, 0, testKey(1), "", 2)
 			var got []string
 			for _, outcome := range c.play(s) {
 				got = append(got, fmt.Sprintf("%d %s %s", outcome.ID, outcome.Decision, outcome.Result))
@@ -285,22 +285,22 @@
 		KeysPerSegment: 10,
 		SegmentBytes:   1000,
 	})
-	s.FinishLoading(noon, false, 0)
+	s.FinishLoading(baseTime, false, 0)
 	for n := range uint64(3) {
-		s.Reserve(noon, 0, keyOf(n), "status", n+1)
+		s.Reserve(baseTime, 0, testKey(n), "status", n+1)
 	}
 	s.MarkDurable(s.lastSeq)
-	s.Finish(noon, keyOf(1), EntryResult, []byte("filed"))
-	s.Reserve(noon, 0, keyOf(3), "status", 4)
-	s.AbandonInFlight(noon)
+	s.Finish(baseTime, testKey(1), EntryResult, []byte("filed"))
+	s.Reserve(baseTime, 0, testKey(3), "status", 4)
+	s.AbandonInFlight(baseTime)
 	if got := s.UnknownOutcomesByHandler(); got["status"] != 3 || s.inFlight != 1 {
 		t.Error(got, s.inFlight)
 	}
-	s.Finish(noon, keyOf(2), EntryResult, []byte("late"))
+	s.Finish(baseTime, testKey(2), EntryResult, []byte("late"))
 	s.MarkDurable(s.lastSeq)
 	var got []Decision
 	for n := range uint64(4) {
-		got = append(got, s.PeekOutcome(noon, 0, keyOf(n)).Decision)
+		got = append(got, s.PeekOutcome(baseTime, 0, testKey(n)).Decision)
 	}
 	if diff := cmp.Diff([]Decision{OutcomeUnknown, Replay, Replay, OutcomeUnknown}, got); diff != "" {
 		t.Error(diff)
@@ -320,15 +320,15 @@
 		KeysPerSegment: 9,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
-	x.store.Reserve(noon, 0, keyOf(1), "status", 1)
-	x.sync()
+	ts := newTestStore(cfg)
+	ts.store.Reserve(baseTime, 0, testKey(1), "status", 1)
+	ts.commit()
 	for incarnation := range 2 {
-		x.store = New(cfg)
-		x.disk.load(x.store)
-		x.store.FinishLoading(noon+time.Second, false, 0)
-		x.sync()
-		if keys := x.store.KeysWithUnknownOutcome(5); !slices.Equal(keys, []Key{keyOf(1)}) {
+		ts.store = New(cfg)
+		ts.disk.load(ts.store)
+		ts.store.FinishLoading(baseTime+time.Second, false, 0)
+		ts.commit()
+		if keys := ts.store.KeysWithUnknownOutcome(5); !slices.Equal(keys, []Key{testKey(1)}) {
 			t.Errorf("after %d restarts the outcome of %x is unknown", incarnation+1, keys)
 		}
 	}
@@ -339,12 +339,12 @@
 		{59 * time.Second, OutcomeUnknown},
 		{61 * time.Second, ResultExpired},
 	} {
-		x.store.Sweep(noon + c.after)
-		if got := x.store.Reserve(noon+c.after, 0, keyOf(1), "status", 2); got.Decision != c.want {
+		ts.store.Sweep(baseTime + c.after)
+		if got := ts.store.Reserve(baseTime+c.after, 0, testKey(1), "status", 2); got.Decision != c.want {
 			t.Errorf("after %s: %s, not %s", c.after, got.Decision, c.want)
 		}
 	}
-	if stats := x.store.Stats(); stats.Keys != 0 || stats.OutcomeUnknown != 0 {
+	if stats := ts.store.Stats(); stats.Keys != 0 || stats.OutcomeUnknown != 0 {
 		t.Errorf("%+v", stats)
 	}
 }
@@ -378,29 +378,29 @@
 		KeysPerSegment: 100,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
+	ts := newTestStore(cfg)
 	restart := func() {
-		x.store = New(cfg)
-		x.disk.load(x.store)
-		x.store.FinishLoading(noon, false, 0)
-		x.sync()
+		ts.store = New(cfg)
+		ts.disk.load(ts.store)
+		ts.store.FinishLoading(baseTime, false, 0)
+		ts.commit()
 	}
-	x.store.Reserve(noon, 0, keyOf(1), "", 1)
-	x.sync()
+	ts.store.Reserve(baseTime, 0, testKey(1), "", 1)
+	ts.commit()
 	restart() // its outcome is unknown now
-	x.store.Finish(noon, keyOf(1), EntryNeverRan, nil)
-	x.store.Reserve(noon, 0, keyOf(1), "", 2)
-	x.sync()
+	ts.store.Finish(baseTime, testKey(1), EntryNeverRan, nil)
+	ts.store.Reserve(baseTime, 0, testKey(1), "", 2)
+	ts.commit()
 	for key := uint64(2); key <= 4; key++ {
-		if got := x.run(noon, key, "filed"); got != Completed {
+		if got := ts.run(baseTime, key, "filed"); got != Completed {
 			t.Fatal(key, got)
 		}
 	}
-	x.store.Reserve(noon, 0, keyOf(5), "", 3)
-	x.sync()
+	ts.store.Reserve(baseTime, 0, testKey(5), "", 3)
+	ts.commit()
 	restart()
 	for _, key := range []uint64{1, 5} { // both were in flight
-		if got := x.store.Peek(noon, 0, keyOf(key)); got == Fresh {
+		if got := ts.store.Peek(baseTime, 0, testKey(key)); got == Fresh {
 			t.Errorf("key %d is fresh", key)
 		}
 	}
--- a/idempotency/transfer.go
+++ b/idempotency/transfer.go
@@ -47,7 +47,7 @@
 		if rec == nil || rec.flight != nil || !include(key) {
 			continue
 		}
-		exported := Record{Key: key, Kind: rec.end, Result: rec.result}
+		exported := Record{Key: key, Kind: rec.completion, Result: rec.result}
 		if rec.state == stateUnknown {
 			exported.Kind = 0
 		}
@@ -86,7 +86,7 @@
 	}
 	rec := s.records[record.Key]
 	if rec == nil {
-		if !s.makeRoom() {
+		if !s.ensureCapacity() {
 			return false
 		}
 		rec = s.mergeIntent(record.Key)
@@ -94,7 +94,7 @@
 		return false
 	}
 	if record.Kind != 0 {
-		s.mergeEnd(rec, record)
+		s.mergeCompletion(rec, record)
 	}
 	return true
 }
@@ -108,17 +108,17 @@
 
 // mergeEnd writes the end of a record whose outcome was unknown. The record is in the queue of what
 // expires already.
-func (s *Store) mergeEnd(rec *record, merged Record) {
-	end := merged.Kind
-	if end == EntryResult && len(merged.Result) > s.cfg.MaxResultBytes {
-		end = EntryResultTooLong
+func (s *Store) mergeCompletion(rec *record, merged Record) {
+	completion := merged.Kind
+	if completion == EntryResult && len(merged.Result) > s.cfg.MaxResultBytes {
+		completion = EntryResultTooLong
 	}
 	rec.result = nil
-	if end == EntryResult {
+	if completion == EntryResult {
 		rec.result = slices.Clone(merged.Result)
 	}
-	seg, _ := s.appendKeyEntry(end, merged.Key, rec.result)
-	s.resolve(merged.Key, rec, end, s.now, seg)
+	seg, _ := s.appendKeyEntry(completion, merged.Key, rec.result)
+	s.resolve(merged.Key, rec, completion, s.now, seg)
 	s.addResult(rec)
 }
 
--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -23,18 +23,18 @@
 		SegmentBytes:   64 << 20,
 	}
 	disk := wal.DirDisk(b.TempDir())
-	if err := wal.Init(disk, "n1", noon, 7); err != nil {
+	if err := wal.Init(disk, "n1", baseTime, 7); err != nil {
 		b.Fatal(err)
 	}
 	store := idempotency.New(cfg)
-	writer, _, err := wal.Open(disk, "n1", store, noon, nil)
+	writer, _, err := wal.Open(disk, "n1", store, baseTime, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	result := make([]byte, 100)
 	for i := range keys {
-		store.Reserve(noon, 0, keyOf(i), "", uint64(i+1))
-		store.Finish(noon, keyOf(i), idempotency.EntryResult, result)
+		store.Reserve(baseTime, 0, testKey(i), "", uint64(i+1))
+		store.Finish(baseTime, testKey(i), idempotency.EntryResult, result)
 		if i%1000 == 999 {
 			commit(b, store, writer)
 		}
--- a/internal/wal/compat_test.go
+++ b/internal/wal/compat_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := describeStore(t, wal.DirDisk(v1Store), noon+10*time.Minute+64*time.Second)
+	got := describeStore(t, wal.DirDisk(v1Store), baseTime+10*time.Minute+64*time.Second)
 	if diff := cmp.Diff(string(want), got); diff != "" {
 		t.Error(diff)
 	}
@@ -58,13 +58,13 @@
 // files byte for byte.
 func TestWriteStoreV1(t *testing.T) {
 	dir := t.TempDir()
-	h := &v1History{t: t, disk: wal.DirDisk(dir), now: noon}
-	if err := wal.Init(h.disk, "n1", noon, 0x0123456789abcdef); err != nil {
+	h := &v1History{t: t, disk: wal.DirDisk(dir), now: baseTime}
+	if err := wal.Init(h.disk, "n1", baseTime, 0x0123456789abcdef); err != nil {
 		t.Fatal(err)
 	}
-	h.play()
+	h.run()
 
-	wantNames, gotNames := names(t, wal.DirDisk(v1Store), ""), names(t, h.disk, "")
+	wantNames, gotNames := fileNames(t, wal.DirDisk(v1Store), ""), fileNames(t, h.disk, "")
 	if diff := cmp.Diff(wantNames, gotNames); diff != "" {
 		t.Fatal(diff)
 	}
@@ -93,7 +93,7 @@
 	now    time.Duration
 }
 
-func (h *v1History) play() {
+func (h *v1History) run() {
 	h.open()
 	for n := 1; n <= 12; n++ {
 		h.request(n)
@@ -174,7 +174,7 @@
 	t.Helper()
 	var b strings.Builder
 	fmt.Fprintln(&b, "files:")
-	for _, name := range names(t, disk, "") {
+	for _, name := range fileNames(t, disk, "") {
 		data, err := disk.Read(name)
 		if err != nil {
 			t.Fatal(err)
@@ -186,7 +186,7 @@
 	fmt.Fprintln(&b, "records:")
 	found, err := wal.Read(disk, "n1", store, func(r idempotency.LogEntry) error {
 		fmt.Fprintf(&b, "  %d at %s: kind %d in segment %d, subject %d, key %x, data %q\n",
-			r.Seq, r.At-noon, r.Kind, r.Segment, r.Subject, r.Key, r.Data)
+			r.Seq, r.At-baseTime, r.Kind, r.Segment, r.Subject, r.Key, r.Data)
 		return nil
 	})
 	if err != nil {
@@ -202,7 +202,7 @@
 	fmt.Fprintln(&b, "keys:")
 	var keys []string
 	store.ForEachKey(func(key idempotency.Key, at time.Duration, state string, bytes int) {
-		keys = append(keys, fmt.Sprintf("  %x at %s: %s, %d bytes\n", key, at-noon, state, bytes))
+		keys = append(keys, fmt.Sprintf("  %x at %s: %s, %d bytes\n", key, at-baseTime, state, bytes))
 	})
 	slices.Sort(keys)
 	b.WriteString(strings.Join(keys, ""))
@@ -222,6 +222,6 @@
 	fmt.Fprintf(&b, "  incarnation %d, %d keys, %d unknown, %d in flight, %d bytes\n",
 		stats.Incarnation, stats.Keys, stats.OutcomeUnknown, stats.InFlight, stats.ResultBytes)
 	fmt.Fprintf(&b, "  %d fingerprints in %d segments since %s, history lost before %s\n",
-		stats.Fingerprints, stats.Segments, stats.Since-noon, stats.LostBefore-noon)
+		stats.Fingerprints, stats.Segments, stats.Since-baseTime, stats.LostBefore-baseTime)
 	return b.String()
 }
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -14,8 +14,8 @@
 // TestDamage: what is lost of what was durable is found and reported, and none of it runs again,
 // also after another start.
 func TestDamage(t *testing.T) {
-	logs := names(t, filledDisk(t), ".log")
-	fingerprints := names(t, filledDisk(t), ".prints")
+	logs := fileNames(t, filledDisk(t), ".log")
+	fingerprints := fileNames(t, filledDisk(t), ".prints")
 	if len(logs) < 3 || len(fingerprints) < 1 {
 		t.Fatal("too few segments: ", logs, fingerprints)
 	}
@@ -87,15 +87,15 @@
 	}
 	t.Log(contents.Damage)
 	for incarnation := range 3 {
-		now := noon + time.Duration(61+incarnation)*time.Second
+		now := baseTime + time.Duration(61+incarnation)*time.Second
 		store, writer := reopen(t, disk, now)
 		for i := range 60 {
-			if store.Peek(now, 0, keyOf(i)) == idempotency.Fresh {
+			if store.Peek(now, 0, testKey(i)) == idempotency.Fresh {
 				t.Fatalf("incarnation %d: request %d is fresh", incarnation, i)
 			}
 		}
 		made := now + time.Millisecond
-		if store.Peek(made, made, keyOf(1000)) != idempotency.Fresh {
+		if store.Peek(made, made, testKey(1000)) != idempotency.Fresh {
 			t.Errorf("incarnation %d: a request made since does not run", incarnation)
 		}
 		store.Sweep(now)
@@ -113,7 +113,7 @@
 
 func testDiskFailure(t *testing.T, failing string) {
 	disk := filledDisk(t)
-	store, writer := reopen(t, disk, noon+61*time.Second)
+	store, writer := reopen(t, disk, baseTime+61*time.Second)
 	errFull := errors.New("no space left")
 	disk.Fail = func(operation, _ string) error {
 		if operation == failing {
@@ -131,9 +131,9 @@
 		durable = max(durable, seq)
 	})
 	for i := 100; i < 160; i++ { // enough to open, retire and drop segments
-		at := noon + time.Duration(i)*6*time.Second
-		store.Reserve(at, at, keyOf(i), "", uint64(i))
-		store.Finish(at, keyOf(i), idempotency.EntryFailed, nil)
+		at := baseTime + time.Duration(i)*6*time.Second
+		store.Reserve(at, at, testKey(i), "", uint64(i))
+		store.Finish(at, testKey(i), idempotency.EntryFailed, nil)
 		store.Sweep(at)
 		log.Append(store.TakeEntries())
 	}
@@ -165,8 +165,8 @@
 // go unnoticed.
 func FuzzRead(f *testing.F) {
 	base := filledDisk(f)
-	logs := names(f, base, ".log")
-	for _, name := range append(logs, names(f, base, ".prints")...) {
+	logs := fileNames(f, base, ".log")
+	for _, name := range append(logs, fileNames(f, base, ".prints")...) {
 		data, _ := base.Read(name) // it is there: names gave it
 		f.Add(name, data)
 		f.Add(name, data[:len(data)/2])
@@ -187,6 +187,6 @@
 		if changed && contents.TornBytes == 0 && name != logs[len(logs)-1] {
 			t.Fatalf("%s was changed, and no damage is reported", name)
 		}
-		store.FinishLoading(noon+time.Hour, contents.NeedsNewSegment(), contents.LastSegment)
+		store.FinishLoading(baseTime+time.Hour, contents.NeedsNewSegment(), contents.LastSegment)
 	})
 }
--- a/internal/wal/dirdisk_powerloss.go
+++ b/internal/wal/dirdisk_powerloss.go
@@ -22,23 +22,23 @@
 const (
 	// durableMark begins the name of a file with the durable size of another one, whose name
 	// follows.
-	durableMark = ".durable."
+	durablePrefix = ".durable."
 	// pendingName is the file with the changes of names that are not durable, a line each.
 	pendingName = ".pending"
 	// oldMark begins the name of a file that was removed or replaced, until that is durable.
-	oldMark = ".old."
+	oldPrefix = ".old."
 	// faultName is the file that says how the disk fails: "full", "read-only", or how long each
 	// write takes.
 	faultName = ".fault"
 )
 
 // noFile is written to PendingName for a name that no file had before.
-const noFile = "-"
+const noPreviousFile = "-"
 
 // recordingDisk is a directory that records what is durable.
 type recordingDisk struct {
 	dirDisk
-	oldFiles int // number of OldMark files that were made
+	retainedFiles int // number of OldMark files that were made
 }
 
 // Names implements Disk. It leaves out what is recorded.
@@ -68,7 +68,7 @@
 
 // Rename implements Disk.
 func (d *recordingDisk) Rename(from, to string) error {
-	old, err := d.keepOld(to)
+	old, err := d.retainPrevious(to)
 	if err != nil {
 		return err
 	}
@@ -77,14 +77,14 @@
 	}
 	return errors.Join(
 		d.dirDisk.Rename(from, to),
-		renameIfExists(d.path(durableMark+from), d.path(durableMark+to)),
+		renameIfExists(d.path(durablePrefix+from), d.path(durablePrefix+to)),
 	)
 }
 
 // Remove implements Disk.
 func (d *recordingDisk) Remove(name string) error {
-	old, err := d.keepOld(name)
-	if err != nil || old == noFile {
+	old, err := d.retainPrevious(name)
+	if err != nil || old == noPreviousFile {
 		return err
 	}
 	return d.recordPending("remove", name, old)
@@ -100,7 +100,7 @@
 	}
 	all, err := d.dirDisk.Names()
 	for _, name := range all {
-		if strings.HasPrefix(name, oldMark) || strings.HasPrefix(name, durableMark+oldMark) {
+		if strings.HasPrefix(name, oldPrefix) || strings.HasPrefix(name, durablePrefix+oldPrefix) {
 			err = errors.Join(err, d.dirDisk.Remove(name))
 		}
 	}
@@ -120,7 +120,7 @@
 // recordDurableSize records how much of a file is durable. The record is replaced at once, as the
 // process may be killed meanwhile.
 func (d *recordingDisk) recordDurableSize(name string, size int64) error {
-	path := d.path(durableMark + name)
+	path := d.path(durablePrefix + name)
 	if err := os.WriteFile(path+"~", fmt.Append(nil, size), 0o600); err != nil {
 		return err
 	}
@@ -129,15 +129,15 @@
 
 // keepOld renames the file that has a name, so that it is there until its end is durable. It
 // returns the new name, noFile if there is no file.
-func (d *recordingDisk) keepOld(name string) (string, error) {
+func (d *recordingDisk) retainPrevious(name string) (string, error) {
 	if _, err := os.Stat(d.path(name)); errors.Is(err, fs.ErrNotExist) {
-		return noFile, nil
+		return noPreviousFile, nil
 	}
-	d.oldFiles++
-	old := fmt.Sprintf("%s%d.%d", oldMark, os.Getpid(), d.oldFiles)
+	d.retainedFiles++
+	old := fmt.Sprintf("%s%d.%d", oldPrefix, os.Getpid(), d.retainedFiles)
 	return old, errors.Join(
 		os.Rename(d.path(name), d.path(old)),
-		renameIfExists(d.path(durableMark+name), d.path(durableMark+old)),
+		renameIfExists(d.path(durablePrefix+name), d.path(durablePrefix+old)),
 	)
 }
 
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -16,16 +16,16 @@
 func filledDisk(t testing.TB) *fake.Disk {
 	t.Helper()
 	disk := fake.NewDisk()
-	if err := wal.Init(disk, "n1", noon, 7); err != nil {
+	if err := wal.Init(disk, "n1", baseTime, 7); err != nil {
 		t.Fatal(err)
 	}
-	store, writer := reopen(t, disk, noon)
+	store, writer := reopen(t, disk, baseTime)
 	for i := range 60 {
-		at := noon + time.Duration(i)*time.Second
-		store.Reserve(at, at, keyOf(i), "", uint64(i+1))
+		at := baseTime + time.Duration(i)*time.Second
+		store.Reserve(at, at, testKey(i), "", uint64(i+1))
 		commit(t, store, writer)
 		if i < 20 || i%10 != 9 { // some stay without an end
-			store.Finish(at, keyOf(i), idempotency.EntryResult, resultOf(i))
+			store.Finish(at, testKey(i), idempotency.EntryResult, testResult(i))
 		}
 		store.Sweep(at)
 		commit(t, store, writer)
@@ -56,7 +56,7 @@
 }
 
 // names returns the names of files that end in a suffix, in their order.
-func names(t testing.TB, disk wal.Disk, suffix string) []string {
+func fileNames(t testing.TB, disk wal.Disk, suffix string) []string {
 	t.Helper()
 	all, err := disk.Names()
 	if err != nil {
--- a/internal/wal/identity_test.go
+++ b/internal/wal/identity_test.go
@@ -25,16 +25,16 @@
 	if err := os.WriteFile(other, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := wal.Init(disk, "n1", noon, 1); err == nil {
+	if err := wal.Init(disk, "n1", baseTime, 1); err == nil {
 		t.Error("made in a directory with other files")
 	}
 	if err := os.Remove(other); err != nil {
 		t.Fatal(err)
 	}
-	if err := wal.Init(disk, "n1", noon, 1); err != nil {
+	if err := wal.Init(disk, "n1", baseTime, 1); err != nil {
 		t.Fatal(err)
 	}
-	if err := wal.Init(disk, "n1", noon, 1); err == nil {
+	if err := wal.Init(disk, "n1", baseTime, 1); err == nil {
 		t.Error("made over one that is there")
 	}
 	if _, err := wal.Read(disk, "n2", idempotency.New(testConfig), nil); !errors.Is(err, wal.ErrWrongOwner) {
@@ -57,7 +57,7 @@
 func TestDamagedIdentity(t *testing.T) {
 	dir := t.TempDir()
 	disk := wal.DirDisk(dir)
-	if err := wal.Init(disk, "n1", noon, 1); err != nil {
+	if err := wal.Init(disk, "n1", baseTime, 1); err != nil {
 		t.Fatal(err)
 	}
 	text, err := disk.Read("store")
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -11,12 +11,12 @@
 // Log commits entries on a goroutine of its own, all that wait at once, so that one sync of the
 // disk covers many (group commit). Its methods may be called concurrently.
 type Log struct {
-	writer   *Writer // of the goroutine
-	interval time.Duration
-	enough   int
-	notify   func(seq uint64, err error)
-	wake     chan struct{} // has a value when there is more to do
-	done     chan struct{} // is closed when the goroutine has ended
+	writer         *Writer // of the goroutine
+	interval       time.Duration
+	batchThreshold int
+	notify         func(seq uint64, err error)
+	wake           chan struct{} // has a value when there is more to do
+	done           chan struct{} // is closed when the goroutine has ended
 
 	mu     sync.Mutex
 	queue  []idempotency.LogEntry
@@ -37,14 +37,14 @@
 // NewLog starts a log. notify is called on its goroutine, with the sequence number up to which all
 // is durable, or with the error after which nothing more will be. Commits begin no closer to each
 // other than interval, unless at least `enough` entries wait.
-func NewLog(writer *Writer, interval time.Duration, enough int, notify func(seq uint64, err error)) *Log {
+func NewLog(writer *Writer, interval time.Duration, batchThreshold int, notify func(seq uint64, err error)) *Log {
 	l := &Log{
-		writer:   writer,
-		interval: interval,
-		enough:   enough,
-		notify:   notify,
-		wake:     make(chan struct{}, 1),
-		done:     make(chan struct{}),
+		writer:         writer,
+		interval:       interval,
+		batchThreshold: batchThreshold,
+		notify:         notify,
+		wake:           make(chan struct{}, 1),
+		done:           make(chan struct{}),
 	}
 	go l.run()
 	return l
@@ -95,10 +95,10 @@
 // run is the goroutine.
 func (l *Log) run() {
 	defer close(l.done)
-	var lastBegin time.Time // of a commit
+	var lastCommit time.Time // of a commit
 	for l.awaitEntries() {
-		l.awaitMore(l.interval - time.Since(lastBegin))
-		lastBegin = time.Now()
+		l.awaitBatch(l.interval - time.Since(lastCommit))
+		lastCommit = time.Now()
 		if !l.commit() {
 			break
 		}
@@ -110,7 +110,7 @@
 // the log is closed.
 func (l *Log) awaitEntries() bool {
 	for {
-		waiting, closed := l.state()
+		waiting, closed := l.queueState()
 		if waiting > 0 {
 			return true
 		}
@@ -123,15 +123,15 @@
 
 // awaitMore waits for so long for more entries, but not when enough of them wait or the log is
 // closed.
-func (l *Log) awaitMore(timeout time.Duration) {
+func (l *Log) awaitBatch(timeout time.Duration) {
 	if timeout <= 0 {
 		return
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		waiting, closed := l.state()
-		if waiting >= l.enough || closed {
+		waiting, closed := l.queueState()
+		if waiting >= l.batchThreshold || closed {
 			return
 		}
 		select {
@@ -143,7 +143,7 @@
 }
 
 // state returns how many entries wait, and whether the log is closed.
-func (l *Log) state() (waiting int, closed bool) {
+func (l *Log) queueState() (waiting int, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue), l.closed
@@ -156,7 +156,7 @@
 	l.queue = nil
 	l.mu.Unlock()
 
-	begin := time.Now()
+	start := time.Now()
 	seq, err := l.writer.Commit(batch)
 	if err != nil {
 		l.notify(0, err)
@@ -165,7 +165,7 @@
 	l.mu.Lock()
 	l.stats.Records += int64(len(batch))
 	l.stats.Commits++
-	l.stats.LongestCommit = max(l.stats.LongestCommit, time.Since(begin))
+	l.stats.LongestCommit = max(l.stats.LongestCommit, time.Since(start))
 	l.mu.Unlock()
 	l.notify(seq, nil)
 	return true
--- a/internal/wal/names.go
+++ b/internal/wal/names.go
@@ -32,7 +32,7 @@
 
 // segmentOf returns the segment's number in the name of a file with that suffix. ok is false if it
 // isn't the name of one.
-func segmentOf(name, suffix string) (segment uint64, ok bool) {
+func parseSegmentName(name, suffix string) (segment uint64, ok bool) {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != segmentDigits {
 		return 0, false
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -29,16 +29,16 @@
 	SegmentBytes:   1500,
 }
 
-const noon = 500_000 * time.Hour
+const baseTime = 500_000 * time.Hour
 
 // keyOf returns the key of a request that a test numbered.
-func keyOf(n int) (key idempotency.Key) {
+func testKey(n int) (key idempotency.Key) {
 	binary.BigEndian.PutUint64(key[8:], uint64(n))
 	return key
 }
 
 // resultOf returns the result of the request with that key.
-func resultOf(key int) []byte { return fmt.Appendf(nil, "claim %d is filed, %x", key, key*key) }
+func testResult(key int) []byte { return fmt.Appendf(nil, "claim %d is filed, %x", key, key*key) }
 
 // simulation is a node without sockets: a store on a disk that loses power, a processor that counts
 // effects, and callers that retry.
@@ -52,32 +52,32 @@
 	store  *idempotency.Store
 	writer *wal.Writer
 
-	requestID uint64
-	keyOf     map[uint64]int // by request ID
-	running   []uint64       // request IDs
+	requestID      uint64
+	keyByRequestID map[uint64]int // by request ID
+	runningIDs     []uint64       // request IDs
 
-	keys      int                   // how many there have been
-	firstMade map[int]time.Duration // by key
-	effects   map[int]int           // how often a key ran
-	answers   map[int][]byte        // by key
-	decisions map[idempotency.Decision]int
+	keyCount    int                   // how many there have been
+	firstMade   map[int]time.Duration // by key
+	runsByKey   map[int]int           // how often a key ran
+	answerByKey map[int][]byte        // by key
+	decisions   map[idempotency.Decision]int
 }
 
 func newSimulation(t *testing.T, seed uint64, name string) *simulation {
 	t.Helper()
 	s := &simulation{
-		t:         t,
-		name:      name,
-		random:    rand.New(rand.NewPCG(seed, 3)),
-		disk:      fake.NewDisk(),
-		now:       noon,
-		keyOf:     map[uint64]int{},
-		firstMade: map[int]time.Duration{},
-		effects:   map[int]int{},
-		answers:   map[int][]byte{},
-		decisions: map[idempotency.Decision]int{},
+		t:              t,
+		name:           name,
+		random:         rand.New(rand.NewPCG(seed, 3)),
+		disk:           fake.NewDisk(),
+		now:            baseTime,
+		keyByRequestID: map[uint64]int{},
+		firstMade:      map[int]time.Duration{},
+		runsByKey:      map[int]int{},
+		answerByKey:    map[int][]byte{},
+		decisions:      map[idempotency.Decision]int{},
 	}
-	if err := wal.Init(s.disk, "n1", noon, seed); err != nil {
+	if err := wal.Init(s.disk, "n1", baseTime, seed); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -91,8 +91,8 @@
 // start reads the disk, and reports whether it kept its power meanwhile.
 func (s *simulation) start() bool {
 	s.store = idempotency.New(testConfig)
-	s.running = nil
-	s.keyOf = map[uint64]int{}
+	s.runningIDs = nil
+	s.keyByRequestID = map[uint64]int{}
 	writer, contents, err := wal.Open(s.disk, "n1", s.store, s.now, nil)
 	if err != nil && !errors.Is(err, fake.ErrPowerLost) {
 		s.fatal("reading: %v", err)
@@ -113,36 +113,36 @@
 	if err != nil {
 		s.fatal("%v", err)
 	}
-	s.check(s.store.MarkDurable(seq))
+	s.applyOutcomes(s.store.MarkDurable(seq))
 	return true
 }
 
 // check compares outcomes with what happened so far, and has what may start run.
-func (s *simulation) check(outcomes []idempotency.Outcome) {
+func (s *simulation) applyOutcomes(outcomes []idempotency.Outcome) {
 	s.t.Helper()
 	for _, outcome := range outcomes {
-		key := s.keyOf[outcome.ID]
+		key := s.keyByRequestID[outcome.ID]
 		s.decisions[outcome.Decision]++
 		switch outcome.Decision {
 		case idempotency.Start:
-			s.effects[key]++
-			if s.effects[key] > 1 {
+			s.runsByKey[key]++
+			if s.runsByKey[key] > 1 {
 				s.fatal("key %d ran twice", key)
 			}
-			s.running = append(s.running, outcome.ID)
+			s.runningIDs = append(s.runningIDs, outcome.ID)
 		case idempotency.Completed, idempotency.Replay:
-			if !bytes.Equal(outcome.Result, resultOf(key)) {
+			if !bytes.Equal(outcome.Result, testResult(key)) {
 				s.fatal("key %d: %q, not the first answer", key, outcome.Result)
 			}
-			s.answers[key] = outcome.Result
+			s.answerByKey[key] = outcome.Result
 		case idempotency.OutcomeUnknown:
-			if s.answers[key] != nil {
+			if s.answerByKey[key] != nil {
 				s.fatal("key %d was answered, and its outcome is unknown now", key)
 			}
 		case idempotency.HistoryLost:
 			s.fatal("key %d: history is said to be lost, and none is", key)
 		case idempotency.StoreFull, idempotency.StoreFailed, idempotency.Fresh:
-			if s.effects[key] > 0 {
+			if s.runsByKey[key] > 0 {
 				s.fatal("key %d ran and is rejected", key)
 			}
 		}
@@ -155,7 +155,7 @@
 	switch n := s.random.IntN(10); {
 	case n < 4:
 		s.request()
-	case n < 7 && len(s.running) > 0:
+	case n < 7 && len(s.runningIDs) > 0:
 		s.finishOne()
 	case n < 9:
 		return s.commit()
@@ -168,41 +168,41 @@
 // request makes a fresh request, or a retry within the horizon.
 func (s *simulation) request() {
 	var key int
-	if s.keys == 0 || s.random.IntN(2) == 0 {
-		s.keys++
-		key = s.keys
+	if s.keyCount == 0 || s.random.IntN(2) == 0 {
+		s.keyCount++
+		key = s.keyCount
 		s.firstMade[key] = s.now
 	} else {
-		key = s.keys - s.random.IntN(min(s.keys, 60))
+		key = s.keyCount - s.random.IntN(min(s.keyCount, 60))
 		if s.now-s.firstMade[key] > testConfig.RetryHorizon-time.Second {
 			return
 		}
 	}
 	s.requestID++
-	s.keyOf[s.requestID] = key
-	s.check([]idempotency.Outcome{s.store.Reserve(s.now, s.firstMade[key], keyOf(key), "", s.requestID)})
+	s.keyByRequestID[s.requestID] = key
+	s.applyOutcomes([]idempotency.Outcome{s.store.Reserve(s.now, s.firstMade[key], testKey(key), "", s.requestID)})
 }
 
 // finishOne ends one of those that run.
 func (s *simulation) finishOne() {
-	i := s.random.IntN(len(s.running))
-	id := s.running[i]
-	s.running = append(s.running[:i], s.running[i+1:]...)
-	key := s.keyOf[id]
+	i := s.random.IntN(len(s.runningIDs))
+	id := s.runningIDs[i]
+	s.runningIDs = append(s.runningIDs[:i], s.runningIDs[i+1:]...)
+	key := s.keyByRequestID[id]
 	switch s.random.IntN(12) {
 	case 0:
-		s.check(s.store.Finish(s.now, keyOf(key), idempotency.EntryFailed, nil))
+		s.applyOutcomes(s.store.Finish(s.now, testKey(key), idempotency.EntryFailed, nil))
 	case 1:
-		s.effects[key]--
-		s.check(s.store.Finish(s.now, keyOf(key), idempotency.EntryNeverRan, nil))
+		s.runsByKey[key]--
+		s.applyOutcomes(s.store.Finish(s.now, testKey(key), idempotency.EntryNeverRan, nil))
 	default:
-		s.check(s.store.Finish(s.now, keyOf(key), idempotency.EntryResult, resultOf(key)))
+		s.applyOutcomes(s.store.Finish(s.now, testKey(key), idempotency.EntryResult, testResult(key)))
 	}
 }
 
 // play takes so many steps. After a power failure the power comes back, perhaps to fail again soon,
 // and all goes on.
-func (s *simulation) play(steps int) {
+func (s *simulation) run(steps int) {
 	up := s.start()
 	for range steps {
 		if up {
@@ -224,21 +224,21 @@
 func TestPowerLossAtEachOperation(t *testing.T) {
 	const steps = 700
 	complete := newSimulation(t, 1, "no power loss")
-	complete.play(steps)
+	complete.run(steps)
 	operations := complete.disk.Operations()
-	if complete.keys < 100 || operations < 300 ||
+	if complete.keyCount < 100 || operations < 300 ||
 		complete.decisions[idempotency.ResultExpired] == 0 || complete.decisions[idempotency.Replay] == 0 {
-		t.Fatal("the script shows too little: ", complete.keys, operations, complete.decisions)
+		t.Fatal("the script shows too little: ", complete.keyCount, operations, complete.decisions)
 	}
 	unknown := 0
 	for operation := 1; operation <= operations; operation++ {
 		s := newSimulation(t, 1, fmt.Sprint("power loss at operation ", operation))
 		s.disk.PowerBudget = operation
-		s.play(steps)
+		s.run(steps)
 		unknown += s.decisions[idempotency.OutcomeUnknown]
 	}
 	t.Logf("%d keys, power loss at each of %d operations; decisions without one %v; %d unknown outcomes in all",
-		complete.keys, operations, complete.decisions, unknown)
+		complete.keyCount, operations, complete.decisions, unknown)
 	if unknown == 0 {
 		t.Error("no power loss left an unknown outcome")
 	}
--- a/internal/wal/quarantine.go
+++ b/internal/wal/quarantine.go
@@ -57,8 +57,8 @@
 		return err
 	}
 	for _, name := range names {
-		_, isLog := segmentOf(name, logSuffix)
-		_, isFingerprints := segmentOf(name, fingerprintsSuffix)
+		_, isLog := parseSegmentName(name, logSuffix)
+		_, isFingerprints := parseSegmentName(name, fingerprintsSuffix)
 		if !isLog && !isFingerprints {
 			continue
 		}
--- a/internal/wal/quarantine_test.go
+++ b/internal/wal/quarantine_test.go
@@ -12,7 +12,7 @@
 // not sooner.
 func TestQuarantine(t *testing.T) {
 	disk := filledDisk(t)
-	before := len(names(t, disk, ".log")) + len(names(t, disk, ".prints"))
+	before := len(fileNames(t, disk, ".log")) + len(fileNames(t, disk, ".prints"))
 	for start := range 4 {
 		quarantined, err := wal.BeginRead(disk)
 		if err != nil {
@@ -22,7 +22,7 @@
 			t.Errorf("start %d: quarantined %t, not %t", start, quarantined, want)
 		}
 	}
-	if got := len(names(t, disk, ".aside")); got != before {
+	if got := len(fileNames(t, disk, ".aside")); got != before {
 		t.Errorf("%d files are set aside of %d", got, before)
 	}
 	store := idempotency.New(testConfig)
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	store, _ := reopen(t, disk, noon+61*time.Second)
+	store, _ := reopen(t, disk, baseTime+61*time.Second)
 	if keys := store.Stats().Keys; keys == 0 {
 		t.Error("nothing is left")
 	}
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -64,7 +64,7 @@
 	onRecordErr error // what it returned
 
 	lastSeq         uint64        // of the last record or fingerprints
-	inLoss          bool          // what was read last is damaged: the next record ends the loss
+	lossOpen        bool          // what was read last is damaged: the next record ends the loss
 	recordSegment   uint64        // the last segment that a record was read of
 	firstSegment    uint64        // the first segment of which there is a file
 	requiredSegment uint64        // the oldest segment that must exist according to the records
@@ -87,7 +87,7 @@
 	if node != "" && r.ID.Node != node {
 		return fmt.Errorf("%w: it was made for node %s", ErrWrongOwner, r.ID.Node)
 	}
-	segments, err := r.list()
+	segments, err := r.listSegments()
 	if err != nil {
 		return err
 	}
@@ -102,13 +102,13 @@
 			return err
 		}
 	}
-	r.finish()
+	r.reportEdgeLosses()
 	return nil
 }
 
 // list returns the segments of which there are files, in their order, and notes leftover temporary
 // files.
-func (r *reader) list() ([]segmentFiles, error) {
+func (r *reader) listSegments() ([]segmentFiles, error) {
 	names, err := r.disk.Names()
 	if err != nil {
 		return nil, fmt.Errorf("list the files: %w", err)
@@ -118,12 +118,12 @@
 		if strings.HasSuffix(name, temporarySuffix) {
 			r.Leftover = append(r.Leftover, name)
 		}
-		if segment, ok := segmentOf(name, logSuffix); ok {
+		if segment, ok := parseSegmentName(name, logSuffix); ok {
 			files := bySegment[segment]
 			files.hasLog = true
 			bySegment[segment] = files
 		}
-		if segment, ok := segmentOf(name, fingerprintsSuffix); ok {
+		if segment, ok := parseSegmentName(name, fingerprintsSuffix); ok {
 			files := bySegment[segment]
 			files.hasFingerprints = true
 			bySegment[segment] = files
@@ -164,8 +164,8 @@
 }
 
 // finish reports losses at either end to the store.
-func (r *reader) finish() {
-	if r.inLoss {
+func (r *reader) reportEdgeLosses() {
+	if r.lossOpen {
 		r.store.AddHistoryLoss(idempotency.UnboundedLoss)
 	}
 	if r.requiredSegment > 0 && r.firstSegment > r.requiredSegment {
@@ -178,7 +178,7 @@
 // addDamage notes damage, and that records are lost until the next one.
 func (r *reader) addDamage(format string, args ...any) {
 	r.Damage = append(r.Damage, fmt.Sprintf(format, args...))
-	r.inLoss = true
+	r.lossOpen = true
 }
 
 // addMissing reports segments that are missing to the store, from one up to before another.
@@ -191,14 +191,14 @@
 
 // endLoss reports to the store that what was lost ended by that time.
 func (r *reader) endLoss(at time.Duration) {
-	if r.inLoss {
+	if r.lossOpen {
 		r.store.AddHistoryLoss(at)
-		r.inLoss = false
+		r.lossOpen = false
 	}
 }
 
 // noteReadable notes when the first segment of which anything can be read was opened.
-func (r *reader) noteReadable(at time.Duration) {
+func (r *reader) setFirstReadable(at time.Duration) {
 	if r.firstReadableAt == 0 {
 		r.firstReadableAt = at
 	}
@@ -216,7 +216,7 @@
 	}
 	r.endLoss(fingerprints.From)
 	r.store.LoadFingerprints(fingerprints)
-	r.noteReadable(fingerprints.From)
+	r.setFirstReadable(fingerprints.From)
 	r.lastSeq = fingerprints.LastSeq
 	r.Segments++
 	return true, nil
@@ -234,14 +234,14 @@
 	}
 	hasRecords := r.recordSegment == segment
 	switch {
-	case hasRecords && isLast && !r.inLoss:
+	case hasRecords && isLast && !r.lossOpen:
 		r.tail = segment
 		r.tailSize = int64(len(data) - r.TornBytes)
 	case hasRecords:
-	case isLast && !r.inLoss: // it was being created when the process ended
+	case isLast && !r.lossOpen: // it was being created when the process ended
 		r.LastSegment = segment - 1
 	default:
-		if !r.inLoss {
+		if !r.lossOpen {
 			r.addDamage("%s has no record", logName(segment))
 		}
 		r.store.LoadLostSegment(segment)
@@ -298,11 +298,11 @@
 		r.store.LoadLostSegment(record.Segment) // its first record is lost
 	}
 	r.recordSegment = record.Segment
-	if r.lastSeq > 0 && record.Seq != r.lastSeq+1 && !r.inLoss {
+	if r.lastSeq > 0 && record.Seq != r.lastSeq+1 && !r.lossOpen {
 		r.addDamage("records %d to %d are missing", r.lastSeq+1, record.Seq-1)
 	}
 	r.endLoss(record.At)
-	r.noteReadable(record.At)
+	r.setFirstReadable(record.At)
 	r.lastSeq = record.Seq
 	r.Records++
 	switch record.Kind {
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -12,7 +12,7 @@
 	// frame begins.
 	maxFrameData = 4 << 20
 	// maxKeptBuffer is the size of the buffer that is kept for the next frame, in bytes.
-	maxKeptBuffer = 1 << 20
+	maxRetainedBuffer = 1 << 20
 )
 
 // Writer writes log entries to a disk, one batch after the other. After an error it must not be
@@ -123,7 +123,7 @@
 		}
 	}
 	w.size += int64(len(w.buffer))
-	if cap(w.buffer) > maxKeptBuffer {
+	if cap(w.buffer) > maxRetainedBuffer {
 		w.buffer = nil
 	}
 	return nil
