--- a/idempotency/entry.go
+++ b/idempotency/entry.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// Key identifies a request. It is a hash of whatever the operator configures: handler and customer,
-// a field, the body.
+// Key identifies a request. It is a hash of the key parts that the operator configures: handler and
+// customer, a field, the body.
 type Key [16]byte
 
-// LogEntry is one thing to be written to the log, in the order in which it was handed over. All but
-// [EntrySegmentRetired] are records of the log, whose sequence numbers follow each other without a
-// gap.
+// LogEntry is one entry to be written to the log. Entries are written in the order in which they
+// were returned. All kinds except [EntrySegmentRetired] are log records, whose sequence numbers
+// have no gaps.
 type LogEntry struct {
-	// Seq is the sequence number of a record.
+	// Seq is the sequence number of a log record.
 	Seq uint64
-	// Kind says what the entry is about and which of the other fields it uses.
+	// Kind is the kind of the entry. It determines which of the other fields are used.
 	Kind EntryKind
-	// Segment is the number of the segment that the record belongs to; of EntrySegmentRetired, the
-	// segment that is retired.
+	// Segment is the number of the segment that the log record belongs to; for EntrySegmentRetired,
+	// the segment that is retired.
 	Segment uint64
-	// Subject is the oldest segment that still exists for EntrySegmentOpened, and the segment in
-	// question for EntrySegmentDropped.
+	// Subject is the oldest segment that still exists for EntrySegmentOpened, and the dropped
+	// segment for EntrySegmentDropped.
 	Subject uint64
-	// Key is the key that an intent or an end is about.
+	// Key is the key of an intent, a completion record or an EntryNeverRan.
 	Key Key
-	// At is when the entry was made, since 1970 began. It never decreases from one entry to the
-	// next.
+	// At is the time at which the entry was created, since the Unix epoch. It never decreases from
+	// one entry to the next.
 	At time.Duration
-	// Data is the result for EntryResult, and the handler's name for EntryIntent.
+	// Data is the result for EntryResult, and the name of the handler for EntryIntent.
 	Data []byte
-	// Fingerprints is what remains of the segment for EntrySegmentRetired.
+	// Fingerprints replaces the log records of the segment for EntrySegmentRetired.
 	Fingerprints *Fingerprints
 }
 
-// EntryKind says what a [LogEntry] is about. The numbers are part of the format of the log on disk.
+// EntryKind is the kind of a [LogEntry]. The numbers are part of the format of the log on disk.
 type EntryKind uint8
 
 // The kinds of log entries.
 const (
-	// EntryIntent says that the request may run from now on.
+	// EntryIntent records that the request may run from now on.
 	EntryIntent EntryKind = 1
-	// EntryResult says that the request ran, and has its result.
+	// EntryResult records that the request ran, with its result.
 	EntryResult EntryKind = 2
-	// EntryFailed says that the request ran, or may have, and failed.
+	// EntryFailed records that the request failed, and that it ran or may have run.
 	EntryFailed EntryKind = 3
-	// EntryNeverRan says that the request is proved not to have run: a retry is fresh.
+	// EntryNeverRan records a proof that the request did not run: a retry of it is fresh.
 	EntryNeverRan EntryKind = 4
-	// EntryResultTooLong says that the request ran, and that its result is too long to be kept.
+	// EntryResultTooLong records that the request ran, and that its result is too long to be kept.
 	EntryResultTooLong EntryKind = 5
-	// EntrySegmentOpened is the first record of each segment.
+	// EntrySegmentOpened is the first log record of each segment.
 	EntrySegmentOpened EntryKind = 6
-	// EntryIncarnation says that a process began to use the store.
+	// EntryIncarnation records that a process started to use the store.
 	EntryIncarnation EntryKind = 7
-	// EntryHistoryAccepted says that an operator vouches for all history that had been lost.
+	// EntryHistoryAccepted records that an operator accepted all history losses up to now.
 	EntryHistoryAccepted EntryKind = 8
-	// EntrySegmentDropped says that the fingerprints of a segment may be deleted.
+	// EntrySegmentDropped records that the fingerprints of a segment may be deleted.
 	EntrySegmentDropped EntryKind = 9
-	// EntrySegmentRetired says that all keys of a segment have expired, and that its fingerprints
-	// replace its records. It is no record itself.
+	// EntrySegmentRetired states that all keys of a segment have expired, and that its fingerprints
+	// replace its log records. It is not a log record itself.
 	EntrySegmentRetired EntryKind = 10
-	// EntryHistoryLost says that the store was found to lack earlier history: no request made
-	// before can be proved fresh.
+	// EntryHistoryLost records that the store lacks earlier history: a request made before this
+	// entry and without a record may have run.
 	EntryHistoryLost EntryKind = 11
 )
 
@@ -88,43 +88,45 @@
 	return entryKindNames[k]
 }
 
-// Decision is what becomes of a request, either on arrival or after it has waited. Other packages
-// may define further ones, from 100 on.
+// Decision is the decision on a request, either on arrival or after a wait. Other packages may
+// define further decisions, starting at 100.
 type Decision uint8
 
 // The decisions.
 const (
-	// Fresh means that the request has not run: it may be reserved, or, if it waited, its caller
-	// may retry.
+	// Fresh means that the request has not run: it may be reserved; if it was waiting, its client
+	// may retry it.
 	Fresh Decision = iota + 1
-	// Duplicate means that a request with the same key is remembered. [Store.Reserve] and
-	// [Store.PeekOutcome] tell more.
+	// Duplicate means that there is a record of the same key. [Store.Reserve] and
+	// [Store.PeekOutcome] return a more specific decision.
 	Duplicate
-	// Wait means that the request waits for its intent to be durable, or for the original request
-	// to end.
+	// Wait means that the request waits until its intent is durable, or until the original request
+	// has finished.
 	Wait
-	// Start means that the request may run: its intent is durable.
+	// Start means that the request may run, because its intent is durable.
 	Start
-	// Completed means that the request's own result is durable, and is its answer.
+	// Completed means that the request ran, that its result is durable or the disk has failed, and
+	// that the request is answered with the result.
 	Completed
 	// Replay means that the request is answered with the result of the original request.
 	Replay
-	// OriginalFailed means that the request is answered as failed: the original request failed.
+	// OriginalFailed means that the request is answered as failed because the original request
+	// failed.
 	OriginalFailed
-	// OutcomeUnknown means that the request is answered as failed: the original request may have
-	// run.
+	// OutcomeUnknown means that the request is answered as failed because the original request may
+	// have run.
 	OutcomeUnknown
-	// ResultExpired means that the request is answered as failed: the original request's result has
-	// expired or was too long to be kept.
+	// ResultExpired means that the request is answered as failed because the result of the original
+	// request has expired or was too long to be kept.
 	ResultExpired
-	// HistoryLost means that the request is answered as failed: history was lost, so it may have
-	// run.
+	// HistoryLost means that the request is answered as failed because it may have run: the history
+	// that would prove otherwise is lost.
 	HistoryLost
-	// StoreFull means that the request is rejected and may be retried later: there is no room for
-	// what must be remembered.
+	// StoreFull means that the request is rejected and may be retried later, because the store has
+	// no room for its record.
 	StoreFull
-	// StoreFailed means that the request is rejected: the disk has failed, so nothing can be
-	// remembered.
+	// StoreFailed means that the request is rejected because the disk has failed and no intent can
+	// be written.
 	StoreFailed
 )
 
@@ -151,12 +153,12 @@
 	return decisionNames[d]
 }
 
-// Outcome is a decision on one request.
+// Outcome is the decision on one request, with the result if there is one.
 type Outcome struct {
-	// ID is the request, as its caller numbered it.
+	// ID is the request ID that the caller assigned.
 	ID uint64
-	// Decision is what becomes of it.
+	// Decision is the decision on the request.
 	Decision Decision
-	// Result is the answer, for Completed and Replay.
+	// Result is the result that the request is answered with, for Completed and Replay.
 	Result []byte
 }
--- a/idempotency/expiry.go
+++ b/idempotency/expiry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sweep expires results that are past their time, retires and drops segments, and lets go of what
-// is past the retry horizon.
+// Sweep expires the records that are older than Config.ResultTTL, retires and drops segments, and
+// removes fingerprints of other stores and history losses that are older than the retry horizon.
 func (s *Store) Sweep(now time.Duration) {
 	s.advanceClock(now)
 	s.sweepSegments()
@@ -17,7 +17,7 @@
 	}
 }
 
-// expireOverdue expires all records that are past their time.
+// expireOverdue expires all records that are older than Config.ResultTTL.
 func (s *Store) expireOverdue() {
 	for {
 		oldest := s.nextToExpire()
@@ -28,14 +28,15 @@
 	}
 }
 
-// addResult counts a result, and expires the oldest records while all results are too large.
+// addResult adds the size of a result to the total and expires the oldest records while the total
+// is over its limit.
 func (s *Store) addResult(rec *record) {
 	s.resultBytes += len(rec.result)
 	for s.resultBytes > s.cfg.MaxBytes && s.expireOldest() {
 	}
 }
 
-// expireOldest expires the record that ended first, and reports whether there was one.
+// expireOldest expires the record that completed first, and reports whether there was one.
 func (s *Store) expireOldest() bool {
 	oldest := s.nextToExpire()
 	if oldest == nil {
@@ -47,8 +48,8 @@
 	return true
 }
 
-// oldest returns the record that expires next, nil if there is none. It drops keys from the queue
-// that are forgotten or in flight again.
+// nextToExpire returns the record that expires next, or nil if there is none. It removes keys from
+// the front of the queue whose record was removed or is in flight again.
 func (s *Store) nextToExpire() *record {
 	for len(s.expiryQueue) > 0 {
 		if rec := s.records[s.expiryQueue[0]]; rec != nil && rec.flight == nil {
--- a/idempotency/finish.go
+++ b/idempotency/finish.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Finish says how the run of a key ended: EntryResult with its result, EntryFailed or
-// EntryNeverRan. It returns the outcomes of those that wait for it.
+// Finish ends the run of a key. completion is EntryResult with a result, EntryFailed or
+// EntryNeverRan. Finish returns the outcomes of the requests that wait for the run.
 //
-// The answers of a run with a result come from MarkDurable, once its log record is durable. The
-// others come at once: without their log record the outcome is unknown after a restart, which is
-// answered as a failure too.
+// After EntryResult the requests are answered by MarkDurable, when the completion record is
+// durable. After the other kinds they are answered at once: if that log record is lost, the outcome
+// is unknown after a restart, and retries are answered as failed in that case too.
 func (s *Store) Finish(now time.Duration, key Key, completion EntryKind, result []byte) []Outcome {
 	s.advanceClock(now)
 	rec := s.records[key]
@@ -28,10 +28,10 @@
 	}
 	rec.completion = completion
 	rec.result = nil
-	if completion == EntryResult || completion == EntryResultTooLong { // the original request gets it however long it is
+	if completion == EntryResult || completion == EntryResultTooLong { // the original request receives it even if it is too long
 		rec.result = append([]byte(nil), result...)
 	}
-	if s.failed { // it is answered, and retries meet it as long as this process lives
+	if s.failed { // the requests are still answered, and so are retries as long as this process runs
 		return s.finish(key, rec, completion != EntryFailed)
 	}
 
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// MarkDurable says that all records up to that sequence number are durable, and returns what may
-// happen now.
+// MarkDurable marks all log records up to the given sequence number as durable. It returns the
+// outcomes of the requests that may start or be answered now.
 func (s *Store) MarkDurable(seq uint64) []Outcome {
 	s.durableSeq = max(s.durableSeq, seq)
 	var outcomes []Outcome
@@ -73,9 +73,10 @@
 	return outcomes
 }
 
-// MarkDiskFailed says that nothing can be written any more. Requests whose intent is not durable never
-// started, and are rejected. Results whose record is lost are answered nevertheless: their requests
-// have run, and retries meet them as long as this process lives.
+// MarkDiskFailed marks the disk as failed: no more entries are written. Requests whose intent is
+// not durable have not started and are rejected. Requests whose completion record is lost are
+// answered nevertheless, because they have run. Retries of them are answered as long as this
+// process runs. The outcomes of all these requests are returned.
 func (s *Store) MarkDiskFailed() []Outcome {
 	s.failed = true
 	s.unwritten = nil
@@ -97,8 +98,9 @@
 	return outcomes
 }
 
-// MarkOutcomeUnknown says that nobody will tell how the run of a key ended: its outcome is unknown, as
-// after a restart. Its end may still turn up. It returns the outcomes of those that wait for it.
+// MarkOutcomeUnknown marks the outcome of a running key as unknown, as after a restart, because
+// nothing will report it. A later Finish is still accepted. It returns the outcomes of the requests
+// that wait for the run.
 func (s *Store) MarkOutcomeUnknown(now time.Duration, key Key) []Outcome {
 	s.advanceClock(now)
 	rec := s.records[key]
@@ -108,8 +110,9 @@
 	return s.setOutcomeUnknown(key, rec)
 }
 
-// AbandonInFlight says that whoever had requests in flight is gone: their outcomes are unknown, as
-// after a restart, but for ends that are on their way to the disk.
+// AbandonInFlight marks the outcomes of all requests in flight as unknown, as after a restart,
+// because the component that ran them is gone. Requests whose completion record is being written
+// are not affected.
 func (s *Store) AbandonInFlight(now time.Duration) {
 	s.advanceClock(now)
 	var keys []Key
@@ -124,8 +127,9 @@
 	}
 }
 
-// Resume puts a key whose outcome is unknown in flight again, for an end that turns up; its
-// completion is that request's. It reports whether the outcome was unknown.
+// Resume puts a key whose outcome is unknown in flight again, so that a late completion can be
+// recorded. The outcome of that completion carries requestID. Resume reports whether the outcome of
+// the key was unknown.
 func (s *Store) Resume(key Key, requestID uint64) bool {
 	rec := s.records[key]
 	if rec == nil || rec.state != stateUnknown {
--- a/idempotency/history.go
+++ b/idempotency/history.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// UnboundedLoss is the end of a loss that no record follows. FinishLoading ends it.
+// UnboundedLoss is the end of a history loss that no record follows. FinishLoading replaces it by
+// the time at which the incarnation begins.
 const UnboundedLoss = time.Duration(math.MaxInt64)
 
-// mayBeLost reports whether a request that was made at that time, or later, and is not remembered
-// may have run.
+// mayBeLost reports whether a request without a record that was made at the given time or later may
+// have run.
 func (s *Store) mayBeLost(madeAt time.Duration, key Key) bool {
 	if s.lostBefore == 0 || madeAt > s.lostBefore {
 		return false
@@ -17,11 +18,11 @@
 	return s.refillCovers == nil || !s.refillCovers(key)
 }
 
-// AddHistoryLoss says that records are missing or unreadable, the last of them no later than that
-// time: no request made before can be proved fresh.
+// AddHistoryLoss adds a loss of log records, the last of which was written no later than until: a
+// request made before that time and without a record may have run.
 func (s *Store) AddHistoryLoss(until time.Duration) {
 	s.lostBefore = max(s.lostBefore, until)
-	// The loss is in the last segment, or in the unreadable ones that end the list.
+	// The loss is in the last segment, or in the unreadable segments at the end of the list.
 	for i := len(s.segments) - 1; i >= 0; i-- {
 		seg := s.segments[i]
 		seg.LostBefore = max(seg.LostBefore, until)
@@ -32,8 +33,8 @@
 	}
 }
 
-// MarkOutdated says that other nodes know of more than this store had when this incarnation began:
-// a request that was made before now and is not remembered can't be proved fresh. It is written to
+// MarkOutdated marks the store as older than the state that other nodes recorded when this
+// incarnation began: a request made before now and without a record may have run. It is written to
 // the log.
 func (s *Store) MarkOutdated(now time.Duration) {
 	s.advanceClock(now)
@@ -42,8 +43,8 @@
 	s.appendEntry(LogEntry{Kind: EntryHistoryLost})
 }
 
-// AcceptHistory says that an operator vouches for what was lost: all that is not remembered is
-// fresh again. It is written to the log.
+// AcceptHistory ends all history losses because an operator accepts them: a request without a
+// record is fresh again. It is written to the log.
 func (s *Store) AcceptHistory(now time.Duration) {
 	s.advanceClock(now)
 	s.acceptHistory()
@@ -57,23 +58,24 @@
 	seg.Accepted = true
 }
 
-// SetRefillCheck sets a function that reports whether all that may be lost here of a key has been
-// supplied by other nodes.
+// SetRefillCheck sets the function that reports whether other nodes have supplied everything that
+// this store may have lost about a key.
 func (s *Store) SetRefillCheck(covers func(Key) bool) { s.refillCovers = covers }
 
-// HistoryComplete reports whether the store can answer for all that it has ever had.
+// HistoryComplete reports whether the disk works and the store has its full history, either because
+// none is lost or because other nodes have supplied it.
 func (s *Store) HistoryComplete() bool {
 	return !s.failed && (s.lostBefore == 0 || s.refilled)
 }
 
-// HasFullHistory reports whether what the store has of a key is all that it ever had.
+// HasFullHistory reports whether the store has the full history of a key.
 func (s *Store) HasFullHistory(key Key) bool {
 	return s.HistoryComplete() || s.refillCovers != nil && s.refillCovers(key)
 }
 
-// MarkRefilled says that other nodes have supplied all that was lost, for all keys. It counts like
-// an operator's acceptance, and reports whether that holds in later incarnations too. It doesn't if
-// fingerprints of other nodes were merged, as those are not on this disk.
+// MarkRefilled marks the lost history as supplied by other nodes, for all keys. Like the acceptance
+// by an operator, it ends all history losses. It reports whether that holds for later incarnations
+// too. It does not if fingerprints of other nodes were merged, because those are not on this disk.
 func (s *Store) MarkRefilled(now time.Duration) bool {
 	s.refilled = true
 	s.Sweep(now)
--- a/idempotency/load.go
+++ b/idempotency/load.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Load takes a record that an earlier incarnation wrote. Records are loaded in the order in which
-// they were written, between the fingerprints of retired segments and the losses around them.
-// FinishLoading ends that.
+// Load adds a log record that an earlier incarnation wrote. Log records must be loaded in the order
+// in which they were written, together with the fingerprints of retired segments and the losses
+// between them. FinishLoading ends loading.
 func (s *Store) Load(entry LogEntry) {
 	s.lastSeq = max(s.lastSeq, entry.Seq)
 	s.advanceClock(entry.At)
@@ -31,7 +31,7 @@
 	case EntryIncarnation:
 		s.incarnation++
 		s.queueUncompletedIntents()
-	case EntrySegmentDropped: // its files are gone already, or are removed
+	case EntrySegmentDropped: // its files are already removed, or are removed by the writer
 	case EntryHistoryAccepted:
 		s.acceptHistory()
 	case EntryHistoryLost:
@@ -42,16 +42,16 @@
 	}
 }
 
-// loadKeyEntry takes a record about a key.
+// loadKeyEntry applies a log record about a key.
 func (s *Store) loadKeyEntry(entry LogEntry, seg *segment) {
 	rec := s.records[entry.Key]
 	switch entry.Kind {
 	case EntryIntent:
-		if rec == nil { // else the record between was lost, and what is known already is the safe side
+		if rec == nil { // otherwise a log record in between was lost, and keeping the existing record is safe
 			s.loadIntent(entry, seg)
 		}
 	case EntryResult, EntryResultTooLong, EntryFailed:
-		if rec != nil && rec.state == stateUnknown { // else it had expired, or its intent is lost
+		if rec != nil && rec.state == stateUnknown { // otherwise the key has expired, or its intent is lost
 			s.loadCompletion(entry, rec, seg)
 		}
 	case EntryNeverRan:
@@ -62,7 +62,7 @@
 }
 
 func (s *Store) loadIntent(entry LogEntry, seg *segment) {
-	if len(s.records) >= s.cfg.MaxEntries { // also where the bound is smaller than that of earlier incarnations
+	if len(s.records) >= s.cfg.MaxEntries { // the limit may be lower than in earlier incarnations
 		s.expireOldest()
 	}
 	s.addUnknown(entry.Key, entry.At, seg)
@@ -81,8 +81,8 @@
 	s.addResult(rec)
 }
 
-// LoadFingerprints takes what an earlier incarnation left of a retired segment, in its place among
-// the others.
+// LoadFingerprints adds a retired segment with the fingerprints that an earlier incarnation wrote.
+// Segments must be loaded in ascending order.
 func (s *Store) LoadFingerprints(fingerprints Fingerprints) {
 	s.advanceClock(fingerprints.Until)
 	s.segments = append(s.segments, &segment{Fingerprints: fingerprints, retired: true})
@@ -93,13 +93,14 @@
 }
 
 // LoadLostSegment adds a placeholder for a segment of which nothing can be read. AddHistoryLoss
-// says when it ended.
+// sets the time by which it had ended.
 func (s *Store) LoadLostSegment(number uint64) {
 	s.segments = append(s.segments, newUnreadableSegment(number, s.now))
 }
 
-// LoadLostPrefix adds placeholders for missing segments before the first one that was loaded, from
-// that number on. They had ended by the time given. At least one segment must have been loaded.
+// LoadLostPrefix adds placeholders for the missing segments with the numbers from `from` up to the
+// first segment that was loaded. until is a time by which they had ended. At least one segment must
+// have been loaded.
 func (s *Store) LoadLostPrefix(from uint64, until time.Duration) {
 	first := s.segments[0].Segment
 	for number := first - 1; number >= max(1, from); number-- {
@@ -118,8 +119,8 @@
 	}
 }
 
-// queueUnterminated puts intents without an end of an incarnation that is over in the queue of what
-// expires.
+// queueUncompletedIntents appends the intents of an ended incarnation that have no completion
+// record to the expiry queue.
 func (s *Store) queueUncompletedIntents() {
 	keys := slices.SortedFunc(maps.Keys(s.uncompletedIntents), func(a, b Key) int {
 		return cmp.Or(cmp.Compare(s.records[a].at, s.records[b].at), slices.Compare(a[:], b[:]))
@@ -128,11 +129,11 @@
 	s.expiryQueue = append(s.expiryQueue, keys...)
 }
 
-// FinishLoading ends loading and begins an incarnation. The outcome of intents without an end is
-// unknown; they expire like the others.
+// FinishLoading ends loading and begins an incarnation. The outcome of each intent without a
+// completion record is unknown. Such keys expire like the others.
 //
-// needsNewSegment has a new segment opened, numbered after lastSegment, because records that were
-// lost may follow the last ones.
+// If needsNewSegment is set, a new segment is opened with a number after lastSegment, because lost
+// records may follow the last ones that were loaded.
 func (s *Store) FinishLoading(now time.Duration, needsNewSegment bool, lastSegment uint64) {
 	s.advanceClock(now)
 	s.lostBefore = min(s.lostBefore, s.now)
@@ -148,9 +149,9 @@
 	s.beginIncarnation()
 }
 
-// RaiseIncarnation raises the number of this incarnation to at least that. Incarnations are
-// numbered by counting their log records, so it writes as many, and refuses a number that is too
-// far off. It reports whether it did as asked.
+// RaiseIncarnation raises the number of this incarnation to at least the given number. Incarnations
+// are numbered by counting their log records, so it appends one log record per step, and rejects a
+// number that is more than maxIncarnationStep ahead. It reports whether the number was accepted.
 func (s *Store) RaiseIncarnation(incarnation uint64) bool {
 	if incarnation > s.incarnation+maxIncarnationStep {
 		return false
--- a/idempotency/reserve.go
+++ b/idempotency/reserve.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Peek returns what would become of a request with that key if it were reserved now: Fresh,
-// Duplicate, or why it can't run. madeAt is when its caller first made it; 0 if that is not known,
-// in which case it may be as old as the retry horizon.
+// Peek classifies a request with the given key as Fresh or Duplicate, or returns the reason why it
+// cannot run. It reserves nothing and does not consider the capacity of the store. madeAt is when
+// the client first made the request; 0 means that the time is not known, so that the request may be
+// as old as the retry horizon.
 func (s *Store) Peek(now, madeAt time.Duration, key Key) Decision {
 	s.advanceClock(now)
 	oldestRetry := s.now - s.cfg.RetryHorizon
@@ -27,8 +28,9 @@
 	}
 }
 
-// PeekOutcome returns what a request with that key would meet, and reserves nothing: the outcome of
-// the original request if that has one, otherwise the decision of Peek.
+// PeekOutcome returns the outcome that a request with the given key would receive, without
+// reserving the key: that of the original request if that has finished or its outcome is unknown,
+// otherwise the decision of Peek.
 func (s *Store) PeekOutcome(now, madeAt time.Duration, key Key) Outcome {
 	decision := s.Peek(now, madeAt, key)
 	rec := s.records[key]
@@ -38,12 +40,13 @@
 	return Outcome{Decision: rec.decision(), Result: rec.result}
 }
 
-// Reserve takes a request that is to run. If it is fresh its intent is written, and it waits for
-// that to be durable. If its key is in flight it waits for the original request to end. Otherwise
-// the outcome says why it doesn't run.
+// Reserve adds a request that is to run. If the request is fresh, its intent is appended to the log
+// and the request waits until the intent is durable. If its key is in flight, the request waits
+// until the original request has finished. Otherwise the outcome states why the request does not
+// run.
 //
-// The handler's name is written with the intent, for those who look into unknown outcomes. The
-// request ID is the one of later outcomes.
+// The name of the handler is written with the intent, for operators who investigate unknown
+// outcomes. Later outcomes of the request carry requestID.
 func (s *Store) Reserve(now, madeAt time.Duration, key Key, handler string, requestID uint64) Outcome {
 	outcome := Outcome{ID: requestID, Decision: s.Peek(now, madeAt, key)}
 	switch outcome.Decision {
@@ -67,8 +70,8 @@
 	return outcome
 }
 
-// OriginalRequest returns the request in flight that a retry of the key would wait for, 0 if there is
-// none.
+// OriginalRequest returns the ID of the request in flight that a retry of the key would wait for,
+// or 0 if there is none.
 func (s *Store) OriginalRequest(key Key) uint64 {
 	rec := s.records[key]
 	if rec == nil || rec.flight == nil {
@@ -77,8 +80,9 @@
 	return rec.flight.originalID
 }
 
-// Withdraw says that a request no longer waits: its caller is gone, or has another answer. If it
-// had not started, the next one that waits takes its place; if none does, its key is fresh again.
+// Withdraw removes a request whose client is gone or has been answered otherwise. If the original
+// request has not started, the next request that waits for it takes its place. If none waits, the
+// key is fresh again.
 func (s *Store) Withdraw(now time.Duration, key Key, requestID uint64) {
 	s.advanceClock(now)
 	rec := s.records[key]
@@ -99,8 +103,8 @@
 	}
 }
 
-// forgetNeverRan removes a record in flight whose request is proved not to have run, and writes
-// that.
+// removeNeverRan removes a record in flight whose request is proved not to have run, and appends an
+// EntryNeverRan to the log.
 func (s *Store) removeNeverRan(key Key, rec *record) {
 	if !s.failed {
 		s.appendKeyEntry(EntryNeverRan, key, nil)
--- a/idempotency/segment.go
+++ b/idempotency/segment.go
@@ -7,38 +7,38 @@
 	"github.com/bits-and-blooms/bloom/v3"
 )
 
-// Fingerprints are what remains of a segment whose keys have all expired.
+// Fingerprints are the data that is kept of a segment whose keys have all expired.
 type Fingerprints struct {
-	// Segment is the segment's number.
+	// Segment is the number of the segment.
 	Segment uint64
-	// LastSeq is the sequence number of its last record.
+	// LastSeq is the sequence number of its last log record.
 	LastSeq uint64
-	// From is the time of its first record.
+	// From is the time of its first log record.
 	From time.Duration
-	// Until is the time of its last record about a key.
+	// Until is the time of its last log record about a key.
 	Until time.Duration
 	// Keys is the number of its intents.
 	Keys int
-	// LostBefore is set if records in the segment or after it are lost: requests made before can't
-	// be proved fresh. It is 0 if none are.
+	// LostBefore is set if log records in this segment or after it are lost: a request made before
+	// this time and without a record may have run. It is 0 if none are lost.
 	LostBefore time.Duration
-	// Accepted says that an operator accepted all history that had been lost until then.
+	// Accepted is set if an operator accepted all history losses up to this segment.
 	Accepted bool
-	// Filter has the keys that expired, nil if there are none. Nothing is added to that of a
-	// retired segment.
+	// Filter is the Bloom filter of the expired keys, or nil if there are none. The filter of a
+	// retired segment no longer changes.
 	Filter *bloom.BloomFilter
 }
 
 // segment is a part of the log.
 type segment struct {
 	Fingerprints
-	bytes       int  // of its records
-	liveRecords int  // intents and ends of keys that have not expired
-	retired     bool // only the fingerprints are left on the disk
-	unreadable  bool // not even those
+	bytes       int  // size of its log records about keys
+	liveRecords int  // number of intents and completion records of keys that have not expired
+	retired     bool // only its fingerprints are on the disk
+	unreadable  bool // neither its log records nor its fingerprints could be read
 }
 
-// count adds a record about a key.
+// countRecord adds a log record about a key to the counts of the segment.
 func (g *segment) countRecord(kind EntryKind, at time.Duration, dataBytes int) {
 	g.bytes += entryOverhead + dataBytes
 	g.Until = max(g.Until, at)
@@ -47,8 +47,8 @@
 	}
 }
 
-// addFingerprint adds a key that expired. The filter is sized for that many keys, or for those of
-// the segment if they are more.
+// addFingerprint adds an expired key to the filter. The filter is created for keysPerSegment keys,
+// or for the number of keys in the segment if that is higher.
 func (g *segment) addFingerprint(key Key, keysPerSegment int) {
 	if g.Filter == nil {
 		g.Filter = bloom.NewWithEstimates(uint(max(keysPerSegment, g.Keys)), falsePositiveRate)
@@ -56,13 +56,13 @@
 	g.Filter.Add(key[:])
 }
 
-// lastSegment returns the last segment; there must be one.
+// lastSegment returns the last segment. There must be one.
 func (s *Store) lastSegment() *segment {
 	return s.segments[len(s.segments)-1]
 }
 
-// appendEntry writes a record to the last segment, and returns both the segment and the record's
-// sequence number.
+// appendEntry appends a log record to the last segment, and returns the segment and the sequence
+// number of the log record.
 func (s *Store) appendEntry(entry LogEntry) (*segment, uint64) {
 	seg := s.lastSegment()
 	s.lastSeq++
@@ -74,14 +74,15 @@
 	return seg, s.lastSeq
 }
 
-// appendKeyEntry writes a record about a key to the last segment, and counts it there.
+// appendKeyEntry appends a log record about a key to the last segment and adds it to the counts of
+// the segment.
 func (s *Store) appendKeyEntry(kind EntryKind, key Key, data []byte) (*segment, uint64) {
 	s.lastSegment().countRecord(kind, s.now, len(data))
 	return s.appendEntry(LogEntry{Kind: kind, Key: key, Data: data})
 }
 
-// makeRoom makes sure that an intent can be kept, in memory and in a segment. It reports whether
-// that is so.
+// ensureCapacity makes room for an intent, in memory and in a segment. It reports whether there is
+// room.
 func (s *Store) ensureCapacity() bool {
 	if len(s.records) >= s.cfg.MaxEntries && !s.expireOldest() {
 		return false
@@ -97,7 +98,7 @@
 	return true
 }
 
-// lastSegmentHasRoom reports whether the last segment takes another intent.
+// lastSegmentHasRoom reports whether another intent may be appended to the last segment.
 func (s *Store) lastSegmentHasRoom() bool {
 	if len(s.segments) == 0 {
 		return false
@@ -109,7 +110,8 @@
 		s.now-seg.From < s.cfg.RetryHorizon/segmentsPerHorizon
 }
 
-// openSegment begins a segment, numbered after the last one and after that number.
+// openSegment opens a segment with a number after that of the last segment and after the given
+// number.
 func (s *Store) openSegment(after uint64) {
 	if len(s.segments) > 0 {
 		after = max(after, s.lastSegment().Segment)
@@ -118,7 +120,7 @@
 	s.appendEntry(LogEntry{Kind: EntrySegmentOpened, Subject: s.segments[0].Segment})
 }
 
-// sweepSegments expires what is overdue, then retires and drops segments.
+// sweepSegments expires overdue records, then retires and drops segments.
 func (s *Store) sweepSegments() {
 	s.expireOverdue()
 	if s.failed {
@@ -128,7 +130,8 @@
 	s.dropSegments()
 }
 
-// retireSegments retires the oldest segments whose keys have all expired. The last one stays open.
+// retireSegments retires the oldest segments whose keys have all expired. The last segment is never
+// retired.
 func (s *Store) retireSegments() {
 	for _, seg := range s.segments[:max(0, len(s.segments)-1)] {
 		if seg.retired {
@@ -147,7 +150,7 @@
 	}
 }
 
-// dropSegments drops the oldest retired segments that are past the retry horizon.
+// dropSegments drops the oldest retired segments that are older than the retry horizon.
 func (s *Store) dropSegments() {
 	for len(s.segments) > 1 {
 		first := s.segments[0]
@@ -159,8 +162,8 @@
 	}
 }
 
-// MayBeExpired reports whether a key has a fingerprint, here or in those merged from other nodes.
-// It is rarely true for a key that has not.
+// MayBeExpired reports whether a key has a fingerprint, here or among those merged from other
+// nodes. It is rarely true for a key without one; see falsePositiveRate.
 func (s *Store) MayBeExpired(key Key) bool {
 	for _, seg := range s.segments {
 		if seg.Filter != nil && seg.Filter.Test(key[:]) {
--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// recordState is how far the request of a key has come.
+// recordState is the state of the request of a key.
 //
 // The transitions between the states, and the functions that make them:
 //
-//	from                 cause                                       to         function
-//	none                 a fresh request is reserved                 reserved   reserve
-//	none                 an intent is loaded or merged               unknown    addUnknown
-//	reserved             its intent is durable                       running    start
-//	reserved             withdrawn by all, or the disk failed        none       forget
-//	reserved, running    its owner will not tell how it ended        unknown    loseOutcome
-//	reserved, running    it is proved never to have run              none       forget
-//	reserved, running    it ended with a result                      finishing  awaitEnd
-//	reserved, running    it failed, or ended after the disk failed   finished   finish
-//	finishing            its end is durable, or the disk failed      finished   finish
-//	unknown              its end turns up after all                  running    resume
-//	unknown              its end is loaded or merged                 finished   resolve
-//	unknown              it is loaded that it never ran              none       forgetUnknown
-//	unknown, finished    it expires                                  none       expire
+//	from                 cause                                           to         function
+//	none                 a fresh request is reserved                     reserved   reserve
+//	none                 an intent is loaded or merged                   unknown    addUnknown
+//	reserved             its intent is durable                           running    start
+//	reserved             all its requests withdraw, or the disk fails    none       removeInFlight
+//	reserved, running    no outcome will be reported                     unknown    setOutcomeUnknown
+//	reserved, running    it is proved never to have run                  none       removeInFlight
+//	reserved, running    it completes with a result                      finishing  awaitCompletion
+//	reserved, running    it fails, or completes after the disk failed    finished   finish
+//	finishing            its completion is durable, or the disk fails    finished   finish
+//	unknown              its run is reported after all                   running    resume
+//	unknown              its completion is loaded or merged              finished   resolve
+//	unknown              the log entry is loaded that it never ran       none       removeUnknown
+//	unknown, finished    it expires                                      none       expire
 //
-// "None" is a key without a record. It may still have a fingerprint.
+// "None" is a key without a record. Such a key may still have a fingerprint.
 type recordState uint8
 
 const (
-	stateReserved  recordState = iota // its intent is not yet durable
-	stateRunning                      // it runs
-	stateFinishing                    // it has run, and its result is not yet durable
-	stateFinished                     // it has a result, or failed
-	stateUnknown                      // it has an intent and no end
+	stateReserved  recordState = iota // the intent is not yet durable
+	stateRunning                      // the request is running
+	stateFinishing                    // the request ran, and its result is not yet durable
+	stateFinished                     // the request ran with a result, or failed
+	stateUnknown                      // there is an intent without a completion record
 )
 
-// Names of states as the operators' commands print them. A finished record has the name of its end
-// instead.
+// Names of states in the output of the operators' commands. A finished record has the name of its
+// completion kind instead.
 const (
 	nameInFlight = "in hand"
 	nameUnknown  = "in doubt"
 )
 
-// record is what is remembered of a key. There are millions of them, so what only those in flight
-// need is kept apart.
+// record is the state of one key. A store holds millions of records, so the fields that only
+// requests in flight need are in a separate struct.
 type record struct {
 	state             recordState
-	completion        EntryKind     // how it ended; 0 if that is not known
-	at                time.Duration // of its end, or of its intent while the outcome is unknown
+	completion        EntryKind     // kind of its completion record; 0 without one
+	at                time.Duration // time of its completion, or of its intent while the outcome is unknown
 	result            []byte
-	intentSegment     *segment // that has its intent
-	completionSegment *segment // that has its end; nil without one
-	flight            *flight  // nil unless reserved, running or finishing
+	intentSegment     *segment // segment with its intent
+	completionSegment *segment // segment with its completion record; nil without one
+	flight            *flight  // nil unless the record is reserved, running or finishing
 }
 
-// flight is what a record needs until it has ended.
+// flight is the part of a record that exists until the request has finished.
 type flight struct {
-	seq        uint64   // of the log record that is waited for
-	originalID uint64   // the request that runs; 0 once it was withdrawn
-	waitingIDs []uint64 // retries of it, which get the same outcome
+	seq        uint64   // of the log record that must become durable next
+	originalID uint64   // request ID of the request that runs; 0 after it was withdrawn
+	waitingIDs []uint64 // request IDs of its retries, which receive the same outcome
 	handler    string
 }
 
-// lateRequest is the original request of a run whose end turned up after its outcome was unknown:
-// no caller waits for it.
+// lateRequestID is the ID of the original request of a run that is reported after its outcome
+// became unknown. No client waits for its result.
 const lateRequestID = math.MaxUint64
 
-// decision is what a retry meets once the record is no longer in flight.
+// decision returns the decision on a retry of a record that is no longer in flight.
 func (r *record) decision() Decision {
 	switch {
 	case r.state == stateUnknown:
@@ -80,7 +80,7 @@
 	}
 }
 
-// stateName returns the record's state as the operators' commands print it.
+// stateName returns the name of the record's state in the output of the operators' commands.
 func (r *record) stateName() string {
 	switch r.state {
 	case stateFinished:
@@ -92,18 +92,19 @@
 	}
 }
 
-// awaitsDisk reports whether the record waits for one of its log records to be durable.
+// awaitsDisk reports whether the record waits for one of its log records to become durable.
 func (r *record) awaitsDisk() bool {
 	return r.flight != nil && r.state != stateRunning
 }
 
-// setEndSegment notes which segment has the record's end.
+// setCompletionSegment sets the segment that has the record's completion and counts the record
+// there.
 func (r *record) setCompletionSegment(seg *segment) {
 	r.completionSegment = seg
 	seg.liveRecords++
 }
 
-// appendWaiting appends a decision for each request that waits for the flight's end.
+// appendWaiting appends an outcome for each retry that waits for the flight to finish.
 func (f *flight) appendWaiting(outcomes []Outcome, decision Decision, result []byte) []Outcome {
 	for _, id := range f.waitingIDs {
 		outcomes = append(outcomes, Outcome{ID: id, Decision: decision, Result: result})
@@ -111,7 +112,7 @@
 	return outcomes
 }
 
-// reserve makes a record for a fresh request, and writes its intent.
+// reserve creates the record of a fresh request and appends its intent to the log.
 func (s *Store) reserve(key Key, handler string, requestID uint64) {
 	seg, seq := s.appendKeyEntry(EntryIntent, key, []byte(handler))
 	seg.liveRecords++
@@ -125,7 +126,7 @@
 	s.awaitingDisk = append(s.awaitingDisk, key)
 }
 
-// addUnknown makes a record for an intent in that segment whose end is not known.
+// addUnknown creates a record with an unknown outcome for an intent in the given segment.
 func (s *Store) addUnknown(key Key, at time.Duration, seg *segment) *record {
 	seg.liveRecords++
 	rec := &record{state: stateUnknown, at: at, intentSegment: seg}
@@ -134,28 +135,29 @@
 	return rec
 }
 
-// start lets the original request run.
+// start changes a record to running and returns the outcome that lets its original request run.
 func (s *Store) start(rec *record) Outcome {
 	rec.state = stateRunning
 	return Outcome{ID: rec.flight.originalID, Decision: Start}
 }
 
-// awaitEnd has the answers wait until the end is durable.
+// awaitCompletion changes a record to finishing. Its requests are answered when the completion
+// record, which has the given sequence number, is durable.
 func (s *Store) awaitCompletion(key Key, rec *record, seq uint64) {
 	rec.state = stateFinishing
 	rec.flight.seq = seq
 	s.awaitingDisk = append(s.awaitingDisk, key)
 }
 
-// finish ends a flight and answers all that wait for it, and the original request too if
-// answerOriginal is set.
+// finish ends a flight and returns the outcomes of all requests that wait for it, including the
+// original request if answerOriginal is set.
 func (s *Store) finish(key Key, rec *record, answerOriginal bool) []Outcome {
 	var outcomes []Outcome
 	if answerOriginal && rec.flight.originalID != 0 {
 		outcomes = append(outcomes, Outcome{ID: rec.flight.originalID, Decision: Completed, Result: rec.result})
 	}
 	if rec.completion == EntryResultTooLong {
-		rec.result = nil // only the original request gets it
+		rec.result = nil // only the original request receives it
 	}
 	outcomes = rec.flight.appendWaiting(outcomes, rec.decision(), rec.result)
 	rec.state = stateFinished
@@ -167,7 +169,8 @@
 	return outcomes
 }
 
-// loseOutcome ends a flight whose outcome nobody will tell.
+// setOutcomeUnknown ends a flight whose outcome will not be reported and returns the outcomes of
+// the retries that wait for it.
 func (s *Store) setOutcomeUnknown(key Key, rec *record) []Outcome {
 	outcomes := rec.flight.appendWaiting(nil, OutcomeUnknown, nil)
 	if rec.flight.handler != "" {
@@ -182,7 +185,8 @@
 	return outcomes
 }
 
-// resume puts a record whose outcome is unknown in flight again.
+// resume puts a record whose outcome is unknown in flight again, with the given request as its
+// original request.
 func (s *Store) resume(key Key, rec *record, requestID uint64) {
 	rec.state = stateRunning
 	rec.flight = &flight{originalID: requestID, handler: s.unknownHandlers[key]}
@@ -191,7 +195,8 @@
 	s.inFlight++
 }
 
-// resolve gives a record whose outcome is unknown its end, whose log record is in that segment.
+// resolve sets the completion of a record whose outcome is unknown. seg is the segment that has the
+// completion record.
 func (s *Store) resolve(key Key, rec *record, completion EntryKind, at time.Duration, seg *segment) {
 	rec.state = stateFinished
 	rec.completion = completion
@@ -202,14 +207,15 @@
 	delete(s.uncompletedIntents, key)
 }
 
-// forget removes a record in flight whose request has not run.
+// removeInFlight removes a record in flight whose request has not run.
 func (s *Store) removeInFlight(key Key, rec *record) {
 	rec.intentSegment.liveRecords--
 	s.inFlight--
 	delete(s.records, key)
 }
 
-// forgetUnknown removes a record whose outcome was unknown until it was loaded that it never ran.
+// removeUnknown removes a record whose outcome was unknown, because a log entry that was loaded
+// proves that its request never ran.
 func (s *Store) removeUnknown(key Key, rec *record) {
 	rec.intentSegment.liveRecords--
 	s.unknownOutcomes--
@@ -218,7 +224,8 @@
 	delete(s.records, key)
 }
 
-// expire replaces a record that is not in flight by its fingerprint.
+// expire removes a record that is not in flight and adds its fingerprint to the segment of its
+// intent.
 func (s *Store) expire(key Key, rec *record) {
 	s.resultBytes -= len(rec.result)
 	if rec.state == stateUnknown {
--- a/idempotency/stats.go
+++ b/idempotency/stats.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Stats describe what a store keeps.
+// Stats are counts and sizes of the data in a store.
 type Stats struct {
-	// Incarnation numbers the process that uses the store.
+	// Incarnation is the number of the incarnation that uses the store.
 	Incarnation uint64 `json:"life"`
-	// Keys is the number of keys that are remembered with more than a fingerprint.
+	// Keys is the number of keys with a record, that is, with more than a fingerprint.
 	Keys int `json:"keys"`
-	// OutcomeUnknown is how many of those have an unknown outcome.
+	// OutcomeUnknown is the number of those keys whose outcome is unknown.
 	OutcomeUnknown int `json:"in_doubt"`
-	// InFlight is how many of those run or wait for the disk.
+	// InFlight is the number of those keys that run or wait for the disk.
 	InFlight int `json:"in_hand"`
-	// ResultBytes is the size of all results.
+	// ResultBytes is the total size of all results, in bytes.
 	ResultBytes int `json:"bytes"`
-	// Fingerprints is the number of keys in retired segments, of which only a fingerprint is left.
+	// Fingerprints is the number of keys in retired segments, which have only a fingerprint.
 	Fingerprints int `json:"prints"`
 	// Segments is the number of segments.
 	Segments int `json:"segments"`
-	// Since is when the oldest segment began, since 1970.
+	// Since is the time at which the oldest segment was opened, since the Unix epoch.
 	Since time.Duration `json:"since"`
-	// LostBefore says that requests made before can't be proved fresh. It is 0 if all can.
+	// LostBefore is the time before which a request without a record may have run. It is 0 if no
+	// history is lost.
 	LostBefore time.Duration `json:"blind"`
-	// Failed says that the disk has failed.
+	// Failed is set if the disk has failed.
 	Failed bool `json:"failed"`
 }
 
-// Stats returns what the store keeps.
+// Stats returns the current counts and sizes.
 func (s *Store) Stats() Stats {
 	stats := Stats{
 		Incarnation:    s.incarnation,
@@ -49,16 +50,17 @@
 	return stats
 }
 
-// ForEachKey calls f for each key that is remembered with more than a fingerprint, in no order. at is
-// when it ended, or when its intent was made; state is how the operators' commands name its state;
-// bytes is the size of its result.
+// ForEachKey calls f for each key with a record, in no particular order. at is the time of the
+// completion, or of the intent if the key has not completed; state is the name of its state in the
+// output of the operators' commands; bytes is the size of its result.
 func (s *Store) ForEachKey(f func(key Key, at time.Duration, state string, bytes int)) {
 	for key, rec := range s.records {
 		f(key, rec.at, rec.stateName(), len(rec.result))
 	}
 }
 
-// KeysWithUnknownOutcome returns the keys whose outcome is unknown, the oldest first, at most limit of them.
+// KeysWithUnknownOutcome returns at most limit keys whose outcome is unknown, in the order in which
+// they expire.
 func (s *Store) KeysWithUnknownOutcome(limit int) []Key {
 	var keys []Key
 	for _, key := range s.expiryQueue {
@@ -72,8 +74,8 @@
 	return keys
 }
 
-// UnknownOutcomesByHandler returns how many keys have an unknown outcome, by handler; "" stands for those
-// whose handler is not known.
+// UnknownOutcomesByHandler returns the number of keys with an unknown outcome by handler. The key
+// "" has those whose handler is not known.
 func (s *Store) UnknownOutcomesByHandler() map[string]int {
 	counts := map[string]int{}
 	for _, handler := range s.unknownHandlers {
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -2,42 +2,52 @@
 
 import "time"
 
-// Store remembers keys and what came of their requests. New makes one. Load and the other loading
-// methods bring it to what the disk has, FinishLoading ends that, and from then on it takes
-// requests.
+// Store records keys and the outcomes of their requests. New creates an empty store. Load and the
+// other loading methods restore the state that is on the disk, FinishLoading ends loading, and from
+// then on the store accepts requests.
 //
-// Times are durations since 1970 began. A Store is not safe for concurrent use.
+// Times are durations since the Unix epoch. A Store is not safe for concurrent use.
 type Store struct {
 	cfg    Config
 	now    time.Duration
-	failed bool // the disk has failed: nothing can be written any more
+	failed bool // a write to the disk failed, and no further entries can be written
 
-	// Remembered keys.
+	// Keys with a record.
 	records         map[Key]*record
 	resultBytes     int
-	inFlight        int            // records with a flight
-	unknownOutcomes int            // records in stateUnknown
-	unknownHandlers map[Key]string // handlers of those, where they are known
+	inFlight        int            // number of records with a flight
+	unknownOutcomes int            // number of records in stateUnknown
+	unknownHandlers map[Key]string // handlers of the records in stateUnknown, where they are known
 
-	// expiryQueue has the keys that ended or whose outcome is unknown, the oldest first. Some may
-	// be forgotten already.
-	expiryQueue        []Key
-	queueStart         uint64           // position of the first key in expiryQueue, counted since the store was made
-	uncompletedIntents map[Key]struct{} // while loading: intents of the incarnation that is being loaded, without an end so far
+	// expiryQueue has the keys that completed or whose outcome is unknown, in the order in which
+	// they expire. It may still have keys whose record was removed or is in flight again.
+	expiryQueue []Key
+	// queueStart is the position of the first key in expiryQueue, counted from the creation of the
+	// store.
+	queueStart uint64
+	// uncompletedIntents has, during loading, the keys of the current incarnation that have an
+	// intent and no completion record so far.
+	uncompletedIntents map[Key]struct{}
 
-	// The log.
-	segments     []*segment // the oldest first; the last takes records unless it is retired
-	incarnation  uint64
-	lastSeq      uint64 // of the last record that was made or loaded
-	durableSeq   uint64 // of the last record that is durable
-	unwritten    []LogEntry
-	awaitingDisk []Key // those with a record in the log that is waited for, in the order of their records
+	// The log. The segments are in ascending order, and records are appended to the last one unless
+	// it is retired.
+	segments    []*segment
+	incarnation uint64
+	lastSeq     uint64 // of the last log record that was created or loaded
+	durableSeq  uint64 // of the last durable log record
+	unwritten   []LogEntry
+	// awaitingDisk has the keys that wait for a log record to become durable, in the order of those
+	// log records.
+	awaitingDisk []Key
 
-	// Lost history.
-	lostBefore       time.Duration // requests made before can't be proved fresh; 0 if all can
-	peerFingerprints []ExpiredKeys // of other stores, for what this one has lost
-	refillCovers     func(Key) bool
-	refilled         bool // other nodes have supplied all that was lost
+	// Lost history. A request made before lostBefore and without a record may have run. It is 0 if
+	// no history is lost.
+	lostBefore       time.Duration
+	peerFingerprints []ExpiredKeys // fingerprints from other stores, which replace lost ones
+	// refillCovers reports whether other nodes have supplied everything that this store may have
+	// lost about a key. It may be nil.
+	refillCovers func(Key) bool
+	refilled     bool // other nodes have supplied everything that was lost
 }
 
 // New returns an empty store.
@@ -50,18 +60,19 @@
 	}
 }
 
-// advanceClock moves the time forward. It never goes back: a clock that was set back must not make
-// anything younger.
+// advanceClock moves the time forward, never back: after the system clock was set back, no record
+// must appear younger.
 func (s *Store) advanceClock(now time.Duration) {
 	s.now = max(s.now, now)
 }
 
-// TakeEntries returns what is to be written to the log since the last call.
+// TakeEntries returns the log entries that were created since the last call, in the order in which
+// they are to be written.
 func (s *Store) TakeEntries() []LogEntry {
 	entries := s.unwritten
 	s.unwritten = nil
 	return entries
 }
 
-// DurableSeq returns the sequence number of the last durable record.
+// DurableSeq returns the sequence number of the last durable log record.
 func (s *Store) DurableSeq() uint64 { return s.durableSeq }
--- a/idempotency/transfer.go
+++ b/idempotency/transfer.go
@@ -7,36 +7,37 @@
 	"github.com/bits-and-blooms/bloom/v3"
 )
 
-// Record is what one store supplies to another about a key that has ended, or whose outcome is
-// unknown.
+// Record is the data that one store supplies to another about a key that has completed or whose
+// outcome is unknown.
 type Record struct {
 	// Key is the key.
 	Key Key
-	// Kind is its end: EntryResult, EntryFailed or EntryResultTooLong; 0 if the outcome is unknown.
+	// Kind is the kind of its completion: EntryResult, EntryFailed or EntryResultTooLong; 0 if the
+	// outcome is unknown.
 	Kind EntryKind
 	// Result is the result, for EntryResult.
 	Result []byte
 }
 
-// ExpiredKeys are fingerprints of keys of which nothing more is known.
+// ExpiredKeys are the fingerprints of expired keys in one segment.
 type ExpiredKeys struct {
-	// Segment is the segment that the keys belong to, in the store that supplies them.
+	// Segment is the number of the segment in the store that supplies the fingerprints.
 	Segment uint64
-	// Until is when the segment ended.
+	// Until is the time of the last log record about a key in the segment.
 	Until time.Duration
-	// Filter has the keys.
+	// Filter is the Bloom filter of the keys.
 	Filter *bloom.BloomFilter
 }
 
-// firstPeerPosition is where the fingerprints that were merged from other nodes begin among those
-// that NextExpired returns. Before it, the position is the number of a segment of the store's own.
+// firstPeerPosition is the position in NextExpired of the first fingerprints that were merged from
+// other nodes. A smaller position is the number of a segment of this store.
 const firstPeerPosition = 1 << 48
 
-// Export returns records of keys that have ended or whose outcome is unknown, in the order in which
-// they did so. It walks the positions from `from` up to `to`, passes over keys that include
-// rejects, and stops early when the records have reached maxBytes. next is the position to go on
-// from, end the one past the last there is. Records that expire during a walk are among the
-// fingerprints, if those are asked for after it.
+// Export returns the records of keys that have completed or whose outcome is unknown, in the order
+// in which they expire. It visits the positions from `from` up to `to`, skips the keys that include
+// rejects, and stops early when the size of the records reaches maxBytes. next is the position to
+// continue from, end the position after the last key. A record that expires during the transfer is
+// found among the fingerprints, provided that those are requested afterwards.
 func (s *Store) Export(from, to uint64, maxBytes int, include func(Key) bool) (records []Record, next, end uint64) {
 	end = s.queueStart + uint64(len(s.expiryQueue))
 	next = max(from, s.queueStart)
@@ -57,9 +58,9 @@
 	return records, next, end
 }
 
-// NextExpired returns the first fingerprints after a position: those of this store's segments, then
-// those that it merged. The position returned is what to ask with next; 0 begins. ok is false when
-// there are no more.
+// NextExpired returns the first fingerprints after a position: those of the segments of this store,
+// followed by those that it merged. The iteration begins with after = 0 and continues with the
+// returned position. ok is false if there are no more fingerprints.
 func (s *Store) NextExpired(after uint64) (expired ExpiredKeys, position uint64, ok bool) {
 	for _, seg := range s.segments {
 		if seg.Filter != nil && seg.Segment > after {
@@ -76,9 +77,10 @@
 	return ExpiredKeys{}, 0, false
 }
 
-// Merge takes another store's record of a key of which this one knows nothing, or only that its
-// outcome is unknown. It is written to the log like a request that ran here, and expires from now
-// on: later than where it ran, never earlier. Merge reports whether it was taken.
+// Merge adds a record of another store for a key that has no record here or whose outcome is
+// unknown here. The record is written to the log like that of a request that ran here. It expires
+// Config.ResultTTL from now, which is later than in the store that supplied it, never earlier.
+// Merge reports whether the record was added.
 func (s *Store) Merge(now time.Duration, record Record) bool {
 	s.advanceClock(now)
 	if s.failed {
@@ -99,15 +101,15 @@
 	return true
 }
 
-// mergeIntent makes and writes a record of which only the intent is known.
+// mergeIntent creates a record with an unknown outcome and appends its intent to the log.
 func (s *Store) mergeIntent(key Key) *record {
 	seg, _ := s.appendKeyEntry(EntryIntent, key, nil)
 	s.expiryQueue = append(s.expiryQueue, key)
 	return s.addUnknown(key, s.now, seg)
 }
 
-// mergeEnd writes the end of a record whose outcome was unknown. The record is in the queue of what
-// expires already.
+// mergeCompletion appends the completion of a record whose outcome was unknown to the log. The
+// record is already in the expiry queue.
 func (s *Store) mergeCompletion(rec *record, merged Record) {
 	completion := merged.Kind
 	if completion == EntryResult && len(merged.Result) > s.cfg.MaxResultBytes {
@@ -122,7 +124,7 @@
 	s.addResult(rec)
 }
 
-// MergeExpired takes another store's fingerprints. They are kept in memory only.
+// MergeExpired adds fingerprints of another store. They are kept in memory only.
 func (s *Store) MergeExpired(expired ExpiredKeys) {
 	if expired.Filter != nil && s.now-expired.Until <= s.cfg.RetryHorizon {
 		s.peerFingerprints = append(s.peerFingerprints, expired)
--- a/internal/wal/dirdisk_default.go
+++ b/internal/wal/dirdisk_default.go
@@ -2,5 +2,5 @@
 
 package wal
 
-// DirDisk returns the directory with that path.
+// DirDisk returns a Disk in the directory with the given path.
 func DirDisk(path string) Disk { return dirDisk(path) }
--- a/internal/wal/dirdisk_powerloss.go
+++ b/internal/wal/dirdisk_powerloss.go
@@ -13,35 +13,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// DirDisk returns the directory with that path. It records beside each file how much of it is
-// durable, and which changes of names are not. From that, a test that kills the process can make of
-// the directory what a power failure could have left: see harness.CutPower.
+// DirDisk returns a Disk in the directory with the given path. Beside each file it records how much
+// of the file is durable, and it records which changes of file names are not. From these records, a
+// test that has killed the process can produce a directory that a power failure could have left;
+// see harness.CutPower.
 func DirDisk(path string) Disk { return &recordingDisk{dirDisk: dirDisk(path)} }
 
-// Names of the files that are recorded. They begin with a dot, as no file of a store does.
+// Names of the files that hold the records. They begin with a dot, which no file of a store does.
 const (
-	// durableMark begins the name of a file with the durable size of another one, whose name
-	// follows.
+	// durablePrefix is the prefix of a file that holds the durable size of another file. The name
+	// of that file follows.
 	durablePrefix = ".durable."
-	// pendingName is the file with the changes of names that are not durable, a line each.
+	// pendingName is the file with the changes of file names that are not durable, one per line.
 	pendingName = ".pending"
-	// oldMark begins the name of a file that was removed or replaced, until that is durable.
+	// oldPrefix is the prefix of a file that was removed or replaced, until its removal is durable.
 	oldPrefix = ".old."
-	// faultName is the file that says how the disk fails: "full", "read-only", or how long each
-	// write takes.
+	// faultName is the file with the fault to simulate: "full", "read-only", or the duration that
+	// each write takes.
 	faultName = ".fault"
 )
 
-// noFile is written to PendingName for a name that no file had before.
+// noPreviousFile is written to the pendingName file if a name had no file before the change.
 const noPreviousFile = "-"
 
-// recordingDisk is a directory that records what is durable.
+// recordingDisk is a Disk in a directory that also records which data and file names are durable.
 type recordingDisk struct {
 	dirDisk
-	retainedFiles int // number of OldMark files that were made
+	retainedFiles int // number of files with oldPrefix that were created
 }
 
-// Names implements Disk. It leaves out what is recorded.
+// Names implements Disk. It leaves out the files that hold the records.
 func (d *recordingDisk) Names() ([]string, error) {
 	all, err := d.dirDisk.Names()
 	var names []string
@@ -90,7 +91,7 @@
 	return d.recordPending("remove", name, old)
 }
 
-// SyncDir implements Disk. It makes all changes of names durable.
+// SyncDir implements Disk. It makes all pending changes of file names durable.
 func (d *recordingDisk) SyncDir() error {
 	if err := d.dirDisk.SyncDir(); err != nil {
 		return err
@@ -107,7 +108,7 @@
 	return err
 }
 
-// recordPending records a change of names that is not durable.
+// recordPending records a change of file names that is not durable.
 func (d *recordingDisk) recordPending(words ...string) error {
 	file, err := os.OpenFile(d.path(pendingName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -117,8 +118,8 @@
 	return errors.Join(err, file.Close())
 }
 
-// recordDurableSize records how much of a file is durable. The record is replaced at once, as the
-// process may be killed meanwhile.
+// recordDurableSize records how much of a file is durable. The record is replaced atomically,
+// because the process may be killed at any time.
 func (d *recordingDisk) recordDurableSize(name string, size int64) error {
 	path := d.path(durablePrefix + name)
 	if err := os.WriteFile(path+"~", fmt.Append(nil, size), 0o600); err != nil {
@@ -127,8 +128,8 @@
 	return os.Rename(path+"~", path)
 }
 
-// keepOld renames the file that has a name, so that it is there until its end is durable. It
-// returns the new name, noFile if there is no file.
+// retainPrevious renames an existing file, so that it remains available until its removal is
+// durable. It returns the new name, or noPreviousFile if there is no file.
 func (d *recordingDisk) retainPrevious(name string) (string, error) {
 	if _, err := os.Stat(d.path(name)); errors.Is(err, fs.ErrNotExist) {
 		return noPreviousFile, nil
@@ -149,11 +150,11 @@
 	return err
 }
 
-// fault returns the error that the disk is to fail with. If it is to be slow it takes its time.
+// fault returns the error of a simulated disk fault. If the disk is to be slow, it sleeps.
 func (d *recordingDisk) fault() error {
 	text, err := os.ReadFile(d.path(faultName))
 	if err != nil {
-		return nil // there is no fault
+		return nil // no fault is configured
 	}
 	switch word := strings.TrimSpace(string(text)); word {
 	case "full":
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -9,34 +9,34 @@
 	"path/filepath"
 )
 
-// Disk is one directory of a file system, as a store needs it. Tests have one that loses power. Its
+// Disk is the directory of a store. Tests use an implementation that simulates power failures. Its
 // methods are called by one goroutine at a time.
 type Disk interface {
 	// Names returns the names of all files.
 	Names() ([]string, error)
-	// Read returns a file's content. The error is fs.ErrNotExist if there is no such file.
+	// Read returns the content of a file. The error is fs.ErrNotExist if there is no such file.
 	Read(name string) ([]byte, error)
-	// OpenAppend opens a file to be written to from that size on. It is created if it doesn't exist,
-	// and truncated if it is longer.
+	// OpenAppend opens a file to be written to from the given size on. The file is created if it
+	// does not exist, and truncated if it is longer.
 	OpenAppend(name string, size int64) (File, error)
-	// Rename renames a file, replacing one that has the new name.
+	// Rename renames a file. It replaces a file that has the new name.
 	Rename(from, to string) error
-	// Remove removes a file. It is no error if there is none.
+	// Remove removes a file. It returns no error if the file does not exist.
 	Remove(name string) error
-	// SyncDir makes durable which files there are and under which names.
+	// SyncDir makes the creation, renaming and removal of files durable.
 	SyncDir() error
 }
 
-// File is a file that is written to.
+// File is a file that is open for writing.
 type File interface {
 	io.Writer
-	// Sync makes durable what was written.
+	// Sync makes the data written so far durable.
 	Sync() error
-	// Close closes the file, without making anything durable.
+	// Close closes the file without making its data durable.
 	Close() error
 }
 
-// dirDisk is a directory of the system's.
+// dirDisk is a Disk in a directory of the file system.
 type dirDisk string
 
 func (d dirDisk) path(name string) string { return filepath.Join(string(d), name) }
@@ -89,12 +89,12 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dir.Close() }() // it was only synced
+	defer func() { _ = dir.Close() }() // nothing was written through it
 	return dir.Sync()
 }
 
-// WriteFile writes a file so that it exists under its name either completely or not at all, and
-// returns when that is durable.
+// WriteFile writes a file atomically: it exists under its name either completely or not at all.
+// WriteFile returns when the file is durable.
 func WriteFile(disk Disk, name string, data []byte) error {
 	temporary := name + temporarySuffix
 	if err := writeAndSync(disk, temporary, data); err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// writeAndSync writes a file anew and makes its content durable.
+// writeAndSync creates or overwrites a file and makes its content durable.
 func writeAndSync(disk Disk, name string, data []byte) error {
 	file, err := disk.OpenAppend(name, 0)
 	if err != nil {
--- a/internal/wal/fingerprints.go
+++ b/internal/wal/fingerprints.go
@@ -58,8 +58,7 @@
 	return append(header, filter...), nil
 }
 
-// parseFingerprints parses the content of the fingerprint file of a segment. The error is
-// errCorrupt.
+// parseFingerprints parses the fingerprint file of a segment. The error is errCorrupt.
 func (id ID) parseFingerprints(data []byte, segment uint64) (idempotency.Fingerprints, error) {
 	if len(data) < fingerprintsHeaderSize || binary.LittleEndian.Uint32(data) != fingerprintsMagic {
 		return idempotency.Fingerprints{}, errCorrupt
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -11,12 +11,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes of frames, in bytes.
+// Sizes in frames, in bytes.
 const (
 	frameHeaderSize  = 32
 	recordHeaderSize = 29
-	maxPayloadSize   = 64 << 20 // far beyond any that is written
-	sectorSize       = 512      // a disk writes whole sectors, in any order until it is synced
+	maxPayloadSize   = 64 << 20 // more than any frame that is written has
+	sectorSize       = 512      // a disk writes whole sectors, in any order until a sync
 )
 
 // Offsets in the header of a frame.
@@ -37,16 +37,16 @@
 
 const (
 	frameMagic = 0x4b455246
-	frameEnd   = 0xff // the last byte of each frame: one that ends in zeros was not completely written
+	frameEnd   = 0xff // last byte of each frame; a frame that ends in zeros was not completely written
 )
 
-// checksum returns the checksum of parts of a segment.
+// checksum returns the salted checksum of parts of a file of the given segment.
 func (id ID) checksum(segment uint64, parts ...[]byte) uint64 {
 	var salt [16]byte
 	binary.LittleEndian.PutUint64(salt[:], id.Mark)
 	binary.LittleEndian.PutUint64(salt[8:], segment)
 	digest := xxhash.New()
-	_, _ = digest.Write(salt[:]) // never an error
+	_, _ = digest.Write(salt[:]) // a hash returns no errors
 	for _, part := range parts {
 		_, _ = digest.Write(part)
 	}
@@ -58,13 +58,13 @@
 	return uint32(id.checksum(0, header[:frameHeaderChecksumOffset], header[frameSeqOffset:frameChecksumOffset]))
 }
 
-// hasSubject reports whether records of that kind have a segment's number in place of a key.
+// hasSubject reports whether records of the given kind have a segment number in place of a key.
 func hasSubject(kind idempotency.EntryKind) bool {
 	return kind == idempotency.EntrySegmentOpened || kind == idempotency.EntrySegmentDropped
 }
 
-// appendFrame appends the records as one frame. They are of one segment, and their sequence numbers
-// follow each other.
+// appendFrame appends the records as one frame. They must belong to one segment and have
+// consecutive sequence numbers.
 func (id ID) appendFrame(buf []byte, records []idempotency.LogEntry) []byte {
 	start := len(buf)
 	buf = append(buf, make([]byte, frameHeaderSize)...)
@@ -97,8 +97,9 @@
 	return append(buf, record.Data...)
 }
 
-// readFrame reads the frame that data begins with, calls f for each of its records, and returns its
-// size. The error is errCorrupt, or errTruncated if data is shorter than the frame's header says.
+// readFrame parses the frame at the start of data, calls f for each of its records, and returns the
+// size of the frame. The error is errCorrupt, or errTruncated if data is shorter than the length in
+// the frame header.
 func (id ID) readFrame(data []byte, segment uint64, f func(idempotency.LogEntry)) (int, error) {
 	if len(data) < frameHeaderSize {
 		return 0, errTruncated
@@ -139,8 +140,8 @@
 	return size, nil
 }
 
-// readRecord reads the record that data begins with, and returns its size. The record's data is not
-// copied.
+// readRecord parses the record at the start of data and returns its size. The Data of the record is
+// not copied.
 func readRecord(data []byte) (record idempotency.LogEntry, size int, err error) {
 	if len(data) < recordHeaderSize {
 		return record, 0, errCorrupt
@@ -165,9 +166,9 @@
 	return record, size, nil
 }
 
-// isTorn reports whether the rest of a file, which begins at that offset and fails to be read with
-// that error, may be a write that was never durable: it is cut short, or one of its sectors was
-// never written. What is complete and wrong was complete once.
+// isTorn reports whether the rest of a file, which begins at the given offset and failed to parse
+// with err, may be a write that was never durable: the rest is cut short, or one of its sectors was
+// never written. A complete frame that is corrupt was durable once, so it is not torn.
 func isTorn(rest []byte, offset int, err error) bool {
 	if errors.Is(err, errTruncated) {
 		return true
--- a/internal/wal/identity.go
+++ b/internal/wal/identity.go
@@ -12,20 +12,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID identifies a store. A file of another store is never taken for one of this.
+// ID identifies a store. Its mark is part of every checksum, so that a file of another store is
+// never accepted.
 type ID struct {
 	// Node is the name of the node that the store belongs to.
 	Node string
-	// Created is when it was made, since 1970 began.
+	// Created is the time at which the store was created, since the Unix epoch.
 	Created time.Duration
-	// Mark is a random number that was drawn then. It salts all checksums.
+	// Mark is a random number that was drawn at that time. It salts all checksums.
 	Mark uint64
 }
 
 // formatVersion is the version of the format that this package writes and reads.
 const formatVersion = 1
 
-// Words of the file that identifies a store. They are part of the format.
+// Field names in the file that identifies a store. They are part of the format.
 const (
 	identityHeader = "frosthub keep "
 	nodeField      = "box"
@@ -34,8 +35,8 @@
 	checksumField  = "sum"
 )
 
-// Init makes an empty store in a directory that has none. Its caller vouches that nothing which ran
-// under this name before is retried.
+// Init creates an empty store in a directory that has none. The caller must ensure that no request
+// that ran earlier under this node name is retried.
 func Init(disk Disk, node string, created time.Duration, mark uint64) error {
 	names, err := disk.Names()
 	if err != nil {
@@ -43,14 +44,14 @@
 	}
 	for _, name := range names {
 		if name != LockName && !strings.HasSuffix(name, temporarySuffix) {
-			return fmt.Errorf("the folder is not empty: it has %s", name)
+			return fmt.Errorf("create the store: the directory is not empty: it has %s", name)
 		}
 	}
 	id := ID{Node: node, Created: created, Mark: mark}
 	return WriteFile(disk, identityName, id.encode())
 }
 
-// ReadID returns whose store it is. The error is ErrNoStore, ErrWrongOwner, ErrVersion or one of
+// ReadID returns the ID of a store. The error is ErrNoStore, ErrWrongOwner, ErrVersion or one of
 // the disk.
 func ReadID(disk Disk) (ID, error) {
 	text, err := disk.Read(identityName)
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -8,15 +8,15 @@
 	"frosthub/idempotency"
 )
 
-// Log commits entries on a goroutine of its own, all that wait at once, so that one sync of the
-// disk covers many (group commit). Its methods may be called concurrently.
+// Log commits entries on its own goroutine. It commits all queued entries together, so that one
+// sync of the disk covers many of them (group commit). Its methods are safe for concurrent use.
 type Log struct {
-	writer         *Writer // of the goroutine
+	writer         *Writer // used by the goroutine only
 	interval       time.Duration
 	batchThreshold int
 	notify         func(seq uint64, err error)
-	wake           chan struct{} // has a value when there is more to do
-	done           chan struct{} // is closed when the goroutine has ended
+	wake           chan struct{} // receives a value after entries were queued or the log was closed
+	done           chan struct{} // closed when the goroutine has ended
 
 	mu     sync.Mutex
 	queue  []idempotency.LogEntry
@@ -24,19 +24,19 @@
 	stats  LogStats
 }
 
-// LogStats count what a log has done.
+// LogStats counts the commits of a log.
 type LogStats struct {
 	// Records is the number of entries that were committed.
 	Records int64 `json:"records"`
-	// Commits is how often that was done.
+	// Commits is the number of commits.
 	Commits int64 `json:"commits"`
-	// LongestCommit is how long the slowest commit took.
+	// LongestCommit is the duration of the slowest commit.
 	LongestCommit time.Duration `json:"longest"`
 }
 
-// NewLog starts a log. notify is called on its goroutine, with the sequence number up to which all
-// is durable, or with the error after which nothing more will be. Commits begin no closer to each
-// other than interval, unless at least `enough` entries wait.
+// NewLog starts a log. Its goroutine calls notify with the sequence number up to which all records
+// are durable, or with the error after which no more will become durable. Commits start at least
+// interval apart, unless batchThreshold or more entries are queued.
 func NewLog(writer *Writer, interval time.Duration, batchThreshold int, notify func(seq uint64, err error)) *Log {
 	l := &Log{
 		writer:         writer,
@@ -50,7 +50,7 @@
 	return l
 }
 
-// Append hands over entries to be committed. It never waits for the disk.
+// Append queues entries to be committed. It does not wait for the disk.
 func (l *Log) Append(entries []idempotency.LogEntry) {
 	if len(entries) == 0 {
 		return
@@ -61,15 +61,15 @@
 	l.wakeUp()
 }
 
-// Stats returns what the log has done.
+// Stats returns the counts of the commits so far.
 func (l *Log) Stats() LogStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stats
 }
 
-// Close commits what waits and ends the goroutine. If the disk takes longer than the timeout it
-// returns an error and leaves it to itself.
+// Close commits the queued entries and ends the goroutine. If that takes longer than the timeout,
+// Close returns an error and the goroutine continues in the background.
 func (l *Log) Close(timeout time.Duration) error {
 	l.mu.Lock()
 	l.closed = true
@@ -81,21 +81,21 @@
 	case <-l.done:
 		return nil
 	case <-timer.C:
-		return fmt.Errorf("the disk did not confirm all within %s", timeout)
+		return fmt.Errorf("commit the queued entries: not finished within %s", timeout)
 	}
 }
 
 func (l *Log) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // it will look again anyway
+	default: // a wake-up is already pending
 	}
 }
 
-// run is the goroutine.
+// run commits entries until the log is closed or a commit fails.
 func (l *Log) run() {
 	defer close(l.done)
-	var lastCommit time.Time // of a commit
+	var lastCommit time.Time // start of the last commit
 	for l.awaitEntries() {
 		l.awaitBatch(l.interval - time.Since(lastCommit))
 		lastCommit = time.Now()
@@ -103,11 +103,11 @@
 			break
 		}
 	}
-	_ = l.writer.Close() // all of it is durable, or an error was reported
+	_ = l.writer.Close() // every entry is durable, or an error was reported
 }
 
-// awaitEntries waits until there is something to commit. It returns false when there is nothing and
-// the log is closed.
+// awaitEntries waits until entries are queued. It returns false if none are queued and the log is
+// closed.
 func (l *Log) awaitEntries() bool {
 	for {
 		waiting, closed := l.queueState()
@@ -121,8 +121,8 @@
 	}
 }
 
-// awaitMore waits for so long for more entries, but not when enough of them wait or the log is
-// closed.
+// awaitBatch waits for more entries until the timeout has passed, batchThreshold entries are queued
+// or the log is closed.
 func (l *Log) awaitBatch(timeout time.Duration) {
 	if timeout <= 0 {
 		return
@@ -142,14 +142,14 @@
 	}
 }
 
-// state returns how many entries wait, and whether the log is closed.
+// queueState returns the number of queued entries and whether the log is closed.
 func (l *Log) queueState() (waiting int, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue), l.closed
 }
 
-// commit commits all entries that wait, and reports whether that succeeded.
+// commit commits all queued entries and reports whether that succeeded.
 func (l *Log) commit() bool {
 	l.mu.Lock()
 	batch := l.queue
--- a/internal/wal/names.go
+++ b/internal/wal/names.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// LockName is the file that is locked while a process uses the store.
+// LockName is the name of the file that is locked while a process uses the store.
 const LockName = "lock"
 
-// Names of the other files, and ends of names. They are part of the format.
+// Names and suffixes of the other files. They are part of the format.
 const (
 	identityName       = "store"
 	readAttemptsName   = "reading"
@@ -19,7 +19,7 @@
 	quarantineSuffix   = ".aside"
 )
 
-// segmentDigits is the number of digits of a segment's number in file names.
+// segmentDigits is the number of digits of a segment number in file names.
 const segmentDigits = 16
 
 func logName(segment uint64) string {
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%0*d%s", segmentDigits, segment, fingerprintsSuffix)
 }
 
-// segmentOf returns the segment's number in the name of a file with that suffix. ok is false if it
-// isn't the name of one.
+// parseSegmentName parses the segment number in the name of a file with the given suffix. ok is
+// false if the name does not have that form.
 func parseSegmentName(name, suffix string) (segment uint64, ok bool) {
 	digits, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(digits) != segmentDigits {
--- a/internal/wal/quarantine.go
+++ b/internal/wal/quarantine.go
@@ -9,14 +9,14 @@
 	"frosthub/recovery"
 )
 
-// BeginRead notes that a store is about to be read; EndRead ends that. If too many processes in a
-// row have died in between, it quarantines the store's files: they are renamed, so that the store
-// is empty, and what was in it is for a person to look at.
+// BeginRead records that reading of a store begins; EndRead records that it ended. If too many
+// consecutive processes died in between, BeginRead quarantines the files of the store: it renames
+// them, so that the store is empty and an operator can investigate the old contents.
 func BeginRead(disk Disk) (quarantined bool, err error) {
 	attempts := 0
 	text, err := disk.Read(readAttemptsName)
 	if err == nil {
-		attempts, _ = strconv.Atoi(strings.TrimSpace(string(text))) // what can't be read is a first attempt
+		attempts, _ = strconv.Atoi(strings.TrimSpace(string(text))) // an unreadable number counts as no earlier attempts
 	}
 	if recovery.ShouldQuarantine(attempts) {
 		if err := quarantine(disk); err != nil {
@@ -31,7 +31,7 @@
 	return quarantined, nil
 }
 
-// EndRead notes that reading has come to its end, with or without an error.
+// EndRead records that reading has ended, with or without an error.
 func EndRead(disk Disk) error {
 	if err := disk.Remove(readAttemptsName); err != nil {
 		return fmt.Errorf("remove %s: %w", readAttemptsName, err)
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// writeAttempts writes the number of attempts without making it durable. It outlives the process; a
-// power failure that takes it back costs one more attempt.
+// writeAttempts writes the number of attempts without a sync. The file survives the end of the
+// process. A power failure that loses the write costs one more attempt.
 func writeAttempts(disk Disk, attempts int) error {
 	file, err := disk.OpenAppend(readAttemptsName, 0)
 	if err != nil {
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -12,66 +12,66 @@
 	"frosthub/idempotency"
 )
 
-// maxMissingSegments bounds how many missing segments are reported to the store. More are never
-// kept.
+// maxMissingSegments is the maximum number of consecutive missing segments that are reported to the
+// store. A store never keeps more segments.
 const maxMissingSegments = 1024
 
-// Contents is what was found on a disk.
+// Contents describes the data that was found on a disk.
 type Contents struct {
-	// ID says whose store it is.
+	// ID identifies the store.
 	ID ID
-	// Records is the number of records that were read.
+	// Records is the number of log records that were read.
 	Records int
-	// Segments is the number of segments of which there is a file that could be read.
+	// Segments is the number of segments with a file that could be read.
 	Segments int
-	// TornBytes is the size of a write at the end that was never durable.
+	// TornBytes is the size in bytes of a write at the end of the log that was never durable.
 	TornBytes int
-	// Damage is what is missing or can't be read, a line each.
+	// Damage has one line for each part of the store that is missing or cannot be read.
 	Damage []string
-	// Leftover are files that an earlier incarnation did not get to remove.
+	// Leftover are the names of files that an earlier incarnation should have removed.
 	Leftover []string
-	// LastSegment is the last segment of which there is a file.
+	// LastSegment is the number of the last segment with a file.
 	LastSegment uint64
 
-	tail     uint64 // the last segment if it can be written to, otherwise 0
-	tailSize int64  // of its file, without torn bytes
+	tail     uint64 // the last segment if records may be appended to it, otherwise 0
+	tailSize int64  // size of its log file without torn bytes
 }
 
-// Complete reports whether nothing is missing that was durable.
+// Complete reports whether all data that was durable could be read.
 func (c *Contents) Complete() bool { return len(c.Damage) == 0 }
 
-// NeedsNewSegment reports whether the next record has to be in a segment of its own.
+// NeedsNewSegment reports whether the next log record must be written to a new segment.
 func (c *Contents) NeedsNewSegment() bool { return c.tail == 0 }
 
-// Read reads what is on the disk into a store. It changes nothing on the disk.
+// Read reads the disk into a store. It does not change the disk.
 //
-// node is the name that the store must have been made for; "" takes any. onRecord, unless it is
-// nil, is called for each record in order, and ends the reading by an error, which Read returns.
-// Damage is no error: it is reported to the store as lost history. Errors are those of Identify and
-// of the disk.
+// node is the name of the node that the store must belong to; "" accepts any. onRecord may be nil;
+// otherwise it is called for each log record in order, and an error from it ends reading and is
+// returned by Read. Damage is not an error: it is reported to the store as lost history. Other
+// errors are those of ReadID and of the disk.
 func Read(disk Disk, node string, store *idempotency.Store, onRecord func(idempotency.LogEntry) error) (Contents, error) {
 	r := reader{disk: disk, store: store, onRecord: onRecord}
 	err := r.read(node)
 	return r.Contents, err
 }
 
-// reader reads a store.
+// reader reads a store from a disk.
 type reader struct {
 	Contents
 	disk        Disk
 	store       *idempotency.Store
 	onRecord    func(idempotency.LogEntry) error
-	onRecordErr error // what it returned
+	onRecordErr error // error that onRecord returned
 
-	lastSeq         uint64        // of the last record or fingerprints
-	lossOpen        bool          // what was read last is damaged: the next record ends the loss
-	recordSegment   uint64        // the last segment that a record was read of
-	firstSegment    uint64        // the first segment of which there is a file
+	lastSeq         uint64        // of the last log record that was read, or that fingerprints cover
+	lossOpen        bool          // the previous data is damaged or missing; the next record ends the loss
+	recordSegment   uint64        // the last segment of which a record was read
+	firstSegment    uint64        // the first segment with a file
 	requiredSegment uint64        // the oldest segment that must exist according to the records
-	firstReadableAt time.Duration // when the first segment of which anything can be read was opened
+	firstReadableAt time.Duration // time at which the first readable segment was opened
 }
 
-// segmentFiles says which files of a segment exist.
+// segmentFiles describes which files of a segment exist.
 type segmentFiles struct {
 	segment         uint64
 	hasLog          bool
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// list returns the segments of which there are files, in their order, and notes leftover temporary
-// files.
+// listSegments returns the segments with files in ascending order, and adds temporary files to
+// Leftover.
 func (r *reader) listSegments() ([]segmentFiles, error) {
 	names, err := r.disk.Names()
 	if err != nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-// finish reports losses at either end to the store.
+// reportEdgeLosses reports losses at the start and at the end of the log to the store.
 func (r *reader) reportEdgeLosses() {
 	if r.lossOpen {
 		r.store.AddHistoryLoss(idempotency.UnboundedLoss)
@@ -175,13 +175,13 @@
 	}
 }
 
-// addDamage notes damage, and that records are lost until the next one.
+// addDamage adds a line to Damage and begins a loss that lasts until the next record.
 func (r *reader) addDamage(format string, args ...any) {
 	r.Damage = append(r.Damage, fmt.Sprintf(format, args...))
 	r.lossOpen = true
 }
 
-// addMissing reports segments that are missing to the store, from one up to before another.
+// addMissing reports the missing segments with the numbers from `from` up to before-1 to the store.
 func (r *reader) addMissing(from, before uint64) {
 	r.addDamage("segments %d to %d are missing", from, before-1)
 	for segment := from; segment < before && segment < from+maxMissingSegments; segment++ {
@@ -189,7 +189,8 @@
 	}
 }
 
-// endLoss reports to the store that what was lost ended by that time.
+// endLoss ends a loss, if there is one, and reports to the store that the lost records were written
+// before the given time.
 func (r *reader) endLoss(at time.Duration) {
 	if r.lossOpen {
 		r.store.AddHistoryLoss(at)
@@ -197,14 +198,15 @@
 	}
 }
 
-// noteReadable notes when the first segment of which anything can be read was opened.
+// setFirstReadable sets the time at which the first readable segment was opened, unless it is set
+// already.
 func (r *reader) setFirstReadable(at time.Duration) {
 	if r.firstReadableAt == 0 {
 		r.firstReadableAt = at
 	}
 }
 
-// readFingerprints reads the fingerprints of a segment, and reports whether they are intact.
+// readFingerprints reads the fingerprints of a segment and reports whether they are intact.
 func (r *reader) readFingerprints(segment uint64) (bool, error) {
 	data, err := r.disk.Read(fingerprintsName(segment))
 	if err != nil {
@@ -212,7 +214,7 @@
 	}
 	fingerprints, err := r.ID.parseFingerprints(data, segment)
 	if err != nil {
-		return false, nil // it is damaged
+		return false, nil // the file is damaged
 	}
 	r.endLoss(fingerprints.From)
 	r.store.LoadFingerprints(fingerprints)
@@ -222,7 +224,7 @@
 	return true, nil
 }
 
-// readLog reads the records of a segment.
+// readLog reads the log records of a segment.
 func (r *reader) readLog(segment uint64, isLast bool) error {
 	data, err := r.disk.Read(logName(segment))
 	if err != nil {
@@ -238,7 +240,7 @@
 		r.tail = segment
 		r.tailSize = int64(len(data) - r.TornBytes)
 	case hasRecords:
-	case isLast && !r.lossOpen: // it was being created when the process ended
+	case isLast && !r.lossOpen: // the process ended while it created the segment
 		r.LastSegment = segment - 1
 	default:
 		if !r.lossOpen {
@@ -249,7 +251,7 @@
 	return nil
 }
 
-// readFrames reads the frames of a log file. It passes over damage to the next intact frame.
+// readFrames reads the frames of a log file. After damage it continues with the next intact frame.
 func (r *reader) readFrames(segment uint64, data []byte, isLast bool) error {
 	offset := 0
 	for offset < len(data) {
@@ -275,7 +277,7 @@
 	return nil
 }
 
-// findFrame returns the offset of the next intact frame, -1 if there is none.
+// findFrame returns the offset of the next intact frame, or -1 if there is none.
 func (r *reader) findFrame(data []byte, from int, segment uint64) int {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for from < len(data) {
@@ -292,10 +294,10 @@
 	return -1
 }
 
-// addRecord gives a record to the store.
+// addRecord loads a log record into the store.
 func (r *reader) addRecord(record idempotency.LogEntry) {
 	if record.Kind != idempotency.EntrySegmentOpened && r.recordSegment != record.Segment {
-		r.store.LoadLostSegment(record.Segment) // its first record is lost
+		r.store.LoadLostSegment(record.Segment) // the first record of the segment is lost
 	}
 	r.recordSegment = record.Segment
 	if r.lastSeq > 0 && record.Seq != r.lastSeq+1 && !r.lossOpen {
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -8,28 +8,26 @@
 )
 
 const (
-	// maxFrameData is the size of the data of records in one frame, in bytes, after which another
-	// frame begins.
+	// maxFrameData is the size in bytes of the record data in one frame, from which on the next
+	// record begins another frame.
 	maxFrameData = 4 << 20
-	// maxKeptBuffer is the size of the buffer that is kept for the next frame, in bytes.
+	// maxRetainedBuffer is the maximum size in bytes of a buffer that is reused for the next frame.
 	maxRetainedBuffer = 1 << 20
 )
 
-// Writer writes log entries to a disk, one batch after the other. After an error it must not be
-// used but to close it, as it is not known what the disk has then. A Writer is not safe for
-// concurrent use.
+// Writer writes log entries to a disk, one batch after another. After an error it must only be
+// closed, because the state of the disk is not known then. A Writer is not safe for concurrent use.
 type Writer struct {
 	disk     Disk
 	id       ID
-	file     File   // of the segment, nil if it is not open
-	segment  uint64 // that was written to last
-	size     int64  // of its file
-	tornTail bool   // its file ends in bytes that were never durable
-	buffer   []byte // for a frame
+	file     File   // log file of the segment, nil if it is not open
+	segment  uint64 // segment that was written to last
+	size     int64  // size of its log file
+	tornTail bool   // the log file ends in bytes that were never durable
+	buffer   []byte // frame that is being written
 }
 
-// NewWriter returns a writer that goes on after what was read into the store whose entries it will
-// write.
+// NewWriter returns a writer that continues after the contents that were read from the disk.
 func NewWriter(disk Disk, contents *Contents) *Writer {
 	return &Writer{
 		disk:     disk,
@@ -40,9 +38,9 @@
 	}
 }
 
-// Open begins an incarnation of a store. It reads what is on the disk as Read does, removes what
-// earlier incarnations left over, finishes loading the store, and returns the writer for the
-// store's entries.
+// Open begins an incarnation of a store. It reads the disk into the store as Read does, removes the
+// files that earlier incarnations left, finishes loading the store, and returns the writer for the
+// entries of the store.
 func Open(
 	disk Disk,
 	node string,
@@ -63,7 +61,7 @@
 	return NewWriter(disk, &contents), contents, nil
 }
 
-// Commit writes entries and returns when they are durable, with the highest sequence number among
+// Commit writes entries and returns when they are durable. seq is the highest sequence number among
 // them.
 func (w *Writer) Commit(entries []idempotency.LogEntry) (seq uint64, err error) {
 	for i := range entries {
@@ -89,7 +87,8 @@
 	return seq, nil
 }
 
-// frameLength returns how many of the entries, of which the first is a record, go into one frame.
+// frameLength returns how many of the entries go into one frame. The first entry must be a log
+// record.
 func frameLength(entries []idempotency.LogEntry) int {
 	n := 1
 	dataSize := len(entries[0].Data)
@@ -104,7 +103,7 @@
 	return n
 }
 
-// writeFrame writes records of one segment as one frame, and makes it durable.
+// writeFrame writes log records of one segment as one frame and makes it durable.
 func (w *Writer) writeFrame(records []idempotency.LogEntry) error {
 	created, err := w.openSegment(records[0].Segment)
 	if err != nil {
@@ -129,8 +128,8 @@
 	return nil
 }
 
-// openSegment has the writer's file be that of a segment. It reports whether it created the file,
-// whose name is not durable then.
+// openSegment opens the log file of a segment unless it is open already. It reports whether it
+// created the file, in which case its name is not durable.
 func (w *Writer) openSegment(segment uint64) (created bool, err error) {
 	if w.file != nil && segment == w.segment {
 		return false, nil
@@ -147,7 +146,7 @@
 	if err != nil {
 		return false, err
 	}
-	if w.tornTail { // else what follows could be mixed with it by a power failure
+	if w.tornTail { // a power failure could otherwise mix the torn bytes with new ones
 		if err := w.file.Sync(); err != nil {
 			return false, err
 		}
@@ -156,7 +155,7 @@
 	return created, nil
 }
 
-// removeDropped removes the files of segments that the records drop.
+// removeDropped removes the files of the segments that the log records drop.
 func (w *Writer) removeDropped(records []idempotency.LogEntry) error {
 	for i := range records {
 		if records[i].Kind != idempotency.EntrySegmentDropped {
@@ -170,7 +169,7 @@
 	return nil
 }
 
-// retire replaces a segment's records by its fingerprints.
+// retire replaces the log records of a segment by its fingerprints.
 func (w *Writer) retire(fingerprints *idempotency.Fingerprints) error {
 	data, err := w.id.encodeFingerprints(fingerprints)
 	if err != nil {
@@ -182,7 +181,7 @@
 	return w.remove(logName(fingerprints.Segment))
 }
 
-// remove removes files, and makes that durable.
+// remove removes files and makes their removal durable.
 func (w *Writer) remove(names ...string) error {
 	for _, name := range names {
 		if err := w.disk.Remove(name); err != nil {
@@ -192,7 +191,7 @@
 	return w.disk.SyncDir()
 }
 
-// Close closes the file. It makes nothing durable.
+// Close closes the log file. It makes nothing durable.
 func (w *Writer) Close() error {
 	if w.file == nil {
 		return nil
