--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -13,7 +13,7 @@
 
 func init() { golden.FixSeeds() }
 
-// keyOf returns the key of a request that a test numbered.
+// testKey returns the key of the request with the given number.
 func testKey(n uint64) (key Key) {
 	binary.BigEndian.PutUint64(key[8:], n)
 	return key
@@ -21,7 +21,8 @@
 
 const baseTime = 1000 * time.Hour
 
-// fakeDisk is what the log entries amount to: segments with their records, or their fingerprints.
+// fakeDisk is an in-memory disk of log entries: the log records or the fingerprints of each
+// segment.
 type fakeDisk struct {
 	records      map[uint64][]LogEntry
 	fingerprints map[uint64]Fingerprints
@@ -73,36 +74,37 @@
 	}
 }
 
-// modelKey is what a plain table of everything that ever happened says of a key.
+// modelKey is the expected state of a key according to a complete list of its requests.
 type modelKey struct {
 	madeAt   time.Duration
-	runs     int // less those proved not to have been
+	runs     int // number of runs, without those proved never to have run
 	result   []byte
 	answered bool
 }
 
-// modelTest drives a store and a model of it side by side.
+// modelTest drives a store and compares it with a model.
 type modelTest struct {
 	t         *rapid.T
 	cfg       Config
 	now       time.Duration
 	disk      *fakeDisk
 	store     *Store
-	unwritten []LogEntry // handed over, not yet durable
+	unwritten []LogEntry // taken from the store and not yet durable
 
 	keys           map[uint64]*modelKey
-	newestKey      uint64            // the highest key so far
-	requestID      uint64            // the last one given
-	keyByRequestID map[uint64]uint64 // by request ID
+	newestKey      uint64 // highest key so far
+	requestID      uint64 // last ID that was assigned
+	keyByRequestID map[uint64]uint64
 	runningIDs     map[uint64]uint64 // request IDs, by key
 
 	diskFailed      bool // in this incarnation
-	resultMayBeLost bool // the disk failed once, so a run's result may be missing
+	resultMayBeLost bool // the disk failed at least once, so the result of a run may be missing
 }
 
-// TestNeverRunsTwice: over any arrivals, ends, withdrawals, losses of what was not yet durable,
-// restarts, failing disks and clocks that go back, no key runs twice unless it was proved never to
-// have run, a retry gets the first result or none, and bounds hold.
+// TestNeverRunsTwice checks that no key runs twice unless its run was proved never to have
+// happened, that a retry receives the first result or none, and that the store stays within its
+// bounds. Its random histories have arrivals, completions, withdrawals, losses of entries that were
+// not durable, restarts, disk failures and a clock that is set back.
 func TestNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &modelTest{
@@ -155,7 +157,7 @@
 	}
 }
 
-// request makes a request, fresh or a retry within the horizon.
+// request makes a request, which is fresh or a retry within the retry horizon.
 func (m *modelTest) request() {
 	key := uint64(rapid.IntRange(1, 12).Draw(m.t, "key"))
 	if key > m.newestKey || m.newestKey-key > 12 {
@@ -166,7 +168,7 @@
 		m.keys[key] = &modelKey{madeAt: m.now}
 	}
 	if m.now-m.keys[key].madeAt > m.cfg.RetryHorizon-10*time.Second {
-		m.newestKey++ // so old a one is no longer retried
+		m.newestKey++ // a request this old is no longer retried
 		key = m.newestKey
 		m.keys[key] = &modelKey{madeAt: m.now}
 	}
@@ -179,27 +181,27 @@
 	m.applyOutcomes([]Outcome{outcome})
 }
 
-// finishOne ends the run with the lowest key.
+// finishOne completes the running request with the lowest key.
 func (m *modelTest) finishOne() {
 	for key := range m.newestKey + 1 {
 		if _, ok := m.runningIDs[key]; !ok {
 			continue
 		}
-		end := rapid.SampledFrom([]EntryKind{EntryResult, EntryResult, EntryFailed, EntryNeverRan}).Draw(m.t, "end")
+		completion := rapid.SampledFrom([]EntryKind{EntryResult, EntryResult, EntryFailed, EntryNeverRan}).Draw(m.t, "end")
 		delete(m.runningIDs, key)
 		result := bytes.Repeat([]byte{byte('a' + key%20)}, 1+int(key)%28)
-		switch end {
+		switch completion {
 		case EntryResult:
 			m.keys[key].result = result
 		case EntryNeverRan:
 			m.keys[key].runs--
 		}
-		m.applyOutcomes(m.store.Finish(m.now, testKey(key), end, result))
+		m.applyOutcomes(m.store.Finish(m.now, testKey(key), completion, result))
 		return
 	}
 }
 
-// makeDurable has a part of what waits become durable.
+// makeDurable makes some of the unwritten entries durable.
 func (m *modelTest) makeDurable() {
 	m.unwritten = append(m.unwritten, m.store.TakeEntries()...)
 	n := rapid.IntRange(0, len(m.unwritten)).Draw(m.t, "durable")
@@ -211,7 +213,7 @@
 	m.applyOutcomes(m.store.MarkDurable(seq))
 }
 
-// withdraw has a caller go.
+// withdraw withdraws a random request.
 func (m *modelTest) withdraw() {
 	if m.requestID == 0 {
 		return
@@ -220,7 +222,8 @@
 	m.store.Withdraw(m.now, testKey(m.keyByRequestID[id]), id)
 }
 
-// restart has the process die. Some of what was not durable may be on the disk all the same.
+// restart simulates the death of the process. Some entries that were not durable may be on the disk
+// nevertheless.
 func (m *modelTest) restart() {
 	m.unwritten = append(m.unwritten, m.store.TakeEntries()...)
 	if !m.diskFailed {
@@ -231,19 +234,19 @@
 	m.store = New(m.cfg)
 	m.disk.load(m.store)
 	m.store.FinishLoading(m.now, false, 0)
-	clear(m.runningIDs) // they died with it
+	clear(m.runningIDs) // the runs ended with the process
 	for key, model := range m.keys {
 		decision := m.store.Peek(m.now, model.madeAt, testKey(key))
 		if model.answered && !m.resultMayBeLost && decision != Duplicate && decision != ResultExpired {
-			m.t.Fatalf("key %d was answered, and is %s after a restart", key, decision)
+			m.t.Fatalf("key %d was answered before the restart; decision after it: %s", key, decision)
 		}
 		if rec := m.store.records[testKey(key)]; rec != nil && model.answered && !m.resultMayBeLost && rec.state == stateUnknown {
-			m.t.Fatalf("key %d was answered, and its outcome is unknown after a restart", key)
+			m.t.Fatalf("key %d was answered before the restart; its outcome is unknown after it", key)
 		}
 	}
 }
 
-// check compares outcomes with the model, and has what may start run.
+// applyOutcomes compares outcomes with the model and starts the requests that may run.
 func (m *modelTest) applyOutcomes(outcomes []Outcome) {
 	for _, outcome := range outcomes {
 		key := m.keyByRequestID[outcome.ID]
@@ -252,24 +255,24 @@
 		case Start:
 			model.runs++
 			if model.runs > 1 {
-				m.t.Fatalf("key %d runs twice", key)
+				m.t.Fatalf("key %d ran twice", key)
 			}
 			m.runningIDs[key] = outcome.ID
 		case Completed, Replay:
 			if model.result == nil || !bytes.Equal(outcome.Result, model.result) {
-				m.t.Fatalf("key %d: %q, not the first result %q", key, outcome.Result, model.result)
+				m.t.Fatalf("key %d: got result %q, want the first result %q", key, outcome.Result, model.result)
 			}
 			model.answered = true
 		case OutcomeUnknown:
 			if model.answered && !m.diskFailed {
-				m.t.Fatalf("key %d was answered, and its outcome is unknown", key)
+				m.t.Fatalf("key %d was answered, but its outcome is unknown", key)
 			}
 		case Fresh, StoreFull, StoreFailed:
 			if model.runs > 0 {
-				m.t.Fatalf("key %d ran, and is rejected", key)
+				m.t.Fatalf("key %d ran, but a retry is rejected as if it had not run", key)
 			}
 		case HistoryLost:
-			m.t.Fatalf("key %d: history is said to be lost, and none is", key)
+			m.t.Fatalf("key %d: history is reported as lost, but none is", key)
 		}
 	}
 }
@@ -279,6 +282,6 @@
 	if stats.Keys > m.cfg.MaxEntries+stats.OutcomeUnknown ||
 		stats.ResultBytes > m.cfg.MaxBytes ||
 		stats.Segments > m.cfg.MaxSegments+1 {
-		m.t.Fatalf("over its bounds: %+v", stats)
+		m.t.Fatalf("the store exceeds its bounds: %+v", stats)
 	}
 }
--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// testStore is a store with a disk that a test runs a few requests on.
+// testStore is a store with a fake disk, on which a test runs single requests.
 type testStore struct {
 	store     *Store
 	disk      *fakeDisk
@@ -24,12 +24,12 @@
 	return ts
 }
 
-// sync makes all entries durable.
+// commit makes all entries durable.
 func (ts *testStore) commit() {
 	ts.store.MarkDurable(ts.disk.writeAll(ts.store.TakeEntries()))
 }
 
-// run takes a request from its arrival to its durable result.
+// run runs a request from its arrival to its durable result, and returns the decision on it.
 func (ts *testStore) run(now time.Duration, key uint64, result string) Decision {
 	ts.requestID++
 	outcome := ts.store.Reserve(now, 0, testKey(key), "", ts.requestID)
@@ -42,8 +42,8 @@
 	return Completed
 }
 
-// TestExpiry: a result that has expired leaves a fingerprint, also on the disk, and what is past
-// the horizon leaves nothing.
+// TestExpiry checks that an expired result leaves a fingerprint, also after a restart, and that
+// nothing is left after the retry horizon.
 func TestExpiry(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -69,7 +69,7 @@
 		{after: 70 * time.Minute, want: Completed},
 	} {
 		ts.store.Sweep(baseTime + c.after)
-		ts.run(baseTime+c.after, uint64(100+i), "another") // segments follow each other
+		ts.run(baseTime+c.after, uint64(100+i), "another") // keeps opening new segments
 		ts.store.Sweep(baseTime + c.after)
 		ts.commit()
 		if c.restart {
@@ -79,16 +79,16 @@
 			ts.commit()
 		}
 		if got := ts.run(baseTime+c.after, 7, "again"); got != c.want {
-			t.Errorf("after %s: %s, not %s; %+v", c.after, got, c.want, ts.store.Stats())
+			t.Errorf("after %s: got %s, want %s; stats %+v", c.after, got, c.want, ts.store.Stats())
 		}
 	}
 	if got := ts.store.Peek(baseTime+71*time.Minute, baseTime, testKey(9)); got != ResultExpired {
-		t.Error("made long before the horizon: ", got)
+		t.Error("request made long before the retry horizon: ", got)
 	}
 }
 
-// TestBounds: where keys come faster than they may be forgotten, the newest are rejected and none
-// is forgotten early.
+// TestBounds checks that requests are rejected when keys arrive faster than they may be dropped,
+// and that no key is dropped early.
 func TestBounds(t *testing.T) {
 	ts := newTestStore(Config{
 		MaxEntries:     20,
@@ -109,19 +109,20 @@
 	}
 	for key := uint64(1); key <= ran; key++ {
 		if got := ts.store.Peek(baseTime, 0, testKey(key)); got != Duplicate && got != ResultExpired {
-			t.Errorf("key %d: %s", key, got)
+			t.Errorf("key %d: got %s, want a duplicate or an expired result", key, got)
 		}
 	}
 	if got := ts.run(baseTime+59*time.Minute, 99, "filed"); got != StoreFull {
-		t.Error("before the horizon: ", got)
+		t.Error("before the retry horizon: ", got)
 	}
 	if got := ts.run(baseTime+61*time.Minute, 99, "filed"); got != Completed {
-		t.Error("past it: ", got)
+		t.Error("after the retry horizon: ", got)
 	}
 }
 
-// TestLostHistory: what is lost is never taken for fresh, over restarts, until the horizon has
-// passed, the caller says when it made a request, or an operator accepts the loss.
+// TestLostHistory checks that a key whose log records are lost is never fresh, over several
+// restarts, until the retry horizon has passed, the client states when it made the request, or an
+// operator accepts the loss.
 func TestLostHistory(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -137,7 +138,7 @@
 	for key := uint64(1); key <= 5; key++ {
 		ts.run(baseTime, key, "filed")
 	}
-	// restart loads all but the second segment.
+	// restart loads all segments except the second.
 	restart := func(now time.Duration, change func(s *Store)) {
 		ts.store = New(cfg)
 		for number := uint64(1); number <= 9; number++ {
@@ -168,11 +169,11 @@
 		got = append(got, ts.store.Peek(now, madeAt, testKey(key)))
 	}
 	restart(baseTime+time.Minute, nil)
-	peek(baseTime+time.Minute, 0, 3)                    // its segment is lost
-	peek(baseTime+time.Minute, 0, 9)                    // a new one that says no time
-	peek(baseTime+time.Minute, baseTime+time.Second, 9) // and one that was made since
+	peek(baseTime+time.Minute, 0, 3)                    // the segment of its records is lost
+	peek(baseTime+time.Minute, 0, 9)                    // a new key of a request without a time
+	peek(baseTime+time.Minute, baseTime+time.Second, 9) // a new key of a request made after the loss
 	peek(baseTime+time.Minute, 0, 5)
-	restart(baseTime+50*time.Minute, func(s *Store) { s.Sweep(baseTime + 50*time.Minute) }) // the segments around it are retired now
+	restart(baseTime+50*time.Minute, func(s *Store) { s.Sweep(baseTime + 50*time.Minute) }) // retires the segments around the lost one
 	peek(baseTime+50*time.Minute, 0, 9)
 	restart(baseTime+50*time.Minute, func(s *Store) { s.AcceptHistory(baseTime + 50*time.Minute) })
 	peek(baseTime+50*time.Minute, 0, 9)
@@ -187,62 +188,62 @@
 	}
 }
 
-// TestWaitingRequests: a retry of what is in flight hears how that ends, and a withdrawn request
-// makes room for the next.
+// TestWaitingRequests checks that a retry of a request in flight receives the outcome of the
+// original request, and that the next request takes the place of one that is withdrawn.
 func TestWaitingRequests(t *testing.T) {
 	const (
-		intentSeq = 9  // past the record of the intent
-		endSeq    = 99 // past that of the end
+		intentDurable     = 9  // after the log record of the intent
+		completionDurable = 99 // after the completion record
 	)
-	finish := func(s *Store, end EntryKind, result string) []Outcome {
-		return s.Finish(baseTime, testKey(1), end, []byte(result))
+	finish := func(s *Store, completion EntryKind, result string) []Outcome {
+		return s.Finish(baseTime, testKey(1), completion, []byte(result))
 	}
 	retry := func(s *Store) Outcome {
 		return s.Reserve(baseTime, 0, testKey(1), "", 3)
 	}
 	for _, c := range []struct {
 		name string
-		play func(s *Store) []Outcome
+		run  func(s *Store) []Outcome
 		want []string
 	}{
-		{"a result", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"completed with a result", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			finish(s, EntryResult, "yes")
-			return s.MarkDurable(endSeq)
+			return s.MarkDurable(completionDurable)
 		}, []string{"1 completed yes", "2 replay yes"}},
-		{"too long a result", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"completed with a result that is too long", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			finish(s, EntryResult, "longer")
-			return s.MarkDurable(endSeq)
+			return s.MarkDurable(completionDurable)
 		}, []string{"1 completed longer", "2 result expired "}},
-		{"a failure", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"original failed", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			return finish(s, EntryFailed, "")
 		}, []string{"2 original failed "}},
-		{"never ran", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"proved never to have run", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			return finish(s, EntryNeverRan, "")
 		}, []string{"2 fresh "}},
-		{"withdrawn before its intent is durable", func(s *Store) []Outcome {
+		{"withdrawn before the intent is durable", func(s *Store) []Outcome {
 			s.Withdraw(baseTime, testKey(1), 1)
-			return s.MarkDurable(intentSeq)
+			return s.MarkDurable(intentDurable)
 		}, []string{"2 start "}},
-		{"both withdrawn", func(s *Store) []Outcome {
+		{"original and retry withdrawn", func(s *Store) []Outcome {
 			s.Withdraw(baseTime, testKey(1), 2)
 			s.Withdraw(baseTime, testKey(1), 1)
-			return append(s.MarkDurable(intentSeq), retry(s))
+			return append(s.MarkDurable(intentDurable), retry(s))
 		}, []string{"3 wait "}},
-		{"withdrawn while it runs", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"withdrawn while running", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			s.Withdraw(baseTime, testKey(1), 1)
 			finish(s, EntryResult, "yes")
-			return s.MarkDurable(endSeq)
+			return s.MarkDurable(completionDurable)
 		}, []string{"2 replay yes"}},
-		{"the disk fails before its intent is durable", func(s *Store) []Outcome {
+		{"the disk fails before the intent is durable", func(s *Store) []Outcome {
 			return s.MarkDiskFailed()
 		}, []string{"1 store failed ", "2 store failed "}},
-		{"the disk fails before its end is durable", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"the disk fails before the completion is durable", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			finish(s, EntryResult, "yes")
 			return append(s.MarkDiskFailed(), retry(s))
 		}, []string{"1 completed yes", "2 replay yes", "3 replay yes"}},
@@ -262,18 +263,18 @@
 			s.Reserve(baseTime, 0, testKey(1), "", 1)
 			s.Reserve(baseTime, 0, testKey(1), "", 2)
 			var got []string
-			for _, outcome := range c.play(s) {
+			for _, outcome := range c.run(s) {
 				got = append(got, fmt.Sprintf("%d %s %s", outcome.ID, outcome.Decision, outcome.Result))
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("%q, not %q", got, c.want)
+				t.Errorf("got outcomes %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// TestAbandonInFlight: the outcome of what was in flight is unknown once nobody has it any more.
-// That of an end on its way to the disk is not, and an end that turns up counts.
+// TestAbandonInFlight checks that abandoning the requests in flight makes their outcomes unknown,
+// except for a completion that is being written, and that a late completion is still recorded.
 func TestAbandonInFlight(t *testing.T) {
 	s := New(Config{
 		MaxEntries:     10,
@@ -307,8 +308,8 @@
 	}
 }
 
-// TestUnknownOutcomeExpires: a request without an end, after a restart, is rejected as long as it
-// is remembered, then like one whose result has expired.
+// TestUnknownOutcomeExpires checks that a request without a completion record is rejected after a
+// restart, first with an unknown outcome and, after its record has expired, with an expired result.
 func TestUnknownOutcomeExpires(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -329,7 +330,7 @@
 		ts.store.FinishLoading(baseTime+time.Second, false, 0)
 		ts.commit()
 		if keys := ts.store.KeysWithUnknownOutcome(5); !slices.Equal(keys, []Key{testKey(1)}) {
-			t.Errorf("after %d restarts the outcome of %x is unknown", incarnation+1, keys)
+			t.Errorf("after %d restarts: keys with an unknown outcome: %x", incarnation+1, keys)
 		}
 	}
 	for _, c := range []struct {
@@ -341,7 +342,7 @@
 	} {
 		ts.store.Sweep(baseTime + c.after)
 		if got := ts.store.Reserve(baseTime+c.after, 0, testKey(1), "status", 2); got.Decision != c.want {
-			t.Errorf("after %s: %s, not %s", c.after, got.Decision, c.want)
+			t.Errorf("after %s: got %s, want %s", c.after, got.Decision, c.want)
 		}
 	}
 	if stats := ts.store.Stats(); stats.Keys != 0 || stats.OutcomeUnknown != 0 {
@@ -349,8 +350,8 @@
 	}
 }
 
-// TestNames: the names that reach operators and their scripts, and the numbers that are on disks,
-// stay as they are.
+// TestNames checks that the names in the output of the operators' commands, and the numbers that
+// are on disks, do not change.
 func TestNames(t *testing.T) {
 	var kinds []string
 	for kind := range EntryKind(13) {
@@ -358,15 +359,16 @@
 	}
 	want := "unknown,intent,result,failed,never,too long,open,life,accepted,drop,retire,gap,unknown"
 	if got := strings.Join(kinds, ","); got != want {
-		t.Errorf("%s, not %s", got, want)
+		t.Errorf("got names %s, want %s", got, want)
 	}
 	if got := (StoreFailed + 1).String(); got != "decision 13" {
 		t.Error(got)
 	}
 }
 
-// TestExpiryWhileLoading: a key that is reserved again after it was proved never to have run may expire while it is loaded, as its earlier
-// incarnation is still in the queue. Loading goes on.
+// TestExpiryWhileLoading guards against a failure of loading when a key expires during it. A key
+// that was reserved again after a proof that it never ran may do so, because its earlier entry is
+// still in the expiry queue.
 func TestExpiryWhileLoading(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     3,
@@ -387,7 +389,7 @@
 	}
 	ts.store.Reserve(baseTime, 0, testKey(1), "", 1)
 	ts.commit()
-	restart() // its outcome is unknown now
+	restart() // makes its outcome unknown
 	ts.store.Finish(baseTime, testKey(1), EntryNeverRan, nil)
 	ts.store.Reserve(baseTime, 0, testKey(1), "", 2)
 	ts.commit()
@@ -399,7 +401,7 @@
 	ts.store.Reserve(baseTime, 0, testKey(5), "", 3)
 	ts.commit()
 	restart()
-	for _, key := range []uint64{1, 5} { // both were in flight
+	for _, key := range []uint64{1, 5} { // both were in flight at the restart
 		if got := ts.store.Peek(baseTime, 0, testKey(key)); got == Fresh {
 			t.Errorf("key %d is fresh", key)
 		}
--- a/idempotency/transfer_test.go
+++ b/idempotency/transfer_test.go
@@ -9,19 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// transferTest has a store that has lost everything be supplied by another one.
+// transferTest supplies a store that has lost everything from another store.
 type transferTest struct {
 	t              *rapid.T
 	cfg            Config
 	now            time.Duration
 	source, target *Store
-	newestKey      uint64 // the highest key so far
+	newestKey      uint64 // highest key so far
 	ran            map[Key]bool
 }
 
-// TestTransfer: a store that has lost all walks through another, while that one goes on and expires
-// keys. Each key then meets here what it meets there, or that it has expired; nothing that ran is
-// fresh. What was merged is there after a restart too.
+// TestTransfer transfers the records and fingerprints of a source store to a target store that has
+// lost everything, while the source continues to run requests and expires keys. After it, each key
+// has the same outcome in both stores or has expired in one, and no key that ran is fresh. The
+// merged records survive a restart.
 func TestTransfer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tt := &transferTest{
@@ -47,24 +48,24 @@
 		tt.run(rapid.IntRange(0, 30).Draw(t, "before"))
 		tt.target.MarkOutdated(tt.now)
 		tt.target.SetRefillCheck(func(Key) bool { return true })
-		before := tt.newestKey // what runs later reaches the other store as it runs
+		lastTransferred := tt.newestKey // the transfer does not cover later requests
 		tt.transferRecords()
 		tt.transferFingerprints()
-		tt.checkSameOutcomes(before)
+		tt.checkSameOutcomes(lastTransferred)
 
 		if tt.target.HistoryComplete() {
-			t.Fatal("complete before it is marked so")
+			t.Fatal("the history is complete before MarkRefilled")
 		}
 		tt.target.MarkRefilled(tt.now)
 		if !tt.target.HistoryComplete() {
-			t.Fatal("not complete after it is marked so")
+			t.Fatal("the history is not complete after MarkRefilled")
 		}
 		tt.checkUnknownByHandler()
 		tt.checkRestart()
 	})
 }
 
-// run runs so many requests on the first store, with any ends.
+// run runs the given number of requests on the source store, with random completions.
 func (tt *transferTest) run(requests int) {
 	for range requests {
 		tt.newestKey++
@@ -91,7 +92,7 @@
 
 func handlerOf(n uint64) string { return [...]string{"even", "odd"}[n%2] }
 
-// transferRecords walks through the records that there are at its start.
+// transferRecords transfers the records that exist when it starts.
 func (tt *transferTest) transferRecords() {
 	_, position, end := tt.source.Export(0, 0, 0, nil)
 	for position < end {
@@ -100,7 +101,7 @@
 		for _, record := range records {
 			decision := tt.target.PeekOutcome(tt.now, 0, record.Key).Decision
 			if (decision == Fresh || decision == OutcomeUnknown) && !tt.target.Merge(tt.now, record) {
-				tt.t.Fatal("not taken: ", record)
+				tt.t.Fatal("record was not merged: ", record)
 			}
 		}
 		tt.run(rapid.IntRange(0, 2).Draw(tt.t, "meanwhile"))
@@ -120,7 +121,7 @@
 	}
 }
 
-// compare checks that keys up to that number meet the same in both stores.
+// checkSameOutcomes checks that keys up to the given number have the same outcome in both stores.
 func (tt *transferTest) checkSameOutcomes(last uint64) {
 	for key := range tt.ran {
 		atSource := tt.source.PeekOutcome(tt.now, 0, key)
@@ -128,9 +129,9 @@
 		switch {
 		case binary.BigEndian.Uint64(key[8:]) > last:
 		case atTarget.Decision != Fresh && (atSource.Decision == ResultExpired || atTarget.Decision == ResultExpired):
-			// It has expired at either.
+			// The key has expired in one of the stores.
 		case atSource.Decision != atTarget.Decision || string(atSource.Result) != string(atTarget.Result):
-			tt.t.Fatalf("key %x: %s %q there, %s %q here", key, atSource.Decision, atSource.Result, atTarget.Decision, atTarget.Result)
+			tt.t.Fatalf("key %x: %s %q at the source, %s %q at the target", key, atSource.Decision, atSource.Result, atTarget.Decision, atTarget.Result)
 		}
 	}
 }
@@ -139,17 +140,17 @@
 	unknown := 0
 	for handler, n := range tt.source.UnknownOutcomesByHandler() {
 		if handler != "even" && handler != "odd" {
-			tt.t.Fatal("a handler that does not exist: ", handler)
+			tt.t.Fatal("unexpected handler: ", handler)
 		}
 		unknown += n
 	}
 	if unknown != tt.source.Stats().OutcomeUnknown {
-		tt.t.Fatal("unknown by handler: ", tt.source.UnknownOutcomesByHandler(), " of ", tt.source.Stats().OutcomeUnknown)
+		tt.t.Fatal("unknown outcomes by handler do not add up: ", tt.source.UnknownOutcomesByHandler(), " of ", tt.source.Stats().OutcomeUnknown)
 	}
 }
 
-// checkRestart checks that a later incarnation has what was merged, unless there were fingerprints,
-// which are not on the disk.
+// checkRestart checks that a later incarnation of the target has the merged records. If
+// fingerprints were merged, which are not on the disk, its history must not be complete.
 func (tt *transferTest) checkRestart() {
 	disk := newFakeDisk()
 	disk.writeAll(tt.target.TakeEntries())
@@ -158,13 +159,13 @@
 	restarted.FinishLoading(tt.now, false, 0)
 	allOnDisk := len(tt.target.peerFingerprints) == 0
 	if restarted.HistoryComplete() != allOnDisk {
-		tt.t.Fatal("a later incarnation is complete without the fingerprints, or not complete without any")
+		tt.t.Fatal("a later incarnation has a complete history although fingerprints were merged, or an incomplete one although none were")
 	}
 	for key := range tt.ran {
 		before := tt.target.PeekOutcome(tt.now, 0, key)
 		after := restarted.PeekOutcome(tt.now, 0, key)
 		if allOnDisk && (before.Decision != after.Decision || string(before.Result) != string(after.Result)) {
-			tt.t.Fatalf("key %x: %s before the restart, %s after it", key, before.Decision, after.Decision)
+			tt.t.Fatalf("key %x: decision %s before the restart, %s after it", key, before.Decision, after.Decision)
 		}
 	}
 }
--- a/internal/wal/bench_test.go
+++ b/internal/wal/bench_test.go
@@ -9,7 +9,7 @@
 	"frosthub/internal/wal"
 )
 
-// BenchmarkRead measures how fast a store is read, a key's two records as one.
+// BenchmarkRead measures the time to read a store, per key. Each key has two log records.
 func BenchmarkRead(b *testing.B) {
 	const keys = 1_000_000
 	cfg := idempotency.Config{
--- a/internal/wal/compat_test.go
+++ b/internal/wal/compat_test.go
@@ -16,9 +16,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The store in testdata/store-v1 was written on 2 December 2026 by the program as it was before its
-// types and functions were renamed, and testdata/store-v1.golden is what that program read from it.
-// Neither file is ever made anew: stores of this format exist on disks.
+// An earlier version of the program wrote the store in testdata/store-v1 on 2 December 2026, before
+// its types and functions were renamed. testdata/store-v1.golden has the contents that it read
+// back. Neither is ever regenerated, because stores of this format exist on disks.
 const (
 	v1Store  = "testdata/store-v1"
 	v1Golden = "testdata/store-v1.golden"
@@ -41,8 +41,8 @@
 	return key
 }
 
-// TestReadStoreV1 reads a store that an earlier version of the program wrote, and compares all that
-// the state machine knows of it.
+// TestReadStoreV1 reads a store that an earlier version of the program wrote, and compares the
+// complete state after loading with the golden file.
 func TestReadStoreV1(t *testing.T) {
 	want, err := os.ReadFile(v1Golden)
 	if err != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestWriteStoreV1 plays the history that the store in testdata was written by, and compares the
-// files byte for byte.
+// TestWriteStoreV1 repeats the history of the store in testdata and compares the files byte for
+// byte.
 func TestWriteStoreV1(t *testing.T) {
 	dir := t.TempDir()
 	h := &v1History{t: t, disk: wal.DirDisk(dir), now: baseTime}
@@ -83,8 +83,9 @@
 	}
 }
 
-// v1History is the history of the store in testdata: three incarnations whose requests end in each
-// possible way, history that is lost and accepted, segments that are retired and dropped.
+// v1History is the history of the store in testdata: three incarnations whose requests complete in
+// each possible way, with history that is lost and accepted, and segments that are retired and
+// dropped.
 type v1History struct {
 	t      *testing.T
 	disk   wal.Disk
@@ -145,7 +146,7 @@
 	}
 }
 
-// request runs one request from its intent to its end, which depends on its number.
+// request runs one request from its intent to its completion, whose kind depends on n.
 func (h *v1History) request(n int) {
 	h.t.Helper()
 	handler := [...]string{"claim", "status", ""}[n%3]
@@ -160,7 +161,7 @@
 		h.store.Finish(h.now, key, idempotency.EntryResult, []byte(strings.Repeat("x", v1Config.MaxResultBytes+1)))
 	case 2:
 		h.store.Finish(h.now, key, idempotency.EntryNeverRan, nil)
-	case 3: // it is still in flight when the process ends
+	case 3: // still in flight when the process ends
 	default:
 		h.store.Finish(h.now, key, idempotency.EntryResult, fmt.Appendf(nil, "result of %d", n))
 	}
@@ -168,8 +169,8 @@
 	commit(h.t, h.store, h.writer)
 }
 
-// describeStore lists the files and records of a store, and what the state machine knows after it
-// has loaded them.
+// describeStore describes the files and log records of a store, and the state of the store after
+// loading them.
 func describeStore(t *testing.T, disk wal.Disk, now time.Duration) string {
 	t.Helper()
 	var b strings.Builder
@@ -184,7 +185,7 @@
 
 	store := idempotency.New(v1Config)
 	fmt.Fprintln(&b, "records:")
-	found, err := wal.Read(disk, "n1", store, func(r idempotency.LogEntry) error {
+	contents, err := wal.Read(disk, "n1", store, func(r idempotency.LogEntry) error {
 		fmt.Fprintf(&b, "  %d at %s: kind %d in segment %d, subject %d, key %x, data %q\n",
 			r.Seq, r.At-baseTime, r.Kind, r.Segment, r.Subject, r.Key, r.Data)
 		return nil
@@ -193,12 +194,12 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintln(&b, "contents:")
-	fmt.Fprintf(&b, "  node %q, created %s, mark %016x\n", found.ID.Node, found.ID.Created, found.ID.Mark)
+	fmt.Fprintf(&b, "  node %q, created %s, mark %016x\n", contents.ID.Node, contents.ID.Created, contents.ID.Mark)
 	fmt.Fprintf(&b, "  %d records, %d segments, last segment %d, torn bytes %d\n",
-		found.Records, found.Segments, found.LastSegment, found.TornBytes)
-	fmt.Fprintf(&b, "  damage %q, leftover %q, new segment needed %t\n", found.Damage, found.Leftover, found.NeedsNewSegment())
+		contents.Records, contents.Segments, contents.LastSegment, contents.TornBytes)
+	fmt.Fprintf(&b, "  damage %q, leftover %q, new segment needed %t\n", contents.Damage, contents.Leftover, contents.NeedsNewSegment())
 
-	store.FinishLoading(now, found.NeedsNewSegment(), found.LastSegment)
+	store.FinishLoading(now, contents.NeedsNewSegment(), contents.LastSegment)
 	fmt.Fprintln(&b, "keys:")
 	var keys []string
 	store.ForEachKey(func(key idempotency.Key, at time.Duration, state string, bytes int) {
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -11,8 +11,8 @@
 	"frosthub/internal/wal"
 )
 
-// TestDamage: what is lost of what was durable is found and reported, and none of it runs again,
-// also after another start.
+// TestDamage checks that each loss of durable data is detected and reported, and that no request
+// whose records are lost runs again, also after further restarts.
 func TestDamage(t *testing.T) {
 	logs := fileNames(t, filledDisk(t), ".log")
 	fingerprints := fileNames(t, filledDisk(t), ".prints")
@@ -46,28 +46,28 @@
 		name   string
 		damage func(disk *fake.Disk)
 	}{
-		{"a bit of a frame's header", change(logs[0], flipBit(140))},
-		{"a bit of a record", change(logs[1], flipBit(70))},
-		{"a bit of the first frame", change(logs[1], flipBit(3))},
-		{"a bit of the last frame", change(last, func(data []byte) []byte {
+		{"bit flipped in a frame header", change(logs[0], flipBit(140))},
+		{"bit flipped in a record", change(logs[1], flipBit(70))},
+		{"bit flipped in the first frame", change(logs[1], flipBit(3))},
+		{"bit flipped in the last frame", change(last, func(data []byte) []byte {
 			data[len(data)-9] ^= 1
 			return data
 		})},
-		{"half a file", change(logs[0], func(data []byte) []byte { return data[:len(data)/2] })},
-		{"an empty segment", change(logs[1], func([]byte) []byte { return nil })},
+		{"file cut in half", change(logs[0], func(data []byte) []byte { return data[:len(data)/2] })},
+		{"empty log file", change(logs[1], func([]byte) []byte { return nil })},
 		{"noise", change(logs[1], func(data []byte) []byte {
 			for i := range data {
 				data[i] = byte(i*i + 7)
 			}
 			return data
 		})},
-		{"another segment's file", func(disk *fake.Disk) {
-			data, _ := disk.Read(logs[0]) // it is there: names gave it
+		{"log file of another segment", func(disk *fake.Disk) {
+			data, _ := disk.Read(logs[0]) // it was listed, so it exists
 			disk.Put(logs[1], data)
 		}},
-		{"a missing segment", remove(logs[1])},
-		{"the oldest segment missing", remove(fingerprints[0])},
-		{"a bit of fingerprints", change(fingerprints[len(fingerprints)-1], flipBit(100))},
+		{"missing segment", remove(logs[1])},
+		{"missing oldest segment", remove(fingerprints[0])},
+		{"bit flipped in fingerprints", change(fingerprints[len(fingerprints)-1], flipBit(100))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			disk := filledDisk(t)
@@ -77,13 +77,13 @@
 	}
 }
 
-// checkDamaged checks that damage of a filled disk is found, and that over three incarnations
-// nothing is fresh but what was made since.
+// checkDamaged checks that the damage to a filled disk is detected, and that over three
+// incarnations only requests made after the damage are fresh.
 func checkDamaged(t *testing.T, disk *fake.Disk) {
 	t.Helper()
 	contents, err := wal.Read(disk, "n1", idempotency.New(testConfig), nil)
 	if err != nil || contents.Complete() {
-		t.Fatal("not found: ", contents, err)
+		t.Fatal("the damage was not detected: ", contents, err)
 	}
 	t.Log(contents.Damage)
 	for incarnation := range 3 {
@@ -94,17 +94,17 @@
 				t.Fatalf("incarnation %d: request %d is fresh", incarnation, i)
 			}
 		}
-		made := now + time.Millisecond
-		if store.Peek(made, made, testKey(1000)) != idempotency.Fresh {
-			t.Errorf("incarnation %d: a request made since does not run", incarnation)
+		madeAt := now + time.Millisecond
+		if store.Peek(madeAt, madeAt, testKey(1000)) != idempotency.Fresh {
+			t.Errorf("incarnation %d: a request made after the damage is not fresh", incarnation)
 		}
 		store.Sweep(now)
 		commit(t, store, writer)
 	}
 }
 
-// TestDiskFailure: an error of each operation ends the writing, and what is not durable is not
-// reported as such.
+// TestDiskFailure checks that an error of any disk operation ends the writing, and that no entry is
+// reported as durable that is not.
 func TestDiskFailure(t *testing.T) {
 	for _, operation := range []string{"open", "write", "fsync", "rename", "remove", "sync"} {
 		t.Run(operation, func(t *testing.T) { testDiskFailure(t, operation) })
@@ -114,23 +114,23 @@
 func testDiskFailure(t *testing.T, failing string) {
 	disk := filledDisk(t)
 	store, writer := reopen(t, disk, baseTime+61*time.Second)
-	errFull := errors.New("no space left")
+	errInjected := errors.New("no space left")
 	disk.Fail = func(operation, _ string) error {
 		if operation == failing {
-			return errFull
+			return errInjected
 		}
 		return nil
 	}
-	reported := make(chan error, 1000)
-	durable := uint64(0)
+	writeErrors := make(chan error, 1000)
+	durableSeq := uint64(0)
 	log := wal.NewLog(writer, 0, 1, func(seq uint64, err error) {
 		if err != nil {
-			reported <- err
+			writeErrors <- err
 			return
 		}
-		durable = max(durable, seq)
+		durableSeq = max(durableSeq, seq)
 	})
-	for i := 100; i < 160; i++ { // enough to open, retire and drop segments
+	for i := 100; i < 160; i++ { // enough requests to open, retire and drop segments
 		at := baseTime + time.Duration(i)*6*time.Second
 		store.Reserve(at, at, testKey(i), "", uint64(i))
 		store.Finish(at, testKey(i), idempotency.EntryFailed, nil)
@@ -138,36 +138,36 @@
 		log.Append(store.TakeEntries())
 	}
 	select {
-	case err := <-reported:
-		if !errors.Is(err, errFull) {
+	case err := <-writeErrors:
+		if !errors.Is(err, errInjected) {
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the error is not reported")
+		t.Error("the disk error was not reported")
 	}
-	_ = log.Close(time.Second) // it has ended already
+	_ = log.Close(time.Second) // the log has already ended
 
 	disk.Fail = nil
-	onDisk := uint64(0)
+	lastSeqOnDisk := uint64(0)
 	_, err := wal.Read(disk, "n1", idempotency.New(testConfig), func(record idempotency.LogEntry) error {
-		onDisk = max(onDisk, record.Seq)
+		lastSeqOnDisk = max(lastSeqOnDisk, record.Seq)
 		return nil
 	})
 	if err != nil {
 		t.Error(err)
 	}
-	if durable > onDisk {
-		t.Errorf("%d was reported as durable, the disk has %d", durable, onDisk)
+	if durableSeq > lastSeqOnDisk {
+		t.Errorf("sequence number %d was reported as durable, but the last one on the disk is %d", durableSeq, lastSeqOnDisk)
 	}
 }
 
-// FuzzRead: whatever the files contain is read without harm, and changes of what is durable don't
-// go unnoticed.
+// FuzzRead checks that files with any content can be read, and that a change of durable data is
+// detected.
 func FuzzRead(f *testing.F) {
 	base := filledDisk(f)
 	logs := fileNames(f, base, ".log")
 	for _, name := range append(logs, fileNames(f, base, ".prints")...) {
-		data, _ := base.Read(name) // it is there: names gave it
+		data, _ := base.Read(name) // it was listed, so it exists
 		f.Add(name, data)
 		f.Add(name, data[:len(data)/2])
 	}
@@ -185,7 +185,7 @@
 		}
 		changed := originalErr == nil && string(original) != string(data)
 		if changed && contents.TornBytes == 0 && name != logs[len(logs)-1] {
-			t.Fatalf("%s was changed, and no damage is reported", name)
+			t.Fatalf("%s was changed, but no damage was reported", name)
 		}
 		store.FinishLoading(baseTime+time.Hour, contents.NeedsNewSegment(), contents.LastSegment)
 	})
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -11,8 +11,8 @@
 	"frosthub/internal/wal"
 )
 
-// filledDisk returns a disk with the records of a few dozen requests in several segments, some of
-// which are retired.
+// filledDisk returns a disk with the records of 60 requests in several segments, some of which are
+// retired.
 func filledDisk(t testing.TB) *fake.Disk {
 	t.Helper()
 	disk := fake.NewDisk()
@@ -24,7 +24,7 @@
 		at := baseTime + time.Duration(i)*time.Second
 		store.Reserve(at, at, testKey(i), "", uint64(i+1))
 		commit(t, store, writer)
-		if i < 20 || i%10 != 9 { // some stay without an end
+		if i < 20 || i%10 != 9 { // some requests get no completion record
 			store.Finish(at, testKey(i), idempotency.EntryResult, testResult(i))
 		}
 		store.Sweep(at)
@@ -33,7 +33,7 @@
 	return disk
 }
 
-// reopen begins an incarnation of the store on a disk.
+// reopen begins a new incarnation of the store on a disk.
 func reopen(t testing.TB, disk wal.Disk, now time.Duration) (*idempotency.Store, *wal.Writer) {
 	t.Helper()
 	store := idempotency.New(testConfig)
@@ -55,7 +55,7 @@
 	store.MarkDurable(seq)
 }
 
-// names returns the names of files that end in a suffix, in their order.
+// fileNames returns the sorted names of the files with the given suffix.
 func fileNames(t testing.TB, disk wal.Disk, suffix string) []string {
 	t.Helper()
 	all, err := disk.Names()
--- a/internal/wal/identity_test.go
+++ b/internal/wal/identity_test.go
@@ -12,8 +12,8 @@
 	"frosthub/internal/wal"
 )
 
-// TestWrongOwner: a directory that is not this node's store is not used, nor one that another
-// process uses.
+// TestWrongOwner checks that a node does not use a directory without a store, a store of another
+// node, or a store that another process has locked.
 func TestWrongOwner(t *testing.T) {
 	dir := t.TempDir()
 	disk := wal.DirDisk(dir)
@@ -21,21 +21,21 @@
 		t.Error(err)
 	}
 
-	other := filepath.Join(dir, "letter")
-	if err := os.WriteFile(other, nil, 0o600); err != nil {
+	otherFile := filepath.Join(dir, "letter")
+	if err := os.WriteFile(otherFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := wal.Init(disk, "n1", baseTime, 1); err == nil {
-		t.Error("made in a directory with other files")
+		t.Error("created a store in a directory with other files")
 	}
-	if err := os.Remove(other); err != nil {
+	if err := os.Remove(otherFile); err != nil {
 		t.Fatal(err)
 	}
 	if err := wal.Init(disk, "n1", baseTime, 1); err != nil {
 		t.Fatal(err)
 	}
 	if err := wal.Init(disk, "n1", baseTime, 1); err == nil {
-		t.Error("made over one that is there")
+		t.Error("created a store over an existing one")
 	}
 	if _, err := wal.Read(disk, "n2", idempotency.New(testConfig), nil); !errors.Is(err, wal.ErrWrongOwner) {
 		t.Error(err)
@@ -47,13 +47,13 @@
 		t.Fatal(err)
 	}
 	if _, err := filelock.Acquire(lockPath); !errors.Is(err, filelock.ErrBusy) || !filelock.IsLocked(lockPath) {
-		t.Error("locked twice: ", err)
+		t.Error("second lock of a locked store: ", err)
 	}
 	_ = lock.Close()
 }
 
-// TestDamagedIdentity: a file that identifies a store is not taken for one when it is damaged, or
-// of another version.
+// TestDamagedIdentity checks that a damaged identity file is rejected, and one of another format
+// version.
 func TestDamagedIdentity(t *testing.T) {
 	dir := t.TempDir()
 	disk := wal.DirDisk(dir)
@@ -80,7 +80,7 @@
 				t.Fatal(err)
 			}
 			if _, err := wal.ReadID(disk); !errors.Is(err, c.want) {
-				t.Errorf("%q: %v, not %v", c.text, err, c.want)
+				t.Errorf("%q: got error %v, want %v", c.text, err, c.want)
 			}
 		})
 	}
--- a/internal/wal/powerloss_test.go
+++ b/internal/wal/powerloss_test.go
@@ -15,9 +15,9 @@
 	"frosthub/internal/wal"
 )
 
-var cuts = flag.Int("cuts", 600, "histories with random power failures; 100000 outside CI")
+var historyCount = flag.Int("cuts", 600, "histories with random power failures; 100000 outside CI")
 
-// testConfig has segments that fill, are retired and dropped within a hundred requests.
+// testConfig makes segments fill, retire and be dropped within a hundred requests.
 var testConfig = idempotency.Config{
 	MaxEntries:     20,
 	MaxBytes:       600,
@@ -31,17 +31,17 @@
 
 const baseTime = 500_000 * time.Hour
 
-// keyOf returns the key of a request that a test numbered.
+// testKey returns the key of the request with the given number.
 func testKey(n int) (key idempotency.Key) {
 	binary.BigEndian.PutUint64(key[8:], uint64(n))
 	return key
 }
 
-// resultOf returns the result of the request with that key.
+// testResult returns the result of the request with the given key number.
 func testResult(key int) []byte { return fmt.Appendf(nil, "claim %d is filed, %x", key, key*key) }
 
-// simulation is a node without sockets: a store on a disk that loses power, a processor that counts
-// effects, and callers that retry.
+// simulation simulates a node without sockets: a store on a disk that loses power, a processor that
+// counts the runs of each key, and clients that retry.
 type simulation struct {
 	t      *testing.T
 	name   string
@@ -53,12 +53,12 @@
 	writer *wal.Writer
 
 	requestID      uint64
-	keyByRequestID map[uint64]int // by request ID
-	runningIDs     []uint64       // request IDs
+	keyByRequestID map[uint64]int
+	runningIDs     []uint64 // IDs of the running requests
 
-	keyCount    int                   // how many there have been
+	keyCount    int                   // number of keys so far
 	firstMade   map[int]time.Duration // by key
-	runsByKey   map[int]int           // how often a key ran
+	runsByKey   map[int]int           // number of runs
 	answerByKey map[int][]byte        // by key
 	decisions   map[idempotency.Decision]int
 }
@@ -83,22 +83,23 @@
 	return s
 }
 
-func (s *simulation) fatal(format string, args ...any) {
+func (s *simulation) fatalf(format string, args ...any) {
 	s.t.Helper()
 	s.t.Fatalf("%s: %s", s.name, fmt.Sprintf(format, args...))
 }
 
-// start reads the disk, and reports whether it kept its power meanwhile.
+// start begins an incarnation: it reads the disk and commits the first entries. It reports whether
+// the disk kept its power.
 func (s *simulation) start() bool {
 	s.store = idempotency.New(testConfig)
 	s.runningIDs = nil
 	s.keyByRequestID = map[uint64]int{}
 	writer, contents, err := wal.Open(s.disk, "n1", s.store, s.now, nil)
 	if err != nil && !errors.Is(err, fake.ErrPowerLost) {
-		s.fatal("reading: %v", err)
+		s.fatalf("read the disk: %v", err)
 	}
 	if !contents.Complete() {
-		s.fatal("a torn write is taken for damage: %v", contents.Damage)
+		s.fatalf("a torn write is reported as damage: %v", contents.Damage)
 	}
 	s.writer = writer
 	return err == nil && s.commit()
@@ -111,13 +112,13 @@
 		return false
 	}
 	if err != nil {
-		s.fatal("%v", err)
+		s.fatalf("%v", err)
 	}
 	s.applyOutcomes(s.store.MarkDurable(seq))
 	return true
 }
 
-// check compares outcomes with what happened so far, and has what may start run.
+// applyOutcomes compares outcomes with the history so far and starts the requests that may run.
 func (s *simulation) applyOutcomes(outcomes []idempotency.Outcome) {
 	s.t.Helper()
 	for _, outcome := range outcomes {
@@ -127,29 +128,29 @@
 		case idempotency.Start:
 			s.runsByKey[key]++
 			if s.runsByKey[key] > 1 {
-				s.fatal("key %d ran twice", key)
+				s.fatalf("key %d ran twice", key)
 			}
 			s.runningIDs = append(s.runningIDs, outcome.ID)
 		case idempotency.Completed, idempotency.Replay:
 			if !bytes.Equal(outcome.Result, testResult(key)) {
-				s.fatal("key %d: %q, not the first answer", key, outcome.Result)
+				s.fatalf("key %d: got result %q, which is not the first result", key, outcome.Result)
 			}
 			s.answerByKey[key] = outcome.Result
 		case idempotency.OutcomeUnknown:
 			if s.answerByKey[key] != nil {
-				s.fatal("key %d was answered, and its outcome is unknown now", key)
+				s.fatalf("key %d was answered, but its outcome is unknown now", key)
 			}
 		case idempotency.HistoryLost:
-			s.fatal("key %d: history is said to be lost, and none is", key)
+			s.fatalf("key %d: history is reported as lost, but none is", key)
 		case idempotency.StoreFull, idempotency.StoreFailed, idempotency.Fresh:
 			if s.runsByKey[key] > 0 {
-				s.fatal("key %d ran and is rejected", key)
+				s.fatalf("key %d ran, but a retry is rejected as if it had not run", key)
 			}
 		}
 	}
 }
 
-// step does one random thing, and reports whether the disk kept its power.
+// step takes one random step, and reports whether the disk kept its power.
 func (s *simulation) step() bool {
 	s.now += time.Duration(s.random.IntN(1500)) * time.Millisecond
 	switch n := s.random.IntN(10); {
@@ -165,7 +166,7 @@
 	return true
 }
 
-// request makes a fresh request, or a retry within the horizon.
+// request makes a fresh request, or a retry within the retry horizon.
 func (s *simulation) request() {
 	var key int
 	if s.keyCount == 0 || s.random.IntN(2) == 0 {
@@ -183,7 +184,7 @@
 	s.applyOutcomes([]idempotency.Outcome{s.store.Reserve(s.now, s.firstMade[key], testKey(key), "", s.requestID)})
 }
 
-// finishOne ends one of those that run.
+// finishOne completes a random running request.
 func (s *simulation) finishOne() {
 	i := s.random.IntN(len(s.runningIDs))
 	id := s.runningIDs[i]
@@ -200,27 +201,27 @@
 	}
 }
 
-// play takes so many steps. After a power failure the power comes back, perhaps to fail again soon,
-// and all goes on.
+// run takes the given number of steps. After a power failure it restarts the node, and the power
+// may soon fail again.
 func (s *simulation) run(steps int) {
-	up := s.start()
+	powered := s.start()
 	for range steps {
-		if up {
-			up = s.step()
+		if powered {
+			powered = s.step()
 		}
-		for !up {
+		for !powered {
 			s.disk = s.disk.AfterPowerLoss(s.random)
 			if s.random.IntN(3) == 0 {
 				s.disk.PowerBudget = 1 + s.random.IntN(6)
 			}
 			s.now += time.Duration(s.random.IntN(5)-1) * time.Second
-			up = s.start()
+			powered = s.start()
 		}
 	}
 }
 
-// TestPowerLossAtEachOperation loses power at each operation of a scripted history of some hundred
-// requests, and goes on.
+// TestPowerLossAtEachOperation repeats a scripted history of a few hundred requests, with a power
+// loss at each disk operation in turn, and continues it after the loss.
 func TestPowerLossAtEachOperation(t *testing.T) {
 	const steps = 700
 	complete := newSimulation(t, 1, "no power loss")
@@ -228,7 +229,7 @@
 	operations := complete.disk.Operations()
 	if complete.keyCount < 100 || operations < 300 ||
 		complete.decisions[idempotency.ResultExpired] == 0 || complete.decisions[idempotency.Replay] == 0 {
-		t.Fatal("the script shows too little: ", complete.keyCount, operations, complete.decisions)
+		t.Fatal("the script covers too little: ", complete.keyCount, operations, complete.decisions)
 	}
 	unknown := 0
 	for operation := 1; operation <= operations; operation++ {
@@ -244,25 +245,25 @@
 	}
 }
 
-// TestPowerLossByChance does the same with random histories, and power that fails again and again.
+// TestPowerLossByChance runs random histories in which the power fails repeatedly.
 func TestPowerLossByChance(t *testing.T) {
 	losses, unknown := 0, 0
-	for seed := range uint64(*cuts) {
+	for seed := range uint64(*historyCount) {
 		s := newSimulation(t, seed+2, fmt.Sprint("seed ", seed+2))
 		s.disk.PowerBudget = 1 + s.random.IntN(60)
-		up := s.start()
+		powered := s.start()
 		for range 300 {
-			if up {
-				up = s.step()
+			if powered {
+				powered = s.step()
 			}
-			for !up {
+			for !powered {
 				losses++
 				s.disk = s.disk.AfterPowerLoss(s.random)
 				s.disk.PowerBudget = 1 + s.random.IntN(90)
-				up = s.start()
+				powered = s.start()
 			}
 		}
 		unknown += s.decisions[idempotency.OutcomeUnknown]
 	}
-	t.Logf("%d histories, power lost %d times, %d unknown outcomes", *cuts, losses, unknown)
+	t.Logf("%d histories, power lost %d times, %d unknown outcomes", *historyCount, losses, unknown)
 }
--- a/internal/wal/quarantine_test.go
+++ b/internal/wal/quarantine_test.go
@@ -8,8 +8,8 @@
 	"frosthub/internal/wal"
 )
 
-// TestQuarantine: a store is set aside after three starts in a row that died over reading it, and
-// not sooner.
+// TestQuarantine checks that a store is quarantined after three consecutive starts that died while
+// reading it, and not earlier.
 func TestQuarantine(t *testing.T) {
 	disk := filledDisk(t)
 	before := len(fileNames(t, disk, ".log")) + len(fileNames(t, disk, ".prints"))
@@ -19,20 +19,20 @@
 			t.Fatal(err)
 		}
 		if want := start == 3; quarantined != want {
-			t.Errorf("start %d: quarantined %t, not %t", start, quarantined, want)
+			t.Errorf("start %d: got quarantined %t, want %t", start, quarantined, want)
 		}
 	}
 	if got := len(fileNames(t, disk, ".aside")); got != before {
-		t.Errorf("%d files are set aside of %d", got, before)
+		t.Errorf("%d of %d files are quarantined", got, before)
 	}
 	store := idempotency.New(testConfig)
 	contents, err := wal.Read(disk, "n1", store, nil)
 	if err != nil || contents.Records != 0 || contents.Segments != 0 {
-		t.Errorf("something is left: %+v, %v", contents, err)
+		t.Errorf("the store is not empty: %+v, %v", contents, err)
 	}
 }
 
-// TestQuarantineReset: a start that comes to the end of reading counts as the last of a row.
+// TestQuarantineReset checks that a start that finishes reading resets the count of failed starts.
 func TestQuarantineReset(t *testing.T) {
 	disk := filledDisk(t)
 	for start := range 9 {
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		if quarantined {
-			t.Fatalf("start %d: quarantined", start)
+			t.Fatalf("start %d: unexpected quarantine", start)
 		}
 		if start%3 == 2 {
 			if err := wal.EndRead(disk); err != nil {
@@ -51,6 +51,6 @@
 	}
 	store, _ := reopen(t, disk, baseTime+61*time.Second)
 	if keys := store.Stats().Keys; keys == 0 {
-		t.Error("nothing is left")
+		t.Error("no keys are left")
 	}
 }
