--- a/idempotency/config.go
+++ b/idempotency/config.go
@@ -39,8 +39,8 @@
 	// expired. Such a request is rejected.
 	falsePositiveRate = 1e-5
 	// segmentsPerHorizon is the minimum number of segments that a retry horizon is spread over. A
-	// segment is dropped as a whole, so its oldest keys are kept too long by at most this fraction
-	// of the horizon.
+	// segment is dropped as a whole, so its oldest keys are kept longer than needed by at most
+	// 1/segmentsPerHorizon of the horizon.
 	segmentsPerHorizon = 8
 	// entryOverhead is the size of a log entry without its data, in bytes, as counted against
 	// Config.SegmentBytes.
