--- a/idempotency/store_test.go
+++ b/idempotency/store_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// testStore is a store with a disk that a test runs a few requests on.
+// testStore is a store with a fake disk, on which a test runs single requests.
 type testStore struct {
 	store     *Store
 	disk      *fakeDisk
@@ -18,32 +18,32 @@
 }
 
 func newTestStore(cfg Config) *testStore {
-	x := &testStore{store: New(cfg), disk: newFakeDisk()}
-	x.store.FinishLoading(noon, true, 0)
-	x.sync()
-	return x
+	ts := &testStore{store: New(cfg), disk: newFakeDisk()}
+	ts.store.FinishLoading(baseTime, true, 0)
+	ts.commit()
+	return ts
 }
 
-// sync makes all entries durable.
-func (x *testStore) sync() {
-	x.store.MarkDurable(x.disk.writeAll(x.store.TakeEntries()))
+// commit makes all entries durable.
+func (ts *testStore) commit() {
+	ts.store.MarkDurable(ts.disk.writeAll(ts.store.TakeEntries()))
 }
 
-// run takes a request from its arrival to its durable result.
-func (x *testStore) run(now time.Duration, key uint64, result string) Decision {
-	x.requestID++
-	outcome := x.store.Reserve(now, 0, keyOf(key), "", x.requestID)
+// run runs a request from its arrival to its durable result, and returns the decision on it.
+func (ts *testStore) run(now time.Duration, key uint64, result string) Decision {
+	ts.requestID++
+	outcome := ts.store.Reserve(now, 0, testKey(key), "", ts.requestID)
 	if outcome.Decision != Wait {
 		return outcome.Decision
 	}
-	x.sync()
-	x.store.Finish(now, keyOf(key), EntryResult, []byte(result))
-	x.sync()
+	ts.commit()
+	ts.store.Finish(now, testKey(key), EntryResult, []byte(result))
+	ts.commit()
 	return Completed
 }
 
-// TestExpiry: a result that has expired leaves a fingerprint, also on the disk, and what is past
-// the horizon leaves nothing.
+// TestExpiry checks that an expired result leaves a fingerprint, also after a restart, and that
+// nothing is left after the retry horizon.
 func TestExpiry(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -55,8 +55,8 @@
 		KeysPerSegment: 100,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
-	x.run(noon, 7, "filed")
+	ts := newTestStore(cfg)
+	ts.run(baseTime, 7, "filed")
 	for i, c := range []struct {
 		after   time.Duration
 		restart bool
@@ -68,29 +68,29 @@
 		{after: 59 * time.Minute, restart: true, want: ResultExpired},
 		{after: 70 * time.Minute, want: Completed},
 	} {
-		x.store.Sweep(noon + c.after)
-		x.run(noon+c.after, uint64(100+i), "another") // segments follow each other
-		x.store.Sweep(noon + c.after)
-		x.sync()
+		ts.store.Sweep(baseTime + c.after)
+		ts.run(baseTime+c.after, uint64(100+i), "another") // keeps opening new segments
+		ts.store.Sweep(baseTime + c.after)
+		ts.commit()
 		if c.restart {
-			x.store = New(cfg)
-			x.disk.load(x.store)
-			x.store.FinishLoading(noon+c.after, false, 0)
-			x.sync()
+			ts.store = New(cfg)
+			ts.disk.load(ts.store)
+			ts.store.FinishLoading(baseTime+c.after, false, 0)
+			ts.commit()
 		}
-		if got := x.run(noon+c.after, 7, "again"); got != c.want {
-			t.Errorf("after %s: %s, not %s; %+v", c.after, got, c.want, x.store.Stats())
+		if got := ts.run(baseTime+c.after, 7, "again"); got != c.want {
+			t.Errorf("after %s: got %s, want %s; stats %+v", c.after, got, c.want, ts.store.Stats())
 		}
 	}
-	if got := x.store.Peek(noon+71*time.Minute, noon, keyOf(9)); got != ResultExpired {
-		t.Error("made long before the horizon: ", got)
+	if got := ts.store.Peek(baseTime+71*time.Minute, baseTime, testKey(9)); got != ResultExpired {
+		t.Error("request made long before the retry horizon: ", got)
 	}
 }
 
-// TestBounds: where keys come faster than they may be forgotten, the newest are rejected and none
-// is forgotten early.
+// TestBounds checks that requests are rejected when keys arrive faster than they may be dropped,
+// and that no key is dropped early.
 func TestBounds(t *testing.T) {
-	x := newTestStore(Config{
+	ts := newTestStore(Config{
 		MaxEntries:     20,
 		MaxBytes:       1000,
 		MaxResultBytes: 50,
@@ -101,27 +101,28 @@
 		SegmentBytes:   1 << 20,
 	})
 	ran := uint64(0)
-	for x.run(noon, ran+1, "filed") == Completed {
+	for ts.run(baseTime, ran+1, "filed") == Completed {
 		ran++
 	}
-	if stats := x.store.Stats(); ran != 20 || stats.Segments != 4 {
+	if stats := ts.store.Stats(); ran != 20 || stats.Segments != 4 {
 		t.Fatal(ran, stats)
 	}
 	for key := uint64(1); key <= ran; key++ {
-		if got := x.store.Peek(noon, 0, keyOf(key)); got != Duplicate && got != ResultExpired {
-			t.Errorf("key %d: %s", key, got)
+		if got := ts.store.Peek(baseTime, 0, testKey(key)); got != Duplicate && got != ResultExpired {
+			t.Errorf("key %d: got %s, want a duplicate or an expired result", key, got)
 		}
 	}
-	if got := x.run(noon+59*time.Minute, 99, "filed"); got != StoreFull {
-		t.Error("before the horizon: ", got)
+	if got := ts.run(baseTime+59*time.Minute, 99, "filed"); got != StoreFull {
+		t.Error("before the retry horizon: ", got)
 	}
-	if got := x.run(noon+61*time.Minute, 99, "filed"); got != Completed {
-		t.Error("past it: ", got)
+	if got := ts.run(baseTime+61*time.Minute, 99, "filed"); got != Completed {
+		t.Error("after the retry horizon: ", got)
 	}
 }
 
-// TestLostHistory: what is lost is never taken for fresh, over restarts, until the horizon has
-// passed, the caller says when it made a request, or an operator accepts the loss.
+// TestLostHistory checks that a key whose log records are lost is never fresh, over several
+// restarts, until the retry horizon has passed, the client states when it made the request, or an
+// operator accepts the loss.
 func TestLostHistory(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -133,116 +134,116 @@
 		KeysPerSegment: 2,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
+	ts := newTestStore(cfg)
 	for key := uint64(1); key <= 5; key++ {
-		x.run(noon, key, "filed")
+		ts.run(baseTime, key, "filed")
 	}
-	// restart loads all but the second segment.
+	// restart loads all segments except the second.
 	restart := func(now time.Duration, change func(s *Store)) {
-		x.store = New(cfg)
+		ts.store = New(cfg)
 		for number := uint64(1); number <= 9; number++ {
-			if fingerprints, ok := x.disk.fingerprints[number]; ok {
-				x.store.LoadFingerprints(fingerprints)
+			if fingerprints, ok := ts.disk.fingerprints[number]; ok {
+				ts.store.LoadFingerprints(fingerprints)
 				continue
 			}
 			if number == 2 {
-				x.store.LoadLostSegment(number)
+				ts.store.LoadLostSegment(number)
 				continue
 			}
-			records := x.disk.records[number]
+			records := ts.disk.records[number]
 			if number == 3 && len(records) > 0 {
-				x.store.AddHistoryLoss(records[0].At)
+				ts.store.AddHistoryLoss(records[0].At)
 			}
 			for _, entry := range records {
-				x.store.Load(entry)
+				ts.store.Load(entry)
 			}
 		}
-		x.store.FinishLoading(now, false, 0)
+		ts.store.FinishLoading(now, false, 0)
 		if change != nil {
-			change(x.store)
+			change(ts.store)
 		}
-		x.sync()
+		ts.commit()
 	}
 	var got []Decision
 	peek := func(now, madeAt time.Duration, key uint64) {
-		got = append(got, x.store.Peek(now, madeAt, keyOf(key)))
-	}
-	restart(noon+time.Minute, nil)
-	peek(noon+time.Minute, 0, 3)                // its segment is lost
-	peek(noon+time.Minute, 0, 9)                // a new one that says no time
-	peek(noon+time.Minute, noon+time.Second, 9) // and one that was made since
-	peek(noon+time.Minute, 0, 5)
-	restart(noon+50*time.Minute, func(s *Store) { s.Sweep(noon + 50*time.Minute) }) // the segments around it are retired now
-	peek(noon+50*time.Minute, 0, 9)
-	restart(noon+50*time.Minute, func(s *Store) { s.AcceptHistory(noon + 50*time.Minute) })
-	peek(noon+50*time.Minute, 0, 9)
-	restart(noon+51*time.Minute, nil)
-	peek(noon+51*time.Minute, 0, 9)
+		got = append(got, ts.store.Peek(now, madeAt, testKey(key)))
+	}
+	restart(baseTime+time.Minute, nil)
+	peek(baseTime+time.Minute, 0, 3)                    // the segment of its records is lost
+	peek(baseTime+time.Minute, 0, 9)                    // a new key of a request without a time
+	peek(baseTime+time.Minute, baseTime+time.Second, 9) // a new key of a request made after the loss
+	peek(baseTime+time.Minute, 0, 5)
+	restart(baseTime+50*time.Minute, func(s *Store) { s.Sweep(baseTime + 50*time.Minute) }) // retires the segments around the lost one
+	peek(baseTime+50*time.Minute, 0, 9)
+	restart(baseTime+50*time.Minute, func(s *Store) { s.AcceptHistory(baseTime + 50*time.Minute) })
+	peek(baseTime+50*time.Minute, 0, 9)
+	restart(baseTime+51*time.Minute, nil)
+	peek(baseTime+51*time.Minute, 0, 9)
 	if want := []Decision{HistoryLost, HistoryLost, Fresh, Duplicate, HistoryLost, Fresh, Fresh}; !slices.Equal(got, want) {
 		t.Error(got, want)
 	}
-	restart(noon+62*time.Minute, func(s *Store) { s.Sweep(noon + 62*time.Minute) })
-	if stats := x.store.Stats(); stats.LostBefore != 0 {
+	restart(baseTime+62*time.Minute, func(s *Store) { s.Sweep(baseTime + 62*time.Minute) })
+	if stats := ts.store.Stats(); stats.LostBefore != 0 {
 		t.Error(stats)
 	}
 }
 
-// TestWaitingRequests: a retry of what is in flight hears how that ends, and a withdrawn request
-// makes room for the next.
+// TestWaitingRequests checks that a retry of a request in flight receives the outcome of the
+// original request, and that the next request takes the place of one that is withdrawn.
 func TestWaitingRequests(t *testing.T) {
 	const (
-		intentSeq = 9  // past the record of the intent
-		endSeq    = 99 // past that of the end
+		intentDurable     = 9  // after the log record of the intent
+		completionDurable = 99 // after the completion record
 	)
-	finish := func(s *Store, end EntryKind, result string) []Outcome {
-		return s.Finish(noon, keyOf(1), end, []byte(result))
+	finish := func(s *Store, completion EntryKind, result string) []Outcome {
+		return s.Finish(baseTime, testKey(1), completion, []byte(result))
 	}
 	retry := func(s *Store) Outcome {
-		return s.Reserve(noon, 0, keyOf(1), "", 3)
+		return s.Reserve(baseTime, 0, testKey(1), "", 3)
 	}
 	for _, c := range []struct {
 		name string
-		play func(s *Store) []Outcome
+		run  func(s *Store) []Outcome
 		want []string
 	}{
-		{"a result", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"completed with a result", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			finish(s, EntryResult, "yes")
-			return s.MarkDurable(endSeq)
+			return s.MarkDurable(completionDurable)
 		}, []string{"1 completed yes", "2 replay yes"}},
-		{"too long a result", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"completed with a result that is too long", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			finish(s, EntryResult, "longer")
-			return s.MarkDurable(endSeq)
+			return s.MarkDurable(completionDurable)
 		}, []string{"1 completed longer", "2 result expired "}},
-		{"a failure", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"original failed", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			return finish(s, EntryFailed, "")
 		}, []string{"2 original failed "}},
-		{"never ran", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"proved never to have run", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			return finish(s, EntryNeverRan, "")
 		}, []string{"2 fresh "}},
-		{"withdrawn before its intent is durable", func(s *Store) []Outcome {
-			s.Withdraw(noon, keyOf(1), 1)
-			return s.MarkDurable(intentSeq)
+		{"withdrawn before the intent is durable", func(s *Store) []Outcome {
+			s.Withdraw(baseTime, testKey(1), 1)
+			return s.MarkDurable(intentDurable)
 		}, []string{"2 start "}},
-		{"both withdrawn", func(s *Store) []Outcome {
-			s.Withdraw(noon, keyOf(1), 2)
-			s.Withdraw(noon, keyOf(1), 1)
-			return append(s.MarkDurable(intentSeq), retry(s))
+		{"original and retry withdrawn", func(s *Store) []Outcome {
+			s.Withdraw(baseTime, testKey(1), 2)
+			s.Withdraw(baseTime, testKey(1), 1)
+			return append(s.MarkDurable(intentDurable), retry(s))
 		}, []string{"3 wait "}},
-		{"withdrawn while it runs", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
-			s.Withdraw(noon, keyOf(1), 1)
+		{"withdrawn while running", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
+			s.Withdraw(baseTime, testKey(1), 1)
 			finish(s, EntryResult, "yes")
-			return s.MarkDurable(endSeq)
+			return s.MarkDurable(completionDurable)
 		}, []string{"2 replay yes"}},
-		{"the disk fails before its intent is durable", func(s *Store) []Outcome {
+		{"the disk fails before the intent is durable", func(s *Store) []Outcome {
 			return s.MarkDiskFailed()
 		}, []string{"1 store failed ", "2 store failed "}},
-		{"the disk fails before its end is durable", func(s *Store) []Outcome {
-			s.MarkDurable(intentSeq)
+		{"the disk fails before the completion is durable", func(s *Store) []Outcome {
+			s.MarkDurable(intentDurable)
 			finish(s, EntryResult, "yes")
 			return append(s.MarkDiskFailed(), retry(s))
 		}, []string{"1 completed yes", "2 replay yes", "3 replay yes"}},
@@ -258,22 +259,22 @@
 				KeysPerSegment: 9,
 				SegmentBytes:   1 << 20,
 			})
-			s.FinishLoading(noon, true, 0)
-			s.Reserve(noon, 0, keyOf(1), "", 1)
-			s.Reserve(noon, 0, keyOf(1), "", 2)
+			s.FinishLoading(baseTime, true, 0)
+			s.Reserve(baseTime, 0, testKey(1), "", 1)
+			s.Reserve(baseTime, 0, testKey(1), "", 2)
 			var got []string
-			for _, outcome := range c.play(s) {
+			for _, outcome := range c.run(s) {
 				got = append(got, fmt.Sprintf("%d %s %s", outcome.ID, outcome.Decision, outcome.Result))
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("%q, not %q", got, c.want)
+				t.Errorf("got outcomes %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// TestAbandonInFlight: the outcome of what was in flight is unknown once nobody has it any more.
-// That of an end on its way to the disk is not, and an end that turns up counts.
+// TestAbandonInFlight checks that abandoning the requests in flight makes their outcomes unknown,
+// except for a completion that is being written, and that a late completion is still recorded.
 func TestAbandonInFlight(t *testing.T) {
 	s := New(Config{
 		MaxEntries:     10,
@@ -285,30 +286,30 @@
 		KeysPerSegment: 10,
 		SegmentBytes:   1000,
 	})
-	s.FinishLoading(noon, false, 0)
+	s.FinishLoading(baseTime, false, 0)
 	for n := range uint64(3) {
-		s.Reserve(noon, 0, keyOf(n), "status", n+1)
+		s.Reserve(baseTime, 0, testKey(n), "status", n+1)
 	}
 	s.MarkDurable(s.lastSeq)
-	s.Finish(noon, keyOf(1), EntryResult, []byte("filed"))
-	s.Reserve(noon, 0, keyOf(3), "status", 4)
-	s.AbandonInFlight(noon)
+	s.Finish(baseTime, testKey(1), EntryResult, []byte("filed"))
+	s.Reserve(baseTime, 0, testKey(3), "status", 4)
+	s.AbandonInFlight(baseTime)
 	if got := s.UnknownOutcomesByHandler(); got["status"] != 3 || s.inFlight != 1 {
 		t.Error(got, s.inFlight)
 	}
-	s.Finish(noon, keyOf(2), EntryResult, []byte("late"))
+	s.Finish(baseTime, testKey(2), EntryResult, []byte("late"))
 	s.MarkDurable(s.lastSeq)
 	var got []Decision
 	for n := range uint64(4) {
-		got = append(got, s.PeekOutcome(noon, 0, keyOf(n)).Decision)
+		got = append(got, s.PeekOutcome(baseTime, 0, testKey(n)).Decision)
 	}
 	if diff := cmp.Diff([]Decision{OutcomeUnknown, Replay, Replay, OutcomeUnknown}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestUnknownOutcomeExpires: a request without an end, after a restart, is rejected as long as it
-// is remembered, then like one whose result has expired.
+// TestUnknownOutcomeExpires checks that a request without a completion record is rejected after a
+// restart, first with an unknown outcome and, after its record has expired, with an expired result.
 func TestUnknownOutcomeExpires(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     10,
@@ -320,16 +321,16 @@
 		KeysPerSegment: 9,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
-	x.store.Reserve(noon, 0, keyOf(1), "status", 1)
-	x.sync()
+	ts := newTestStore(cfg)
+	ts.store.Reserve(baseTime, 0, testKey(1), "status", 1)
+	ts.commit()
 	for incarnation := range 2 {
-		x.store = New(cfg)
-		x.disk.load(x.store)
-		x.store.FinishLoading(noon+time.Second, false, 0)
-		x.sync()
-		if keys := x.store.KeysWithUnknownOutcome(5); !slices.Equal(keys, []Key{keyOf(1)}) {
-			t.Errorf("after %d restarts the outcome of %x is unknown", incarnation+1, keys)
+		ts.store = New(cfg)
+		ts.disk.load(ts.store)
+		ts.store.FinishLoading(baseTime+time.Second, false, 0)
+		ts.commit()
+		if keys := ts.store.KeysWithUnknownOutcome(5); !slices.Equal(keys, []Key{testKey(1)}) {
+			t.Errorf("after %d restarts: keys with an unknown outcome: %x", incarnation+1, keys)
 		}
 	}
 	for _, c := range []struct {
@@ -339,18 +340,18 @@
 		{59 * time.Second, OutcomeUnknown},
 		{61 * time.Second, ResultExpired},
 	} {
-		x.store.Sweep(noon + c.after)
-		if got := x.store.Reserve(noon+c.after, 0, keyOf(1), "status", 2); got.Decision != c.want {
-			t.Errorf("after %s: %s, not %s", c.after, got.Decision, c.want)
+		ts.store.Sweep(baseTime + c.after)
+		if got := ts.store.Reserve(baseTime+c.after, 0, testKey(1), "status", 2); got.Decision != c.want {
+			t.Errorf("after %s: got %s, want %s", c.after, got.Decision, c.want)
 		}
 	}
-	if stats := x.store.Stats(); stats.Keys != 0 || stats.OutcomeUnknown != 0 {
+	if stats := ts.store.Stats(); stats.Keys != 0 || stats.OutcomeUnknown != 0 {
 		t.Errorf("%+v", stats)
 	}
 }
 
-// TestNames: the names that reach operators and their scripts, and the numbers that are on disks,
-// stay as they are.
+// TestNames checks that the names in the output of the operators' commands, and the numbers that
+// are on disks, do not change.
 func TestNames(t *testing.T) {
 	var kinds []string
 	for kind := range EntryKind(13) {
@@ -358,15 +359,16 @@
 	}
 	want := "unknown,intent,result,failed,never,too long,open,life,accepted,drop,retire,gap,unknown"
 	if got := strings.Join(kinds, ","); got != want {
-		t.Errorf("%s, not %s", got, want)
+		t.Errorf("got names %s, want %s", got, want)
 	}
 	if got := (StoreFailed + 1).String(); got != "decision 13" {
 		t.Error(got)
 	}
 }
 
-// TestExpiryWhileLoading: a key that is reserved again after it was proved never to have run may expire while it is loaded, as its earlier
-// incarnation is still in the queue. Loading goes on.
+// TestExpiryWhileLoading guards against a failure of loading when a key expires during it. A key
+// that was reserved again after a proof that it never ran may do so, because its earlier entry is
+// still in the expiry queue.
 func TestExpiryWhileLoading(t *testing.T) {
 	cfg := Config{
 		MaxEntries:     3,
@@ -378,29 +380,29 @@
 		KeysPerSegment: 100,
 		SegmentBytes:   1 << 20,
 	}
-	x := newTestStore(cfg)
+	ts := newTestStore(cfg)
 	restart := func() {
-		x.store = New(cfg)
-		x.disk.load(x.store)
-		x.store.FinishLoading(noon, false, 0)
-		x.sync()
-	}
-	x.store.Reserve(noon, 0, keyOf(1), "", 1)
-	x.sync()
-	restart() // its outcome is unknown now
-	x.store.Finish(noon, keyOf(1), EntryNeverRan, nil)
-	x.store.Reserve(noon, 0, keyOf(1), "", 2)
-	x.sync()
+		ts.store = New(cfg)
+		ts.disk.load(ts.store)
+		ts.store.FinishLoading(baseTime, false, 0)
+		ts.commit()
+	}
+	ts.store.Reserve(baseTime, 0, testKey(1), "", 1)
+	ts.commit()
+	restart() // makes its outcome unknown
+	ts.store.Finish(baseTime, testKey(1), EntryNeverRan, nil)
+	ts.store.Reserve(baseTime, 0, testKey(1), "", 2)
+	ts.commit()
 	for key := uint64(2); key <= 4; key++ {
-		if got := x.run(noon, key, "filed"); got != Completed {
+		if got := ts.run(baseTime, key, "filed"); got != Completed {
 			t.Fatal(key, got)
 		}
 	}
-	x.store.Reserve(noon, 0, keyOf(5), "", 3)
-	x.sync()
+	ts.store.Reserve(baseTime, 0, testKey(5), "", 3)
+	ts.commit()
 	restart()
-	for _, key := range []uint64{1, 5} { // both were in flight
-		if got := x.store.Peek(noon, 0, keyOf(key)); got == Fresh {
+	for _, key := range []uint64{1, 5} { // both were in flight at the restart
+		if got := ts.store.Peek(baseTime, 0, testKey(key)); got == Fresh {
 			t.Errorf("key %d is fresh", key)
 		}
 	}
--- a/internal/wal/helpers_test.go
+++ b/internal/wal/helpers_test.go
@@ -11,21 +11,21 @@
 	"frosthub/internal/wal"
 )
 
-// filledDisk returns a disk with the records of a few dozen requests in several segments, some of
-// which are retired.
+// filledDisk returns a disk with the records of 60 requests in several segments, some of which are
+// retired.
 func filledDisk(t testing.TB) *fake.Disk {
 	t.Helper()
 	disk := fake.NewDisk()
-	if err := wal.Init(disk, "n1", noon, 7); err != nil {
+	if err := wal.Init(disk, "n1", baseTime, 7); err != nil {
 		t.Fatal(err)
 	}
-	store, writer := reopen(t, disk, noon)
+	store, writer := reopen(t, disk, baseTime)
 	for i := range 60 {
-		at := noon + time.Duration(i)*time.Second
-		store.Reserve(at, at, keyOf(i), "", uint64(i+1))
+		at := baseTime + time.Duration(i)*time.Second
+		store.Reserve(at, at, testKey(i), "", uint64(i+1))
 		commit(t, store, writer)
-		if i < 20 || i%10 != 9 { // some stay without an end
-			store.Finish(at, keyOf(i), idempotency.EntryResult, resultOf(i))
+		if i < 20 || i%10 != 9 { // some requests get no completion record
+			store.Finish(at, testKey(i), idempotency.EntryResult, testResult(i))
 		}
 		store.Sweep(at)
 		commit(t, store, writer)
@@ -33,7 +33,7 @@
 	return disk
 }
 
-// reopen begins an incarnation of the store on a disk.
+// reopen begins a new incarnation of the store on a disk.
 func reopen(t testing.TB, disk wal.Disk, now time.Duration) (*idempotency.Store, *wal.Writer) {
 	t.Helper()
 	store := idempotency.New(testConfig)
@@ -55,8 +55,8 @@
 	store.MarkDurable(seq)
 }
 
-// names returns the names of files that end in a suffix, in their order.
-func names(t testing.TB, disk wal.Disk, suffix string) []string {
+// fileNames returns the sorted names of the files with the given suffix.
+func fileNames(t testing.TB, disk wal.Disk, suffix string) []string {
 	t.Helper()
 	all, err := disk.Names()
 	if err != nil {
