--- a/internal/conn/passing_errors_test.go
+++ b/internal/conn/passing_errors_test.go
@@ -16,8 +16,8 @@
 		t.Run(fault, func(t *testing.T) {
 			l := NewLoop()
 			server := serveEcho(t, l, 10)
-			faultinject.Set(fault)
-			t.Cleanup(func() { faultinject.Set("") })
+			faultinject.SetFaults(fault)
+			t.Cleanup(func() { faultinject.SetFaults("") })
 			peer := connect(t, server.address)
 			_, _ = peer.Write([]byte("hello"))
 			echoed := make(chan error, 1)
@@ -28,7 +28,7 @@
 			runLoop(l, func() bool { // until a call has failed
 				return len(server.rejected) > 0 || l.Stalled() > 0 || len(server.closeErrors) > 0
 			})
-			faultinject.Set("")
+			faultinject.SetFaults("")
 			received := false
 			if !runLoop(l, func() bool {
 				select {
@@ -50,8 +50,8 @@
 func TestPassingDialError(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 10)
-	faultinject.Set("connect ENOBUFS")
-	t.Cleanup(func() { faultinject.Set("") })
+	faultinject.SetFaults("connect ENOBUFS")
+	t.Cleanup(func() { faultinject.SetFaults("") })
 	result := make(chan error, 1)
 	dialOnce := func() error {
 		l.Dial(server.address, func(_ *Conn, err error) { result <- err })
@@ -61,7 +61,7 @@
 	if err := dialOnce(); err == nil {
 		t.Error("the dial did not fail: the test shows nothing")
 	}
-	faultinject.Set("")
+	faultinject.SetFaults("")
 	if err := dialOnce(); err != nil {
 		t.Error(err)
 	}
--- a/internal/faultinject/enabled.go
+++ b/internal/faultinject/enabled.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Set makes the faults those of a text like that of the faults file, in place of
+// SetFaults makes the faults those of a text like that of the faults file, in place of
 // all others.
-func Set(text string) { set(0, text) }
+func SetFaults(text string) { set(0, text) }
 
 func set(initialOffset time.Duration, text string) {
 	offset := initialOffset
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -167,7 +167,7 @@
 	if !n.Set {
 		return overload.Optional[time.Duration]{}
 	}
-	return overload.Some(Micros(n.Value))
+	return overload.Some(MicrosToDuration(n.Value))
 }
 
 func (o object) bool(name string) bool {
@@ -198,8 +198,8 @@
 	return string(v.GetStringBytes()), true
 }
 
-// Micros returns a number of microseconds as a duration. One too long for a duration is the longest.
-func Micros(us float64) time.Duration {
+// MicrosToDuration returns a number of microseconds as a duration. One too long for a duration is the longest.
+func MicrosToDuration(us float64) time.Duration {
 	if us >= math.MaxInt64/1000 {
 		return math.MaxInt64
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -115,7 +115,7 @@
 		{-3, -3 * time.Microsecond},
 		{1e30, math.MaxInt64},
 	} {
-		if got := Micros(test.micros); got != test.want {
+		if got := MicrosToDuration(test.micros); got != test.want {
 			t.Errorf("Micros(%v) is %v, want %v", test.micros, got, test.want)
 		}
 	}
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -29,7 +29,9 @@
 )
 
 // micros returns a member that is a number of microseconds, 0 if it is missing.
-func micros(v *fastjson.Value, name string) time.Duration { return settings.Micros(v.GetFloat64(name)) }
+func micros(v *fastjson.Value, name string) time.Duration {
+	return settings.MicrosToDuration(v.GetFloat64(name))
+}
 
 // decodeEvent returns an event of the protocol, and whether its kind is known.
 func decodeEvent(kind string, v *fastjson.Value) (event overload.Event, known bool) {
