--- a/overload/admission.go
+++ b/overload/admission.go
@@ -6,41 +6,42 @@
 )
 
 const (
-	// finishShare is the share of the time to the target by which admitted work should be done.
+	// finishShare is the share of the time from arrival to the target within which admitted work should end.
 	finishShare = 0.85
-	// overQuotaFinishShare is the same share for a customer over its quota.
+	// overQuotaFinishShare replaces finishShare for a customer that exceeds its quota.
 	overQuotaFinishShare = 0.4
-	// maxUntimedQueue is the number of queued requests per core before any run of a handler has been timed.
-	maxUntimedQueue = 4.0
-	// hintTrust is the part of a cost hint that is believed: hints are rough.
-	hintTrust = 0.5
-	// quotaSlack is how much more than its share of a quota a server grants. Quotas are for the fleet, and so much
-	// spread between servers is normal.
+	// maxUntimedQueuePerCore is the maximum number of queued requests per core at the arrival of a request whose
+	// handler has no measured run times.
+	maxUntimedQueuePerCore = 4.0
+	// hintWeight is the weight of a cost hint against the handler's mean. It is less than 1 because hints are rough.
+	hintWeight = 0.5
+	// quotaSlack is the factor by which a server exceeds its share of a customer's quota. Quotas apply to the whole
+	// fleet, and the load of the servers normally differs by this much.
 	quotaSlack = 1.25
-	// quotaBurst is the number of seconds of a quota that may come at once.
-	quotaBurst = 2.0
+	// quotaBurstSeconds is the burst size, as the number of seconds of a quota that may arrive at once.
+	quotaBurstSeconds = 2.0
 )
 
-// customerQuota is a token bucket.
+// customerQuota is the token bucket that enforces a customer's quota on this server.
 type customerQuota struct {
-	rate     float64 // tokens per second, 0 for no quota
-	tokens   float64
-	filledAt time.Duration
+	rate       float64 // tokens per second, 0 for no quota
+	tokens     float64
+	refilledAt time.Duration
 }
 
 func newCustomerQuota(s *Customer, servers float64, now time.Duration) *customerQuota {
 	rate := s.QuotaPerSecond / servers * quotaSlack
 	return &customerQuota{
-		rate:     rate,
-		tokens:   rate * quotaBurst,
-		filledAt: now,
+		rate:       rate,
+		tokens:     rate * quotaBurstSeconds,
+		refilledAt: now,
 	}
 }
 
-// take takes a token, and reports whether there was one.
+// take consumes a token and reports whether one was available.
 func (q *customerQuota) take(now time.Duration) bool {
-	q.tokens = math.Min(q.rate*quotaBurst, q.tokens+q.rate*(now-q.filledAt).Seconds())
-	q.filledAt = now
+	q.tokens = math.Min(q.rate*quotaBurstSeconds, q.tokens+q.rate*(now-q.refilledAt).Seconds())
+	q.refilledAt = now
 	if q.tokens < 1 && q.rate > 0 {
 		return false
 	}
@@ -48,7 +49,7 @@
 	return true
 }
 
-// onArrival decides about a new request: it is coalesced, queued or rejected.
+// onArrival coalesces, queues or rejects a new request.
 func (c *Controller) onArrival(now time.Duration, e *Event) {
 	r := c.newRequest(now, e)
 	c.enqueue(r)
@@ -63,7 +64,7 @@
 	c.admit(now, r, e, withinQuota)
 }
 
-// newRequest returns the request of an Arrived event.
+// newRequest returns the request that an Arrived event describes.
 func (c *Controller) newRequest(now time.Duration, e *Event) *request {
 	h := c.handlerAt(e.Handler)
 	r := &request{
@@ -79,14 +80,14 @@
 		r.deadline = now + e.Remaining
 	}
 	r.target = min(r.arrivedAt+h.responseTarget, r.deadline)
-	if e.Remaining == 0 && c.patience.known() && h.replayable() {
-		r.target = min(r.target, r.arrivedAt+c.patience.of(h))
+	if e.Remaining == 0 && c.patience.estimated() && h.replayable() {
+		r.target = min(r.target, r.arrivedAt+c.patience.waitTime(h))
 	}
-	r.deadline = min(r.deadline, c.drain.answerBy)
+	r.deadline = min(r.deadline, c.drain.answerDeadline)
 	return r
 }
 
-// handlerAt returns a handler by its index. One that the settings don't have is added.
+// handlerAt returns a handler by its index, and adds handlers that are missing from the settings.
 func (c *Controller) handlerAt(index int) *handler {
 	index = max(index, 0)
 	for index >= len(c.handlers) {
@@ -95,7 +96,7 @@
 	return c.handlers[index]
 }
 
-// withinQuota takes a request into account for its customer.
+// withinQuota charges a request to the quota of its customer and reports whether the quota allows it.
 func (c *Controller) withinQuota(now time.Duration, customer int) bool {
 	if customer < 0 || customer >= len(c.customers) {
 		return true
@@ -103,17 +104,17 @@
 	return c.customers[customer].take(now)
 }
 
-// costScale returns the expected work of a request in relation to the handler's mean, by its hint.
+// costScale returns the expected work of a request relative to the handler's mean, based on its hint.
 func (h *handler) costScale(now, hint time.Duration) float64 {
 	if hint <= 0 {
 		return 1
 	}
 	h.costHints.add(now, hint.Seconds())
 	mean, _ := h.costHints.mean(now)
-	return 1 + hintTrust*(hint.Seconds()/mean-1)
+	return 1 + hintWeight*(hint.Seconds()/mean-1)
 }
 
-// admit queues a request if it can be expected to end well before its target, else it is rejected at once.
+// admit queues a request that is expected to end well before its target, and rejects it otherwise.
 func (c *Controller) admit(now time.Duration, r *request, e *Event, withinQuota bool) {
 	h := r.handler
 	share := finishShare
@@ -129,14 +130,14 @@
 	switch {
 	case c.dueBeforeNextTimer(now, r):
 		c.abandon(r)
-	case c.drain.pastGrace(r), c.stall.stalled, c.memory.overflows(keyKB):
+	case c.drain.afterGracePeriod(r), c.stall.stalled, c.memory.wouldExceed(keyKB):
 		c.reject(r, c.retryAdvice.maxDelay)
-	case h.baseline == 0 && float64(c.requests.queued()) > maxUntimedQueue*c.cores:
+	case h.baselineRunTime == 0 && float64(c.requests.queued()) > maxUntimedQueuePerCore*c.cores:
 		c.reject(r, endsAt-finishBy)
 	case endsAt > finishBy && (c.requests.queued() > 1 || c.requests.running() > 0):
 		c.reject(r, endsAt-finishBy)
 	default:
-		c.rememberArrival(r, e)
-		h.queue.push(r, c.turn)
+		c.requestEntry(r, e)
+		h.queue.push(r, c.lastPass)
 	}
 }
--- a/overload/admission_test.go
+++ b/overload/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestCustomerQuota: a server grants its share of a quota with some slack, and two seconds of that at once.
+// TestCustomerQuota checks that a server grants its share of a quota with some slack, and two seconds of it at once.
 func TestCustomerQuota(t *testing.T) {
 	for _, test := range []struct {
 		name                   string
@@ -27,16 +27,17 @@
 				return count
 			}
 			if got := granted(start); got != test.atOnce {
-				t.Errorf("%d requests are granted at once, want %d", got, test.atOnce)
+				t.Errorf("%d requests granted at once, want %d", got, test.atOnce)
 			}
 			if got := granted(start + time.Second); got != test.perSecondAfter {
-				t.Errorf("%d requests are granted a second later, want %d", got, test.perSecondAfter)
+				t.Errorf("%d requests granted a second later, want %d", got, test.perSecondAfter)
 			}
 		})
 	}
 }
 
-// TestOverQuota: a request over its customer's quota is rejected where others are still queued.
+// TestOverQuota checks that a request over its customer's quota is rejected in a situation in which other requests
+// are queued.
 func TestOverQuota(t *testing.T) {
 	settings := standardSettings()
 	settings.Backend.Cores = 1
@@ -44,7 +45,7 @@
 	settings.Customers = []Customer{{Name: "small", QuotaPerSecond: 0.4}, {Name: "large", QuotaPerSecond: 1000}}
 	c := New(1, settings, 0)
 	now := time.Duration(0)
-	for id := range uint64(2 * minSamples) { // runs of 300 ms are expected from here on
+	for id := range uint64(2 * minSamples) { // afterwards the expected run time is 300 ms
 		c.Handle(now, []Event{{Kind: Arrived, ID: id + 1, Customer: 1, SizeKB: 1}})
 		now += 300 * time.Millisecond
 		c.Handle(now, []Event{{Kind: Ended, ID: id + 1, Outcome: OK}})
@@ -55,7 +56,7 @@
 		customer int
 		want     ActionKind
 	}{
-		{100, 0, Start}, // the only one in its quota
+		{100, 0, Start}, // the only request within the quota
 		{101, 0, Reject},
 		{102, 1, noAnswer}, // queued
 	} {
--- a/overload/backpressure_test.go
+++ b/overload/backpressure_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestTrackers: each tracker counts a breach from its limit on.
+// TestTrackers checks that each tracker counts a breach as soon as its limit is reached.
 func TestTrackers(t *testing.T) {
-	limits := trackerLimits{memoryCounts: true, minMemoryKB: 5, variantKB: 20}
-	unused := trackerLimits{memoryCounts: false, minMemoryKB: 5, variantKB: 20}
+	limits := trackerLimits{memoryTrackerActive: true, nodeShareKB: 5, averageMultipleKB: 20}
+	unused := trackerLimits{memoryTrackerActive: false, nodeShareKB: 5, averageMultipleKB: 20}
 	const now = time.Minute
 	for _, test := range []struct {
 		name         string
@@ -21,7 +21,7 @@
 		{"elapsed time", limits, 500 * time.Millisecond, 0, 0, 1},
 		{"CPU time", limits, 0, 350 * time.Millisecond, 0, 1},
 		{"memory", limits, 0, 0, 20, 1},
-		{"memory under the share of the node", trackerLimits{memoryCounts: true, minMemoryKB: 30, variantKB: 20}, 0, 0, 20, 0},
+		{"memory under the share of the node", trackerLimits{memoryTrackerActive: true, nodeShareKB: 30, averageMultipleKB: 20}, 0, 0, 20, 0},
 		{"memory doesn't count", unused, 0, 0, 20, 0},
 		{"all", limits, time.Second, time.Second, 100, 3},
 	} {
@@ -38,13 +38,13 @@
 	}
 }
 
-// TestMovingAverage: the average is that of the last hundred completions, and is used once there are so many.
+// TestMovingAverage checks that the average covers the last hundred completions, and is used only after that many.
 func TestMovingAverage(t *testing.T) {
 	b := newBackpressure()
 	for i := range 150 {
 		_, full := b.movingAverage()
 		if want := i >= movingAverageWindow; full != want {
-			t.Errorf("after %d completions full is %v, want %v", i, full, want)
+			t.Errorf("after %d completions: full = %v, want %v", i, full, want)
 		}
 		memoryKB := 1.0
 		if i >= 50 {
@@ -53,32 +53,33 @@
 		b.recordCompletion(memoryKB)
 	}
 	if average, _ := b.movingAverage(); average < 2.999 || average > 3.001 {
-		t.Errorf("the average is %v, want 3", average)
+		t.Errorf("moving average %v, want 3", average)
 	}
 }
 
-// TestCancellationBudget: both budgets save up ten cancellations. One grows with completions, the other with time.
+// TestCancellationBudget checks that both budgets have a capacity of ten cancellations, and that one refills with
+// completions and the other with time.
 func TestCancellationBudget(t *testing.T) {
 	b := newBackpressure()
 	if got := b.budget(); got != 10 {
-		t.Errorf("the first budget is %d, want 10", got)
+		t.Errorf("initial budget %d, want 10", got)
 	}
 	for range 10 {
-		b.spend()
+		b.spendCancellation()
 	}
 	b.refillRate(time.Hour)
 	if got := b.budget(); got != 0 {
-		t.Errorf("without completions the budget is %d, want 0", got)
+		t.Errorf("budget without completions %d, want 0", got)
 	}
 	for range 25 {
 		b.recordCompletion(1)
 	}
 	if got := b.budget(); got != 2 {
-		t.Errorf("after 25 completions the budget is %d, want 2", got)
+		t.Errorf("budget after 25 completions %d, want 2", got)
 	}
 	b.rateTokens = 0
 	b.refillRate(400 * time.Millisecond)
 	if got := b.budget(); got != 1 {
-		t.Errorf("after 400 ms the budget is %d, want 1", got)
+		t.Errorf("budget after 400 ms %d, want 1", got)
 	}
 }
--- a/overload/bench_test.go
+++ b/overload/bench_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// BenchmarkHandle measures a batch under a steady load: a request comes, another ends, and at times the timer runs.
+// BenchmarkHandle measures a batch under steady load: one request arrives, another ends, and every 25th batch
+// contains a Timer event.
 func BenchmarkHandle(b *testing.B) {
 	b.ReportAllocs()
 	c := New(1, standardSettings(), 0)
--- a/overload/calls.go
+++ b/overload/calls.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// maxCallsPerCore bounds the calls in flight: slow ones bind no more memory than this.
+	// maxCallsPerCore limits the calls in flight, and thereby the memory that slow calls occupy.
 	maxCallsPerCore = 4.0
-	// callShareMargin is the share of this server's part of what the dependency survives that is used.
+	// callShareMargin is the share of Backend.CallShare that the server uses.
 	callShareMargin = 0.9
-	// callTimeSmoothing is the weight of one call in the usual time of calls: some twenty count.
+	// callTimeSmoothing is the weight of one call in the mean call time, which therefore covers about twenty calls.
 	callTimeSmoothing = 0.05
-	// slowCallFactor is the usual over the least time of calls from which fewer are made.
+	// slowCallFactor is the ratio of mean to baseline call time above which the limit shrinks.
 	slowCallFactor = 4.0
-	// slowCallShrink is the factor a tick on the limit then: halved in less than a second.
+	// slowCallShrink is the factor per tick by which the limit shrinks. It halves the limit in less than a second.
 	slowCallShrink = 0.9
-	// minCallTimeout is the least timeout worth a call to a shared dependency.
+	// minCallTimeout is the shortest timeout with which a call to a shared dependency is worthwhile.
 	minCallTimeout = 200 * time.Millisecond
-	// defaultCallShareWindow is the window of the call share where the settings have none.
+	// defaultCallShareWindow is the averaging window of the call share if the settings have none.
 	defaultCallShareWindow = 5 * time.Second
-	// noTimeLimit is a call allowance that ends with the deadline of the request alone.
-	noTimeLimit = time.Duration(math.MaxInt64)
+	// unlimitedCallTime is the time budget of a call that only the deadline of its request limits.
+	unlimitedCallTime = time.Duration(math.MaxInt64)
 )
 
-// callLimiter bounds the calls in flight to the dependency, and the time that they spend there.
+// callLimiter limits the number of calls in flight to the dependency and the time that they spend there.
 type callLimiter struct {
 	cores       float64
 	downstream  Downstream
-	share       float64       // concurrent calls that a shared dependency survives from this server
-	shareWindow time.Duration // over which they are averaged
-	linger      time.Duration // that the dependency still works on a call which was given up
+	share       float64       // concurrent calls from this server that a shared dependency can sustain
+	shareWindow time.Duration // time over which these calls are averaged
+	linger      time.Duration // how long the dependency continues to work on an abandoned call
 
-	waiting   []*request // oldest first; those that don't wait any more are removed when they are met
-	limit     float64    // calls in flight
-	usualTime float64    // of calls, in seconds
-	leastTime float64
+	waiting      []*request // oldest first; requests that no longer wait are removed by placeCalls
+	limit        float64    // maximum number of calls in flight
+	meanTime     float64    // moving mean of the call time, in seconds
+	baselineTime float64    // lowest mean call time, in seconds; grows slowly
 
-	callSeconds  slidingWindow // spent by calls in flight, given-up ones included
+	callSeconds  slidingWindow // time spent by calls in flight, including abandoned ones
 	accruedUntil time.Duration
 }
 
@@ -54,43 +54,46 @@
 	}
 }
 
-// accrue adds up the call-seconds of the calls in flight. It must be called before each change of their number.
+// accrue adds the time that the calls in flight have spent since the last call of accrue. Call it before every change
+// of their number.
 func (l *callLimiter) accrue(now time.Duration, calling int) {
 	l.callSeconds.add(now, float64(calling)*(now-l.accruedUntil).Seconds())
 	l.accruedUntil = now
 }
 
-// giveUp takes into account that the dependency still works for a while on a call that nobody waits for.
-func (l *callLimiter) giveUp(now time.Duration) { l.callSeconds.add(now, l.linger.Seconds()) }
+// recordAbandonedCall adds the time for which the dependency continues to work on an abandoned call.
+func (l *callLimiter) recordAbandonedCall(now time.Duration) {
+	l.callSeconds.add(now, l.linger.Seconds())
+}
 
-// recordTime takes the time of an answered call into account.
+// recordTime updates the mean call time with an answered call.
 func (l *callLimiter) recordTime(took time.Duration) {
-	l.usualTime = cmp.Or(l.usualTime, took.Seconds())
-	l.usualTime += callTimeSmoothing * (took.Seconds() - l.usualTime)
+	l.meanTime = cmp.Or(l.meanTime, took.Seconds())
+	l.meanTime += callTimeSmoothing * (took.Seconds() - l.meanTime)
 }
 
-// adapt moves the limit, once a tick. A dependency slows down long before it fails, so fewer calls are in flight
-// while they take far too long.
+// adapt updates the limit, once per tick. A dependency slows down long before it fails, so the limit shrinks while
+// calls take much longer than their baseline.
 func (l *callLimiter) adapt() {
-	l.leastTime = math.Min(cmp.Or(l.leastTime*baselineGrowth, l.usualTime), l.usualTime)
-	if l.usualTime > slowCallFactor*l.leastTime {
+	l.baselineTime = math.Min(cmp.Or(l.baselineTime*baselineGrowth, l.meanTime), l.meanTime)
+	if l.meanTime > slowCallFactor*l.baselineTime {
 		l.limit = math.Max(1, l.limit*slowCallShrink)
 	} else {
 		l.limit = math.Min(l.limit+1, l.cores*maxCallsPerCore)
 	}
 }
 
-// allowance returns how long one more call may last, 0 if none may be made now. For a shared dependency the time is
-// cut to what is left of this server's share of call-seconds, given-up calls included. That guards against one
-// that turns slow with all calls in flight (incident i502e29). After many failed calls the next ones have to wait
-// though all is well again.
-func (l *callLimiter) allowance(now time.Duration, calling int, collapse float64) time.Duration {
+// timeBudget returns the maximum duration of one more call, 0 if none may start now. For a shared dependency the
+// budget is limited to the unused rest of this server's share of call-seconds, which includes abandoned calls. This
+// protects a dependency that becomes slow while the maximum number of calls is in flight (incident i502e29). The
+// drawback is that, after many failed calls, further calls are delayed although the dependency has recovered.
+func (l *callLimiter) timeBudget(now time.Duration, calling int, collapseLimit float64) time.Duration {
 	inFlight := float64(calling + 1)
-	if inFlight > math.Min(maxCallsPerCore*l.cores, collapse) {
+	if inFlight > math.Min(maxCallsPerCore*l.cores, collapseLimit) {
 		return 0
 	}
 	if l.downstream != DownstreamShared || l.share <= 0 {
-		return noTimeLimit
+		return unlimitedCallTime
 	}
 	l.accrue(now, calling)
 	used, _ := l.callSeconds.sum(now)
@@ -102,16 +105,17 @@
 	return left - l.linger
 }
 
-// onNeedsCall takes up a request that has come to its call.
+// onNeedsCall queues a request that has reached its call.
 func (c *Controller) onNeedsCall(now time.Duration, r *request) {
-	c.stall.progress(now)
+	c.stall.recordProgress(now)
 	c.awaitCall(now, r)
 	c.calls.waiting = append(c.calls.waiting, r)
 }
 
-// onCallEnded follows the end of a call.
+// onCallEnded resumes a request after a successful call. After a failed one it retries the call, skips it or abandons
+// the request.
 func (c *Controller) onCallEnded(now time.Duration, r *request, e *Event) {
-	c.stall.progress(now)
+	c.stall.recordProgress(now)
 	if r.state != stateCalling {
 		return
 	}
@@ -129,15 +133,15 @@
 	c.skipOrAbandon(now, r)
 }
 
-// mayRetryCall reports whether a call that broke off is made once more: where that is harmless and going on without
-// it is worth nothing. It guards against spoilt replies; a failing tier breaks off all calls. Calls that were
-// rejected are not retried: the edge node in front of the tier has tried other servers, and each try costs a read
-// there (incident i715a4f).
+// mayRetryCall reports whether a call whose connection was lost is retried: only once, and only if the request is
+// replayable and an answer without the call has no value. The retry compensates for corrupt responses. It is no
+// remedy for a failing tier, which loses the connections of all calls. Rejected calls are not retried: the edge node
+// in front of the tier has already tried other servers, and each attempt costs the tier a read (incident i715a4f).
 func (c *Controller) mayRetryCall(r *request) bool {
 	return r.handler.replayable() && r.handler.skipValue == 0 && !r.callRetried && r.needsAnswer()
 }
 
-// skipOrAbandon goes on without the call where that is worth something, else the request is given up.
+// skipOrAbandon continues a request without its call if the answer still has value, and abandons it otherwise.
 func (c *Controller) skipOrAbandon(now time.Duration, r *request) {
 	if r.handler.skipValue > 0 && r.answer == noAnswer && !r.clientGone {
 		c.skipCall(now, r)
@@ -146,33 +150,34 @@
 	c.abandon(r)
 }
 
-// placeCalls lets waiting requests call, oldest first, within the limits.
+// placeCalls lets waiting requests make their calls, oldest first, within the limits.
 func (c *Controller) placeCalls(now time.Duration) {
-	still := c.calls.waiting[:0]
+	undecided := c.calls.waiting[:0]
 	for _, r := range c.calls.waiting {
 		if r.state != stateAwaitingCall || !r.needsAnswer() {
 			continue
 		}
 		if !c.tryCall(now, r) {
-			still = append(still, r)
+			undecided = append(undecided, r)
 		}
 	}
-	clear(c.calls.waiting[len(still):])
-	c.calls.waiting = still
+	clear(c.calls.waiting[len(undecided):])
+	c.calls.waiting = undecided
 }
 
-// tryCall decides about the call of one waiting request, and reports whether it was decided.
+// tryCall places, skips or abandons the call of a waiting request. It reports false if the request must continue to
+// wait.
 func (c *Controller) tryCall(now time.Duration, r *request) bool {
-	allowance := c.calls.allowance(now, c.requests.calling(), c.concurrency.collapse(now))
+	timeBudget := c.calls.timeBudget(now, c.requests.calling(), c.concurrency.collapseLimit(now))
 	switch {
-	case allowance == 0 && r.handler.skipValue > 0 && c.hopeless(now, r):
+	case timeBudget == 0 && r.handler.skipValue > 0 && c.cannotMeetTarget(now, r):
 		c.skipOrAbandon(now, r)
-	case allowance == 0:
+	case timeBudget == 0:
 		return false
-	case now+fromSeconds(minRunShare*c.calls.usualTime) > r.deadline:
-		c.skipOrAbandon(now, r) // the answer would come too late, and cost a read below
+	case now+fromSeconds(minRunShare*c.calls.meanTime) > r.deadline:
+		c.skipOrAbandon(now, r) // the answer would come too late, and the call would cost the dependency a read
 	default:
-		c.placeCall(now, r, max(min(r.deadline-now, allowance), time.Millisecond))
+		c.placeCall(now, r, max(min(r.deadline-now, timeBudget), time.Millisecond))
 	}
 	return true
 }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Controller decides for one server. Make it with New. It must be used by one goroutine at a time.
+// Controller makes the overload control decisions of one server. Create it with New. It is not safe for concurrent
+// use.
 type Controller struct {
 	cores         float64
 	batchInterval time.Duration
@@ -16,7 +17,7 @@
 	requests  requestTable
 	memory    memoryAccount
 	gauges    gauges
-	turn      float64 // pass of the queue that had the last turn
+	lastPass  float64 // pass of the queue that was served last
 
 	backpressure backpressure
 	concurrency  concurrencyLimit
@@ -32,35 +33,35 @@
 	edgeNodes   edgeNodeActivity
 	connections idleConnections
 
-	lastTick      time.Duration
-	timerPending  bool // a Wake was asked for, and its Timer event has not come
-	healthSent    bool
-	healthyAsSent bool
-	actions       []Action // reused by each call of Handle
+	lastTick     time.Duration
+	timerPending bool // a SetTimer action is awaiting its Timer event
+	healthSent   bool
+	sentHealthy  bool
+	actions      []Action // buffer that each call of Handle reuses
 }
 
-// New returns the controller of a server that has come up at the time now. Times are spans since any fixed moment
-// before that. Equal seeds, settings and events give equal actions.
+// New returns the controller of a server that has started at the time now. Times are durations since an arbitrary
+// fixed moment before the start. Equal seeds, settings and events yield equal actions.
 func New(seed uint64, settings Settings, now time.Duration) *Controller {
-	b := &settings.Backend
-	cores := math.Max(1, b.Cores)
+	backend := &settings.Backend
+	cores := math.Max(1, backend.Cores)
 	c := &Controller{
 		cores:         cores,
 		batchInterval: settings.BatchInterval,
-		canCancel:     b.Cancellation != CancelOff,
+		canCancel:     backend.Cancellation != CancelOff,
 		requests:      newRequestTable(),
-		memory:        newMemoryAccount(b.MemoryKB.Or(math.Inf(1)), math.Max(1, b.RunMemoryFactor), b.KeySizeKB),
-		gauges:        newGauges(b.Gauges),
+		memory:        newMemoryAccount(backend.MemoryKB.Or(math.Inf(1)), math.Max(1, backend.RunMemoryFactor), backend.KeySizeKB),
+		gauges:        newGauges(backend.Gauges),
 		backpressure:  newBackpressure(),
 		concurrency:   newConcurrencyLimit(cores, &settings, now),
-		calls:         newCallLimiter(b, cores, now),
-		repeats:       newRepeatTable(b.ReuseFor),
+		calls:         newCallLimiter(backend, cores, now),
+		repeats:       newRepeatTable(backend.ReuseFor),
 		drain:         newDrainState(settings.Rules.DrainGrace),
-		stall:         stallDetector{progressAt: now},
+		stall:         stallDetector{lastProgressAt: now},
 		retryAdvice:   newRetryAdvice(settings.Limits, seed),
 		patience:      clientPatience{lowerTier: settings.Tier != 0},
-		signal:        newLoadSignal(b.Signal),
-		edgeNodes:     newEdgeNodeActivity(b.EdgeNodes),
+		signal:        newLoadSignal(backend.Signal),
+		edgeNodes:     newEdgeNodeActivity(backend.EdgeNodes),
 		lastTick:      now,
 	}
 	for i := range settings.Handlers {
@@ -73,9 +74,9 @@
 	return c
 }
 
-// Handle takes the events since the last call, in the order in which they happened, and returns the actions that
-// follow, in the order in which they are to be carried out. The slice is valid until the next call. An event of a
-// request that has ended is ignored.
+// Handle processes the events since the last call, in the order in which they happened, and returns the resulting
+// actions in the order of their execution. The slice is valid until the next call. Events of requests that have ended
+// are ignored.
 func (c *Controller) Handle(now time.Duration, events []Event) []Action {
 	for i := range events {
 		c.handleEvent(now, &events[i])
@@ -113,43 +114,44 @@
 	}
 }
 
-// onEnded follows the end of a request.
+// onEnded ends a request whose run, or wait for its original, is over.
 func (c *Controller) onEnded(now time.Duration, r *request, e *Event) {
 	if r.state.admitted() {
-		c.stall.progress(now)
+		c.stall.recordProgress(now)
 	}
 	if r.state == stateRunning {
-		c.recordEnd(now, r, e.Outcome)
+		c.recordRunEnd(now, r, e.Outcome)
 	}
-	c.end(now, r)
+	c.endRequest(now, r)
 }
 
-// recordEnd takes the end of a run into account.
-func (c *Controller) recordEnd(now time.Duration, r *request, outcome Outcome) {
+// recordRunEnd updates the statistics with the end of a run.
+func (c *Controller) recordRunEnd(now time.Duration, r *request, outcome Outcome) {
 	if outcome == OK {
-		c.backpressure.recordCompletion(c.memory.of(r, stateRunning))
-		c.patience.learn(now, r, false)
+		c.backpressure.recordCompletion(c.memory.usageOf(r, stateRunning))
+		c.patience.recordAttempt(now, r, false)
 	}
-	// A run that was stopped took at least so long: without it the mean would be that of the lucky ones.
-	long := outcome == Cancelled && now-r.startedAt > fromSeconds(r.handler.expectedTime(now, 1))
-	if outcome == OK || outcome == Failed || long {
+	// A cancelled run would have taken at least as long as it did. Dropping the long ones would bias the mean towards
+	// short runs.
+	longCancelled := outcome == Cancelled && now-r.startedAt > fromSeconds(r.handler.expectedTime(now, 1))
+	if outcome == OK || outcome == Failed || longCancelled {
 		r.handler.recordRun(now, r)
 	}
 }
 
-// onTimer takes the gauges, and looks at the deadlines of all requests.
+// onTimer reads the gauges, runs the tick when it is due and checks the deadlines of all requests.
 func (c *Controller) onTimer(now time.Duration, e *Event) {
 	c.timerPending = false
 	c.gauges.read(e.Gauges)
-	if now-c.lastTick >= observeInterval {
+	if now-c.lastTick >= observationInterval {
 		c.onTick(now)
 	}
-	for _, r := range c.requests.ordered {
+	for _, r := range c.requests.byArrival {
 		c.checkDeadline(now, r)
 	}
 }
 
-// onTick does what is due once an observation.
+// onTick performs the periodic work, once per observation interval.
 func (c *Controller) onTick(now time.Duration) {
 	span := min(now-c.lastTick, maxObservedSpan)
 	c.lastTick = now
@@ -157,12 +159,12 @@
 	c.creditCPUTime(span)
 	c.observe(now, span)
 	c.adapt(now)
-	c.expireRepeats(now)
+	c.expireEntries(now)
 	c.stall.update(now, float64(c.requests.running()) < c.cores)
 	c.drain.update(now)
 }
 
-// adapt moves the limits and the advice, once a tick.
+// adapt updates the limits and the client advice, once per tick.
 func (c *Controller) adapt(now time.Duration) {
 	arrivals := 0.0
 	for _, h := range c.handlers {
@@ -170,24 +172,23 @@
 		arrivals += count
 		h.updateBaseline(now)
 	}
-	c.concurrency.adapt(now, &c.gauges, c.requests.running(), c.requests.queued(), pace(now, c.handlers))
-	c.connections.adapt(c.cores, c.edgeNodes.known, arrivals, c.rejections.share)
+	c.concurrency.adapt(now, &c.gauges, c.requests.running(), c.requests.queued(), baselineLatencyRatio(now, c.handlers))
+	c.connections.adapt(c.cores, c.edgeNodes.configured, arrivals, c.rejections.share)
 	c.calls.adapt()
 	c.edgeNodes.adapt()
 	c.signal.adapt(c.pressure(now), c.concurrency.warmUp.capacity(now))
 }
 
-// collectActions is the one place that acts: it turns the differences between the wanted and the reported states
-// into actions.
+// collectActions converts the differences between wanted and reported states to actions. Nothing else emits actions.
 func (c *Controller) collectActions(now time.Duration) []Action {
 	actions := c.actions[:0]
-	for i := 0; i < len(c.requests.dirty); i++ { // the end of one request may make another dirty
+	for i := 0; i < len(c.requests.dirty); i++ { // the end of one request may mark another as dirty
 		r := c.requests.dirty[i]
 		r.dirty = false
 		actions = c.appendAnswer(actions, now, r)
-		actions = c.appendRemembering(actions, now, r)
+		actions = c.appendEntryChange(actions, now, r)
 		actions = appendTransition(actions, r)
-		r.state = r.wanted
+		r.state = r.wantedState
 		actions = c.appendCancel(actions, now, r)
 	}
 	c.requests.dirty = c.requests.dirty[:0]
@@ -195,7 +196,7 @@
 	return c.actions
 }
 
-// appendAnswer appends the final answer to a request. Without a run that ends it.
+// appendAnswer appends the final answer of a request, and ends the request if it has no run.
 func (c *Controller) appendAnswer(actions []Action, now time.Duration, r *request) []Action {
 	if r.wantedAnswer == noAnswer || r.answer != noAnswer {
 		return actions
@@ -203,30 +204,30 @@
 	r.answer = r.wantedAnswer
 	actions = append(actions, Action{Kind: r.answer, ID: r.id, RetryAfter: r.retryAfter, NoRetry: r.noRetry})
 	if r.state == stateQueued || r.state == stateCoalesced {
-		c.end(now, r)
+		c.endRequest(now, r)
 	}
 	return actions
 }
 
-// appendTransition appends the action that brings a request into its wanted state.
+// appendTransition appends the action that moves a request to its wanted state.
 func appendTransition(actions []Action, r *request) []Action {
 	switch {
-	case r.state == stateQueued && r.wanted == stateRunning:
+	case r.state == stateQueued && r.wantedState == stateRunning:
 		return append(actions, Action{Kind: Start, ID: r.id})
-	case r.state == stateQueued && r.wanted == stateCoalesced:
+	case r.state == stateQueued && r.wantedState == stateCoalesced:
 		return append(actions, Action{Kind: Coalesce, ID: r.id})
-	case r.state == stateAwaitingCall && r.wanted == stateCalling:
+	case r.state == stateAwaitingCall && r.wantedState == stateCalling:
 		return append(actions, Action{Kind: Call, ID: r.id, Duration: r.callTimeout})
-	case r.state == stateAwaitingCall && r.wanted == stateRunning:
+	case r.state == stateAwaitingCall && r.wantedState == stateRunning:
 		return append(actions, Action{Kind: SkipCall, ID: r.id})
 	case r.state == stateAwaitingCall && r.abandoned && r.answer == noAnswer:
-		r.answer = Fail // nobody waits for it, but it ends the run
+		r.answer = Fail // the client has gone, but this action ends the run
 		return append(actions, Action{Kind: Fail, ID: r.id})
 	}
 	return actions
 }
 
-// appendCancel appends the cancellation of a run that nobody waits for.
+// appendCancel appends the cancellation of an abandoned run.
 func (c *Controller) appendCancel(actions []Action, now time.Duration, r *request) []Action {
 	if r.state != stateRunning || !r.abandoned || r.cancelledAt != 0 || !c.canCancel {
 		return actions
@@ -235,16 +236,17 @@
 	return append(actions, Action{Kind: Cancel, ID: r.id})
 }
 
-// appendServerActions appends what concerns no single request, as far as it has changed.
+// appendServerActions appends the changed settings that concern the whole server: health, signal, idle timeout and
+// timer.
 func (c *Controller) appendServerActions(actions []Action, now time.Duration) []Action {
-	if healthy := c.healthy(); !c.healthSent || c.healthyAsSent != healthy {
+	if healthy := c.healthy(); !c.healthSent || c.sentHealthy != healthy {
 		c.healthSent = true
-		c.healthyAsSent = healthy
+		c.sentHealthy = healthy
 		actions = append(actions, Action{Kind: Health, Healthy: healthy, Shallow: true})
 	}
 	if c.signal.meaning != SignalOff {
-		if value := c.wantedSignal(); c.signal.worthSending(value) {
-			c.signal.sent = value
+		if value := c.signalValue(); c.signal.shouldSend(value) {
+			c.signal.lastSent = value
 			actions = append(actions, Action{Kind: Signal, Value: value})
 		}
 	}
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// retained says how much a controller keeps.
-type retained struct{ active, ordered, edgeNodes, neverRan, remembered int }
+// retainedCounts contains the sizes of the controller's collections.
+type retainedCounts struct{ active, ordered, edgeNodes, neverRan, withEntry int }
 
-func retainedBy(c *Controller) retained {
-	return retained{
-		active:     len(c.requests.byID),
-		ordered:    len(c.requests.ordered),
-		edgeNodes:  len(c.edgeNodes.byNumber),
-		neverRan:   len(c.repeats.neverRan),
-		remembered: len(c.repeats.remembered),
+func countRetained(c *Controller) retainedCounts {
+	return retainedCounts{
+		active:    len(c.requests.byID),
+		ordered:   len(c.requests.byArrival),
+		edgeNodes: len(c.edgeNodes.byNumber),
+		neverRan:  len(c.repeats.neverRan),
+		withEntry: len(c.repeats.withEntry),
 	}
 }
 
-// TestRetention: of requests, edge nodes and idempotency entries that are always new nothing stays longer than it counts.
+// TestRetention checks that the controller does not retain requests, edge nodes and idempotency entries for longer
+// than it needs them, while their numbers and IDs are always new.
 func TestRetention(t *testing.T) {
 	c := New(1, standardSettings(), 0)
 	for i := range 100000 {
@@ -37,23 +38,24 @@
 		}
 		c.Handle(now, events)
 	}
-	kept := retainedBy(c)
-	if kept.active > 10 || kept.ordered > 200 || kept.edgeNodes > 40000 || kept.neverRan > 3000 || kept.remembered > 2000 {
-		t.Errorf("kept under load: %+v", kept)
+	kept := countRetained(c)
+	if kept.active > 10 || kept.ordered > 200 || kept.edgeNodes > 40000 || kept.neverRan > 3000 || kept.withEntry > 2000 {
+		t.Errorf("retained under load: %+v", kept)
 	}
-	for i := range uint64(10) { // what still runs
+	for i := range uint64(10) { // the requests that are still running
 		c.Handle(100*time.Second, []Event{{Kind: Ended, ID: 99991 + i, Outcome: OK}})
 	}
 	for i := range 1000 {
 		now := 100*time.Second + time.Duration(i)*100*time.Millisecond
 		c.Handle(now, []Event{{Kind: Timer, Gauges: []float64{0, 0}}})
 	}
-	if kept := retainedBy(c); kept != (retained{}) {
-		t.Errorf("kept after a while: %+v", kept)
+	if kept := countRetained(c); kept != (retainedCounts{}) {
+		t.Errorf("retained after 100 s without load: %+v", kept)
 	}
 }
 
-// TestRandomEvents: whatever happens, also what can't, the counts of the controller are those of its requests.
+// TestRandomEvents checks that the controller's counts match its requests after any sequence of events, including
+// impossible ones.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -78,7 +80,7 @@
 	}
 }
 
-// randomEvent returns an event about one of the latest requests, mostly.
+// randomEvent returns an event, most often about one of the latest requests.
 func randomEvent(random *rand.Rand, id uint64) Event {
 	kind := EventKind(random.IntN(int(Drain))) + Arrived
 	if kind == Drain && random.IntN(1000) > 0 {
@@ -103,41 +105,41 @@
 	return event
 }
 
-// checkCounts compares what the controller counts with its requests.
+// checkCounts compares the controller's counts with its requests.
 func checkCounts(t *testing.T, c *Controller) {
 	t.Helper()
 	var counts [numStates]int
 	queued := map[*handler]int{}
-	usedKB := float64(len(c.repeats.remembered)) * c.memory.keySizeKB
-	for _, r := range c.requests.ordered {
-		if r.state != r.wanted || r.dirty {
-			t.Errorf("request %d is left in state %d, wanted %d", r.id, r.state, r.wanted)
+	usedKB := float64(len(c.repeats.withEntry)) * c.memory.keySizeKB
+	for _, r := range c.requests.byArrival {
+		if r.state != r.wantedState || r.dirty {
+			t.Errorf("request %d remains in state %d, wanted state %d", r.id, r.state, r.wantedState)
 		}
 		if r.state == stateEnded {
 			continue
 		}
 		counts[r.state]++
-		usedKB += c.memory.of(r, r.state)
+		usedKB += c.memory.usageOf(r, r.state)
 		if r.state == stateQueued {
 			queued[r.handler]++
 		}
 	}
-	for _, r := range c.repeats.remembered {
-		if r.rememberedTo == 0 { // forgotten since the last tick
+	for _, r := range c.repeats.withEntry {
+		if r.entryExpiresAt == 0 { // removed since the last tick
 			usedKB -= c.memory.keySizeKB
 		}
 	}
 	for state, count := range counts {
-		if state := requestState(state); state != stateEnded && c.requests.count[state] != count {
-			t.Errorf("%d requests are counted in state %d, %d are", c.requests.count[state], state, count)
+		if state := requestState(state); state != stateEnded && c.requests.countByState[state] != count {
+			t.Errorf("%d requests counted in state %d, actual number %d", c.requests.countByState[state], state, count)
 		}
 	}
 	for _, h := range c.handlers {
 		if h.queued != queued[h] {
-			t.Errorf("%d requests are counted in a queue, %d are", h.queued, queued[h])
+			t.Errorf("%d requests counted in a queue, actual number %d", h.queued, queued[h])
 		}
 	}
 	if math.Abs(c.memory.usedKB-usedKB) > 1e-6 {
-		t.Errorf("%v KB are counted, %v are used", c.memory.usedKB, usedKB)
+		t.Errorf("%v KB counted, %v KB in use", c.memory.usedKB, usedKB)
 	}
 }
--- a/overload/deadline.go
+++ b/overload/deadline.go
@@ -3,54 +3,57 @@
 import "time"
 
 const (
-	// timerInterval is the time between Timer events: shorter than any slack of a deadline, four an observation.
+	// timerInterval is the time between Timer events. It is shorter than the slack of any deadline; four intervals
+	// make up an observation interval.
 	timerInterval = 25 * time.Millisecond
-	// cancelRetryInterval is the time after which a Cancel without effect is repeated.
+	// cancelRetryInterval is the time after which a Cancel action without effect is repeated.
 	cancelRetryInterval = 500 * time.Millisecond
 )
 
-// answerMargin is how much earlier than a deadline an answer has to be decided.
+// answerMargin returns how long before its deadline a request must have its answer decided.
 func (c *Controller) answerMargin() time.Duration { return timerInterval + 2*c.batchInterval }
 
-// dueBeforeNextTimer reports whether at the next Timer event it may be too late to answer.
+// dueBeforeNextTimer reports whether the answer must be decided now because the next Timer event may come too late.
 func (c *Controller) dueBeforeNextTimer(now time.Duration, r *request) bool {
 	return r.deadline-now <= c.answerMargin()
 }
 
-// checkDeadline keeps the deadline of a request, and gives up what is worth nothing any more.
+// checkDeadline answers a request that is due, and rejects or abandons one whose answer has no value left.
 func (c *Controller) checkDeadline(now time.Duration, r *request) {
 	if r.cancelledAt > 0 && r.state == stateRunning && now-r.cancelledAt >= cancelRetryInterval {
-		r.cancelledAt = 0 // the cancellation had no effect, as while the cores stand still
+		r.cancelledAt = 0 // the cancellation had no effect, for example during a standstill of the cores
 		c.requests.markDirty(r)
 	}
 	if !r.needsAnswer() {
 		return
 	}
-	// The target may have been cut by the clients' patience, which is only a guess.
+	// Uses the handler's response target: r.target may have been shortened to the clients' patience, which is only an
+	// estimate.
 	worthless := now > r.arrivedAt+r.handler.responseTarget && r.handler.lateValue == 0
 	switch {
 	case c.dueBeforeNextTimer(now, r):
 		c.abandon(r)
-	case r.wanted == stateQueued && (worthless || c.hopeless(now, r)):
+	case r.wantedState == stateQueued && (worthless || c.cannotMeetTarget(now, r)):
 		c.reject(r, minRetryAfter)
-	case worthless && (r.wanted == stateAwaitingCall || r.wanted == stateRunning && c.holdsUpQueue()):
+	case worthless && (r.wantedState == stateAwaitingCall || r.wantedState == stateRunning && c.holdsUpQueue()):
 		c.abandon(r)
 	}
 }
 
-// holdsUpQueue reports whether running requests take cores that others need.
+// holdsUpQueue reports whether running requests occupy cores that queued requests need.
 func (c *Controller) holdsUpQueue() bool {
 	return c.backpressure.underDuress() && c.requests.queued() > 0
 }
 
-// abandon has a request answered at once; what still runs of it is stopped.
+// abandon decides on an immediate answer, Reject for a queued request and Fail for any other, and has the rest of a
+// run stopped.
 func (c *Controller) abandon(r *request) {
 	if !r.needsAnswer() {
 		return
 	}
 	r.abandoned = true
 	r.wantedAnswer = Fail
-	if r.wanted == stateQueued {
+	if r.wantedState == stateQueued {
 		r.wantedAnswer = Reject
 	}
 	c.requests.markDirty(r)
--- a/overload/doc.go
+++ b/overload/doc.go
@@ -1,40 +1,41 @@
-// Package overload decides, inside one server, which requests are started, queued, rejected and cancelled.
-//
-// A Controller is a state machine without I/O, clocks or goroutines. The adapter in front of it turns what it
-// observes into events, hands them to Controller.Handle in batches, and carries out the actions that Handle returns.
-// Equal seeds, settings and events lead to equal actions.
-//
-// # The ordinary path
-//
-// The mechanism is search backpressure, as in the documentation of OpenSearch, with a companion limit on concurrency.
-// An observer looks at the server every 100 ms. When the cores or the memory of requests have been over their
-// thresholds for three observations in a row the server is under duress. Running requests that breach the limits of
-// the trackers for elapsed time, CPU time and memory are then cancelled, the worst first, within the budgets for
-// cancellations (backpressure.go). The concurrency limit grows while cores are free and requests are queued, and else
-// shrinks by baseline over recent latency (concurrency.go).
-//
-// # Beside the design
-//
-// The design leaves open, or needs guards for, the following:
-//
-//   - Queues and admission. Each handler has a queue, and queues take turns by weight (queue.go). A newcomer that
-//     can't be expected to end well before its target is rejected at once (admission.go).
-//   - Advice to clients. Rejections say when to come back and whether to try another server (rejection.go). A load
-//     signal rides on answers (signal.go), counted per edge node where it is an allowance (edgenodes.go). Idle
-//     connections are closed early where there are too many (connections.go). Clients that give up before their
-//     timeout teach how long they wait (patience.go).
-//   - Deadlines. No request is left without an answer past its deadline, and no run that is worth nothing any more
-//     keeps a core that others need (deadline.go).
-//   - Idempotency. Requests that must run once, and reads whose results may be shared, are remembered; repeats are
-//     answered from their original (repeats.go).
-//   - Calls. The calls in flight to the dependency are bounded, timed out, and retried at most once (calls.go).
-//   - Drain, warm-up and stalls. A server that is taken out of service, has just started cold, or hangs, wants fewer
-//     requests or none (drain.go).
+// Package overload implements the overload control of one server: it decides which requests to start, queue, reject
+// and cancel.
+//
+// A Controller is a state machine without I/O, clocks or goroutines. An adapter converts its observations to events,
+// passes them to Controller.Handle in batches and executes the returned actions. Equal seeds, settings and events
+// yield equal actions.
+//
+// # Backpressure and concurrency limit
+//
+// The core mechanism is search backpressure as documented by OpenSearch, combined with a concurrency limit. An
+// observer samples the server every 100 ms. The server is under duress once CPU usage or the memory held by requests
+// has breached its threshold in three consecutive observations. The controller then cancels running requests that
+// breach the limits of the trackers for elapsed time, CPU time and memory, those with the most breaches first, within
+// the cancellation budgets (backpressure.go). The concurrency limit grows while cores are idle and requests are
+// queued. While the cores are busy it shrinks with the ratio of baseline to recent latency (concurrency.go).
+//
+// # Additions
+//
+// The following parts cover what that mechanism leaves open or needs as safeguards:
+//
+//   - Queues and admission. Each handler has a queue, and the queues are served in turn by weight (queue.go). A new
+//     request that is not expected to end well before its response target is rejected at once (admission.go).
+//   - Client advice. A rejection carries a delay before the next attempt and whether to try another server
+//     (rejection.go). Responses carry a load signal (signal.go); where the signal is an allowance, it is computed per
+//     edge node (edgenodes.go). Idle connections are closed early when there are too many (connections.go). The time
+//     that clients wait is estimated from the attempts that they give up before the client timeout (patience.go).
+//   - Deadlines. Every request is answered by its deadline, and a run whose result has no value left is stopped when
+//     other requests need its core (deadline.go).
+//   - Idempotency. Requests that must run only once, and reads whose results may be shared, get an entry in the
+//     idempotency table. Repeats are answered from their original (repeats.go).
+//   - Calls. Calls in flight to the dependency are limited in number and time, and retried at most once (calls.go).
+//   - Drain, warm-up and stalls. A server that is being taken out of service, has just started with cold caches or has
+//     stalled requests less traffic or none (drain.go).
 //
 // # Reconciliation
 //
-// Events set the reported state of a request, decisions its wanted state, answer and idempotency entry. The end of
-// Handle is the only place that acts: it turns the differences into actions. Counts and memory follow the wanted
-// states, since rules apply to what holds once the actions of a batch are carried out. A cancellation has no wanted
-// state: until it is confirmed the request keeps its core and memory. See request.go for the states.
+// Events set the reported state of a request. Decisions set its wanted state, answer and idempotency entry. Only the
+// end of Handle emits actions: it derives them from the differences. Counts and memory follow the wanted states,
+// because rules apply to the situation after the actions of the batch have been executed. A cancellation has no
+// wanted state: until it is confirmed, the request occupies its core and memory. See request.go for the states.
 package overload
--- a/overload/drain.go
+++ b/overload/drain.go
@@ -6,88 +6,88 @@
 )
 
 const (
-	// drainAcceptShare is the share of the grace after the notice in which newcomers are still wanted: other servers
-	// may be few, and a successor is cold and unknown to edge nodes for seconds.
+	// drainAcceptShare is the share of the grace period during which the server still reports itself as healthy.
+	// There may be few other servers, and for some seconds a successor is cold and unknown to the edge nodes.
 	drainAcceptShare = 0.8
-	// stallTimeout is the time without progress of running work after which it is taken to hang.
+	// stallTimeout is the time without progress after which running work counts as stalled.
 	stallTimeout = 2 * time.Second
 )
 
-// drainState is how far the server has come with being taken out of service.
+// drainState is the progress of taking the server out of service.
 type drainState struct {
-	grace     time.Duration // after the notice, in which what is read may start
-	noticedAt time.Duration // 0 before the notice
-	answerBy  time.Duration // when all has to be answered
-	unwelcome bool          // newcomers are not wanted any more
+	gracePeriod    time.Duration // after the notice; requests that are read within it may start
+	noticeAt       time.Duration // time of the notice, 0 before it
+	answerDeadline time.Duration // time by which every request must be answered
+	notReady       bool          // new requests should go to other servers
 }
 
-func newDrainState(grace time.Duration) drainState {
-	return drainState{grace: grace, answerBy: math.MaxInt64}
+func newDrainState(gracePeriod time.Duration) drainState {
+	return drainState{gracePeriod: gracePeriod, answerDeadline: math.MaxInt64}
 }
 
-// update finds out whether newcomers are still wanted, once a tick.
+// update determines whether new requests should go to other servers, once per tick.
 func (d *drainState) update(now time.Duration) {
-	d.unwelcome = d.noticedAt > 0 && now-d.noticedAt >= fromSeconds(drainAcceptShare*d.grace.Seconds())
+	d.notReady = d.noticeAt > 0 && now-d.noticeAt >= fromSeconds(drainAcceptShare*d.gracePeriod.Seconds())
 }
 
-// pastGrace reports whether a request was read after the grace that follows the notice. Such a request is not run,
-// whenever it says that it arrived: that time is of another clock.
-func (d *drainState) pastGrace(r *request) bool {
-	return d.noticedAt > 0 && r.readAt > d.noticedAt+d.grace
+// afterGracePeriod reports whether a request was read after the grace period. Such a request is not run, whatever its
+// arrival time, because that time is by a different clock.
+func (d *drainState) afterGracePeriod(r *request) bool {
+	return d.noticeAt > 0 && r.readAt > d.noticeAt+d.gracePeriod
 }
 
-// onDrain follows the notice, which came so long ago at most.
-func (c *Controller) onDrain(now, ago, remaining time.Duration) {
-	c.drain.noticedAt = now - ago
-	c.drain.answerBy = now + remaining - c.answerMargin()
-	for _, r := range c.requests.ordered {
-		r.deadline = min(r.deadline, c.drain.answerBy)
-		if r.wanted == stateQueued && r.needsAnswer() && c.drain.pastGrace(r) { // the notice was heard of late
+// onDrain processes the drain notice, whose maximum age is noticeAge.
+func (c *Controller) onDrain(now, noticeAge, remaining time.Duration) {
+	c.drain.noticeAt = now - noticeAge
+	c.drain.answerDeadline = now + remaining - c.answerMargin()
+	for _, r := range c.requests.byArrival {
+		r.deadline = min(r.deadline, c.drain.answerDeadline)
+		if r.wantedState == stateQueued && r.needsAnswer() && c.drain.afterGracePeriod(r) { // the notice came late
 			c.reject(r, c.retryAdvice.maxDelay)
 		}
 		c.checkDeadline(now, r)
 	}
 }
 
-// warmUp is the time after a cold start in which the server has less than its full capacity.
+// warmUp is the period after a cold start during which the server has less than its full capacity.
 type warmUp struct {
-	cold      bool
-	from      float64 // share of the full capacity at the start
-	duration  time.Duration
-	startedAt time.Duration
+	cold            bool
+	initialCapacity float64 // share of the full capacity at the start
+	duration        time.Duration
+	startedAt       time.Duration
 }
 
 func newWarmUp(settings *Settings, now time.Duration) warmUp {
 	return warmUp{
-		cold:      settings.Backend.Cold,
-		from:      settings.Rules.ColdCapacity.Or(1),
-		duration:  settings.Rules.WarmUpTime,
-		startedAt: now,
+		cold:            settings.Backend.Cold,
+		initialCapacity: settings.Rules.ColdCapacity.Or(1),
+		duration:        settings.Rules.WarmUpTime,
+		startedAt:       now,
 	}
 }
 
-// capacity returns the least share of its full capacity that the server has, as the platform promises it.
+// capacity returns the minimum share of its full capacity that the platform guarantees for the server.
 func (w *warmUp) capacity(now time.Duration) float64 {
 	if age := now - w.startedAt; w.cold && age < w.duration {
-		return w.from + (1-w.from)*age.Seconds()/w.duration.Seconds()
+		return w.initialCapacity + (1-w.initialCapacity)*age.Seconds()/w.duration.Seconds()
 	}
 	return 1
 }
 
-// stallDetector finds out whether running work hangs. More requests would share its fate, so nothing is started
-// meanwhile. Rightful runs longer than the timeout on all cores look the same.
+// stallDetector detects that running work has stalled. Nothing is started during a stall, because further requests
+// would stall as well. Legitimate runs that occupy all cores for longer than stallTimeout look the same.
 type stallDetector struct {
-	progressAt time.Duration // when some run or call last made a step
-	stalled    bool
+	lastProgressAt time.Duration // when a run or call last made progress
+	stalled        bool
 }
 
-// progress takes note of a step of some run.
-func (s *stallDetector) progress(now time.Duration) { s.progressAt = now }
+// recordProgress records that a run or call has made progress.
+func (s *stallDetector) recordProgress(now time.Duration) { s.lastProgressAt = now }
 
-// update looks for progress once a tick. While a core is free newcomers could run at least.
+// update checks for a stall, once per tick. An idle core counts as progress, because new requests could run on it.
 func (s *stallDetector) update(now time.Duration, coreFree bool) {
 	if coreFree {
-		s.progressAt = max(s.progressAt, now-observeInterval)
+		s.lastProgressAt = max(s.lastProgressAt, now-observationInterval)
 	}
-	s.stalled = now-s.progressAt > stallTimeout
+	s.stalled = now-s.lastProgressAt > stallTimeout
 }
--- a/overload/edgenodes.go
+++ b/overload/edgenodes.go
@@ -3,36 +3,37 @@
 import "math"
 
 const (
-	arrivalFade       = 0.98 // factor a tick on what is remembered of arrivals: 5 s count
-	fadedTicks        = 50.0 // ticks that count with that factor
-	forgottenArrivals = 0.01 // arrivals under which an edge node was seen so long ago that it is let go
-	edgeNodeSmoothing = 0.1  // weight of one tick in the equivalent number of edge nodes
-	minRateTicks      = 1    // least number of ticks that a rate is taken over
+	arrivalDecay       = 0.98 // factor per tick for arrival counts, so that they cover about 5 s
+	decayWindowTicks   = 50.0 // number of ticks that counts with this factor cover
+	minTrackedArrivals = 0.01 // decayed count below which an edge node is removed
+	edgeNodeSmoothing  = 0.1  // weight of one tick in the effective number of edge nodes
+	minRateTicks       = 1    // minimum number of ticks over which a rate is computed
 )
 
-// edgeNode is what is remembered of an edge node's arrivals. One that restarts comes with a new number.
+// edgeNode contains the arrival statistics of one edge node. A node gets a new number with each restart.
 type edgeNode struct {
-	arrivals float64 // faded
-	ticks    float64 // since the first arrival, faded
+	arrivals float64 // decayed count
+	ticks    float64 // decayed count of the ticks since the first arrival
 }
 
-// edgeNodeActivity estimates as how many edge nodes the present ones count if each were as busy as the busiest.
+// edgeNodeActivity estimates the effective number of edge nodes: how many nodes as busy as the busiest one would send
+// the present load.
 type edgeNodeActivity struct {
-	known      float64 // edge nodes by the settings
-	equivalent float64
+	configured float64 // number of edge nodes in the settings
+	effective  float64
 	byNumber   map[int]edgeNode
-	total      edgeNode // of all
+	total      edgeNode // of all edge nodes
 }
 
-func newEdgeNodeActivity(known float64) edgeNodeActivity {
+func newEdgeNodeActivity(configured float64) edgeNodeActivity {
 	return edgeNodeActivity{
-		known:      known,
-		equivalent: known,
+		configured: configured,
+		effective:  configured,
 		byNumber:   map[int]edgeNode{},
 	}
 }
 
-// recordArrival counts a request of an edge node.
+// recordArrival counts a request from an edge node.
 func (a *edgeNodeActivity) recordArrival(number int) {
 	node := a.byNumber[number]
 	node.arrivals++
@@ -40,28 +41,28 @@
 	a.total.arrivals++
 }
 
-// adapt moves the estimate, once a tick. With more numbers than edge nodes none lasts, so each counts for its own
-// time, although few arrivals tell little.
+// adapt updates the estimate, once per tick. If there are more numbers than edge nodes, the numbers are short-lived,
+// so each rate covers only the lifetime of its number, although a rate from few arrivals is imprecise.
 func (a *edgeNodeActivity) adapt() {
 	busiest := 0.0
-	minTicks := math.Max(minRateTicks, fadedTicks*math.Min(1, a.known/float64(len(a.byNumber))))
-	for number, node := range a.byNumber { // a maximum and removals: the order doesn't matter
+	minTicks := math.Max(minRateTicks, decayWindowTicks*math.Min(1, a.configured/float64(len(a.byNumber))))
+	for number, node := range a.byNumber { // computes a maximum and removes nodes: the order doesn't matter
 		busiest = math.Max(busiest, node.rate(minTicks))
-		a.byNumber[number] = node.faded()
-		if node.arrivals < forgottenArrivals {
+		a.byNumber[number] = node.decayed()
+		if node.arrivals < minTrackedArrivals {
 			delete(a.byNumber, number)
 		}
 	}
 	if busiest > 0 {
-		a.equivalent += edgeNodeSmoothing * (math.Min(a.known, a.total.rate(minTicks)/busiest) - a.equivalent)
+		a.effective += edgeNodeSmoothing * (math.Min(a.configured, a.total.rate(minTicks)/busiest) - a.effective)
 	}
-	a.total = a.total.faded()
+	a.total = a.total.decayed()
 }
 
-// rate returns the arrivals per tick, over at least so many ticks.
+// rate returns the arrivals per tick, over at least minTicks.
 func (n edgeNode) rate(minTicks float64) float64 { return n.arrivals / math.Max(n.ticks, minTicks) }
 
-// faded returns what is left after one tick.
-func (n edgeNode) faded() edgeNode {
-	return edgeNode{arrivals: n.arrivals * arrivalFade, ticks: n.ticks*arrivalFade + 1}
+// decayed returns the statistics after one more tick.
+func (n edgeNode) decayed() edgeNode {
+	return edgeNode{arrivals: n.arrivals * arrivalDecay, ticks: n.ticks*arrivalDecay + 1}
 }
--- a/overload/edgenodes_test.go
+++ b/overload/edgenodes_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// TestRenumberedEdgeNodes: one edge node sends as much as six others together. The allowance hardly depends on whether
-// their numbers last or are new every two seconds.
+// TestRenumberedEdgeNodes checks that the allowance hardly depends on whether the edge nodes keep their numbers or
+// get new ones every two seconds, where one edge node sends as much as six others together.
 func TestRenumberedEdgeNodes(t *testing.T) {
-	lasting := lastAllowance(false)
-	renumbered := lastAllowance(true)
+	lasting := finalAllowance(false)
+	renumbered := finalAllowance(true)
 	if lasting < 14 || renumbered < 0.75*lasting {
-		t.Errorf("signal %.1f with lasting numbers, %.1f with new ones", lasting, renumbered)
+		t.Errorf("signal %.1f with permanent numbers, %.1f with changing ones", lasting, renumbered)
 	}
 }
 
-// lastAllowance plays 30 s of arrivals and returns the last signal.
-func lastAllowance(renumbered bool) float64 {
+// finalAllowance plays 30 s of arrivals and returns the value of the last Signal action.
+func finalAllowance(renumbered bool) float64 {
 	const busiest = 7
 	settings := standardSettings()
 	settings.Backend.Signal = SignalAllowance
@@ -27,7 +27,7 @@
 	for i := range 3000 {
 		now := time.Duration(i) * 10 * time.Millisecond
 		id := uint64(i + 1)
-		number := (i*7%12 + 1) / 2 // 1 to 6 where i is odd
+		number := (i*7%12 + 1) / 2 // 1 to 6 for odd i
 		if i%2 == 0 {
 			number = busiest
 		}
--- a/overload/event.go
+++ b/overload/event.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// EventKind says what an Event reports.
+// EventKind is the type of an Event.
 type EventKind uint8
 
-// The events. The adapter in front of the controller turns what it observes into these.
+// The kinds of events. The adapter derives them from its observations.
 const (
-	Arrived    EventKind = iota + 1 // a request was read and waits to be decided about
+	Arrived    EventKind = iota + 1 // a request was read and awaits a decision
 	Ended                           // a run, or the wait for the original of a coalesced request, has ended
-	ClientGone                      // the client no longer waits, or (BrokenOff) can't be reached any more
-	NeedsCall                       // a running request has to call its dependency
+	ClientGone                      // the client gave up waiting or, with the outcome ConnectionLost, is unreachable
+	NeedsCall                       // a running request has reached its call to the dependency
 	CallEnded                       // that call has ended
-	Timer                           // the time that a Wake action asked for has come; carries the gauges
+	Timer                           // the time set by a SetTimer action has come; carries the gauges
 	Drain                           // the server is being taken out of service
 )
 
@@ -26,10 +26,10 @@
 	Drain:      "drain",
 }
 
-// String returns the name of the kind.
+// String returns the name of the kind as it appears in traces.
 func (k EventKind) String() string { return nameOf(eventKindNames[:], uint8(k)) }
 
-// Outcome says how a run or a call ended.
+// Outcome is the result of a run or a call.
 type Outcome uint8
 
 // The outcomes. Overloaded, NoConnection and NeverRan prove that nothing was run.
@@ -37,11 +37,11 @@
 	OK             Outcome = iota + 1
 	Failed                 // ended with an error
 	Overloaded             // rejected by the dependency
-	TimedOut               // gave no answer in time
+	TimedOut               // no response within the timeout
 	NoConnection           // could not be sent
-	ConnectionLost         // the connection was lost
-	Cancelled              // cancelled at the controller's request
-	NeverRan               // was not begun
+	ConnectionLost         // the connection was lost before the response
+	Cancelled              // stopped by a Cancel action
+	NeverRan               // was not started
 )
 
 var outcomeNames = [...]string{
@@ -55,30 +55,31 @@
 	NeverRan:       "never-ran",
 }
 
-// String returns the name of the outcome.
+// String returns the name of the outcome as it appears in traces.
 func (o Outcome) String() string { return nameOf(outcomeNames[:], uint8(o)) }
 
-// Event is one thing that happened. Fields that do not belong to its kind are zero.
+// Event is an observation of the adapter. Fields that do not apply to its kind are zero.
 type Event struct {
 	Kind EventKind
-	ID   uint64 // of the request; unique among those that have not ended
+	ID   uint64 // of the request; unique among the requests that have not ended
 
-	// Of Arrived.
+	// Fields of Arrived.
 	Handler   int           // index in Settings.Handlers
 	Customer  int           // index in Settings.Customers
-	Resource  string        // what a read asks for, to share its result; may be empty
+	Resource  string        // resource that a read accesses, the key for sharing its result; may be empty
 	Hint      time.Duration // expected work on a standard core, 0 if unknown
 	SizeKB    float64       // kilobytes of memory while queued
 	ValueRank float64       // rank by value among all requests, 0 to 1
-	Write     bool          // the request changes something
+	Write     bool          // the request modifies data
 	Retry     bool          // the request is known to be a retry
-	EdgeNode  int           // number of the edge node that sent it; a new one after each restart of the node
-	RepeatOf  uint64        // the remembered request that this one repeats, 0 if none
+	EdgeNode  int           // number of the edge node that sent it; a node gets a new number with each restart
+	RepeatOf  uint64        // the request with an idempotency entry that this one repeats, 0 if none
 
-	// Remaining is, of Arrived, how long the client still waits, 0 if unknown; of Drain, the time until the server
-	// is stopped.
+	// Remaining is the time until the client times out for Arrived, 0 if unknown, and the time until the server is
+	// stopped for Drain.
 	Remaining time.Duration
-	// QueueDelay is, of Arrived, how long the request lay unread; of Drain, how long ago the notice came at most.
+	// QueueDelay is the time that the request was in the server's input before it was read for Arrived, and the
+	// maximum age of the notice for Drain.
 	QueueDelay time.Duration
 
 	Outcome Outcome       // of Ended, CallEnded and ClientGone
@@ -86,7 +87,8 @@
 	Gauges  []float64     // of Timer, in the order of Backend.Gauges
 }
 
-// nameOf returns the name of a value of an enum, of which the zero value and those past the last one have none.
+// nameOf returns the name of an enumeration value, or "invalid" for the zero value of an enumeration that starts at 1
+// and for values past the last one.
 func nameOf(names []string, value uint8) string {
 	if int(value) < len(names) && names[value] != "" {
 		return names[value]
--- a/overload/example_test.go
+++ b/overload/example_test.go
@@ -7,7 +7,8 @@
 	"frosthub/overload"
 )
 
-// A server with one core gets two requests. The second one has to wait for the first, and starts when that has ended.
+// A server with one core receives two requests. The second one waits for the first and starts when the first has
+// ended.
 func Example() {
 	controller := overload.New(1, overload.Settings{
 		BatchInterval: time.Millisecond,
--- a/overload/gauges.go
+++ b/overload/gauges.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// gauges are the measurements of the last Timer event.
+// gauges contains the measurements of the last Timer event.
 type gauges struct {
-	busyIndex     int // in the event's gauges, -1 if it has none
-	runnableIndex int
+	busyIndex     int // index in the event's gauges, -1 if missing
+	runnableIndex int // index in the event's gauges, -1 if missing
 
-	busy         float64 // share of the cores that were busy
-	runnable     float64 // threads that had a core or waited for one
-	startedSince float64 // runs that were started since
+	busy             float64 // share of the cores that were busy
+	runnable         float64 // threads that occupied a core or waited for one
+	startedSinceRead float64 // runs started since then
 }
 
 func newGauges(order []Gauge) gauges {
@@ -22,14 +22,14 @@
 	}
 }
 
-// read takes over the gauges of a Timer event.
+// read stores the gauges of a Timer event.
 func (g *gauges) read(values []float64) {
 	g.busy = gaugeAt(values, g.busyIndex)
 	g.runnable = gaugeAt(values, g.runnableIndex)
-	g.startedSince = 0
+	g.startedSinceRead = 0
 }
 
-// gaugeAt returns one of the values, 0 if it was not measured.
+// gaugeAt returns the value at an index, 0 if it is missing.
 func gaugeAt(values []float64, index int) float64 {
 	if index < 0 || index >= len(values) {
 		return 0
@@ -37,12 +37,13 @@
 	return values[index]
 }
 
-// onCores returns how many of the running requests want a core. Those that wait for disk don't, which shows in the
-// gauge alone. It guards against idle cores while the concurrency limit is reached (incidents i43a6e6, i4d5678). A
-// gauge that is far behind lets too many start, up to the collapse limit.
-func (g *gauges) onCores(running int) float64 {
+// coreDemand returns how many of the running requests need a core. Only the gauge of runnable threads reveals
+// requests that wait for disk I/O and don't need one. Counting those would leave cores idle at the concurrency limit
+// (incidents i43a6e6, i4d5678). The drawback is that a gauge that lags far behind lets too many requests start, up to
+// the collapse limit.
+func (g *gauges) coreDemand(running int) float64 {
 	if g.runnableIndex < 0 {
 		return float64(running)
 	}
-	return math.Min(float64(running), g.runnable+g.startedSince)
+	return math.Min(float64(running), g.runnable+g.startedSinceRead)
 }
--- a/overload/handler.go
+++ b/overload/handler.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// baselineGrowth is the factor per tick by which a lowest mean grows: 30% a minute, so that it can be unlearned
-	// and yet outlives a disturbance.
+	// baselineGrowth is the growth factor of a baseline per tick, 30% per minute. A baseline that has become too low
+	// is corrected in time, but a temporary disturbance does not change it much.
 	baselineGrowth = 1.0005
-	// minHandlerValue is the least value of a handler: each gets some turns.
+	// minHandlerValue is the lower bound of a handler's value, so that each queue gets some turns.
 	minHandlerValue = 0.01
 )
 
-// handler is one kind of request: its settings, its queue, and what is known of its latency.
+// handler contains the settings, the queue and the latency statistics of one kind of request.
 type handler struct {
 	clientTimeout  time.Duration
-	responseTarget time.Duration // from arrival to the answer, for this tier's part
-	window         time.Duration // after arrival in which repeats may come
+	responseTarget time.Duration // from arrival to the answer; in a lower tier, the part that is left for this tier
+	window         time.Duration // time after arrival during which repeats may arrive
 	value          float64
-	lateValue      float64 // share of the value that a late answer has
+	lateValue      float64 // share of the value that an answer after the target has
 	skipValue      float64 // share of the value that an answer without the call has
 	idempotency    Idempotency
 
 	queue  handlerQueue
-	queued int // requests whose wanted state is queued
+	queued int // number of requests in the wanted state queued
 
-	runTimes   slidingWindow // in seconds, without calls
-	totalTimes slidingWindow // in seconds, with calls
-	arrivals   slidingWindow // 1 for each
-	costHints  slidingWindow // in seconds, as requests bring them
-	baseline   float64       // lowest mean of runTimes in seconds, 0 before the first
+	runTimes        slidingWindow // in seconds, without calls
+	totalTimes      slidingWindow // in seconds, with calls
+	arrivals        slidingWindow // 1 per request
+	costHints       slidingWindow // in seconds, from the requests
+	baselineRunTime float64       // lowest mean of runTimes in seconds, 0 while unknown; grows slowly
 }
 
 func newHandler(s *Handler, tier float64) *handler {
 	clientTimeout := s.ClientTimeout.Or(DefaultClientTimeout)
 	target := min(s.ResponseTarget.Or(clientTimeout), clientTimeout)
-	// Whoever calls a lower tier has the target for itself and its calls: an answer in the last moment is late.
+	// The caller of a lower tier needs the target for its own work and its calls, so an answer just before the target
+	// is late.
 	target = time.Duration(float64(target) / (1 + math.Max(0, tier)))
 	return &handler{
 		clientTimeout:  clientTimeout,
@@ -50,7 +51,8 @@
 	}
 }
 
-// newUnknownHandler returns the handler of requests that the settings don't have: such work must not run twice.
+// newUnknownHandler returns a handler for requests whose handler is missing from the settings. It assumes that they
+// must not run twice.
 func newUnknownHandler() *handler {
 	return &handler{
 		clientTimeout:  DefaultClientTimeout,
@@ -60,49 +62,51 @@
 	}
 }
 
-// replayable reports whether requests may run more than once.
+// replayable reports whether the handler's requests may run more than once.
 func (h *handler) replayable() bool {
 	return h.idempotency != NonReplayable && h.idempotency != Deduplicated
 }
 
-// recordRun takes the time of a run into account.
+// recordRun updates the statistics with the duration of a run.
 func (h *handler) recordRun(now time.Duration, r *request) {
 	h.runTimes.add(now, (now - r.startedAt - r.callTime).Seconds())
 	h.totalTimes.add(now, (now - r.startedAt).Seconds())
 }
 
-// updateBaseline follows the lowest mean run time, once a tick.
+// updateBaseline updates the baseline from the mean run time, once per tick.
 func (h *handler) updateBaseline(now time.Duration) {
 	if mean, count := h.runTimes.mean(now); count >= minSamples {
-		h.baseline = math.Min(cmp.Or(h.baseline*baselineGrowth, mean), mean)
+		h.baselineRunTime = math.Min(cmp.Or(h.baselineRunTime*baselineGrowth, mean), mean)
 	}
 }
 
-// runTime returns how many seconds a run takes of late, without its calls.
-func (h *handler) runTime(now time.Duration) float64 {
+// recentRunTime returns the recent mean duration of a run in seconds, without its calls, or the baseline if there are
+// too few samples.
+func (h *handler) recentRunTime(now time.Duration) float64 {
 	if mean, count := h.runTimes.mean(now); count >= minSamples {
 		return mean
 	}
-	return h.baseline
+	return h.baselineRunTime
 }
 
-// expectedTime returns how many seconds a run with its calls should take. The scale of a request's cost applies to
-// the work of the run alone.
+// expectedTime returns the expected duration of a run in seconds, including its calls. costScale applies only to the
+// work of the run itself.
 func (h *handler) expectedTime(now time.Duration, costScale float64) float64 {
-	run := h.runTime(now)
+	run := h.recentRunTime(now)
 	if total, count := h.totalTimes.mean(now); count >= minSamples {
 		return total + run*(costScale-1)
 	}
 	return run * costScale
 }
 
-// pace returns baseline over recent latency of all handlers, which is 1 at the usual pace and less when slowed down.
-func pace(now time.Duration, handlers []*handler) float64 {
+// baselineLatencyRatio returns the ratio of baseline to recent latency over all handlers: 1 at normal speed, less
+// when runs are slower.
+func baselineLatencyRatio(now time.Duration, handlers []*handler) float64 {
 	baseline := 0.0
 	recent := 0.0
 	for _, h := range handlers {
 		if sum, count := h.runTimes.sum(now); count >= minSamples {
-			baseline += h.baseline * count
+			baseline += h.baselineRunTime * count
 			recent += sum
 		}
 	}
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -1,16 +1,17 @@
 package overload
 
-// memoryAdmitShare is the share of the memory that decisions may fill; the rest is for requests being read.
-const memoryAdmitShare = 0.93
+// admissionMemoryShare is the share of the memory that admission may fill. The rest is for requests that are being
+// read.
+const admissionMemoryShare = 0.93
 
-// memoryAccount keeps how much memory requests and the idempotency table take. It follows the wanted states: rules
-// apply to what holds once the actions of a batch are carried out.
+// memoryAccount tracks the memory of requests and of the idempotency table. It follows the wanted states, because
+// rules apply to the situation after the actions of the batch have been executed.
 type memoryAccount struct {
-	totalKB   float64
-	keySizeKB float64            // of one entry in the idempotency table
-	runFactor float64            // memory of a running request as a multiple of its size
-	factors   [numStates]float64 // the same by state
-	usedKB    float64
+	totalKB       float64
+	keySizeKB     float64            // size of one entry in the idempotency table
+	runFactor     float64            // memory of a running request as a multiple of its queued size
+	factorByState [numStates]float64 // memory of a request as a multiple of its queued size, by state
+	usedKB        float64
 }
 
 func newMemoryAccount(totalKB, runFactor, keySizeKB float64) memoryAccount {
@@ -18,7 +19,7 @@
 		totalKB:   totalKB,
 		keySizeKB: keySizeKB,
 		runFactor: runFactor,
-		factors: [numStates]float64{
+		factorByState: [numStates]float64{
 			stateQueued:       1,
 			stateCoalesced:    1,
 			stateRunning:      runFactor,
@@ -28,17 +29,17 @@
 	}
 }
 
-// of returns the memory of a request in a state.
-func (m *memoryAccount) of(r *request, state requestState) float64 {
-	return r.sizeKB * m.factors[state]
+// usageOf returns the memory of a request in the given state, in kilobytes.
+func (m *memoryAccount) usageOf(r *request, state requestState) float64 {
+	return r.sizeKB * m.factorByState[state]
 }
 
-// overflows reports whether that much more would be too much.
-func (m *memoryAccount) overflows(moreKB float64) bool {
-	return m.usedKB+moreKB > memoryAdmitShare*m.totalKB
+// wouldExceed reports whether additionalKB more would exceed the memory that admission may fill.
+func (m *memoryAccount) wouldExceed(additionalKB float64) bool {
+	return m.usedKB+additionalKB > admissionMemoryShare*m.totalKB
 }
 
-// underThreshold reports whether less is used than makes a node be under duress.
-func (m *memoryAccount) underThreshold(moreKB float64) bool {
-	return m.usedKB+moreKB < memoryThreshold*m.totalKB
+// underThreshold reports whether usage, with additionalKB more, is below the threshold of node duress.
+func (m *memoryAccount) underThreshold(additionalKB float64) bool {
+	return m.usedKB+additionalKB < memoryThreshold*m.totalKB
 }
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -6,31 +6,33 @@
 )
 
 const (
-	// valueExponent is the exponent of value in a queue's weight: with 0 values don't count, with 1 they count fully.
+	// valueExponent is the exponent of a handler's value in the weight of its queue: 0 ignores the value, 1 makes the
+	// weight proportional to it.
 	valueExponent = 0.5
-	// minRunShare is the part of the expected time that a run takes at least.
+	// minRunShare is the share of its expected time that a run takes at least.
 	minRunShare = 0.9
 )
 
-// handlerQueue holds the queued requests of one handler, oldest first. Queues take turns in proportion to their
-// weights (stride scheduling): the one with the least pass is next.
+// handlerQueue contains the queued requests of one handler, oldest first. The queues are served by stride scheduling
+// in proportion to their weights: the one with the lowest pass is next.
 type handlerQueue struct {
-	requests []*request // those that aren't queued any more are removed when they come to the front
+	requests []*request // requests that have left the queue are removed when they reach the front
 	pass     float64
 }
 
-// push appends a request. A queue that was empty doesn't catch up with turns that it had no use for.
-func (q *handlerQueue) push(r *request, turn float64) {
+// push appends a request. A queue that was empty starts at the pass of the queue that was served last, so it does not
+// catch up on turns that it missed while it was empty.
+func (q *handlerQueue) push(r *request, lastPass float64) {
 	if r.handler.queued == 1 {
-		q.pass = math.Max(q.pass, turn)
+		q.pass = math.Max(q.pass, lastPass)
 	}
 	q.requests = append(q.requests, r)
 }
 
-// front returns the oldest request that still waits, nil if there is none.
+// front returns the oldest request that is still queued, nil if there is none.
 func (q *handlerQueue) front() *request {
 	for len(q.requests) > 0 {
-		if r := q.requests[0]; r.wanted == stateQueued && r.needsAnswer() {
+		if r := q.requests[0]; r.wantedState == stateQueued && r.needsAnswer() {
 			return r
 		}
 		q.requests = q.requests[1:]
@@ -38,59 +40,60 @@
 	return nil
 }
 
-// weight returns a queue's share of the turns: as much as is asked of the handler, tilted towards what is worth more.
+// weight returns the relative share of the turns that a queue receives: the handler's recent arrivals, scaled by its
+// value.
 func (h *handler) weight(now time.Duration) float64 {
 	_, count := h.arrivals.sum(now)
 	return (count + 1) * math.Pow(h.value, valueExponent)
 }
 
-// expectedWait returns how many seconds a newcomer to a handler's queue is expected to be queued.
+// expectedWait returns how many seconds a new request of a handler is expected to be queued.
 func (c *Controller) expectedWait(now time.Duration, h *handler) float64 {
-	if h.queued == 0 || float64(c.requests.queued()) <= c.concurrency.limit-c.gauges.onCores(c.requests.running()) {
+	if h.queued == 0 || float64(c.requests.queued()) <= c.concurrency.limit-c.gauges.coreDemand(c.requests.running()) {
 		return 0
 	}
 	work := 0.0
 	for _, other := range c.handlers {
 		if other.queued > 0 {
-			work += other.weight(now) * other.runTime(now)
+			work += other.weight(now) * other.recentRunTime(now)
 		}
 	}
 	return float64(h.queued) * work / (math.Max(c.concurrency.limit, float64(c.requests.running())) * h.weight(now))
 }
 
-// startQueued starts queued requests while the limits on concurrency and memory allow.
+// startQueued starts queued requests while the concurrency and memory limits allow.
 func (c *Controller) startQueued(now time.Duration) {
-	collapse := c.concurrency.collapse(now)
-	for c.requests.queued() > 0 && !c.stall.stalled && !c.atCapacity(collapse) {
+	collapseLimit := c.concurrency.collapseLimit(now)
+	for c.requests.queued() > 0 && !c.stall.stalled && !c.atCapacity(collapseLimit) {
 		h := c.nextHandler()
 		if h == nil {
 			return
 		}
 		r := h.queue.front()
-		tooLarge := c.memory.overflows(r.sizeKB * (c.memory.runFactor - 1))
+		tooLarge := c.memory.wouldExceed(r.sizeKB * (c.memory.runFactor - 1))
 		if tooLarge && c.requests.inProgress() > 0 {
-			return // what runs will free some memory
+			return // the end of a running request will free memory
 		}
-		if tooLarge || c.hopeless(now, r) {
+		if tooLarge || c.cannotMeetTarget(now, r) {
 			c.reject(r, minRetryAfter)
 			continue
 		}
-		c.turn = h.queue.pass
+		c.lastPass = h.queue.pass
 		h.queue.pass += 1 / h.weight(now)
-		c.gauges.startedSince++
+		c.gauges.startedSinceRead++
 		c.rejections.recordStart()
 		c.start(now, r)
 	}
 }
 
-// atCapacity reports whether no more requests may be started.
-func (c *Controller) atCapacity(collapse float64) bool {
-	return c.gauges.onCores(c.requests.running())+1 > c.concurrency.limit ||
-		float64(c.requests.inProgress()) >= collapse ||
-		c.gauges.runnable >= collapse
+// atCapacity reports whether the concurrency or collapse limit forbids starting another request.
+func (c *Controller) atCapacity(collapseLimit float64) bool {
+	return c.gauges.coreDemand(c.requests.running())+1 > c.concurrency.limit ||
+		float64(c.requests.inProgress()) >= collapseLimit ||
+		c.gauges.runnable >= collapseLimit
 }
 
-// nextHandler returns the handler whose turn it is, nil if no request waits.
+// nextHandler returns the handler whose queue is served next, nil if all queues are empty.
 func (c *Controller) nextHandler() *handler {
 	var next *handler
 	for _, h := range c.handlers {
@@ -101,7 +104,8 @@
 	return next
 }
 
-// hopeless reports whether even a short run would end after the target. A late answer is worth little.
-func (c *Controller) hopeless(now time.Duration, r *request) bool {
+// cannotMeetTarget reports whether even a short run that starts now would end after the response target. A late
+// answer has little value.
+func (c *Controller) cannotMeetTarget(now time.Duration, r *request) bool {
 	return now+fromSeconds(minRunShare*r.handler.expectedTime(now, r.costScale)) > r.target
 }
--- a/overload/random.go
+++ b/overload/random.go
@@ -1,6 +1,6 @@
 package overload
 
-// randomSource is a multiply-with-carry generator (Marsaglia). The same seed gives the same decisions on every
+// randomSource is a multiply-with-carry generator (Marsaglia). The same seed yields the same decisions on every
 // platform.
 type randomSource struct {
 	state uint32
@@ -9,7 +9,7 @@
 
 const (
 	mwcMultiplier = 4294957665
-	mwcMaxCarry   = mwcMultiplier - 1 // carries stay below the multiplier
+	mwcMaxCarry   = mwcMultiplier - 1 // the carry stays below the multiplier
 )
 
 func newRandomSource(seed uint64) randomSource {
@@ -19,7 +19,7 @@
 	}
 }
 
-// float64 returns a number from 0 up to but not including 1.
+// float64 returns a pseudo-random number in [0, 1).
 func (r *randomSource) float64() float64 {
 	t := uint64(r.state)*mwcMultiplier + uint64(r.carry)
 	r.state = uint32(t)
--- a/overload/rejection.go
+++ b/overload/rejection.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Rejections.
+// Constants of rejections.
 const (
-	minRetryAfter        = 100 * time.Millisecond // less is no advice
-	defaultMaxRetryAfter = time.Second            // where the settings have none
-	openLoad             = 0.97                   // wanted load under which a retry elsewhere likely only costs a read
-	rejectionSmoothing   = 0.02                   // weight of one request in the share rejected: some fifty count
+	minRetryAfter        = 100 * time.Millisecond // shortest advice
+	defaultMaxRetryAfter = time.Second            // longest advice if the settings have none
+	noRetryLoadThreshold = 0.97                   // wanted load below which a retry elsewhere probably costs only a read
+	rejectionSmoothing   = 0.02                   // weight of one request in the rejected share, which covers about fifty requests
 )
 
-// retryAdvice says when rejected clients should come back.
+// retryAdvice computes the delays after which rejected clients should retry.
 type retryAdvice struct {
 	enabled  bool
 	maxDelay time.Duration
@@ -25,7 +25,8 @@
 	}
 }
 
-// delay returns the time that a client should stay away, spread so that clients don't come back together.
+// delay returns the delay that a client is advised to wait, or 0 if advice is disabled. It spreads the delays
+// randomly so that clients don't retry at the same time.
 func (a *retryAdvice) delay(wanted time.Duration) time.Duration {
 	if !a.enabled {
 		return 0
@@ -34,21 +35,21 @@
 	return min(max(spread, minRetryAfter), a.maxDelay)
 }
 
-// rejectionRate follows which share of the requests is rejected.
+// rejectionRate tracks the share of requests that are rejected.
 type rejectionRate struct{ share float64 }
 
 func (r *rejectionRate) recordStart()     { r.share -= rejectionSmoothing * r.share }
 func (r *rejectionRate) recordRejection() { r.share += rejectionSmoothing * (1 - r.share) }
 
-// reject sheds a request that never ran, and tells the client when to come back. While the wanted load is down a
-// retry elsewhere likely costs a read for nothing. That guards against retry storms, at the cost of retries that
-// would have succeeded where only this server is slow.
+// reject sheds a request that never ran, and advises the client when to retry. While the wanted load is reduced, a
+// retry on another server probably only costs that server a read, so the advice is not to try one. This prevents
+// retry storms; the drawback is that retries are lost that would have succeeded where only this server is slow.
 func (c *Controller) reject(r *request, retryAfter time.Duration) {
 	r.retryAfter = c.retryAdvice.delay(retryAfter)
 	c.rejections.recordRejection()
-	r.noRetry = c.healthy() && c.signal.wantedLoad < openLoad
+	r.noRetry = c.healthy() && c.signal.wantedLoad < noRetryLoadThreshold
 	c.abandon(r)
 }
 
-// healthy reports whether the server wants newcomers at all.
-func (c *Controller) healthy() bool { return !c.drain.unwelcome && !c.stall.stalled }
+// healthy reports whether the server should receive new requests.
+func (c *Controller) healthy() bool { return !c.drain.notReady && !c.stall.stalled }
--- a/overload/repeats.go
+++ b/overload/repeats.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// neverRanRetention is how long it is known of an original that it never ran: longer than any batch.
+// neverRanRetention is how long it remains on record that an original never ran. It is longer than any batch.
 const neverRanRetention = 2 * time.Second
 
-// repeatTable is the controller's side of the idempotency table, which the adapter keeps as it is told by Remember and
-// Forget. A deduplicated request is remembered from its arrival until its window has passed. Reads whose results
-// may be shared are remembered the same way, while memory allows.
+// repeatTable is the controller's view of the idempotency table, which the adapter maintains according to StoreEntry
+// and RemoveEntry actions. A deduplicated request has an entry from its arrival until its window has passed. A read
+// whose result may be shared has one too, as long as memory allows.
 type repeatTable struct {
-	reuseFor   time.Duration            // after its end that the result of a read may be shared; 0 forbids it
-	remembered []*request               // those with an entry
-	neverRan   map[uint64]time.Duration // when originals ended without a run: repeats of these must run themselves
+	reuseFor  time.Duration            // how long after its end the result of a read may be shared; 0 forbids it
+	withEntry []*request               // requests with an entry
+	neverRan  map[uint64]time.Duration // when originals ended without a run, by ID: their repeats must run themselves
 }
 
 func newRepeatTable(reuseFor time.Duration) repeatTable {
 	return repeatTable{reuseFor: reuseFor, neverRan: map[uint64]time.Duration{}}
 }
 
-// tryCoalesce has a repeat wait for its original where that is possible, and reports whether it is.
+// tryCoalesce makes a repeat wait for its original if possible, and reports whether it did.
 func (c *Controller) tryCoalesce(now time.Duration, r *request, originalID uint64) bool {
 	if originalID == 0 || r.handler.idempotency == NonReplayable {
 		return false
@@ -33,26 +33,26 @@
 	if r.original != nil {
 		r.original.pendingRepeats++
 	}
-	r.wasRun = r.original == nil // its original may have run, so repeats of this one must not
+	r.mayHaveRun = r.original == nil // an unknown original may have run, so repeats of this request must not
 	c.coalesce(now, r)
 	return true
 }
 
-// rememberArrival asks for an entry for an admitted request, if its repeats can be answered from it.
-func (c *Controller) rememberArrival(r *request, e *Event) {
+// requestEntry requests an idempotency entry for an admitted request if its repeats can be answered from it.
+func (c *Controller) requestEntry(r *request, e *Event) {
 	h := r.handler
 	switch {
 	case h.idempotency == Deduplicated:
-		r.rememberUntil = r.arrivedAt + h.window + c.batchInterval + time.Millisecond
+		r.entryWantedUntil = r.arrivedAt + h.window + c.batchInterval + time.Millisecond
 	case c.mayShareResult(r, e):
-		r.rememberUntil = r.deadline + c.repeats.reuseFor
+		r.entryWantedUntil = r.deadline + c.repeats.reuseFor
 	default:
 		return
 	}
 	c.requests.markDirty(r)
 }
 
-// mayShareResult reports whether others may be answered with the result of a request.
+// mayShareResult reports whether other requests may be answered with the result of this one.
 func (c *Controller) mayShareResult(r *request, e *Event) bool {
 	return c.repeats.reuseFor > 0 &&
 		e.Resource != "" &&
@@ -61,65 +61,66 @@
 		c.memory.underThreshold(c.memory.keySizeKB)
 }
 
-// releaseOriginal follows the end of a repeat. The entry of an original that never ran goes with its last repeat.
+// releaseOriginal detaches a repeat that has ended from its original. The entry of an original that never ran is
+// removed with its last repeat.
 func (c *Controller) releaseOriginal(r *request) {
 	original := r.original
 	if original == nil {
 		return
 	}
 	original.pendingRepeats--
-	if original.state == stateEnded && !original.wasRun && original.pendingRepeats == 0 {
-		c.forget(original)
+	if original.state == stateEnded && !original.mayHaveRun && original.pendingRepeats == 0 {
+		c.dropEntry(original)
 	}
 }
 
-// noteNeverRan follows the end of a deduplicated request. If nothing of it ran a repeat has to run itself.
-func (c *Controller) noteNeverRan(now time.Duration, r *request) {
-	if r.handler.idempotency != Deduplicated || r.wasRun || r.original != nil {
+// recordNeverRan records that a deduplicated request ended without a run, so that a repeat runs itself.
+func (c *Controller) recordNeverRan(now time.Duration, r *request) {
+	if r.handler.idempotency != Deduplicated || r.mayHaveRun || r.original != nil {
 		return
 	}
 	c.repeats.neverRan[r.id] = now
 	if r.pendingRepeats == 0 {
-		c.forget(r)
+		c.dropEntry(r)
 	}
 }
 
-// forget asks for the end of a request's entry.
-func (c *Controller) forget(r *request) {
-	r.rememberUntil = 0
+// dropEntry requests the removal of a request's entry.
+func (c *Controller) dropEntry(r *request) {
+	r.entryWantedUntil = 0
 	c.requests.markDirty(r)
 }
 
-// expireRepeats removes entries whose time has come, once a tick.
-func (c *Controller) expireRepeats(now time.Duration) {
-	c.repeats.remembered = slices.DeleteFunc(c.repeats.remembered, func(r *request) bool {
-		if r.rememberedTo > 0 && r.rememberedTo <= now {
+// expireEntries removes expired entries, once per tick.
+func (c *Controller) expireEntries(now time.Duration) {
+	c.repeats.withEntry = slices.DeleteFunc(c.repeats.withEntry, func(r *request) bool {
+		if r.entryExpiresAt > 0 && r.entryExpiresAt <= now {
 			c.memory.usedKB -= c.memory.keySizeKB
-			r.rememberedTo = 0
-			r.rememberUntil = 0
+			r.entryExpiresAt = 0
+			r.entryWantedUntil = 0
 		}
-		return r.rememberedTo == 0
+		return r.entryExpiresAt == 0
 	})
-	for id, at := range c.repeats.neverRan { // removals alone: the order doesn't matter
+	for id, at := range c.repeats.neverRan { // only removes elements: the order doesn't matter
 		if now-at > neverRanRetention {
 			delete(c.repeats.neverRan, id)
 		}
 	}
 }
 
-// appendRemembering appends what the adapter's table has to learn about a request.
-func (c *Controller) appendRemembering(actions []Action, now time.Duration, r *request) []Action {
+// appendEntryChange appends the action that updates a request's entry in the adapter's table.
+func (c *Controller) appendEntryChange(actions []Action, now time.Duration, r *request) []Action {
 	switch {
-	case r.rememberUntil > r.rememberedTo && r.state != stateEnded:
-		if r.rememberedTo == 0 {
+	case r.entryWantedUntil > r.entryExpiresAt && r.state != stateEnded:
+		if r.entryExpiresAt == 0 {
 			c.memory.usedKB += c.memory.keySizeKB
-			c.repeats.remembered = append(c.repeats.remembered, r)
+			c.repeats.withEntry = append(c.repeats.withEntry, r)
 		}
-		r.rememberedTo = r.rememberUntil
-		return append(actions, Action{Kind: StoreEntry, ID: r.id, Duration: r.rememberedTo - now})
-	case r.rememberUntil == 0 && r.rememberedTo > now:
+		r.entryExpiresAt = r.entryWantedUntil
+		return append(actions, Action{Kind: StoreEntry, ID: r.id, Duration: r.entryExpiresAt - now})
+	case r.entryWantedUntil == 0 && r.entryExpiresAt > now:
 		c.memory.usedKB -= c.memory.keySizeKB
-		r.rememberedTo = 0
+		r.entryExpiresAt = 0
 		return append(actions, Action{Kind: RemoveEntry, ID: r.id})
 	}
 	return actions
--- a/overload/request.go
+++ b/overload/request.go
@@ -5,115 +5,114 @@
 	"time"
 )
 
-// requestState says where a request is.
+// requestState is the state of a request in its life cycle.
 //
-// Each request has two of them: state is what events have reported, wanted what decisions have made of it since.
-// They differ within a call of Handle only, whose end turns the differences into actions. The methods of Controller
-// in this file are the transitions, and nothing else changes a state:
+// Each request has two: state is the one that events have reported, wantedState the one that later decisions have
+// set. They differ only during a call of Handle, the end of which converts the differences to actions. The methods of
+// Controller in this file are the transitions; nothing else changes a state:
 //
 //	from          to            transition   cause
 //	-             queued        enqueue      event Arrived
-//	queued        coalesced     coalesce     it repeats a remembered request; action Coalesce
+//	queued        coalesced     coalesce     repeat of a request with an idempotency entry; action Coalesce
 //	queued        running       start        action Start
 //	running       awaitingCall  awaitCall    event NeedsCall
 //	awaitingCall  calling       placeCall    action Call
 //	awaitingCall  running       skipCall     action SkipCall
 //	calling       running       finishCall   event CallEnded with OK
 //	calling       awaitingCall  failCall     event CallEnded with another outcome
-//	queued        ended         end          action Reject or Fail, event ClientGone
-//	coalesced     ended         end          action Fail, event Ended or ClientGone
-//	running       ended         end          event Ended
-//	awaitingCall  ended         end          event Ended
-//	calling       ended         end          event Ended
+//	queued        ended         endRequest   action Reject or Fail, event ClientGone
+//	coalesced     ended         endRequest   action Fail, event Ended or ClientGone
+//	running       ended         endRequest   event Ended
+//	awaitingCall  ended         endRequest   event Ended
+//	calling       ended         endRequest   event Ended
 //
-// A final answer (Reject, Fail) ends a request at once only if nothing of it runs. Otherwise it keeps its core and
-// memory until its Ended event. Cancel has no state of its own, as it may be without effect.
+// A final answer (Reject or Fail) ends a request at once only if the request has no run. Otherwise the run occupies
+// its core and memory until its Ended event. Cancel has no state of its own, because it may have no effect.
 type requestState uint8
 
 const (
 	stateQueued       requestState = iota // waits to be started
-	stateCoalesced                        // waits for the answer of its original
+	stateCoalesced                        // waits for the answer to its original
 	stateRunning                          // runs
-	stateAwaitingCall                     // runs, and waits to be allowed its call
-	stateCalling                          // runs, and its call is in flight
+	stateAwaitingCall                     // runs and waits for permission to call the dependency
+	stateCalling                          // runs and has its call in flight
 	stateEnded
 	numStates
 )
 
-// admitted reports whether a request was started, whether or not it has ended since.
+// admitted reports whether the request has been started; it is also true for every ended request.
 func (s requestState) admitted() bool { return s >= stateRunning }
 
-// request is one request from its arrival until it has ended, and longer while it is in the idempotency table or
-// has repeats.
+// request is a request from its arrival to its end, or longer while it has an idempotency entry or repeats.
 type request struct {
 	id        uint64
 	handler   *handler
-	arrivedAt time.Duration // when the server could have read it
-	readAt    time.Duration // when the controller heard of it
-	deadline  time.Duration // an answer later than this is of no use to anybody
-	target    time.Duration // an answer until this has its full value
+	arrivedAt time.Duration // when the request reached the server's input
+	readAt    time.Duration // when the controller received its Arrived event
+	deadline  time.Duration // an answer after this time is useless
+	target    time.Duration // response target; an answer by then has its full value
 	sizeKB    float64       // memory while queued
-	costScale float64       // expected work in relation to its handler's mean
-
-	state     requestState // as reported
-	wanted    requestState // as decided
-	dirty     bool         // listed in requestTable.dirty
-	wasRun    bool         // it has been started, or may have been by another request
-	startedAt time.Duration
-	cpuTime   time.Duration // estimated
-	breaches  int           // resource trackers that it breached at the last observation
-
-	answer        ActionKind // final answer given: Reject, Fail or noAnswer
-	wantedAnswer  ActionKind
-	retryAfter    time.Duration // advice of a Reject
-	noRetry       bool
-	clientGone    bool
-	abandoned     bool // what still runs of it should be stopped
-	cancelledAt   time.Duration
-	rememberUntil time.Duration // wanted end of its entry in the idempotency table, 0 for none
-	rememberedTo  time.Duration // end of the entry that there is, 0 if there is none
-
-	original       *request // the request that this one repeats, if that is known
-	pendingRepeats int      // repeats that wait for this one
-
-	callAskedAt time.Duration // when it last came to its call
-	callTimeout time.Duration
-	callTime    time.Duration // spent on its calls
-	callRetried bool
-}
-
-// needsAnswer reports whether the final answer is still to be decided.
+	costScale float64       // expected work relative to the mean of its handler
+
+	state           requestState // as reported by events
+	wantedState     requestState // as decided
+	dirty           bool         // listed in requestTable.dirty
+	mayHaveRun      bool         // started, or repeats an unknown original that may have run
+	startedAt       time.Duration
+	cpuTime         time.Duration // estimate
+	trackerBreaches int           // resource trackers breached at the last observation
+
+	answer           ActionKind // final answer sent: Reject, Fail or noAnswer
+	wantedAnswer     ActionKind
+	retryAfter       time.Duration // delay that a Reject carries
+	noRetry          bool
+	clientGone       bool
+	abandoned        bool // the rest of its run should be stopped
+	cancelledAt      time.Duration
+	entryWantedUntil time.Duration // wanted expiry of its idempotency entry, 0 for no entry
+	entryExpiresAt   time.Duration // expiry of the existing entry, 0 if there is none
+
+	original       *request // the request that this one repeats, nil if none or unknown
+	pendingRepeats int      // number of repeats that wait for this request
+
+	callRequestedAt time.Duration // start of the latest wait for a call
+	callTimeout     time.Duration
+	callTime        time.Duration // total time spent waiting for calls and making them
+	callRetried     bool
+}
+
+// needsAnswer reports whether the final answer is still undecided and a client waits for it.
 func (r *request) needsAnswer() bool {
 	return r.state != stateEnded && r.answer == noAnswer && r.wantedAnswer == noAnswer && !r.clientGone
 }
 
-// requestTable holds the requests of a server.
+// requestTable contains the requests of a server.
 type requestTable struct {
-	byID    map[uint64]*request // those that have not ended
-	ordered []*request          // the same in the order of arrival, and those that ended since the last tick
-	dirty   []*request          // those whose wanted and reported states may differ
-	count   [numStates]int      // by wanted state
+	byID         map[uint64]*request // requests that have not ended
+	byArrival    []*request          // the same in order of arrival, plus the requests that ended since the last tick
+	dirty        []*request          // requests whose wanted and reported states may differ
+	countByState [numStates]int      // number of requests by wanted state
 }
 
 func newRequestTable() requestTable {
 	return requestTable{byID: map[uint64]*request{}}
 }
 
-func (t *requestTable) queued() int  { return t.count[stateQueued] }
-func (t *requestTable) running() int { return t.count[stateRunning] }
-func (t *requestTable) calling() int { return t.count[stateCalling] }
+func (t *requestTable) queued() int  { return t.countByState[stateQueued] }
+func (t *requestTable) running() int { return t.countByState[stateRunning] }
+func (t *requestTable) calling() int { return t.countByState[stateCalling] }
 
-// inProgress returns the number of requests that were started and have not ended.
+// inProgress returns the number of requests that have been started and have not ended.
 func (t *requestTable) inProgress() int {
-	return t.count[stateRunning] + t.count[stateAwaitingCall] + t.count[stateCalling]
+	return t.countByState[stateRunning] + t.countByState[stateAwaitingCall] + t.countByState[stateCalling]
 }
 
-// removeEnded forgets the order of the requests that have ended.
+// removeEnded removes the ended requests from byArrival.
 func (t *requestTable) removeEnded() {
-	t.ordered = slices.DeleteFunc(t.ordered, func(r *request) bool { return r.state == stateEnded })
+	t.byArrival = slices.DeleteFunc(t.byArrival, func(r *request) bool { return r.state == stateEnded })
 }
 
-// markDirty has the end of Handle look at a request.
+// markDirty lists a request for reconciliation at the end of Handle.
 func (t *requestTable) markDirty(r *request) {
 	if !r.dirty {
 		r.dirty = true
@@ -121,69 +120,73 @@
 	}
 }
 
-// enqueue takes up a new request.
+// enqueue adds a new request in the queued state.
 func (c *Controller) enqueue(r *request) {
 	c.requests.byID[r.id] = r
-	c.requests.ordered = append(c.requests.ordered, r)
-	c.requests.count[stateQueued]++
+	c.requests.byArrival = append(c.requests.byArrival, r)
+	c.requests.countByState[stateQueued]++
 	r.handler.queued++
 	c.memory.usedKB += r.sizeKB
 }
 
-// coalesce has a repeat wait for the answer of its original.
-func (c *Controller) coalesce(now time.Duration, r *request) { c.decide(now, r, stateCoalesced) }
+// coalesce makes a repeat wait for the answer to its original.
+func (c *Controller) coalesce(now time.Duration, r *request) {
+	c.setWantedState(now, r, stateCoalesced)
+}
 
-// start begins the run of a queued request.
+// start starts a queued request.
 func (c *Controller) start(now time.Duration, r *request) {
-	r.wasRun = true
+	r.mayHaveRun = true
 	r.startedAt = now
-	c.decide(now, r, stateRunning)
+	c.setWantedState(now, r, stateRunning)
 }
 
-// awaitCall takes note of a running request that has come to its call.
+// awaitCall records that a running request has reached its call.
 func (c *Controller) awaitCall(now time.Duration, r *request) {
-	r.callAskedAt = now
-	c.report(now, r, stateAwaitingCall)
+	r.callRequestedAt = now
+	c.setReportedState(now, r, stateAwaitingCall)
 }
 
-// placeCall lets a request make its call.
+// placeCall permits a request to make its call with the given timeout.
 func (c *Controller) placeCall(now time.Duration, r *request, timeout time.Duration) {
 	r.callTimeout = timeout
-	c.decide(now, r, stateCalling)
+	c.setWantedState(now, r, stateCalling)
 }
 
-// skipCall has a request go on without its call.
+// skipCall makes a request continue without its call.
 func (c *Controller) skipCall(now time.Duration, r *request) {
-	r.callTime += now - r.callAskedAt
-	c.decide(now, r, stateRunning)
+	r.callTime += now - r.callRequestedAt
+	c.setWantedState(now, r, stateRunning)
 }
 
-// finishCall takes note of a call that was answered.
+// finishCall records that a call was answered.
 func (c *Controller) finishCall(now time.Duration, r *request) {
-	r.callTime += now - r.callAskedAt
-	c.report(now, r, stateRunning)
+	r.callTime += now - r.callRequestedAt
+	c.setReportedState(now, r, stateRunning)
 }
 
-// failCall takes note of a call that came to nothing.
-func (c *Controller) failCall(now time.Duration, r *request) { c.report(now, r, stateAwaitingCall) }
+// failCall records that a call ended with an outcome other than OK.
+func (c *Controller) failCall(now time.Duration, r *request) {
+	c.setReportedState(now, r, stateAwaitingCall)
+}
 
-// end takes a request out of the table, and lets its idempotency entry go if that is of no use any more.
-func (c *Controller) end(now time.Duration, r *request) {
-	c.report(now, r, stateEnded)
+// endRequest removes a request from the table, and drops idempotency entries that have become useless.
+func (c *Controller) endRequest(now time.Duration, r *request) {
+	c.setReportedState(now, r, stateEnded)
 	delete(c.requests.byID, r.id)
 	c.releaseOriginal(r)
-	c.noteNeverRan(now, r)
+	c.recordNeverRan(now, r)
 }
 
-// report takes over a state that was reported. It is the wanted one too: whatever was decided before is overtaken.
-func (c *Controller) report(now time.Duration, r *request, to requestState) {
-	c.decide(now, r, to)
+// setReportedState sets the reported state and the wanted one, since a report supersedes earlier decisions.
+func (c *Controller) setReportedState(now time.Duration, r *request, to requestState) {
+	c.setWantedState(now, r, to)
 	r.state = to
 }
 
-// decide changes the wanted state, and all that is counted by it.
-func (c *Controller) decide(now time.Duration, r *request, to requestState) {
-	from := r.wanted
+// setWantedState sets the wanted state, and updates the counts and the memory that depend on it.
+func (c *Controller) setWantedState(now time.Duration, r *request, to requestState) {
+	from := r.wantedState
 	if from == to {
 		return
 	}
@@ -191,14 +194,14 @@
 		c.calls.accrue(now, c.requests.calling())
 	}
 	if from == stateCalling && to != stateRunning {
-		c.calls.giveUp(now)
+		c.calls.recordAbandonedCall(now)
 	}
 	if from == stateQueued {
 		r.handler.queued--
 	}
-	c.memory.usedKB += c.memory.of(r, to) - c.memory.of(r, from)
-	c.requests.count[from]--
-	c.requests.count[to]++
-	r.wanted = to
+	c.memory.usedKB += c.memory.usageOf(r, to) - c.memory.usageOf(r, from)
+	c.requests.countByState[from]--
+	c.requests.countByState[to]++
+	r.wantedState = to
 	c.requests.markDirty(r)
 }
--- a/overload/settings_test.go
+++ b/overload/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// standardSettings have three handlers, one of each kind; a test's own settings go over them.
+// standardSettings returns settings with three handlers, one of each kind. Tests override individual settings.
 func standardSettings() Settings {
 	handler := func(idempotency Idempotency) Handler {
 		return Handler{
@@ -39,7 +39,7 @@
 	}
 }
 
-// settingFields gives the settings that traces change by the names of their fields.
+// settingFields returns pointers to the settings that traces may change, by field name.
 func settingFields(s *Settings) map[string]any {
 	return map[string]any{
 		"Tier":                    &s.Tier,
@@ -67,7 +67,7 @@
 	}
 }
 
-// changeSetting makes one change, as a trace's set line has it. The value "none" stands for a setting that is missing.
+// changeSetting applies a set line of a trace. The value "none" removes a setting.
 func changeSetting(t *testing.T, s *Settings, name, value string) {
 	t.Helper()
 	missing := value == "none"
@@ -91,8 +91,8 @@
 			*field = Some(parseDuration(t, value))
 		}
 	case *bool:
-		truth, err := strconv.ParseBool(value)
-		*field = truth
+		parsed, err := strconv.ParseBool(value)
+		*field = parsed
 		ok = err == nil
 	case *Cancellation:
 		*field, ok = valueByName(value, CancelOff, CancelPause)
@@ -110,11 +110,11 @@
 		t.Fatal("unknown setting", name)
 	}
 	if !ok {
-		t.Fatal("not a value of", name, value)
+		t.Fatal("invalid value of setting", name, value)
 	}
 }
 
-// TestNames: each value of an enum has a name of its own, and one that isn't a value has none.
+// TestNames checks that each enumeration value has a unique name and that other values are invalid.
 func TestNames(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -133,16 +133,16 @@
 			seen := map[string]bool{}
 			for value, name := range test.names {
 				if name == "" || seen[name] {
-					t.Errorf("value %d is called %q", value, name)
+					t.Errorf("value %d has the empty or duplicate name %q", value, name)
 				}
 				seen[name] = true
 			}
 		})
 	}
 	if name := ActionKind(0).String(); name != "invalid" {
-		t.Errorf("no action is called %q", name)
+		t.Errorf("the zero ActionKind has the name %q", name)
 	}
 	if name := Gauge(200).String(); name != "invalid" {
-		t.Errorf("an unknown gauge is called %q", name)
+		t.Errorf("an undefined Gauge has the name %q", name)
 	}
 }
--- a/overload/signal.go
+++ b/overload/signal.go
@@ -5,63 +5,65 @@
 	"time"
 )
 
-// The load signal.
+// Constants of the load signal.
 const (
-	signalPace     = 0.2  // relative change of the wanted load a tick for a unit of pressure
-	signalMaxDown  = 0.93 // least factor a tick: halved in a second, as long as it lasts
-	signalMaxUp    = 1.05 // greatest factor a tick: slower up than down
-	minWantedLoad  = 0.05 // some requests must come, or the recovery isn't seen
-	signalStep     = 0.05 // relative change under which the signal stays as it is
-	targetPressure = 0.45 // share of the time for waiting that may be used before the load is too much
-	delaySmoothing = 0.1  // weight of one arrival in the time unread: some ten count
-	minWaitRoom    = 0.01 // seconds; the least time for waiting that pressure is measured against
+	signalGain      = 0.2  // relative change of the wanted load per tick and unit of excess pressure
+	minSignalFactor = 0.93 // lower limit of the change per tick: sustained pressure halves the load in a second
+	maxSignalFactor = 1.05 // upper limit of the change per tick: the load rises more slowly than it falls
+	minWantedLoad   = 0.05 // some requests must arrive, or a recovery can't be detected
+	minSignalChange = 0.05 // relative change below which the signal is not updated
+	targetPressure  = 0.45 // pressure above which the wanted load falls
+	delaySmoothing  = 0.1  // weight of one arrival in the queue delay, which therefore covers about ten arrivals
+	minWaitSlack    = 0.01 // seconds; lower limit of the waiting time that pressure is relative to
 )
 
-// loadSignal holds how much load the server wants.
+// loadSignal computes how much load the server wants.
 type loadSignal struct {
 	meaning    SignalMeaning
 	wantedLoad float64 // share of the usual load
-	unread     float64 // recent time that requests lay unread, in seconds
-	sent       float64 // value last sent
+	queueDelay float64 // moving mean of the time that requests were in the input unread, in seconds
+	lastSent   float64 // value of the last Signal action
 }
 
 func newLoadSignal(meaning SignalMeaning) loadSignal {
 	return loadSignal{meaning: meaning, wantedLoad: 1}
 }
 
-// recordArrival takes into account how long a request lay unread.
+// recordArrival updates the mean queue delay with that of a new request.
 func (s *loadSignal) recordArrival(delay time.Duration) {
-	s.unread += delaySmoothing * (delay.Seconds() - s.unread)
+	s.queueDelay += delaySmoothing * (delay.Seconds() - s.queueDelay)
 }
 
-// adapt moves the wanted load, once a tick, by the pressure: how much of the time for waiting is used. It moves
-// slowly: clients that leave at once come back at once. A server that warms up wants no more than its capacity.
+// adapt updates the wanted load, once per tick, from the pressure, which is the share of the available waiting time
+// in use. The load changes slowly because clients that leave at once also return at once. The wanted load of a server
+// that is warming up does not exceed its capacity.
 func (s *loadSignal) adapt(pressure, capacity float64) {
-	s.unread *= arrivalFade
-	s.wantedLoad *= math.Max(signalMaxDown, math.Min(signalMaxUp, 1+signalPace*(targetPressure-pressure)))
+	s.queueDelay *= arrivalDecay
+	s.wantedLoad *= math.Max(minSignalFactor, math.Min(maxSignalFactor, 1+signalGain*(targetPressure-pressure)))
 	s.wantedLoad = math.Max(minWantedLoad, math.Min(capacity, s.wantedLoad))
 }
 
-// worthSending reports whether a value differs enough from the one last sent. The ends are always sent.
-func (s *loadSignal) worthSending(value float64) bool {
-	if s.sent == value {
+// shouldSend reports whether a value differs enough from the last one sent. The values for no load and for full load
+// are always sent.
+func (s *loadSignal) shouldSend(value float64) bool {
+	if s.lastSent == value {
 		return false
 	}
-	return value == 0 || math.Abs(value-s.sent) > signalStep*s.sent || s.wantedLoad == 1
+	return value == 0 || math.Abs(value-s.lastSent) > minSignalChange*s.lastSent || s.wantedLoad == 1
 }
 
-// pressure returns the largest share, over the handlers, of the time for waiting that is used by waiting.
+// pressure returns the share of the available waiting time that waiting takes up, as the maximum over the handlers.
 func (c *Controller) pressure(now time.Duration) float64 {
 	pressure := 0.0
 	for _, h := range c.handlers {
-		room := finishShare*h.responseTarget.Seconds() - h.expectedTime(now, 1)
-		pressure = math.Max(pressure, (c.expectedWait(now, h)+c.signal.unread)/math.Max(minWaitRoom, room))
+		slack := finishShare*h.responseTarget.Seconds() - h.expectedTime(now, 1)
+		pressure = math.Max(pressure, (c.expectedWait(now, h)+c.signal.queueDelay)/math.Max(minWaitSlack, slack))
 	}
 	return pressure
 }
 
-// wantedSignal returns the value that should ride on answers, in the meaning that the settings give it.
-func (c *Controller) wantedSignal() float64 {
+// signalValue returns the load signal for responses, in the meaning that the settings define.
+func (c *Controller) signalValue() float64 {
 	load := c.signal.wantedLoad
 	if !c.healthy() {
 		load = 0
@@ -70,9 +72,10 @@
 	case SignalFloor:
 		return 1 - load
 	case SignalAllowance:
-		// This server's room over the edge nodes. Split evenly it starves the busiest while cores are free, and no
-		// work is queued that would show it. Edge nodes that all turn busy at once find too much room.
-		return load * math.Max(1, c.concurrency.signalRoom()/math.Max(1, c.edgeNodes.equivalent))
+		// Divides this server's capacity by the effective number of edge nodes. An even split would starve the
+		// busiest edge node while cores are idle, and no queue would reveal it. The drawback is that the allowances
+		// are too high if all edge nodes become busy at once.
+		return load * math.Max(1, c.concurrency.advertisedCapacity()/math.Max(1, c.edgeNodes.effective))
 	}
 	return load
 }
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -10,20 +10,21 @@
 	"frosthub/internal/golden"
 )
 
-// TestTraces plays the events of each trace file and compares the actions with those that stand there. A line that
-// begins with "set" changes a setting, one that begins with a time is an event, and the indented lines under it are
-// the actions; # starts a comment, and an empty line ends a batch.
+// TestTraces plays the events of each trace file and compares the resulting actions with those in the file. A line
+// that begins with "set" changes a setting, a line that begins with a time is an event, and the indented lines below
+// it are the actions. # starts a comment, and an empty line ends a batch.
 func TestTraces(t *testing.T) { golden.Files(t, 1, playTrace) }
 
-// burst is the number of events in a batch from which actions of the same kind are printed as a count.
-const burst = 20
+// maxUnsummarizedBatch is the largest number of events in a batch for which each action is printed. In larger
+// batches, consecutive actions of the same kind are printed as a count.
+const maxUnsummarizedBatch = 20
 
 func playTrace(t *testing.T, text string) string {
 	t.Helper()
 	p := &tracePlayer{settings: standardSettings()}
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		if strings.HasPrefix(line, " ") {
-			continue // an action: it is made anew
+			continue // an action of the recorded trace
 		}
 		code, _, _ := strings.Cut(line, "#")
 		words := strings.Fields(code)
@@ -70,31 +71,31 @@
 	}
 }
 
-// flush hands the batch to the controller and prints its actions.
+// flush passes the batch to the controller and prints the resulting actions.
 func (p *tracePlayer) flush() {
 	if len(p.batch) == 0 {
 		return
 	}
-	alike := 0
+	suppressed := 0
 	last := ActionKind(0)
 	for _, action := range append(p.controller.Handle(p.now, p.batch), Action{Kind: SetTimer}) {
-		if action.Kind == last && len(p.batch) > burst {
-			alike++
+		if action.Kind == last && len(p.batch) > maxUnsummarizedBatch {
+			suppressed++
 			continue
 		}
-		if alike > 0 {
-			fmt.Fprintf(&p.out, "    and %d more alike\n", alike)
+		if suppressed > 0 {
+			fmt.Fprintf(&p.out, "    and %d more alike\n", suppressed)
 		}
-		if action.Kind != SetTimer { // there is one each 25 ms
+		if action.Kind != SetTimer { // occurs every 25 ms
 			fmt.Fprintf(&p.out, "    %s\n", formatAction(action))
 		}
-		alike = 0
+		suppressed = 0
 		last = action.Kind
 	}
 	p.batch = nil
 }
 
-// parseEvent reads an event without its time, and how many of it come, with one ID after the other.
+// parseEvent parses an event without its time. times is the number of copies to play, with consecutive IDs.
 func parseEvent(t *testing.T, words []string) (event Event, times int) {
 	t.Helper()
 	kind, ok := valueByName(words[0], Arrived, Drain)
@@ -177,7 +178,7 @@
 	return fmt.Sprintf("%v %d", a.Kind, a.ID)
 }
 
-// valueByName finds the value of an enum between first and last by its name.
+// valueByName returns the enumeration value between first and last that has the given name.
 func valueByName[E interface {
 	~uint8
 	fmt.Stringer
--- a/overload/window.go
+++ b/overload/window.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	windowBuckets = 10                     // of a sliding window, which is 5 s long
-	bucketWidth   = 500 * time.Millisecond // of one of them
-	minSamples    = 4                      // in the window before its mean is believed
+	windowBuckets = 10                     // buckets of a sliding window, which is 5 s long
+	bucketWidth   = 500 * time.Millisecond // duration of a bucket
+	minSamples    = 4                      // values that a window must contain before its mean is used
 )
 
-// slidingWindow sums up values of the last five seconds, in buckets of time.
+// slidingWindow sums values over the last five seconds, in buckets of fixed duration.
 type slidingWindow struct {
-	bucket [windowBuckets]int64 // number of the bucket that an entry holds, counted from 1
-	sums   [windowBuckets]float64
-	counts [windowBuckets]float64
+	bucketNumbers [windowBuckets]int64 // number of the bucket that an element holds, counted from 1
+	sums          [windowBuckets]float64
+	counts        [windowBuckets]float64
 }
 
 // bucketAt returns the number of the bucket that a time belongs to.
@@ -24,8 +24,8 @@
 func (w *slidingWindow) add(now time.Duration, value float64) {
 	number := bucketAt(now)
 	k := number % windowBuckets
-	if w.bucket[k] != number {
-		w.bucket[k] = number
+	if w.bucketNumbers[k] != number {
+		w.bucketNumbers[k] = number
 		w.sums[k] = 0
 		w.counts[k] = 0
 	}
@@ -33,11 +33,11 @@
 	w.counts[k]++
 }
 
-// sum returns the sum and the number of the values.
+// sum returns the sum and the number of the values in the window.
 func (w *slidingWindow) sum(now time.Duration) (sum, count float64) {
 	oldest := bucketAt(now) - windowBuckets
-	for k := range w.bucket {
-		if w.bucket[k] > oldest {
+	for k := range w.bucketNumbers {
+		if w.bucketNumbers[k] > oldest {
 			sum += w.sums[k]
 			count += w.counts[k]
 		}
@@ -45,11 +45,11 @@
 	return sum, count
 }
 
-// mean returns the mean and the number of the values. Without values the mean is 0.
+// mean returns the mean and the number of the values in the window. The mean of an empty window is 0.
 func (w *slidingWindow) mean(now time.Duration) (mean, count float64) {
 	sum, count := w.sum(now)
 	return sum / math.Max(1, count), count
 }
 
-// fromSeconds returns a number of seconds as a duration.
+// fromSeconds converts a number of seconds to a duration.
 func fromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
