--- a/overload/connections.go
+++ b/overload/connections.go
@@ -4,9 +4,9 @@
 
 const (
 	crowdedConnectionsPerCore = 16.0                   // above this number, idle connections cost noticeable CPU time
-	infrequentInterval        = 5 * time.Second        // an edge node that sends less often than this may as well reconnect
+	infrequentInterval        = 5 * time.Second        // an edge node that sends less often may as well reconnect
 	shortIdleTimeout          = 200 * time.Millisecond // long enough for retries and bursts to reuse the connection
-	floodRejectedShare        = 0.8                    // rejected share above which new connections cost more than served requests
+	floodRejectedShare        = 0.8                    // from this share on, new connections cost more than served requests
 	normalRejectedShare       = 0.5                    // rejected share below which such a flood is over
 )
 
--- a/overload/rejection.go
+++ b/overload/rejection.go
@@ -7,7 +7,7 @@
 	minRetryAfter        = 100 * time.Millisecond // shortest advice
 	defaultMaxRetryAfter = time.Second            // longest advice if the settings have none
 	noRetryLoadThreshold = 0.97                   // wanted load below which a retry elsewhere probably costs only a read
-	rejectionSmoothing   = 0.02                   // weight of one request in the rejected share, which covers about fifty requests
+	rejectionSmoothing   = 0.02                   // weight of one request in the rejected share, which covers about fifty
 )
 
 // retryAdvice computes the delays after which rejected clients should retry.
--- a/overload/request.go
+++ b/overload/request.go
@@ -34,7 +34,7 @@
 	stateQueued       requestState = iota // waits to be started
 	stateCoalesced                        // waits for the answer to its original
 	stateRunning                          // runs
-	stateAwaitingCall                     // runs and waits for permission to call the dependency
+	stateAwaitingCall                     // runs and waits until it may call the dependency
 	stateCalling                          // runs and has its call in flight
 	stateEnded
 	numStates
