--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -8,33 +8,34 @@
 
 const ms = time.Millisecond
 
-// TestServing checks that a process that was not notified never ends, and that the first termination notice alone counts.
+// TestServing checks that a process without a termination notice never ends, and that only the first notice has an
+// effect.
 func TestServing(t *testing.T) {
 	var p Process
 	if p.Advance(time.Hour, PendingWork{}) || p.CheckStart(time.Hour) != Allowed || p.CheckAccept() != Allowed {
-		t.Error("a process that serves ends, or accepts nothing")
+		t.Error("a serving process advances, or accepts or starts no requests")
 	}
 	if !p.BeginDrain(1000*ms, 400*ms, 2000*ms) || p.BeginDrain(1500*ms, 400*ms, 9000*ms) || p.KillTime() != 3000*ms {
-		t.Error("the first notice counts, and no other: kill at", p.KillTime())
+		t.Error("not only the first notice has an effect: kill time", p.KillTime())
 	}
 }
 
-// TestPhases checks the phases in their order, by the time of the kill alone while work is pending.
+// TestPhases checks the order of the phases, which depend only on the time until the kill while work is pending.
 func TestPhases(t *testing.T) {
 	var p Process
 	p.BeginDrain(1000*ms, 400*ms, 2000*ms)
-	p.BeginDrain(1500*ms, 400*ms, 9000*ms) // changes nothing
+	p.BeginDrain(1500*ms, 400*ms, 9000*ms) // has no effect
 	pending := PendingWork{Unanswered: 1}
 	for _, test := range []struct {
 		now     time.Duration
 		pending PendingWork
 		phase   Phase
-		start   Decision // of a request that is read now
+		start   Decision // for a request that is read now
 		accept  Decision
 	}{
 		{1000 * ms, pending, Draining, Allowed, Allowed},
 		{1400 * ms, pending, Draining, Allowed, Allowed},
-		{1401 * ms, PendingWork{}, Draining, AfterGracePeriod, Allowed}, // nothing is pending, and it still listens
+		{1401 * ms, PendingWork{}, Draining, AfterGracePeriod, Allowed}, // nothing is pending, but the process still listens
 		{2699 * ms, pending, Draining, AfterGracePeriod, Allowed},
 		{2700 * ms, pending, Closing, AfterGracePeriod, ProcessExiting},
 		{2899 * ms, pending, Closing, AfterGracePeriod, ProcessExiting},
@@ -46,15 +47,15 @@
 			for p.Advance(test.now, test.pending) {
 			}
 			if p.Phase() != test.phase || p.CheckStart(test.now) != test.start || p.CheckAccept() != test.accept {
-				t.Errorf("%v, start %v, accept %v", p.Phase(), p.CheckStart(test.now), p.CheckAccept())
+				t.Errorf("phase %v, start %v, accept %v", p.Phase(), p.CheckStart(test.now), p.CheckAccept())
 			}
 		})
 	}
 }
 
-// TestExit checks that any kind of pending work keeps a closing process from its end, and that it ends as soon as there is
-// none.
-func TestExit(t *testing.T) {
+// TestCheckExit checks that any kind of pending work prevents a closing process from exiting, and that the process
+// ends as soon as no work is pending.
+func TestCheckExit(t *testing.T) {
 	for _, pending := range []PendingWork{
 		{Unanswered: 1},
 		{Connections: 1},
@@ -67,17 +68,17 @@
 			p.BeginDrain(0, 0, 1000*ms)
 			p.Advance(700*ms, pending)
 			if p.Advance(701*ms, pending) || p.CheckExit(701*ms, pending) != WorkPending {
-				t.Error("it ends, and work is pending")
+				t.Error("the process ends although work is pending")
 			}
 			if !p.Advance(702*ms, PendingWork{}) || p.Phase() != Ended || p.CheckExit(702*ms, PendingWork{}) != Allowed {
-				t.Error("it does not end, and nothing is pending")
+				t.Error("the process does not end although no work is pending")
 			}
 		})
 	}
 }
 
-// TestKillAfter checks that the delay is the least of what is configured and what the platform's rules allow.
-func TestKillAfter(t *testing.T) {
+// TestKillDelay checks that the delay is the minimum of the configured time and the platform limits.
+func TestKillDelay(t *testing.T) {
 	for _, test := range []struct{ configured, longestTimeout, want time.Duration }{
 		{3200 * ms, 2500 * ms, 3000 * ms},
 		{3100 * ms, 1200 * ms, 1900 * ms},
@@ -85,28 +86,29 @@
 		{9000 * ms, 0, 3000 * ms},
 	} {
 		if got := KillDelay(test.configured, test.longestTimeout); got != test.want {
-			t.Errorf("configured %v, longest timeout %v: %v", test.configured, test.longestTimeout, got)
+			t.Errorf("configured %v, longest timeout %v: kill delay %v", test.configured, test.longestTimeout, got)
 		}
 	}
 }
 
-// TestHeartbeat checks that what a node hears of after it was suspended counts from before that.
-func TestHeartbeat(t *testing.T) {
+// TestEventTimeBound checks that the bound for an event that is processed after a suspension precedes the suspension.
+func TestEventTimeBound(t *testing.T) {
 	var h EventTimeBound
 	for now := time.Hour; now <= time.Hour+1000*ms; now += 10 * ms {
 		h.Record(now)
 	}
-	if ago := time.Hour + 1000*ms - h.Earliest(); ago < maxUnnoticedHold || ago > 2*maxUnnoticedHold+10*ms {
-		t.Error("the earliest moment of a node that runs on is ago by", ago)
+	if ago := time.Hour + 1000*ms - h.Earliest(); ago < maxUndetectedSuspension || ago > 2*maxUndetectedSuspension+10*ms {
+		t.Error("bound of a node that was not suspended is too early or too late, ago:", ago)
 	}
 	h.Record(time.Hour + 3000*ms)
 	if h.Earliest() > time.Hour+1000*ms {
-		t.Error("a suspension is not counted:", h.Earliest()-time.Hour)
+		t.Error("bound does not precede the suspension:", h.Earliest()-time.Hour)
 	}
 }
 
-// TestEnd checks that the sending side of a connection stays open while anything that was received has no response.
-func TestEnd(t *testing.T) {
+// TestCheckCloseWrite checks that the sending side of a connection stays open while any received request has no
+// response.
+func TestCheckCloseWrite(t *testing.T) {
 	for _, test := range []struct {
 		connection Connection
 		want       Decision
@@ -127,9 +129,9 @@
 	}
 }
 
-// TestRepeat checks that a command of unknown outcome is sent again only if it does no harm, or if the first is proved to
-// have had no effect.
-func TestRepeat(t *testing.T) {
+// TestCheckRetry checks that a command with an unknown outcome is retried only if it is idempotent or the first
+// attempt is proved to have had no effect.
+func TestCheckRetry(t *testing.T) {
 	for _, test := range []struct {
 		command Command
 		want    Decision
@@ -147,9 +149,9 @@
 	}
 }
 
-// TestAnswer checks that a request is answered once, and only while its client waits.
-func TestAnswer(t *testing.T) {
+// TestCheckAnswer checks that a request is answered once, and only while its client waits.
+func TestCheckAnswer(t *testing.T) {
 	if CheckAnswer(false, true) != Allowed || CheckAnswer(true, true) != AlreadyAnswered || CheckAnswer(false, false) != ClientGone {
-		t.Error("a request is not answered once, or without a client")
+		t.Error("wrong decision on an unanswered request, a second answer or an answer without a client")
 	}
 }
--- a/lifecycle/shutdown.go
+++ b/lifecycle/shutdown.go
@@ -1,30 +1,32 @@
-// Package lifecycle decides what a node may do, and when: start a run, send a command again, answer, end a connection,
-// accept a request, exit. Each rule of the graceful shutdown is stated here once. Whoever acts on a permission asks for it
-// again at the moment of the act, and counts a violation if it is refused by then.
+// Package lifecycle contains the rules that permit or forbid a node's operations: starting a run, retrying a command,
+// answering a request, closing a connection, accepting a request and exiting. Each rule of the graceful shutdown is
+// implemented here, and only here. The code that performs an operation checks the decision again immediately before,
+// and counts a violation if the operation is no longer allowed.
 //
-// The package is plain state without I/O, clock or goroutine. Times are spans since a start of the caller's choice, by a
-// monotonic clock. Nothing in it is safe for concurrent use: a Process and a Heartbeat belong to the goroutine that owns the
-// node's state.
+// The package is plain state without I/O, clocks or goroutines. Times are durations since a fixed moment of the
+// caller's choice, by a monotonic clock. Nothing in the package is safe for concurrent use: a Process and an
+// EventTimeBound belong to the goroutine that owns the node's state.
 //
-// Two principles hold throughout. What was read gets a response, so that an end is permitted by the work that is left, never
-// by the wish to end. And a deadline counts from the earliest moment at which the event that set it can have happened, as a
-// machine may suspend any thread between the event and its handling.
+// Two principles apply throughout. First, every request that was read gets a response, so the pending work determines
+// whether a connection may be closed or the process may exit, and the intent to do so does not. Second, a deadline
+// counts from the earliest time at which the event that set it can have happened, because the machine may suspend any
+// thread between the event and its processing.
 package lifecycle
 
 import "time"
 
-// Phase is how far the shutdown of the process has come. It never goes back.
+// Phase is the progress of the graceful shutdown. It never goes back.
 //
 //	phase     next      when
-//	Serving   Draining  Notify: the termination notice was heard of
-//	Draining  Closing   Advance: ClosingBefore remains until the kill
-//	Closing   Ending    Advance: EndingBefore remains until the kill
-//	Closing   Ended     Advance: nothing is pending, or ExitBefore remains until the kill
+//	Serving   Draining  BeginDrain: the termination notice was received
+//	Draining  Closing   Advance: ClosingBeforeKill remains until the kill
+//	Closing   Ending    Advance: EndingBeforeKill remains until the kill
+//	Closing   Ended     Advance: nothing is pending, or ExitBeforeKill remains until the kill
 //	Ending    Ended     the same
 //
-// What a process does in each phase:
+// Behaviour of the process in each phase:
 //
-//	phase     starts runs                    accepts requests  half-received requests
+//	phase     starts runs                    accepts requests  partially received requests
 //	Serving   yes                            yes               are awaited
 //	Draining  read within the grace period   yes               are awaited
 //	Closing   read within the grace period   no: rejected      are awaited
@@ -35,13 +37,13 @@
 // The phases.
 const (
 	Serving  Phase = iota // normal operation
-	Draining              // the termination notice was heard of: no new runs after the grace period
-	Closing               // requests are rejected, connections are closed as soon as no response is pending on them
-	Ending                // half-received requests are rejected too
+	Draining              // the termination notice was received: no requests read after the grace period are run
+	Closing               // requests are rejected, and connections are closed once no response is pending on them
+	Ending                // partially received requests are rejected as well
 	Ended                 // the process may exit
 )
 
-// phaseNames are the words of the phases in log lines.
+// phaseNames are the names of the phases in log lines.
 var phaseNames = [...]string{
 	Serving:  "serving",
 	Draining: "draining",
@@ -50,30 +52,32 @@
 	Ended:    "ended",
 }
 
-// String returns the phase's word.
+// String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[p] }
 
-// When the phases begin, as time before the kill.
+// Beginning of the phases, as the time remaining until the kill.
 const (
-	// ClosingBeforeKill begins Closing: time for requests that cross the closing, and for peers to close as well.
+	// ClosingBeforeKill is when Closing begins. It leaves time for requests that are sent while connections are being
+	// closed, and for peers to close their side.
 	ClosingBeforeKill = 300 * time.Millisecond
-	// EndingBeforeKill begins Ending: time to end connections on which only part of a request was received.
+	// EndingBeforeKill is when Ending begins. It leaves time to close connections on which only part of a request was
+	// received.
 	EndingBeforeKill = 100 * time.Millisecond
-	// ExitBeforeKill begins Ended: the process exits whatever is pending.
+	// ExitBeforeKill is when Ended begins. The process exits even if work is pending.
 	ExitBeforeKill = 20 * time.Millisecond
 
-	// answerBefore is when the last responses are to be decided, so that they are still delivered.
-	answerBefore = 150 * time.Millisecond
+	// answerBeforeKill is when the last responses must be decided, so that they can still be delivered.
+	answerBeforeKill = 150 * time.Millisecond
 )
 
-// Rules of the platform for the time from the termination notice to the kill.
+// Platform limits of the time from the termination notice to the kill.
 const (
-	killMargin   = 700 * time.Millisecond // the kill comes no later than this after the longest client timeout
-	maxKillDelay = 3 * time.Second        // and no later than this after the notice
+	killMargin   = 700 * time.Millisecond // maximum delay beyond the longest client timeout
+	maxKillDelay = 3 * time.Second        // maximum delay after the notice
 )
 
-// KillDelay returns how long after the termination notice the process may be killed: the time that is configured, or less
-// where the platform's rules allow less. A longestTimeout of 0 says that the longest client timeout is not known.
+// KillDelay returns how long after the termination notice the process may be killed: the configured time, or less if
+// the platform limits require it. A longestTimeout of 0 means that the longest client timeout is unknown.
 func KillDelay(configured, longestTimeout time.Duration) time.Duration {
 	delay := min(configured, maxKillDelay)
 	if longestTimeout > 0 {
@@ -82,43 +86,44 @@
 	return delay
 }
 
-// Process is the state machine of the graceful shutdown, see Phase. The zero value serves.
+// Process is the state machine of the graceful shutdown, see Phase. The zero value is in the phase Serving.
 type Process struct {
 	phase       Phase
-	notified    time.Duration // the earliest moment at which the termination notice can have come
-	kill        time.Duration // the earliest moment at which the process can be killed
-	gracePeriod time.Duration // after the notice, in which what is read may still start a run
+	noticeTime  time.Duration // earliest time at which the termination notice can have been sent
+	killTime    time.Duration // earliest time at which the process can be killed
+	gracePeriod time.Duration // after the notice; requests that are read within it may still start a run
 }
 
-// PendingWork is what is left to do before a process can exit.
+// PendingWork is the work that remains before a process can exit.
 type PendingWork struct {
-	Unanswered  int  // requests without their response
+	Unanswered  int  // requests without a response
 	Connections int  // client connections that are not closed
-	Accepting   bool // a connection may still come out of the system's accept queue
-	Unhandled   bool // input or events wait to be handled
-	Unsaved     bool // results are on their way to the disk
+	Accepting   bool // the accept queue of the operating system may still contain a connection
+	Unhandled   bool // input or events are waiting to be processed
+	Unsaved     bool // results are being written to disk
 }
 
-// empty reports whether nothing is left.
+// empty reports whether no work remains.
 func (w PendingWork) empty() bool {
 	return w.Unanswered == 0 && w.Connections == 0 && !w.Accepting && !w.Unhandled && !w.Unsaved
 }
 
-// BeginDrain handles the termination notice, which came at the given moment or later: Serving becomes Draining. It reports
-// whether this is the first notice. Later ones change nothing.
+// BeginDrain processes the termination notice and changes the phase from Serving to Draining. earliest is the
+// earliest time at which the notice can have been sent; the kill can follow killAfter later. BeginDrain reports
+// whether this is the first notice. Later notices have no effect.
 func (p *Process) BeginDrain(earliest, gracePeriod, killAfter time.Duration) bool {
 	if p.phase != Serving {
 		return false
 	}
 	p.phase = Draining
-	p.notified = earliest
+	p.noticeTime = earliest
 	p.gracePeriod = gracePeriod
-	p.kill = earliest + killAfter
+	p.killTime = earliest + killAfter
 	return true
 }
 
-// Advance moves the shutdown on by one phase at most, as far as the time and the pending work allow, and reports whether
-// it did. Call it until it returns false.
+// Advance moves the shutdown to the next phase if the time and the pending work permit it, and reports whether it
+// did. Call it until it returns false.
 func (p *Process) Advance(now time.Duration, pending PendingWork) bool {
 	next := p.next(now, pending)
 	advanced := next != p.phase
@@ -126,18 +131,18 @@
 	return advanced
 }
 
-// next returns the phase that follows now, or the present one.
+// next returns the phase that follows now, or the current phase.
 func (p *Process) next(now time.Duration, pending PendingWork) Phase {
 	switch p.phase {
 	case Draining:
-		if now >= p.kill-ClosingBeforeKill {
+		if now >= p.killTime-ClosingBeforeKill {
 			return Closing
 		}
 	case Closing:
 		if p.CheckExit(now, pending) == Allowed {
 			return Ended
 		}
-		if now >= p.kill-EndingBeforeKill {
+		if now >= p.killTime-EndingBeforeKill {
 			return Ending
 		}
 	case Ending:
@@ -148,20 +153,20 @@
 	return p.phase
 }
 
-// SetKillTime replaces the moment of the kill, for a process that is granted more time.
-func (p *Process) SetKillTime(at time.Duration) { p.kill = at }
+// SetKillTime changes the time of the kill, for a process that is granted more time.
+func (p *Process) SetKillTime(at time.Duration) { p.killTime = at }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (p *Process) Phase() Phase { return p.phase }
 
-// NoticeTime returns the earliest moment at which the termination notice can have come.
-func (p *Process) NoticeTime() time.Duration { return p.notified }
+// NoticeTime returns the earliest time at which the termination notice can have been sent.
+func (p *Process) NoticeTime() time.Duration { return p.noticeTime }
 
-// KillTime returns the earliest moment at which the process can be killed.
-func (p *Process) KillTime() time.Duration { return p.kill }
+// KillTime returns the earliest time at which the process can be killed.
+func (p *Process) KillTime() time.Duration { return p.killTime }
 
-// AnswerDeadline returns the moment by which the last responses are to be decided.
-func (p *Process) AnswerDeadline() time.Duration { return p.kill - answerBefore }
+// AnswerDeadline returns the time by which the last responses must be decided.
+func (p *Process) AnswerDeadline() time.Duration { return p.killTime - answerBeforeKill }
 
-// ClosingTime returns the moment at which Closing begins.
-func (p *Process) ClosingTime() time.Duration { return p.kill - ClosingBeforeKill }
+// ClosingTime returns the time at which Closing begins.
+func (p *Process) ClosingTime() time.Duration { return p.killTime - ClosingBeforeKill }
