--- a/arrival/arrival.go
+++ b/arrival/arrival.go
@@ -1,139 +1,143 @@
-// Package arrival works out how long a request lay unread, from the time of day with which its front end stamped it.
+// Package arrival estimates how long a request waited to be read, from the time of day with which its front end
+// stamped it.
 //
-// Both clocks, the front end's and the node's, may step, and a node that was suspended reads late. A stamp is therefore
-// believed as far as the node's own monotonic clock bears it out. The package is plain state without I/O, clock or
-// goroutine.
+// The wall clocks of the front end and of the node may both step, and a node that was suspended reads requests late.
+// A time stamp therefore counts only as far as the node's own monotonic clock makes it plausible. The package is
+// plain state without I/O, clocks or goroutines.
 package arrival
 
 import "time"
 
-// Thresholds that tell steps and suspensions from ordinary jitter.
+// Thresholds that distinguish clock steps and suspensions from ordinary jitter.
 const (
-	minStep  = 20 * time.Millisecond // between the node's clocks from turn to turn: slewing moves them by far less
-	minStall = 25 * time.Millisecond // that a turn comes later than it was due: an ordinary turn takes far less
+	minClockStep = 20 * time.Millisecond // change of the clocks' difference between turns; slewing causes far less
+	minTurnDelay = 25 * time.Millisecond // delay of a turn past its due time; an ordinary turn takes far less
 )
 
-// Limits of what is plausible.
+// Limits of plausible delays.
 const (
-	stallCatchUp   = 2 * time.Second        // after a stall, in which what lay unread meanwhile is still read
-	ageWindow      = 2 * time.Second        // in which at least one request is read at once, once the clocks have diverged
-	maxPromptDelay = 250 * time.Millisecond // from a request's arrival until it is read, by a node that was not suspended
+	stallRecoveryTime = 2 * time.Second        // time after a stall until the requests that arrived during it are read
+	ageWindow         = 2 * time.Second        // has a promptly read request; used once the clocks have diverged
+	maxPromptDelay    = 250 * time.Millisecond // time from arrival to reading on a node that was not suspended
 )
 
-// If all requests are stamped too early to be plausible, for this long and this many, it is the clocks that are wrong.
+// If all time stamps are implausibly early for at least this long and this many requests, the clocks have diverged.
 const (
-	suspicionTime     = 500 * time.Millisecond
-	suspicionRequests = 4
+	divergenceTime     = 500 * time.Millisecond
+	divergenceRequests = 4
 )
 
-// DelayEstimator judges the stamps of requests. The zero value trusts them. It is not safe for concurrent use.
+// DelayEstimator estimates the queue delay of requests from their time stamps. The zero value trusts the time stamps.
+// It is not safe for concurrent use.
 //
-//	state     what happens                                    next
-//	trusting  the wall clock steps against the monotonic one  diverged
-//	trusting  all stamps are too early for suspicionTime      diverged
+//	state     event                                                     next
+//	trusting  the wall clock steps relative to the monotonic clock      diverged
+//	trusting  all time stamps are implausibly early for divergenceTime  diverged
 //
-// It stays diverged: a clock that was wrong once may be set again at any time.
+// The diverged state is final: a clock that was wrong once may be set again at any time.
 type DelayEstimator struct {
-	started bool          // there was a turn
-	mono    time.Duration // both clocks at the last turn
-	wall    time.Duration
-	turnDue time.Duration // when the next turn is due; 0 if that is not known
-	stall   stall         // the last one
+	started  bool          // BeginTurn has been called
+	lastMono time.Duration // monotonic and wall clock at the start of the latest turn
+	lastWall time.Duration
+	turnDue  time.Duration // when the next turn is due; 0 if unknown
+	stall    stall         // the latest stall
 
-	diverged         bool          // a stamp counts only within what the node knows of itself
-	implausibleSince time.Duration // since when each request was stamped earlier than is plausible
-	implausibleCount int           // requests since then
+	diverged         bool          // time stamps count only within plausible limits
+	implausibleSince time.Duration // time of the first request in the current run of implausibly early time stamps
+	implausibleCount int           // number of requests in that run
 
 	ages ageMinimum
 }
 
-// stall is a time in which the node was suspended, or several that follow each other closely.
+// stall is a period in which the node was suspended, or several such periods in short succession.
 type stall struct {
-	from, to time.Duration
+	start, end time.Duration
 }
 
-// BeginTurn records both clocks at the start of a turn of the node's event loop. It returns by how much the wall clock stepped
-// against the monotonic one, and by how much the turn came too late; 0 if by little.
-func (c *DelayEstimator) BeginTurn(mono, wall time.Duration) (step, delay time.Duration) {
-	if c.started {
-		step = c.detectStep(mono, wall)
-		delay = c.detectStall(mono)
+// BeginTurn records both clocks at the start of a turn of the owner goroutine. It returns the step of the wall clock
+// relative to the monotonic clock and the delay of the turn, each 0 if it is below its threshold.
+func (e *DelayEstimator) BeginTurn(mono, wall time.Duration) (step, delay time.Duration) {
+	if e.started {
+		step = e.detectStep(mono, wall)
+		delay = e.detectStall(mono)
 	}
-	c.started = true
-	c.mono = mono
-	c.wall = wall
+	e.started = true
+	e.lastMono = mono
+	e.lastWall = wall
 	return step, delay
 }
 
-// detectStep returns by how much the wall clock stepped since the last turn.
-func (c *DelayEstimator) detectStep(mono, wall time.Duration) time.Duration {
-	step := (wall - c.wall) - (mono - c.mono)
-	if step.Abs() < minStep {
+// detectStep returns the step of the wall clock since the last turn.
+func (e *DelayEstimator) detectStep(mono, wall time.Duration) time.Duration {
+	step := (wall - e.lastWall) - (mono - e.lastMono)
+	if step.Abs() < minClockStep {
 		return 0
 	}
-	c.diverged = true
-	c.ages.reset() // ages by the clock of before say nothing any more
+	e.diverged = true
+	e.ages.reset() // ages measured with the previous clock setting are meaningless
 	return step
 }
 
-// detectStall returns by how much the turn comes later than it was due.
-func (c *DelayEstimator) detectStall(mono time.Duration) time.Duration {
-	delay := mono - c.turnDue
-	if c.turnDue <= 0 || delay < minStall {
+// detectStall returns the delay of the turn past its due time.
+func (e *DelayEstimator) detectStall(mono time.Duration) time.Duration {
+	delay := mono - e.turnDue
+	if e.turnDue <= 0 || delay < minTurnDelay {
 		return 0
 	}
-	if !c.stalledLately() {
-		c.stall.from = c.mono
+	if !e.recoveringFromStall() {
+		e.stall.start = e.lastMono
 	}
-	c.stall.to = mono
+	e.stall.end = mono
 	return delay
 }
 
-// ExpectTurn records when the next turn is due at the latest.
-func (c *DelayEstimator) ExpectTurn(mono time.Duration) { c.turnDue = mono }
+// ExpectTurn records the latest time at which the next turn is due, by the monotonic clock.
+func (e *DelayEstimator) ExpectTurn(mono time.Duration) { e.turnDue = mono }
 
-// Diverged reports whether the clocks have disagreed.
-func (c *DelayEstimator) Diverged() bool { return c.diverged }
+// Diverged reports whether the clocks have diverged.
+func (e *DelayEstimator) Diverged() bool { return e.diverged }
 
-// stalledLately reports whether what lay unread during the last stall is still being read.
-func (c *DelayEstimator) stalledLately() bool {
-	return c.stall.to > 0 && c.mono-c.stall.to <= stallCatchUp
+// recoveringFromStall reports whether requests that arrived during the latest stall are still being read.
+func (e *DelayEstimator) recoveringFromStall() bool {
+	return e.stall.end > 0 && e.lastMono-e.stall.end <= stallRecoveryTime
 }
 
-// maxPlausibleDelay returns how long a request that is read now may have lain unread, by what the node knows of itself.
-func (c *DelayEstimator) maxPlausibleDelay() time.Duration {
-	if c.stalledLately() {
-		return c.mono - c.stall.from + maxPromptDelay
+// maxPlausibleDelay returns the longest plausible queue delay of a request that is read now, given the node's latest
+// stall.
+func (e *DelayEstimator) maxPlausibleDelay() time.Duration {
+	if e.recoveringFromStall() {
+		return e.lastMono - e.stall.start + maxPromptDelay
 	}
 	return maxPromptDelay
 }
 
-// QueueDelay returns how long a request that is read in the present turn lay unread, by its stamp, a time of day. Once the
-// clocks have diverged, that is its age beyond the age of the youngest request of late, within what is plausible. Only
-// stamps of trusted front ends tell anything of the clocks.
-func (c *DelayEstimator) QueueDelay(stamp time.Duration, trusted bool) time.Duration {
-	age := c.wall - stamp
+// QueueDelay returns how long a request that is read in the current turn waited to be read, according to its time
+// stamp, which is a time of day. Once the clocks have diverged, the delay is the excess of the request's age over the
+// lowest recent age, up to the plausible limit. Only time stamps of trusted front ends are evidence about the clocks.
+func (e *DelayEstimator) QueueDelay(stamp time.Duration, trusted bool) time.Duration {
+	age := e.lastWall - stamp
 	if trusted {
-		c.ages.add(c.mono, age)
-		c.detectDivergence(age)
+		e.ages.add(e.lastMono, age)
+		e.detectDivergence(age)
 	}
-	if c.diverged {
-		age = min(age-c.ages.min(), c.maxPlausibleDelay())
+	if e.diverged {
+		age = min(age-e.ages.minimum(), e.maxPlausibleDelay())
 	}
 	return max(0, age)
 }
 
-// detectDivergence finds clocks that disagreed from the start: each request seems older than is plausible, for a while.
-func (c *DelayEstimator) detectDivergence(age time.Duration) {
-	if age <= c.maxPlausibleDelay() {
-		c.implausibleCount = 0
+// detectDivergence detects clocks that differed from the start: for some time, every request seems older than is
+// plausible.
+func (e *DelayEstimator) detectDivergence(age time.Duration) {
+	if age <= e.maxPlausibleDelay() {
+		e.implausibleCount = 0
 		return
 	}
-	c.implausibleCount++
-	if c.implausibleCount == 1 {
-		c.implausibleSince = c.mono
+	e.implausibleCount++
+	if e.implausibleCount == 1 {
+		e.implausibleSince = e.lastMono
 	}
-	if c.implausibleCount >= suspicionRequests && c.mono-c.implausibleSince >= suspicionTime {
-		c.diverged = true
+	if e.implausibleCount >= divergenceRequests && e.lastMono-e.implausibleSince >= divergenceTime {
+		e.diverged = true
 	}
 }
--- a/arrival/window.go
+++ b/arrival/window.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// ageMinimum tracks the least age of a request over a sliding window of two halves: that of a request that was read at
-// once, so that its age is the difference of the clocks. The zero value is empty.
+// ageMinimum tracks the lowest age of a request in a sliding window that consists of two halves. The lowest age is
+// that of a request that was read promptly, so it is the difference between the clocks. The zero value is empty.
 type ageMinimum struct {
-	current, previous half
-	since             time.Duration // when the current half began
+	current, previous windowHalf
+	since             time.Duration // start of the current half
 }
 
-// half is one half of the window.
-type half struct {
-	min time.Duration
-	any bool // there was a request
+// windowHalf is one half of the window.
+type windowHalf struct {
+	minAge   time.Duration
+	nonEmpty bool // at least one age was added
 }
 
-// add takes in the age of a request that is read now.
+// add adds the age of a request that is read now.
 func (m *ageMinimum) add(now, age time.Duration) {
 	if now-m.since >= ageWindow/2 {
 		m.since = now
 		m.previous = m.current
-		m.current = half{}
+		m.current = windowHalf{}
 	}
-	if !m.current.any || age < m.current.min {
-		m.current = half{min: age, any: true}
+	if !m.current.nonEmpty || age < m.current.minAge {
+		m.current = windowHalf{minAge: age, nonEmpty: true}
 	}
 }
 
-// min returns the least age in the window, 0 if it is empty.
-func (m *ageMinimum) min() time.Duration {
+// minimum returns the lowest age in the window, 0 if the window is empty.
+func (m *ageMinimum) minimum() time.Duration {
 	switch {
-	case m.current.any && m.previous.any:
-		return min(m.current.min, m.previous.min)
-	case m.current.any:
-		return m.current.min
-	case m.previous.any:
-		return m.previous.min
+	case m.current.nonEmpty && m.previous.nonEmpty:
+		return min(m.current.minAge, m.previous.minAge)
+	case m.current.nonEmpty:
+		return m.current.minAge
+	case m.previous.nonEmpty:
+		return m.previous.minAge
 	}
 	return 0
 }
 
 // reset empties the window.
 func (m *ageMinimum) reset() {
-	m.current = half{}
-	m.previous = half{}
+	m.current = windowHalf{}
+	m.previous = windowHalf{}
 }
