--- a/overload/deadline.go
+++ b/overload/deadline.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// holdsUpQueue reports whether running requests occupy cores that queued requests need.
+// holdsUpQueue reports whether the server is under duress while requests are queued, so that running requests occupy
+// cores that queued ones need.
 func (c *Controller) holdsUpQueue() bool {
 	return c.backpressure.underDuress() && c.requests.queued() > 0
 }
--- a/overload/gauges.go
+++ b/overload/gauges.go
@@ -12,7 +12,7 @@
 
 	busy             float64 // share of the cores that were busy
 	runnable         float64 // threads that occupied a core or waited for one
-	startedSinceRead float64 // runs started since then
+	startedSinceRead float64 // runs started since the last Timer event
 }
 
 func newGauges(order []Gauge) gauges {
--- a/overload/request.go
+++ b/overload/request.go
@@ -33,9 +33,9 @@
 const (
 	stateQueued       requestState = iota // waits to be started
 	stateCoalesced                        // waits for the answer to its original
-	stateRunning                          // runs
-	stateAwaitingCall                     // runs and waits until it may call the dependency
-	stateCalling                          // runs and has its call in flight
+	stateRunning                          // is running
+	stateAwaitingCall                     // is running and waits until it may call the dependency
+	stateCalling                          // is running and has its call in flight
 	stateEnded
 	numStates
 )
