--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -7,8 +7,8 @@
 	"frosthub/idempotency"
 )
 
-// voteOn returns what this node knows of a key. If the request is in flight, the
-// asking node will be notified of its outcome.
+// voteOn returns this node's vote on a key. If the request is in flight, the
+// node registers the sender for a notification of the outcome.
 func (n *Node) voteOn(message *Message, from string) Message {
 	if reservation := n.reservations.get(message.Key); reservation != nil {
 		return n.voteOnReservation(reservation, from)
@@ -37,7 +37,7 @@
 // voteOnUnknown returns the vote on a recorded start without an outcome.
 func (n *Node) voteOnUnknown(key idempotency.Key) Vote {
 	switch {
-	case n.store.MayBeExpired(key): // it may have ended at a peer that has expired it
+	case n.store.MayBeExpired(key): // the request may have ended at a peer that has expired it
 		return VoteExpired
 	case !n.store.HasFullHistory(key): // the disk may have lost the outcome
 		return VoteAbstain
@@ -72,7 +72,8 @@
 	return reply
 }
 
-// supersededBy reports whether a claim under a higher ballot may have the key.
+// supersededBy reports whether the reservation may be granted to the higher
+// ballot of a message.
 func (r *reservation) supersededBy(from string, message *Message) bool {
 	if message.Ballot.compare(r.ballot) <= 0 {
 		return false
@@ -80,13 +81,13 @@
 	if !r.started {
 		return message.Force || r.ballot.Node == from
 	}
-	// A holder that asks again hasn't run the request, and gives up the ballot
-	// under which it was about to.
+	// A holder that requests the key again has not run the request, and gives
+	// up the ballot under which it was about to start.
 	sameProcess := r.ballot.Node == from && r.ballot.Incarnation == message.Ballot.Incarnation
 	return sameProcess && !r.transferred && !r.finishing
 }
 
-// handleAcquire answers a node that claims a key.
+// handleAcquire replies to a node that requests a key.
 func (n *Node) handleAcquire(from string, message *Message) {
 	reply := n.voteOn(message, from)
 	reservation := n.reservations.get(message.Key)
@@ -100,9 +101,9 @@
 		case reservation.supersededBy(from, message):
 			granted = true
 			if reservation.started {
-				reservation = n.restartReservation(reservation)
+				reservation = n.replaceReservation(reservation)
 			}
-		case held && message.Ballot == reservation.ballot: // a repeated message
+		case held && message.Ballot == reservation.ballot: // a retransmission
 			granted = true
 		case held && message.Force:
 			reply.Vote = VoteSuperseded
@@ -128,8 +129,8 @@
 	n.send(from, reply)
 }
 
-// hasRoomFor reports whether a key can be reserved. Half of the room is for
-// requests that must not run twice.
+// hasRoomFor reports whether the node has room to reserve the key of a message.
+// Half of the room is only for requests that must not run twice.
 func (n *Node) hasRoomFor(message *Message) bool {
 	if len(n.reservations.byKey) >= n.cfg.MaxReservations {
 		return false
@@ -137,9 +138,9 @@
 	return !message.Replayable || n.reservations.replayableCount < n.cfg.MaxReservations/2
 }
 
-// restartReservation replaces a reservation whose holder gives up the ballot
+// replaceReservation replaces a reservation whose holder gives up the ballot
 // under which it was about to start.
-func (n *Node) restartReservation(old *reservation) *reservation {
+func (n *Node) replaceReservation(old *reservation) *reservation {
 	n.applyStoreOutcomes(n.store.Finish(n.now, old.key, idempotency.EntryNeverRan, nil))
 	n.reservations.remove(old)
 	created := n.reservations.add(old.key)
@@ -149,8 +150,8 @@
 
 func (n *Node) grant(reservation *reservation, message *Message) {
 	reservation.ballot = message.Ballot
-	reservation.made = message.Made
-	reservation.suspectedAt = 0
+	reservation.madeAt = message.Made
+	reservation.suspectedSince = 0
 	if message.Work != nil {
 		reservation.work = *message.Work
 		reservation.work.Body = slices.Clone(message.Work.Body)
@@ -167,24 +168,25 @@
 	case reservation == nil:
 		reply.Vote = VoteSuperseded
 	case reservation.ballot != message.Ballot && disabledRule != ruleStartBallot,
-		reservation.transferred: // what peers have recorded is no vote of this node
+		reservation.transferred: // the records of peers are not a vote of this node
 		reply.Vote = VoteSuperseded
 		reply.Holder = reservation.ballot
 	case reservation.startDurable:
 		reply.Vote = VoteGranted
-	case reservation.started: // answered when it is on the disk
+	case reservation.started: // the reply follows once the intent is on disk
 		return
 	case !n.recordStart(reservation, from, message):
 		reply.Vote = VoteFull
 	case disabledRule == ruleDurableStart:
 		reply.Vote = VoteGranted
-	default: // answered when it is on the disk
+	default: // the reply follows once the intent is on disk
 		return
 	}
 	n.send(from, reply)
 }
 
-// recordStart writes an intent to the store, and reports whether it could.
+// recordStart writes an intent to the store and reports whether the store
+// accepted it.
 func (n *Node) recordStart(reservation *reservation, from string, message *Message) bool {
 	reservation.intentID = n.nextIntentID()
 	if !n.writeIntent(reservation, message.Made) {
@@ -198,14 +200,14 @@
 	return true
 }
 
-func (n *Node) writeIntent(reservation *reservation, made time.Duration) bool {
-	outcome := n.store.Reserve(n.now, made, reservation.key, reservation.work.Handler, reservation.intentID)
+func (n *Node) writeIntent(reservation *reservation, madeAt time.Duration) bool {
+	outcome := n.store.Reserve(n.now, madeAt, reservation.key, reservation.work.Handler, reservation.intentID)
 	return outcome.Decision == idempotency.Wait
 }
 
-// handleFinish records how a request ended, or that its key is released. An
-// outcome is recorded whatever ballot this node knows of: its sender knows that
-// the request ran.
+// handleFinish records how a request ended, or releases its key. An outcome is
+// recorded whichever ballot this node has granted, since it proves that the
+// request ran.
 func (n *Node) handleFinish(from string, message *Message) {
 	reservation := n.reservations.get(message.Key)
 	if message.Replayable && message.Outcome == idempotency.EntryResult {
@@ -241,7 +243,7 @@
 	n.notifyWaiters(reservation, idempotency.EntryResult, reservation.result)
 }
 
-// releaseBallot gives up what is reserved under a ballot.
+// releaseBallot removes the reservation that is granted to a ballot.
 func (n *Node) releaseBallot(reservation *reservation, ballot Ballot) {
 	switch {
 	case reservation.ballot != ballot:
@@ -257,8 +259,8 @@
 	}
 }
 
-// recordOutcome writes an outcome to the store and returns the vote to answer:
-// VoteNone if the answer follows when the outcome is durable.
+// recordOutcome writes an outcome to the store and returns the vote for the
+// reply, or VoteNone if the reply follows once the outcome is durable.
 func (n *Node) recordOutcome(reservation *reservation, message *Message) Vote {
 	if reservation == nil {
 		var vote Vote
@@ -291,15 +293,15 @@
 	return VoteNone
 }
 
-// reserveForOutcome reserves a key whose outcome is reported, though this node hasn't
-// granted it: other members have recorded the start, or an earlier incarnation
-// of this node has. If there is nothing to record it returns nil and the vote to
-// answer.
+// reserveForOutcome reserves a key whose outcome is reported although this node
+// has no reservation of it: other members have recorded the start, or an
+// earlier incarnation of this node has. If there is nothing to record it
+// returns nil and the vote for the reply.
 func (n *Node) reserveForOutcome(message *Message) (*reservation, Vote) {
 	decision := n.store.PeekOutcome(n.now, message.Made, message.Key).Decision
 	switch decision {
 	case idempotency.Replay, idempotency.OriginalFailed, idempotency.ResultExpired:
-		return nil, VoteGranted // it is recorded already
+		return nil, VoteGranted // already recorded
 	case idempotency.Fresh, idempotency.OutcomeUnknown:
 	case idempotency.HistoryLost:
 		if !n.store.Merge(n.now, idempotency.Record{Key: message.Key}) {
--- a/failover/acquire.go
+++ b/failover/acquire.go
@@ -2,53 +2,54 @@
 
 import "frosthub/idempotency"
 
-// acquire asks the group for a key under a new ballot. With force, members grant
-// it although a lower ballot of another node holds it.
+// acquire requests a key from the group under a new ballot. With force, members
+// grant the key even if a lower ballot of another node holds it.
 func (n *Node) acquire(claim *claim, force bool) {
 	claim.ballot = n.nextBallot()
 	claim.force = force
-	claim.attempts++
-	n.enter(claim, claimAcquiring)
+	claim.ballotAttempts++
+	n.enterState(claim, claimAcquiring)
 	n.broadcastAcquire(claim)
 }
 
 func (n *Node) broadcastAcquire(claim *claim) {
-	work := n.workNow(claim)
+	work := n.currentWork(claim)
 	n.broadcast(claim, Message{
 		Kind:       MsgAcquire,
 		Force:      claim.force,
-		Made:       claim.made,
+		Made:       claim.madeAt,
 		Work:       &work,
 		Replayable: claim.replayable,
 	})
 }
 
-// acquired follows the grant of a majority: this node holds the key.
-func (n *Node) acquired(claim *claim) {
-	n.enter(claim, claimHeld)
+// becomeHolder marks the key as held after a majority has granted it.
+func (n *Node) becomeHolder(claim *claim) {
+	n.enterState(claim, claimHeld)
 	switch {
 	case claim.startWhenHeld:
 		claim.startWhenHeld = false
 		n.start(claim)
-	case claim.takenOver && !claim.originalNotified:
-		claim.originalNotified = true
+	case claim.takenOver && !claim.originalDecided:
+		claim.originalDecided = true
 		n.stats.TakenOver++
-		work := n.workNow(claim)
-		n.outcomes = append(n.outcomes, RequestDecision{
+		work := n.currentWork(claim)
+		n.decisions = append(n.decisions, RequestDecision{
 			Key:     claim.key,
-			Made:    claim.made,
+			Made:    claim.madeAt,
 			Work:    &work,
 			Outcome: idempotency.Outcome{ID: claim.originalID, Decision: TakenOver},
 		})
-	case claim.originalID != 0 && !claim.originalNotified:
-		claim.originalNotified = true
-		n.notify(claim, claim.originalID, idempotency.Fresh, nil)
+	case claim.originalID != 0 && !claim.originalDecided:
+		claim.originalDecided = true
+		n.queueDecision(claim, claim.originalID, idempotency.Fresh, nil)
 	}
 	n.letDuplicatesJoin(claim)
 }
 
-// dropGrants releases what members have granted to a claim that ends otherwise.
-func (n *Node) dropGrants(claim *claim) {
+// releaseGrants releases the grants of members to a claim that ends without the
+// key.
+func (n *Node) releaseGrants(claim *claim) {
 	if claim.state != claimAcquiring {
 		return
 	}
@@ -64,20 +65,21 @@
 	}
 }
 
-// contends reports whether a claim stays in competition with another node that
-// asks for the same key in the same moment and that no majority names as the
-// holder. If both gave way to each other, nobody would run the request. So who
-// may still get a majority waits for the remaining votes; after that the higher
-// ballot asks again and the lower one gives way.
-func (n *Node) contends(claim *claim, rival *Message) bool {
-	if claim.state != claimAcquiring || rival.Vote == VoteRunning || n.majorityNames(claim, rival.Holder) {
+// keepsContending reports whether a claim continues to compete with another
+// node that requests the same key at the same time and that no majority names
+// as the holder. If both nodes gave way, no node would run the request. A node
+// that may still get a majority therefore waits for the missing votes. After
+// that the node with the higher ballot requests the key again and the other one
+// gives way.
+func (n *Node) keepsContending(claim *claim, rival *Message) bool {
+	if claim.state != claimAcquiring || rival.Vote == VoteRunning || n.majorityNamesHolder(claim, rival.Holder) {
 		return false
 	}
-	waited := n.now - claim.since
+	waited := n.now - claim.enteredAt
 	if waited < n.cfg.RetryInterval && n.majorityPossible(claim, VoteGranted) {
 		return true
 	}
-	if claim.ballot.compare(rival.Holder) < 0 || claim.attempts >= maxAttempts {
+	if claim.ballot.compare(rival.Holder) < 0 || claim.ballotAttempts >= maxBallotAttempts {
 		return false
 	}
 	if waited >= n.cfg.RetryInterval {
@@ -86,15 +88,16 @@
 	return true
 }
 
-// majorityNames reports whether a majority names that ballot as the holder.
-func (n *Node) majorityNames(claim *claim, holder Ballot) bool {
+// majorityNamesHolder reports whether a majority names the given ballot as the
+// holder.
+func (n *Node) majorityNamesHolder(claim *claim, holder Ballot) bool {
 	return n.hasMajority(claim.key, func(name string) bool {
 		return claim.votes[name].Holder == holder
 	})
 }
 
-// reject ends a claim whose request never started: what was granted is released.
-// A replayable request is let in instead, as without a cluster.
+// reject ends a claim whose request never started, and releases its grants. A
+// replayable request is admitted instead, as it would be without a cluster.
 func (n *Node) reject(claim *claim, decision idempotency.Decision) {
 	originalID, duplicateIDs := claim.originalID, claim.duplicateIDs
 	claim.originalID = 0
@@ -108,9 +111,9 @@
 		delete(n.claims, claim.key)
 	}
 	if originalID != 0 {
-		n.notify(claim, originalID, decision, nil)
+		n.queueDecision(claim, originalID, decision, nil)
 	}
 	for _, id := range duplicateIDs {
-		n.notify(claim, id, decision, nil)
+		n.queueDecision(claim, id, decision, nil)
 	}
 }
--- a/failover/ballot.go
+++ b/failover/ballot.go
@@ -7,10 +7,11 @@
 	"frosthub/idempotency"
 )
 
-// Ballot orders the attempts to hold a key. The highest wins; no two are equal.
+// Ballot orders the attempts to hold a key. The highest ballot wins; no two
+// ballots are equal.
 type Ballot struct {
 	Number uint64
-	// Node and Incarnation name the process that asks under the ballot.
+	// Node and Incarnation identify the process that created the ballot.
 	Node        string
 	Incarnation uint64
 }
@@ -23,14 +24,15 @@
 	)
 }
 
-// nextBallot returns a ballot of this node above all that it has seen.
+// nextBallot returns a ballot of this node that is higher than all ballots that
+// it has created or received.
 func (n *Node) nextBallot() Ballot {
 	n.highestBallot++
 	return Ballot{Number: n.highestBallot, Node: n.cfg.Name, Incarnation: n.cfg.Incarnation}
 }
 
-// groupsOf returns the groups of which majorities are needed for a key: one, or
-// two while the members change.
+// groupsOf returns the groups whose majorities are needed for a key: one, or
+// two during a membership change.
 func (n *Node) groupsOf(key idempotency.Key) [][]string {
 	if groups := n.groupCache[key]; groups != nil {
 		return groups
@@ -59,7 +61,7 @@
 	return members
 }
 
-// hasMajority reports whether the nodes that satisfy the condition are a
+// hasMajority reports whether the nodes that satisfy the condition form a
 // majority of each group of a key.
 func (n *Node) hasMajority(key idempotency.Key, satisfies func(name string) bool) bool {
 	for _, group := range n.groupsOf(key) {
@@ -83,16 +85,17 @@
 	incarnation uint64
 }
 
-// voidedBy reports whether one of the fences voids votes of an incarnation.
+// voidedBy reports whether one of the fences voids the votes of an incarnation
+// of a node.
 func voidedBy(fences []Fence, node string, incarnation uint64) bool {
 	return slices.ContainsFunc(fences, func(fence Fence) bool {
 		return fence.Node == node && incarnation < fence.Incarnation
 	})
 }
 
-// countVote records a member's vote on the claim's present step. Votes of
-// incarnations that another voter's fence voids are left out, whichever came
-// first.
+// countVote records a member's vote in the claim's current state. Votes of
+// incarnations that another voter's fence voids are discarded, in whichever
+// order the votes arrive.
 func (c *claim) countVote(from string, incarnation uint64, message *Message) {
 	for _, vote := range c.votes {
 		if voidedBy(vote.Fences, from, incarnation) {
@@ -110,8 +113,8 @@
 	}
 }
 
-// majorityVoted reports whether a majority has cast that vote on the claim's
-// present step.
+// majorityVoted reports whether a majority has cast the given vote in the
+// claim's current state.
 func (n *Node) majorityVoted(claim *claim, vote Vote) bool {
 	return n.hasMajority(claim.key, func(name string) bool {
 		received, ok := claim.votes[name]
@@ -119,8 +122,8 @@
 	})
 }
 
-// majorityPossible reports whether the votes still missing could make a
-// majority of that vote.
+// majorityPossible reports whether the missing votes could still complete a
+// majority for the given vote.
 func (n *Node) majorityPossible(claim *claim, vote Vote) bool {
 	return n.hasMajority(claim.key, func(name string) bool {
 		received, ok := claim.votes[name]
--- a/failover/claim.go
+++ b/failover/claim.go
@@ -7,7 +7,7 @@
 	"frosthub/idempotency"
 )
 
-// claimState is the step that a claim has come to.
+// claimState is the state of a claim.
 //
 // The transitions, with the functions that make them (a claim is created in
 // claimAcquiring or claimQuerying, or for relayOutcome; settle removes it in any
@@ -16,9 +16,9 @@
 //	from                           to               by
 //	(new), Acquiring, Starting,    claimAcquiring   acquire
 //	  Waiting, Querying
-//	Acquiring                      claimHeld        acquired
+//	Acquiring                      claimHeld        becomeHolder
 //	Held                           claimStarting    start
-//	Held (replayable), Starting    claimRunning     running
+//	Held (replayable), Starting    claimRunning     enterRunning
 //	Acquiring, Held, Starting,     claimFinishing   finish
 //	  Running
 //	Acquiring, Waiting, Querying   claimFinishing   adoptOutcome
@@ -32,23 +32,24 @@
 type claimState uint8
 
 const (
-	// claimAcquiring: the group is asked for the key.
+	// claimAcquiring: this node has requested the key from the group.
 	claimAcquiring claimState = iota
-	// claimHeld: a majority has granted it; the request waits for its turn.
+	// claimHeld: a majority has granted the key; the request is queued.
 	claimHeld
-	// claimStarting: the group is asked to record the start.
+	// claimStarting: this node has sent the start to the group for recording.
 	claimStarting
-	// claimRunning: the request runs here.
+	// claimRunning: the request runs on this node.
 	claimRunning
-	// claimFinishing: the group is asked to record the outcome.
+	// claimFinishing: this node has sent the outcome to the group for
+	// recording.
 	claimFinishing
 	// claimWaiting: another node holds the key.
 	claimWaiting
-	// claimQuerying: the group is asked what it knows; nothing is held.
+	// claimQuerying: this node queries the group and holds nothing.
 	claimQuerying
 )
 
-// The words appear in reports.
+// The names appear in reports.
 var claimStateNames = [...]string{
 	claimAcquiring: "asked for",
 	claimHeld:      "held",
@@ -59,56 +60,60 @@
 	claimQuerying:  "looked for",
 }
 
-// String returns the state's word in reports.
+// String returns the name of the state in reports.
 func (s claimState) String() string { return claimStateNames[s] }
 
-// claim is a key that requests of this node are about.
+// claim is a key that this node claims, waits for or queries, with the requests
+// that depend on it.
 type claim struct {
 	key        idempotency.Key
-	made       time.Duration // see Message.Made
+	madeAt     time.Duration // see Message.Made
 	work       Work
 	replayable bool
-	deadline   time.Duration // of the caller
+	deadline   time.Duration // client timeout
 
-	state  claimState
-	since  time.Duration // when it came to the state
-	ballot Ballot
-	// votes are those on the present step, by member.
+	state     claimState
+	enteredAt time.Duration // when the claim entered the state
+	ballot    Ballot
+	// votes holds the votes received in the current state, by member.
 	votes map[string]receivedVote
-	// holder (claimWaiting) is the ballot that is waited for.
-	holder     Ballot
-	attempts   int           // ballots tried to acquire the key
-	lastSentAt time.Duration // of the last broadcast
-	force      bool          // the key is claimed although another holds it
-	// startWhenHeld: the request was about to start when another ballot was
-	// needed.
+	// holder (claimWaiting) is the ballot whose run the requests wait for.
+	holder         Ballot
+	ballotAttempts int           // ballots tried to acquire the key
+	lastSentAt     time.Duration // of the last broadcast
+	force          bool          // the key is requested although another node holds it
+	// startWhenHeld: the request was about to start when its ballot was
+	// superseded. It starts once the new ballot is granted.
 	startWhenHeld bool
 
-	// originalID is the request that runs, 0 if there is none here any more.
+	// originalID is the request that runs, or is to run, on this node; 0 if
+	// there is none.
 	originalID uint64
-	// originalNotified: the caller of Claim has heard of the original request.
-	originalNotified bool
-	// takenOver: originalID stands for a request of another node.
+	// originalDecided: a decision on the original request has been returned in
+	// reply to Claim.
+	originalDecided bool
+	// takenOver: originalID identifies a request of another node.
 	takenOver bool
 	// duplicateIDs are the requests that wait for the outcome.
 	duplicateIDs []uint64
-	// unnotifiedIDs are those of duplicateIDs whose Claim has no answer yet.
-	unnotifiedIDs []uint64
-	lastRequestAt time.Duration // when the last duplicate came
+	// undecidedIDs are those of duplicateIDs without a decision in reply to
+	// Claim.
+	undecidedIDs  []uint64
+	lastRequestAt time.Duration // when the last duplicate arrived
 	createdAt     time.Duration
 
 	runID      uint64 // see Message.Run
 	lastNotice uint64 // see Message.Notice
 
-	// outcome and result (claimFinishing) are what the group is to record.
+	// outcome and result (claimFinishing) are sent to the group for recording.
 	outcome idempotency.EntryKind
 	result  []byte
-	// relayed: the outcome is that of another node's run.
+	// relayed: the outcome is that of a run on another node.
 	relayed bool
 }
 
-// otherHolds reports whether this node neither has nor asks for the key.
-func (c *claim) otherHolds() bool {
+// waitsOrQueries reports whether this node neither holds nor requests the key.
+func (c *claim) waitsOrQueries() bool {
 	return c.state == claimWaiting || c.state == claimQuerying
 }
 
@@ -117,45 +122,45 @@
 	return c.originalID != 0 || len(c.duplicateIDs) > 0
 }
 
-// demoteOriginal makes a duplicate of the original request, before all others.
+// demoteOriginal turns the original request into the first duplicate.
 func (c *claim) demoteOriginal() {
 	c.duplicateIDs = append([]uint64{c.originalID}, c.duplicateIDs...)
 	c.originalID = 0
 }
 
-// workNow returns the request with the time that is left now.
-func (n *Node) workNow(claim *claim) Work {
+// currentWork returns the request with its remaining time updated.
+func (n *Node) currentWork(claim *claim) Work {
 	work := claim.work
 	work.Left = int64(claim.deadline - n.now)
 	return work
 }
 
-func (n *Node) newClaim(key idempotency.Key, made time.Duration) *claim {
-	created := &claim{key: key, made: made, createdAt: n.now}
+func (n *Node) newClaim(key idempotency.Key, madeAt time.Duration) *claim {
+	created := &claim{key: key, madeAt: madeAt, createdAt: n.now}
 	n.claims[key] = created
 	n.claimOrder = append(n.claimOrder, created)
 	return created
 }
 
-// enter has a claim come to a state, in which no member has voted yet. Only the
-// transition functions call it.
-func (n *Node) enter(claim *claim, state claimState) {
+// enterState moves a claim to a state, in which no member has voted yet. Only
+// the transition functions call it.
+func (n *Node) enterState(claim *claim, state claimState) {
 	claim.state = state
-	claim.since = n.now
+	claim.enteredAt = n.now
 	claim.votes = map[string]receivedVote{}
 	claim.holder = Ballot{}
 }
 
-// active reports whether a claim still exists and is in that state.
-func (n *Node) active(claim *claim, state claimState) bool {
+// inState reports whether a claim still exists and is in the given state.
+func (n *Node) inState(claim *claim, state claimState) bool {
 	return n.claims[claim.key] == claim && claim.state == state
 }
 
-// notify queues the decision on one request of a claim.
-func (n *Node) notify(claim *claim, id uint64, decision idempotency.Decision, result []byte) {
-	n.outcomes = append(n.outcomes, RequestDecision{
+// queueDecision queues the decision on one request of a claim.
+func (n *Node) queueDecision(claim *claim, id uint64, decision idempotency.Decision, result []byte) {
+	n.decisions = append(n.decisions, RequestDecision{
 		Key:     claim.key,
-		Made:    claim.made,
+		Made:    claim.madeAt,
 		Outcome: idempotency.Outcome{ID: id, Decision: decision, Result: result},
 	})
 	switch decision {
@@ -166,48 +171,50 @@
 	}
 }
 
-// notifyDuplicates queues a decision on all duplicates.
-func (n *Node) notifyDuplicates(claim *claim, decision idempotency.Decision, result []byte) {
+// queueDuplicateDecisions queues a decision on each duplicate.
+func (n *Node) queueDuplicateDecisions(claim *claim, decision idempotency.Decision, result []byte) {
 	for _, id := range claim.duplicateIDs {
-		n.notify(claim, id, decision, result)
+		n.queueDecision(claim, id, decision, result)
 	}
 }
 
-// letDuplicatesJoin answers the duplicates whose Claim has no answer yet.
+// letDuplicatesJoin queues idempotency.Duplicate for the duplicates without a
+// decision in reply to Claim.
 func (n *Node) letDuplicatesJoin(claim *claim) {
-	for _, id := range claim.unnotifiedIDs {
-		n.notify(claim, id, idempotency.Duplicate, nil)
+	for _, id := range claim.undecidedIDs {
+		n.queueDecision(claim, id, idempotency.Duplicate, nil)
 	}
-	claim.unnotifiedIDs = nil
+	claim.undecidedIDs = nil
 }
 
-// settle ends a claim with one decision on all its requests.
+// settle ends a claim with the same decision on all its requests.
 func (n *Node) settle(claim *claim, decision idempotency.Decision, result []byte) {
 	delete(n.claims, claim.key)
 	if claim.originalID != 0 {
-		n.notify(claim, claim.originalID, decision, result)
+		n.queueDecision(claim, claim.originalID, decision, result)
 	}
-	n.notifyDuplicates(claim, decision, result)
+	n.queueDuplicateDecisions(claim, decision, result)
 }
 
-// Claim takes a request that this node has read. made is the time since 1970 at
-// which its caller made it, 0 if unknown; id must be unique on this node.
+// Claim claims the key of a request that this node has read. madeAt is the time
+// since 1970 at which the client created the request, 0 if unknown; id must be
+// unique on this node.
 //
-// The outcome is idempotency.Fresh (the request may be queued; Start must be
-// called before it runs), idempotency.Duplicate (Join may have it wait for the
-// original request) or the decision that answers or rejects it.
-func (n *Node) Claim(now time.Duration, key idempotency.Key, made time.Duration, id uint64, work Work) {
+// The decision is idempotency.Fresh (the request may be queued; Start must be
+// called before it runs), idempotency.Duplicate (the request may wait for the
+// original one through Join) or one that answers or rejects the request.
+func (n *Node) Claim(now time.Duration, key idempotency.Key, madeAt time.Duration, id uint64, work Work) {
 	n.advance(now)
 	if claim := n.claims[key]; claim != nil {
 		claim.duplicateIDs = append(claim.duplicateIDs, id)
-		claim.unnotifiedIDs = append(claim.unnotifiedIDs, id)
+		claim.undecidedIDs = append(claim.undecidedIDs, id)
 		claim.lastRequestAt = n.now
 		if claim.state != claimAcquiring {
 			n.letDuplicatesJoin(claim)
 		}
 		return
 	}
-	claim := n.newClaim(key, made)
+	claim := n.newClaim(key, madeAt)
 	claim.work = work
 	claim.deadline = n.now + time.Duration(work.Left)
 	claim.originalID = id
@@ -215,8 +222,8 @@
 	n.acquire(claim, false)
 }
 
-// OriginalID returns the ID of the request that a duplicate of a key would join, 0
-// if there is none on this node.
+// OriginalID returns the ID of the request that a duplicate of a key would
+// join, 0 if there is none on this node.
 func (n *Node) OriginalID(key idempotency.Key) uint64 {
 	if claim := n.claims[key]; claim != nil {
 		return claim.originalID
@@ -224,24 +231,25 @@
 	return 0
 }
 
-// Join has a duplicate wait for the outcome of its original request. The outcome
-// is idempotency.Fresh if that has ended meanwhile.
+// Join makes a duplicate wait for the outcome of its original request. The
+// decision is idempotency.Fresh if the original request has already ended.
 func (n *Node) Join(now time.Duration, key idempotency.Key, id uint64) {
 	n.advance(now)
 	if n.claims[key] == nil {
-		n.decideFresh(key, id)
+		n.queueFresh(key, id)
 	}
 }
 
-// Start reports that a request which was let in is about to run. The outcome
-// idempotency.Start lets it; otherwise the request hears how another one ended.
-// notice is the last notice that was read of the node's processor.
+// Start reports that an admitted request is about to run. The request may run
+// after the decision idempotency.Start; any other decision answers it with the
+// outcome of another run or rejects it. notice is the number of the last notice
+// read from the node's processor.
 func (n *Node) Start(now time.Duration, key idempotency.Key, id, notice uint64) {
 	n.advance(now)
 	claim := n.claims[key]
 	switch {
 	case claim == nil || claim.state == claimQuerying:
-		n.decideFresh(key, id)
+		n.queueFresh(key, id)
 	case claim.state == claimHeld && claim.originalID == id:
 		claim.runID = id
 		claim.lastNotice = notice
@@ -251,42 +259,43 @@
 	}
 }
 
-// decideFresh decides on a request without a claim that it never ran.
-func (n *Node) decideFresh(key idempotency.Key, id uint64) {
-	n.outcomes = append(n.outcomes, RequestDecision{
+// queueFresh queues idempotency.Fresh for a request without a claim: it never
+// ran.
+func (n *Node) queueFresh(key idempotency.Key, id uint64) {
+	n.decisions = append(n.decisions, RequestDecision{
 		Key:     key,
 		Outcome: idempotency.Outcome{ID: id, Decision: idempotency.Fresh},
 	})
 }
 
-// MarkRunning reports that a replayable request runs. Unlike Start it needs no
-// answer: the group isn't asked.
+// MarkRunning reports that a replayable request runs. Unlike Start it causes no
+// decision, since a replayable request needs no recorded start.
 func (n *Node) MarkRunning(now time.Duration, key idempotency.Key, id uint64) {
 	n.advance(now)
 	claim := n.claims[key]
 	if claim != nil && claim.replayable && claim.originalID == id && claim.state == claimHeld {
-		n.running(claim)
+		n.enterRunning(claim)
 	}
 }
 
-// start asks the group to record that the request is about to run.
+// start sends the start of the request to the group for recording.
 func (n *Node) start(claim *claim) {
-	n.enter(claim, claimStarting)
+	n.enterState(claim, claimStarting)
 	n.broadcastStart(claim)
 }
 
 func (n *Node) broadcastStart(claim *claim) {
-	n.broadcast(claim, Message{Kind: MsgStart, Made: claim.made, Run: claim.runID, Notice: claim.lastNotice})
+	n.broadcast(claim, Message{Kind: MsgStart, Made: claim.madeAt, Run: claim.runID, Notice: claim.lastNotice})
 }
 
-// running has a request run here.
-func (n *Node) running(claim *claim) {
-	n.enter(claim, claimRunning)
+// enterRunning moves a claim to claimRunning.
+func (n *Node) enterRunning(claim *claim) {
+	n.enterState(claim, claimRunning)
 }
 
-// decideStart follows a further answer to the announced start.
-func (n *Node) decideStart(claim *claim, reply *Message) {
-	superseded := false // in the groups up to the first one that can't confirm any more
+// evaluateStartVotes decides on the announced start after a further vote.
+func (n *Node) evaluateStartVotes(claim *claim, reply *Message) {
+	superseded := false // some vote is VoteSuperseded, up to the first group that can no longer confirm
 	possible := n.hasMajority(claim.key, func(name string) bool {
 		received, ok := claim.votes[name]
 		superseded = superseded || received.Vote == VoteSuperseded
@@ -298,8 +307,8 @@
 	}
 	switch {
 	case confirmed:
-		n.running(claim)
-		n.notify(claim, claim.originalID, idempotency.Start, nil)
+		n.enterRunning(claim)
+		n.queueDecision(claim, claim.originalID, idempotency.Start, nil)
 	case possible: // wait for more votes
 	case superseded:
 		claim.startWhenHeld = true
--- a/failover/cluster_test.go
+++ b/failover/cluster_test.go
@@ -16,16 +16,16 @@
 	var runs, requests, joined int
 	var found int64
 	for seed := range uint64(*schedules) {
-		cluster := simulate(seed, 1200*time.Millisecond, usualFaults)
-		cluster.requireSound(t)
+		cluster := simulate(seed, 1200*time.Millisecond, standardFaults)
+		cluster.requireNoViolation(t)
 		runs += cluster.runs
 		joined += cluster.joinedReplayables
 		found += cluster.foundAtProcessors
 		for decision, count := range cluster.decisions {
 			decisions[decision] += count
 		}
-		for _, truth := range cluster.keys {
-			requests += truth.requests
+		for _, record := range cluster.keys {
+			requests += record.requests
 		}
 	}
 	t.Logf("%d clusters, %d requests, %d runs, %d outcomes reported by processors, %d replayable requests joined, decisions %v",
@@ -51,11 +51,11 @@
 func TestClustersWithoutFaults(t *testing.T) {
 	const span = 1200 * time.Millisecond
 	for seed := range uint64(*schedules / 10) {
-		cluster := simulate(calmSeeds+seed, span, usualFaults)
+		cluster := simulate(faultFreeSeeds+seed, span, standardFaults)
 		for id, at := range cluster.requestedAt {
 			if at < simStart+span-500*time.Millisecond && !cluster.answered[id] {
-				cluster.violated("request %d, sent at %s, has no answer", id, at-simStart)
-				cluster.requireSound(t)
+				cluster.recordViolation("request %d, sent at %s, has no answer", id, at-simStart)
+				cluster.requireNoViolation(t)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 	finished, runs := 0, 0
 	for seed := range uint64(*schedules / 8) {
 		cluster := simulate(seed, 2*time.Second, membersChange)
-		cluster.requireSound(t)
+		cluster.requireNoViolation(t)
 		finished += cluster.finishedTransition
 		runs += cluster.runs
 	}
@@ -84,7 +84,7 @@
 	lost, refills, runs := 0, 0, 0
 	for seed := range uint64(*schedules / 4) {
 		cluster := simulate(seed, 2*time.Second, disksLost)
-		cluster.requireSound(t)
+		cluster.requireNoViolation(t)
 		lost += cluster.lostDisks
 		refills += cluster.finishedRefills
 		runs += cluster.runs
@@ -98,7 +98,7 @@
 // TestSimulationIsDeterministic: a seed is one run, to the last word.
 func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(30) {
-		scenario := []scenario{usualFaults, membersChange, disksLost}[seed%3]
+		scenario := []scenario{standardFaults, membersChange, disksLost}[seed%3]
 		first := simulate(seed, 1200*time.Millisecond, scenario)
 		second := simulate(seed, 1200*time.Millisecond, scenario)
 		if diff := cmp.Diff(first.trace, second.trace); diff != "" {
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -2,43 +2,43 @@
 
 import "frosthub/idempotency"
 
-// tally sums up the votes on a claim in claimAcquiring or claimQuerying.
+// tally summarizes the votes on a claim in claimAcquiring or claimQuerying.
 type tally struct {
-	// finished is a reply with the outcome; a result goes before other outcomes.
+	// finished is a reply with the outcome; one with a result takes precedence.
 	finished *Message
-	// holder is the reply that names the highest holder; one that has started
-	// goes before others.
+	// holder is the reply that names the highest holder; a holder that has
+	// started the request takes precedence.
 	holder *Message
-	// finishing: the outcome is being written by some member.
+	// finishing: some member is writing the outcome to disk.
 	finishing bool
-	// outcomeUnknown, expired, abstained, full: some member voted so.
+	// outcomeUnknown, expired, abstained, full: some member has cast this vote.
 	outcomeUnknown bool
 	expired        bool
 	abstained      bool
 	full           bool
-	// allVoted: every member has voted. missingVotes: some haven't. After a
-	// change of members neither need be so.
+	// allVoted: every member has voted. missingVotes: some members have not.
+	// Both may be false after a membership change.
 	allVoted     bool
 	missingVotes bool
-	// quorum: a majority has voted, members that abstain not counted.
+	// quorum: a majority has voted, not counting members that abstain.
 	quorum bool
 }
 
 func (n *Node) tallyVotes(claim *claim) tally {
-	var sum tally
+	var totals tally
 	members := n.membersOf(claim.key)
 	for _, name := range members {
 		if vote, ok := claim.votes[name]; ok {
-			sum.add(&vote.Message)
+			totals.add(&vote.Message)
 		}
 	}
-	sum.allVoted = len(claim.votes) == len(members)
-	sum.missingVotes = len(claim.votes) < len(members)
-	sum.quorum = n.hasMajority(claim.key, func(name string) bool {
+	totals.allVoted = len(claim.votes) == len(members)
+	totals.missingVotes = len(claim.votes) < len(members)
+	totals.quorum = n.hasMajority(claim.key, func(name string) bool {
 		vote, ok := claim.votes[name]
 		return ok && vote.Vote != VoteAbstain
 	})
-	return sum
+	return totals
 }
 
 func (t *tally) add(vote *Message) {
@@ -64,7 +64,7 @@
 		t.abstained = true
 	case VoteFull:
 		t.full = true
-	case VoteNone, VoteGranted: // counted where a majority of them matters
+	case VoteNone, VoteGranted: // evaluateVotes counts these with majorityVoted
 	}
 }
 
@@ -73,59 +73,60 @@
 	return t.holder != nil && t.holder.Vote == VoteRunning
 }
 
-// sufficient reports whether the votes may decide against the claim: all of them
-// have come, or a majority and nothing is to be gained by waiting a little.
-func (n *Node) sufficient(claim *claim, sum *tally) bool {
-	if sum.allVoted {
+// enoughVotes reports whether the votes may decide against the claim: either
+// all members have voted, or a majority has and further votes are unlikely to
+// change the result or are overdue.
+func (n *Node) enoughVotes(claim *claim, totals *tally) bool {
+	if totals.allVoted {
 		return true
 	}
-	if !sum.quorum {
+	if !totals.quorum {
 		return false
 	}
-	waitForMore := sum.outcomeUnknown || sum.expired || sum.holderStarted()
-	return !waitForMore || n.now-claim.since >= n.cfg.SuspectAfter/4
+	waitForMore := totals.outcomeUnknown || totals.expired || totals.holderStarted()
+	return !waitForMore || n.now-claim.enteredAt >= n.cfg.SuspectAfter/4
 }
 
-// decide draws the conclusion from the votes so far, if they allow one.
-func (n *Node) decide(claim *claim) {
-	sum := n.tallyVotes(claim)
+// evaluateVotes decides on a claim if the votes so far suffice.
+func (n *Node) evaluateVotes(claim *claim) {
+	totals := n.tallyVotes(claim)
 	switch {
-	case sum.finished != nil:
-		n.dropGrants(claim)
-		n.adoptOutcome(claim, sum.finished)
+	case totals.finished != nil:
+		n.releaseGrants(claim)
+		n.adoptOutcome(claim, totals.finished)
 	case claim.state == claimAcquiring && n.majorityVoted(claim, VoteGranted):
-		// Any other ballot was recorded by less than a majority, and can't
-		// get one any more.
-		n.acquired(claim)
-	case !n.sufficient(claim, &sum): // wait for more votes
-	case sum.expired: // it has ended, though some members never heard of it
-		n.dropGrants(claim)
+		// Any other ballot was granted by less than a majority, and can no
+		// longer get one.
+		n.becomeHolder(claim)
+	case !n.enoughVotes(claim, &totals): // wait for more votes
+	case totals.expired: // the request has ended, although some members have no record of it
+		n.releaseGrants(claim)
 		n.settle(claim, idempotency.ResultExpired, nil)
-	case !sum.finishing && n.outcomeLost(&sum):
-		n.dropGrants(claim)
-		n.settleUnknown(claim, sum.quorum)
+	case !totals.finishing && n.outcomeLost(&totals):
+		n.releaseGrants(claim)
+		n.settleUnknown(claim, totals.quorum)
 	case claim.state == claimQuerying && n.majorityVoted(claim, VoteNone):
 		n.settle(claim, idempotency.Fresh, nil)
 	default:
-		n.decideByHolder(claim, &sum)
+		n.evaluateHolder(claim, &totals)
 	}
 }
 
-// outcomeLost reports whether the request was started and nobody is left who
-// could report its outcome.
-func (n *Node) outcomeLost(sum *tally) bool {
-	if sum.holderStarted() {
-		return n.suspects(sum.holder.Holder)
+// outcomeLost reports whether the request was started and no live node can
+// report its outcome.
+func (n *Node) outcomeLost(totals *tally) bool {
+	if totals.holderStarted() {
+		return n.suspects(totals.holder.Holder)
 	}
-	return sum.outcomeUnknown
+	return totals.outcomeUnknown
 }
 
 // settleUnknown ends a claim whose outcome is lost. Without a quorum of members
-// that can tell, the outcome may have been among the records that their disks
-// have lost.
+// that have not lost records, the outcome may have been among the lost records.
 func (n *Node) settleUnknown(claim *claim, quorum bool) {
-	if claim.lastRequestAt >= claim.since {
-		// Requests that came since the last step may get a better answer.
+	if claim.lastRequestAt >= claim.enteredAt {
+		// Requests that arrived in the current state may get a better answer
+		// from a new query.
 		n.query(claim)
 		return
 	}
@@ -136,39 +137,40 @@
 	n.settle(claim, decision, nil)
 }
 
-// decideByHolder waits for the holder that the votes name or claims the key
-// above it; without one it rejects the requests if no further votes will help.
-func (n *Node) decideByHolder(claim *claim, sum *tally) {
+// evaluateHolder waits for the holder that the votes name or requests the key
+// under a higher ballot. Without a holder it rejects the requests if no further
+// votes can change the result.
+func (n *Node) evaluateHolder(claim *claim, totals *tally) {
 	acquiring := claim.state == claimAcquiring
 	switch {
-	case sum.holder != nil && n.holderServes(sum):
-		if !n.contends(claim, sum.holder) {
-			n.waitFor(claim, sum.holder.Holder)
+	case totals.holder != nil && n.holderActive(totals):
+		if !n.keepsContending(claim, totals.holder) {
+			n.waitFor(claim, totals.holder.Holder)
 		}
-	case sum.holder != nil && acquiring && claim.attempts < maxAttempts:
+	case totals.holder != nil && acquiring && claim.ballotAttempts < maxBallotAttempts:
 		// The holder is lost, or is an earlier incarnation of this node.
 		n.acquire(claim, true)
-	case sum.holder != nil && claim.state == claimQuerying:
-		n.waitFor(claim, sum.holder.Holder)
-	case sum.missingVotes && n.now-claim.since < n.cfg.SuspectAfter: // more votes may help
+	case totals.holder != nil && claim.state == claimQuerying:
+		n.waitFor(claim, totals.holder.Holder)
+	case totals.missingVotes && n.now-claim.enteredAt < n.cfg.SuspectAfter: // wait for more votes
 	case acquiring:
-		n.reject(claim, sum.rejection())
+		n.reject(claim, totals.rejectDecision())
 	}
 }
 
-// holderServes reports whether the holder is another node that goes on with the
-// request, or its outcome is on its way.
-func (n *Node) holderServes(sum *tally) bool {
-	if sum.finishing {
+// holderActive reports whether the holder is another node that continues the
+// request, or its outcome is being recorded.
+func (n *Node) holderActive(totals *tally) bool {
+	if totals.finishing {
 		return true
 	}
-	holder := sum.holder.Holder
-	serves := sum.holderStarted() || !n.suspects(holder)
+	holder := totals.holder.Holder
+	serves := totals.holderStarted() || !n.suspects(holder)
 	return serves && holder.Node != n.cfg.Name
 }
 
-// rejection returns why a key wasn't granted.
-func (t *tally) rejection() idempotency.Decision {
+// rejectDecision returns the decision on a request whose key was not granted.
+func (t *tally) rejectDecision() idempotency.Decision {
 	switch {
 	case t.abstained && t.allVoted:
 		return idempotency.HistoryLost
@@ -179,10 +181,10 @@
 	}
 }
 
-// suspects reports whether the process of a ballot seems to be lost.
+// suspects reports whether the process of a ballot is suspected to be lost.
 func (n *Node) suspects(ballot Ballot) bool {
 	if ballot.Node == n.cfg.Name {
 		return ballot.Incarnation != n.cfg.Incarnation
 	}
-	return !n.peers.Alive(ballot.Node) || n.peers.Incarnation(ballot.Node) > ballot.Incarnation
+	return !n.detector.Alive(ballot.Node) || n.detector.Incarnation(ballot.Node) > ballot.Incarnation
 }
--- a/failover/fence.go
+++ b/failover/fence.go
@@ -10,17 +10,17 @@
 // Fence voids the votes that a node cast in incarnations before the given one.
 //
 // A node that has lost records may have confirmed starts that no other member
-// heard of; its peers can't transfer those. A holder might still add such a
-// confirmation to that of a peer and believe that it has a majority. So a peer
-// that transfers records fences the node first, and makes the fence durable
-// before the last page: its own votes carry the fence, and who counts them
-// leaves out earlier votes of the fenced node.
+// received, so its peers cannot transfer those. A holder could still add such a
+// confirmation to that of a peer and count a majority. A peer that transfers
+// records therefore fences the node first, and makes the fence durable before
+// it sends the last page. The peer's own votes carry the fence, and a node that
+// counts them discards the earlier votes of the fenced node.
 type Fence struct {
 	Node        string
 	Incarnation uint64
 }
 
-// fenceState is a fence of this node and whether it is on the disk.
+// fenceState is a fence that this node has raised, and whether it is on disk.
 type fenceState struct {
 	incarnation uint64
 	durable     bool
@@ -33,14 +33,15 @@
 	}
 }
 
-// fencedDurably reports whether a durable fence voids all incarnations of a node
-// before the given one.
-func (n *Node) fencedDurably(node string, incarnation uint64) bool {
+// hasDurableFence reports whether a durable fence voids all incarnations of a
+// node before the given one.
+func (n *Node) hasDurableFence(node string, incarnation uint64) bool {
 	fence := n.fences[node]
 	return fence.durable && fence.incarnation >= incarnation
 }
 
-// Fences returns the fences of this node, by name, to be made durable.
+// Fences returns the fences that this node has raised, sorted by node name, for
+// the caller to make durable.
 func (n *Node) Fences() []Fence {
 	var fences []Fence
 	for name, fence := range n.fences {
@@ -50,7 +51,7 @@
 	return fences
 }
 
-// MarkFencesDurable reports that fences are durable.
+// MarkFencesDurable records that the fences are durable.
 func (n *Node) MarkFencesDurable(fences []Fence) {
 	for _, fence := range fences {
 		if n.fences[fence.Node].incarnation <= fence.Incarnation {
@@ -59,8 +60,8 @@
 	}
 }
 
-// fencesOf returns the fences of other members of a key's group, for a vote on
-// the key.
+// fencesOf returns the fences of the other members of a key's group, for a vote
+// on the key.
 func (n *Node) fencesOf(key idempotency.Key) (fences []Fence) {
 	if len(n.fences) == 0 || disabledRule == ruleFencing {
 		return nil
--- a/failover/fence_test.go
+++ b/failover/fence_test.go
@@ -34,7 +34,7 @@
 	cluster := newSimCluster(seed, 4, disksLost)
 	cluster.disableFaults()
 	key := idempotency.Key{13: 1}
-	cluster.keys[key] = &keyTruth{}
+	cluster.keys[key] = &keyRecord{}
 	group := cluster.nodes[0].machine.membersOf(key)
 	outdated, successor, witness := cluster.node(group[0]), cluster.node(group[1]), cluster.node(group[2])
 	var holder *simNode
--- a/failover/finish.go
+++ b/failover/finish.go
@@ -7,8 +7,8 @@
 	"frosthub/idempotency"
 )
 
-// Release reports that a request doesn't wait any more and never ran: it was
-// rejected or given up, or its caller has gone.
+// Release reports that a request no longer waits and never ran: it was rejected
+// or cancelled, or its client has disconnected.
 func (n *Node) Release(now time.Duration, key idempotency.Key, id uint64) {
 	n.advance(now)
 	claim := n.claims[key]
@@ -28,20 +28,20 @@
 	case claimAcquiring, claimHeld, claimStarting:
 		claim.originalID = 0
 		n.finish(claim, idempotency.EntryNeverRan, nil)
-	case claimRunning, claimFinishing: // it runs or has run: Finish reports how it ends
+	case claimRunning, claimFinishing: // it runs or has run: Finish reports its outcome
 	}
 }
 
 func (n *Node) releaseDuplicate(claim *claim, id uint64) {
 	claim.duplicateIDs = slices.DeleteFunc(claim.duplicateIDs, func(other uint64) bool { return other == id })
-	if !claim.hasRequests() && claim.otherHolds() {
+	if !claim.hasRequests() && claim.waitsOrQueries() {
 		delete(n.claims, claim.key)
 	}
 }
 
-// Finish reports how a request that was allowed to run has ended. Once a majority
-// has recorded a result, the outcome idempotency.Completed lets it be answered;
-// there is no outcome for other kinds.
+// Finish reports how a started request has ended. After a majority has recorded
+// a result, the decision idempotency.Completed permits the response; other
+// kinds cause no decision.
 func (n *Node) Finish(now time.Duration, key idempotency.Key, id uint64, kind idempotency.EntryKind, result []byte) {
 	n.advance(now)
 	claim := n.claims[key]
@@ -51,42 +51,42 @@
 	n.finish(claim, kind, result)
 }
 
-// finish has the group record the outcome of a request. Callers of requests
-// without a result are answered at once.
+// finish sends the outcome of a request to the group for recording. Duplicates
+// of a request without a result are answered at once.
 func (n *Node) finish(claim *claim, kind idempotency.EntryKind, result []byte) {
 	if claim.replayable {
 		n.finishReplayable(claim, kind, result)
 		return
 	}
-	n.enter(claim, claimFinishing)
+	n.enterState(claim, claimFinishing)
 	claim.outcome = kind
 	claim.result = slices.Clone(result)
 	switch kind {
 	case idempotency.EntryFailed:
-		n.answerDuplicates(claim, idempotency.OriginalFailed)
+		n.settleDuplicates(claim, idempotency.OriginalFailed)
 	case idempotency.EntryNeverRan:
-		n.answerDuplicates(claim, idempotency.Fresh)
+		n.settleDuplicates(claim, idempotency.Fresh)
 	}
 	n.broadcastFinish(claim)
 }
 
-// answerDuplicates answers the duplicates of an original request that has been
-// answered already.
-func (n *Node) answerDuplicates(claim *claim, decision idempotency.Decision) {
+// settleDuplicates queues a decision on the duplicates of an original request
+// that has already been answered.
+func (n *Node) settleDuplicates(claim *claim, decision idempotency.Decision) {
 	claim.originalID = 0
-	n.notifyDuplicates(claim, decision, nil)
+	n.queueDuplicateDecisions(claim, decision, nil)
 	claim.duplicateIDs = nil
 }
 
 func (n *Node) broadcastFinish(claim *claim) {
-	n.broadcast(claim, Message{Kind: MsgFinish, Outcome: claim.outcome, Result: claim.result, Made: claim.made})
+	n.broadcast(claim, Message{Kind: MsgFinish, Outcome: claim.outcome, Result: claim.result, Made: claim.madeAt})
 }
 
-// finishReplayable reports to the group, once, how a replayable request ended.
-// Nobody waits for a confirmation: where the message is lost, all that follows
-// is one more run.
+// finishReplayable sends the outcome of a replayable request to the group,
+// once. No confirmation is required: the only consequence of a lost message is
+// one more run.
 func (n *Node) finishReplayable(claim *claim, kind idempotency.EntryKind, result []byte) {
-	n.enter(claim, claimFinishing)
+	n.enterState(claim, claimFinishing)
 	if kind != idempotency.EntryResult {
 		kind = idempotency.EntryNeverRan
 		result = nil
@@ -103,15 +103,15 @@
 		})
 	}
 	if kind == idempotency.EntryNeverRan {
-		n.notifyDuplicates(claim, idempotency.Fresh, nil)
+		n.queueDuplicateDecisions(claim, idempotency.Fresh, nil)
 		return
 	}
-	claim.originalID = 0 // it has been answered
+	claim.originalID = 0 // already answered
 	n.settle(claim, idempotency.Replay, result)
 }
 
 // finishRecorded ends a claim whose outcome a majority has recorded. Duplicates
-// that came meanwhile hear it too.
+// that have arrived meanwhile get the same outcome.
 func (n *Node) finishRecorded(claim *claim) {
 	delete(n.claims, claim.key)
 	switch claim.outcome {
@@ -123,15 +123,15 @@
 		return
 	}
 	if claim.originalID != 0 && !claim.relayed {
-		n.notify(claim, claim.originalID, idempotency.Completed, claim.result)
+		n.queueDecision(claim, claim.originalID, idempotency.Completed, claim.result)
 		claim.originalID = 0
 	}
 	n.settle(claim, idempotency.Replay, claim.result)
 }
 
-// adoptOutcome ends a claim by the outcome of another node's run. A result is
-// answered only once a majority has recorded it: a holder that has died may have
-// reported it to a single member.
+// adoptOutcome ends a claim with the outcome of a run on another node. A result
+// is used as an answer only after a majority has recorded it, because a holder
+// that has died may have reported it to a single member.
 func (n *Node) adoptOutcome(claim *claim, reply *Message) {
 	switch reply.Outcome {
 	case idempotency.EntryResult:
@@ -140,11 +140,11 @@
 			return
 		}
 		n.letDuplicatesJoin(claim)
-		n.enter(claim, claimFinishing)
+		n.enterState(claim, claimFinishing)
 		claim.outcome = idempotency.EntryResult
 		claim.result = reply.Result
 		claim.relayed = true
-		claim.originalNotified = true
+		claim.originalDecided = true
 		n.broadcastFinish(claim)
 	case idempotency.EntryResultTooLong:
 		n.settle(claim, idempotency.ResultExpired, nil)
@@ -153,23 +153,24 @@
 	}
 }
 
-// relayOutcome has the group record the outcome of another node's run, under the
-// ballot of that run. Requests that wait here are answered afterwards.
+// relayOutcome sends the outcome of a run on another node to the group for
+// recording, under the ballot of that run. Requests that wait on this node are
+// answered afterwards.
 func (n *Node) relayOutcome(claim *claim, runBallot Ballot, kind idempotency.EntryKind, result []byte) {
-	n.dropGrants(claim)
-	if claim.takenOver { // it was never let in here: its holder had started it
+	n.releaseGrants(claim)
+	if claim.takenOver { // it was never admitted on this node: its holder had started it
 		claim.takenOver = false
 		claim.originalID = 0
 	}
 	if original := claim.originalID; original != 0 {
 		claim.demoteOriginal()
-		if !claim.originalNotified {
-			claim.unnotifiedIDs = append(claim.unnotifiedIDs, original)
+		if !claim.originalDecided {
+			claim.undecidedIDs = append(claim.undecidedIDs, original)
 		}
 	}
 	n.letDuplicatesJoin(claim)
 	claim.ballot = runBallot
 	claim.relayed = true
-	claim.originalNotified = true
+	claim.originalDecided = true
 	n.finish(claim, kind, result)
 }
--- a/failover/handoff_test.go
+++ b/failover/handoff_test.go
@@ -11,9 +11,9 @@
 // node, and runs once.
 func TestHandOff(t *testing.T) {
 	for seed := range uint64(30) {
-		cluster := newSimCluster(calmSeeds+seed, 4, usualFaults)
+		cluster := newSimCluster(faultFreeSeeds+seed, 4, standardFaults)
 		key := idempotency.Key{13: 1}
-		cluster.keys[key] = &keyTruth{}
+		cluster.keys[key] = &keyRecord{}
 		holder := cluster.nodes[0]
 		holdKey(cluster, holder, key, func() {
 			delete(cluster.answered, 1) // it was let in
@@ -32,7 +32,7 @@
 		})
 		for cluster.Next(simStart + 500*time.Millisecond) {
 		}
-		cluster.requireSound(t)
+		cluster.requireNoViolation(t)
 		if count := cluster.decisions[TakenOver]; count != 1 {
 			t.Errorf("seed %d: taken over %d times", seed, count)
 		}
@@ -45,9 +45,9 @@
 // TestHandOffWithoutPeer: a request stays with its holder if no other member of
 // the group is alive.
 func TestHandOffWithoutPeer(t *testing.T) {
-	cluster := newSimCluster(calmSeeds, 4, usualFaults)
+	cluster := newSimCluster(faultFreeSeeds, 4, standardFaults)
 	key := idempotency.Key{13: 1}
-	cluster.keys[key] = &keyTruth{}
+	cluster.keys[key] = &keyRecord{}
 	holder := cluster.nodes[0]
 	holdKey(cluster, holder, key, func() {
 		for _, peer := range cluster.nodes[1:] {
--- a/failover/message.go
+++ b/failover/message.go
@@ -7,36 +7,39 @@
 	"frosthub/idempotency"
 )
 
-// MessageKind is the type of a Message.
+// MessageKind identifies the type of a Message.
 type MessageKind uint8
 
-// The message kinds. Their numbers stand on the wire.
+// The message kinds. The values are part of the wire format.
 const (
-	// MsgAcquire asks for a key; with Force although another node holds it.
+	// MsgAcquire requests a key. With Force, members grant the key even if
+	// another node holds it.
 	MsgAcquire MessageKind = 1
-	// MsgAcquireReply answers with a vote.
+	// MsgAcquireReply carries a member's vote on a MsgAcquire.
 	MsgAcquireReply MessageKind = 2
 	// MsgStart announces that the holder is about to run the request.
 	MsgStart MessageKind = 3
-	// MsgStartReply confirms that the start is durable, or refuses it.
+	// MsgStartReply confirms that the start is durable, or rejects it.
 	MsgStartReply MessageKind = 4
-	// MsgFinish reports the outcome. EntryNeverRan releases the key: the
-	// request never ran, or may run again.
+	// MsgFinish reports the outcome of a request. The outcome EntryNeverRan
+	// releases the key: the request never ran, or may run again.
 	MsgFinish MessageKind = 5
-	// MsgFinishReply confirms that the outcome is recorded.
+	// MsgFinishReply carries VoteGranted if the outcome is recorded.
 	MsgFinishReply MessageKind = 6
-	// MsgQuery asks what is known of a key, without claiming it.
+	// MsgQuery requests the recorded state of a key without claiming the key.
 	MsgQuery MessageKind = 7
-	// MsgQueryReply answers with a vote.
+	// MsgQueryReply carries a member's vote on a MsgQuery.
 	MsgQueryReply MessageKind = 8
-	// MsgHolderCheck asks the presumed holder whether it still holds the key.
+	// MsgHolderCheck checks whether the presumed holder still holds the key.
 	MsgHolderCheck MessageKind = 9
-	// MsgNotHeld answers that it doesn't; a holder stays silent.
+	// MsgNotHeld replies to a MsgHolderCheck that the sender does not hold the
+	// key. A node that holds the key sends no reply.
 	MsgNotHeld MessageKind = 10
-	// MsgCompleted reports the outcome to a node that asked while the request
-	// was in flight.
+	// MsgCompleted reports the outcome to a node that requested or queried the
+	// key while the request was in flight.
 	MsgCompleted MessageKind = 11
-	// MsgHandOff asks a member to take the request over: the holder leaves.
+	// MsgHandOff requests that a member take over the request because its
+	// holder is leaving the cluster.
 	MsgHandOff MessageKind = 12
 )
 
@@ -63,31 +66,38 @@
 	return messageKindNames[k]
 }
 
-// Vote is what a member of a group answers about a key.
+// Vote is a group member's reply about a key.
 type Vote uint8
 
-// The votes. Their numbers stand on the wire.
+// The votes. The values are part of the wire format.
 const (
-	// VoteNone: the member knows nothing of the key.
+	// VoteNone means that the member has no record of the key.
 	VoteNone Vote = 0
-	// VoteGranted: the member agrees.
+	// VoteGranted means that the member has granted the key, or has recorded
+	// the start or the outcome.
 	VoteGranted Vote = 1
-	// VoteSuperseded: the member has granted a higher ballot.
+	// VoteSuperseded means that the member has granted the key to another
+	// ballot, or no longer has a reservation under the ballot of the message.
 	VoteSuperseded Vote = 2
-	// VoteHeld: Holder has the key and hasn't started.
+	// VoteHeld means that Holder has the key and has not started the request.
 	VoteHeld Vote = 3
-	// VoteRunning: Holder has started, and the outcome isn't known. With an
-	// Outcome it is, and is being written to the disk.
+	// VoteRunning means that Holder has started the request and its outcome is
+	// not recorded. If Outcome is set, the member is writing the outcome to
+	// disk.
 	VoteRunning Vote = 4
-	// VoteFinished: Outcome and Result are how the request ended.
+	// VoteFinished means that the request has ended with Outcome and Result.
 	VoteFinished Vote = 5
-	// VoteOutcomeUnknown: the request was started, and its outcome is lost.
+	// VoteOutcomeUnknown means that the request was started and its outcome is
+	// lost.
 	VoteOutcomeUnknown Vote = 6
-	// VoteExpired: the request ended, and its result is no longer kept.
+	// VoteExpired means that the request has ended and its result is no longer
+	// kept.
 	VoteExpired Vote = 7
-	// VoteAbstain: the member has lost records and doesn't know.
+	// VoteAbstain means that the member has lost records, which may include
+	// those of the key.
 	VoteAbstain Vote = 8
-	// VoteFull: the member has no room, or its disk has failed.
+	// VoteFull means that the member cannot record the key: it has no room, or
+	// its disk has failed.
 	VoteFull Vote = 9
 )
 
@@ -112,86 +122,89 @@
 	return voteNames[v]
 }
 
-// Message is a message between two nodes about one key. Kind determines which of
-// the other fields are set.
+// Message is a message between two nodes about one key. Kind determines which
+// of the other fields are set.
 type Message struct {
 	Kind MessageKind
 	Key  idempotency.Key
-	// Ballot is that of the sender's claim, or the one that is answered.
+	// Ballot is the ballot of the claim that the message is about.
 	Ballot Ballot
-	// Force (MsgAcquire) claims the key although another ballot holds it.
+	// Force (MsgAcquire) requests the key even if another ballot holds it.
 	Force bool
-	// Made is when the request was made, as its caller says: the time since
-	// 1970, 0 if the caller didn't say.
+	// Made is the time since 1970 at which the client created the request; 0 if
+	// the client did not specify it.
 	Made time.Duration
 	// Vote (replies) is the sender's vote.
 	Vote Vote
-	// Holder (replies) is the ballot that the sender has granted the key to.
+	// Holder (replies) is the ballot to which the sender has granted the key.
 	Holder Ballot
-	// Outcome (MsgFinish, VoteFinished, VoteRunning) is how the request
-	// ended; 0 if that isn't known.
+	// Outcome (MsgFinish, MsgCompleted, VoteFinished, VoteRunning) is how the
+	// request ended; 0 if the sender has no outcome.
 	Outcome idempotency.EntryKind
-	// Result is the response, where Outcome is idempotency.EntryResult.
+	// Result is the response if Outcome is idempotency.EntryResult.
 	Result []byte
 	// Work (MsgAcquire, MsgHandOff) is what another node needs to run the
 	// request.
 	Work *Work
-	// Replayable marks a request that may run more than once: nothing of it is
-	// durable, and whoever lost its holder may run it.
+	// Replayable marks a request that may run more than once because it has no
+	// durable effect. Another node may therefore run it when its holder is
+	// lost.
 	Replayable bool
-	// Run (MsgStart) is the request's ID at the holder's processor.
+	// Run (MsgStart) is the ID of the request at the holder's processor.
 	Run uint64
-	// Notice (MsgStart) is the last notice of its processor that the holder
-	// has read.
+	// Notice (MsgStart) is the number of the last notice that the holder has
+	// read from its processor.
 	Notice uint64
-	// Fences (replies) name members of the group whose votes of earlier
-	// incarnations don't count beside this one.
+	// Fences (replies) lists members of the group whose votes from earlier
+	// incarnations must not be counted together with this vote.
 	Fences []Fence
 }
 
-// Envelope is a message with its destination.
+// Envelope is a message and its destination.
 type Envelope struct {
-	// To names the receiving node.
+	// To is the name of the receiving node.
 	To string
 	Message
 }
 
-// Work is what another node needs to go on with a request.
+// Work is what another node needs to continue a request.
 type Work struct {
 	Handler string
 	Body    []byte
-	// Left is for how long the caller still waits, in nanoseconds from the
-	// moment of sending.
+	// Left is the time that remains until the client's timeout, in nanoseconds
+	// from the moment of sending.
 	Left int64
 	// Cost is the expected execution time in nanoseconds.
 	Cost int64
 	Size float64
 	Rank float64
-	// Weight is that of the handler: the highest is taken over first.
+	// Weight is the weight of the handler. Requests with the highest weight are
+	// taken over first.
 	Weight float64
-	// Replayable requests may run more than once.
+	// Replayable marks a request that may run more than once.
 	Replayable bool
 }
 
 // RequestDecision is a decision on a request of this node.
 //
-// Beside the decisions of package idempotency: idempotency.Fresh in answer to
-// [Node.Claim] lets the request go on; at any other time it rejects the request,
-// which never ran, and the key is free again. idempotency.Duplicate lets the
-// request join the original one.
+// The decisions are those of package idempotency, with two exceptions. In reply
+// to [Node.Claim], idempotency.Fresh admits the request; at any other time it
+// rejects the request, which never ran, and the key is free again.
+// idempotency.Duplicate allows the request to join the original one.
 type RequestDecision struct {
 	Key idempotency.Key
-	// Made is when the request was made; see Message.
+	// Made is the time at which the client created the request; see
+	// Message.Made.
 	Made time.Duration
-	// Work (TakenOver) is the request, which this node holds from now on.
+	// Work (TakenOver) is the request, which this node now holds.
 	Work *Work
 	idempotency.Outcome
 }
 
 // TakenOver is the decision that this node has taken over a request of another
-// node, under the ID of the outcome.
+// node. The ID of the decision is the ID of the request on this node.
 const TakenOver idempotency.Decision = 100
 
-// NoQuorum is the decision that a request is rejected since its group couldn't
-// be asked. It never ran.
+// NoQuorum is the decision to reject a request because its group did not reach
+// a quorum. The request never ran.
 const NoQuorum idempotency.Decision = 101
--- a/failover/node.go
+++ b/failover/node.go
@@ -7,104 +7,109 @@
 	"frosthub/internal/prng"
 )
 
-// FailureDetector is a failure detector: what is believed of other nodes. Beliefs may be
-// wrong: they decide when a node acts, not what is safe.
+// FailureDetector reports the state of other nodes. Its reports may be wrong:
+// they affect when a node acts, but not safety.
 type FailureDetector interface {
-	// Alive reports whether a node answers.
+	// Alive reports whether a node responds.
 	Alive(name string) bool
-	// Dead reports whether a node is believed to have failed, not merely to be
-	// silent for a moment.
+	// Dead reports whether a node is considered failed, not merely unresponsive
+	// for a moment.
 	Dead(name string) bool
 	// Incarnation returns the highest known incarnation of a node, 0 if none is
 	// known.
 	Incarnation(name string) uint64
 }
 
-// Node is one node's part of the protocol, for the keys of requests that it
-// serves (claims) and for those that it records for others (reservations).
-// Create it with New. It must not be used concurrently.
+// Node executes one node's part of the protocol, both for the keys of requests
+// that it serves (claims) and for those that it records for other nodes
+// (reservations). Create it with New. It is not safe for concurrent use.
 //
-// Every call that takes the time expects the time since 1970; a time before
-// that of an earlier call counts as the earlier one.
+// Every method with a time parameter expects the time since 1970. A time before
+// that of an earlier call is treated as the time of that call.
 type Node struct {
-	cfg    Config
-	store  *idempotency.Store
-	peers  FailureDetector
-	now    time.Duration
-	random prng.Source
-	stats  Stats // only the counters; Node.Stats computes the rest
-	// draining nodes take nothing over any more.
+	cfg      Config
+	store    *idempotency.Store
+	detector FailureDetector
+	now      time.Duration
+	random   prng.Source
+	stats    Stats // only the counters; Node.Stats computes the rest
+	// draining is set once the node no longer takes over requests.
 	draining bool
 
-	// configuration is the digest of the member lists in use.
-	configuration uint64
-	groupCache    map[idempotency.Key][][]string
-	// fences are those of peers to which this node has transferred records.
+	// configurationDigest is the digest of the member lists in use.
+	configurationDigest uint64
+	groupCache          map[idempotency.Key][][]string
+	// fences holds the fences of the peers to which this node has transferred
+	// records, by name.
 	fences map[string]fenceState
 
 	claims map[idempotency.Key]*claim
-	// claimOrder has the claims in order of creation. Removed ones stay in it
+	// claimOrder has the claims in order of creation. Removed claims stay in it
 	// until the next tick.
 	claimOrder   []*claim
 	reservations reservationTable
-	// orphaned collects, during a tick, reservations to be taken over.
+	// orphaned collects the reservations that are to be taken over in the
+	// current tick.
 	orphaned []*reservation
 
-	highestBallot  uint64 // seen in any message
+	highestBallot  uint64 // highest ballot number in any message
 	lastTakeOverID uint64
-	// lastIntentID numbers intents in the store, which may still have some of
-	// an earlier incarnation.
+	// lastIntentID is the ID of the latest intent in the store. It starts at a
+	// value derived from the incarnation, since the store may still have
+	// intents of an earlier incarnation.
 	lastIntentID uint64
 
 	outbox           []Envelope
-	outcomes         []RequestDecision
+	decisions        []RequestDecision
 	processorQueries []ProcessorQuery
 }
 
-// New returns a node that records on the store. The seed determines its random
-// draws; two nodes with equal seeds and equal events behave alike.
+// New returns a node that records reservations in the store. The seed
+// determines its random numbers: two nodes with equal seeds and equal events
+// behave identically.
 func New(cfg Config, store *idempotency.Store, peers FailureDetector, seed uint64, now time.Duration) *Node {
 	cfg = cfg.withDefaults()
 	return &Node{
-		cfg:           cfg,
-		store:         store,
-		peers:         peers,
-		now:           now,
-		random:        prng.New(seed),
-		configuration: cfg.roster().configurationDigest(),
-		groupCache:    map[idempotency.Key][][]string{},
-		fences:        map[string]fenceState{},
-		claims:        map[idempotency.Key]*claim{},
-		reservations:  newReservationTable(),
-		lastIntentID:  cfg.Incarnation << 32,
+		cfg:                 cfg,
+		store:               store,
+		detector:            peers,
+		now:                 now,
+		random:              prng.New(seed),
+		configurationDigest: cfg.roster().configurationDigest(),
+		groupCache:          map[idempotency.Key][][]string{},
+		fences:              map[string]fenceState{},
+		claims:              map[idempotency.Key]*claim{},
+		reservations:        newReservationTable(),
+		lastIntentID:        cfg.Incarnation << 32,
 	}
 }
 
 // Ready returns the messages to send and the decisions on requests since the
-// last call, in the order in which they came up.
+// last call, in the order of their creation.
 func (n *Node) Ready() ([]Envelope, []RequestDecision) {
-	outbox, outcomes := n.outbox, n.outcomes
+	outbox, decisions := n.outbox, n.decisions
 	n.outbox = nil
-	n.outcomes = nil
-	return outbox, outcomes
+	n.decisions = nil
+	return outbox, decisions
 }
 
-// Reconfigure has the node use other member lists from now on; Roster.Next must
-// have allowed them. A key that it holds is claimed again before its request
-// starts.
+// Reconfigure replaces the member lists of the node; Roster.Next must have
+// allowed the change. The node claims a key that it holds again before the
+// request starts if the new group has not granted it.
 func (n *Node) Reconfigure(now time.Duration, members, previous []Member) {
 	n.advance(now)
 	n.cfg.Members = members
 	n.cfg.Previous = previous
-	n.configuration = n.cfg.roster().configurationDigest()
+	n.configurationDigest = n.cfg.roster().configurationDigest()
 	clear(n.groupCache)
 }
 
-// StartDraining has the node take nothing over any more: it is about to leave.
+// StartDraining stops the node from taking over requests, because it is about
+// to leave the cluster.
 func (n *Node) StartDraining() { n.draining = true }
 
-// Tick does what is due: repeats messages, ends claims that time out, and takes
-// over requests whose holders seem lost.
+// Tick retransmits messages, ends claims that have timed out, and takes over
+// requests whose holders are suspected.
 func (n *Node) Tick(now time.Duration) {
 	n.advance(now)
 	n.tickClaims()
@@ -112,10 +117,10 @@
 	n.takeOverOrphaned()
 }
 
-// advance moves the clock, which never goes back.
+// advance sets the clock, which never moves backwards.
 func (n *Node) advance(now time.Duration) { n.now = max(n.now, now) }
 
-// send queues a message. One to this node itself is processed at once.
+// send queues a message. A message to this node itself is processed at once.
 func (n *Node) send(to string, message Message) {
 	switch message.Kind {
 	case MsgAcquireReply, MsgStartReply, MsgFinishReply, MsgQueryReply, MsgCompleted:
@@ -128,8 +133,8 @@
 	n.outbox = append(n.outbox, Envelope{To: to, Message: message})
 }
 
-// broadcast sends a message under the claim's ballot to the members that haven't
-// voted on its present step.
+// broadcast sends a message under the claim's ballot to the members that have
+// not voted in the claim's current state.
 func (n *Node) broadcast(claim *claim, message Message) {
 	claim.lastSentAt = n.now
 	message.Key = claim.key
@@ -138,7 +143,7 @@
 		if _, voted := claim.votes[name]; !voted {
 			n.send(name, message)
 		}
-		// This node's own vote may have ended the claim or its ballot.
+		// This node's own vote may have ended the claim or replaced its ballot.
 		if n.claims[claim.key] != claim || claim.ballot != message.Ballot {
 			return
 		}
--- a/failover/processor.go
+++ b/failover/processor.go
@@ -6,52 +6,54 @@
 	"frosthub/idempotency"
 )
 
-// ProcessorQuery asks for a query to the processor of a lost node, which may know
-// the outcomes of requests that ran there.
+// ProcessorQuery is a request to query the processor of a lost node, which may
+// have the outcomes of requests that ran there.
 type ProcessorQuery struct {
 	Node string
-	// Notice is the last notice of the processor that the node had surely read
-	// when it started the first of the requests.
+	// Notice is the number of the last notice that the node had certainly read
+	// from its processor when it started the first of the requests.
 	Notice uint64
 }
 
-// ProcessorQueries returns the queries that have become due since the last call.
-// A query takes the processor's connection from its node: if that is alive after
-// all it connects again, and nothing is lost.
+// ProcessorQueries returns the queries that have become due since the last
+// call. A query takes over the connection of the processor from its node. If
+// the node is alive after all, it reconnects and nothing is lost.
 func (n *Node) ProcessorQueries() []ProcessorQuery {
 	queries := n.processorQueries
 	n.processorQueries = nil
 	return queries
 }
 
-// scheduleProcessorQuery has the processor of a lost holder queried for the
-// outcome of a started request, while a caller may wait for it.
+// scheduleProcessorQuery queues a query for the outcome of a started request to
+// the processor of its lost holder, as long as a client may wait for the
+// outcome.
 func (n *Node) scheduleProcessorQuery(reservation *reservation) {
-	if !n.processorMayTell(reservation) {
-		reservation.suspectedAt = 0
+	if !n.processorMayHaveOutcome(reservation) {
+		reservation.suspectedSince = 0
 		return
 	}
-	if reservation.suspectedAt == 0 {
-		reservation.suspectedAt = n.now
+	if reservation.suspectedSince == 0 {
+		reservation.suspectedSince = n.now
 	}
-	if n.now-reservation.suspectedAt < processorQueryDelay || n.now-reservation.queriedAt < processorQueryInterval {
+	if n.now-reservation.suspectedSince < processorQueryDelay || n.now-reservation.queriedAt < processorQueryInterval {
 		return
 	}
 	reservation.queriedAt = n.now
 	n.addProcessorQuery(ProcessorQuery{Node: reservation.ballot.Node, Notice: reservation.lastNotice})
 }
 
-// processorMayTell reports whether the holder is lost, hasn't come back, and
-// left a run that its processor may know.
-func (n *Node) processorMayTell(reservation *reservation) bool {
+// processorMayHaveOutcome reports whether the holder is lost, has not
+// restarted, and left a run whose outcome its processor may have.
+func (n *Node) processorMayHaveOutcome(reservation *reservation) bool {
 	holder := reservation.ballot
-	return !n.peers.Alive(holder.Node) &&
-		n.peers.Incarnation(holder.Node) <= holder.Incarnation &&
+	return !n.detector.Alive(holder.Node) &&
+		n.detector.Incarnation(holder.Node) <= holder.Incarnation &&
 		reservation.runID != 0 &&
 		n.now <= reservation.deadline
 }
 
-// addProcessorQuery queues a query, or widens the one that is queued.
+// addProcessorQuery queues a query, or extends the queued query for the same
+// node.
 func (n *Node) addProcessorQuery(query ProcessorQuery) {
 	for i, queued := range n.processorQueries {
 		if queued.Node == query.Node {
@@ -62,8 +64,8 @@
 	n.processorQueries = append(n.processorQueries, query)
 }
 
-// FinishFromProcessor reports how a run ended at the processor of a lost node; id
-// is the request's ID there.
+// FinishFromProcessor reports the outcome of a run at the processor of a lost
+// node; id is the ID of the request at that processor.
 func (n *Node) FinishFromProcessor(now time.Duration, node string, id uint64, kind idempotency.EntryKind, result []byte) {
 	n.advance(now)
 	reservation := n.reservations.byRun[processorRun{node: node, id: id}]
@@ -73,7 +75,7 @@
 	n.stats.FoundAtProcessor++
 	claim := n.claims[reservation.key]
 	if claim == nil {
-		claim = n.newClaim(reservation.key, reservation.made)
+		claim = n.newClaim(reservation.key, reservation.madeAt)
 	}
 	if claim.state != claimFinishing {
 		n.relayOutcome(claim, reservation.ballot, kind, result)
--- a/failover/receive.go
+++ b/failover/receive.go
@@ -6,11 +6,11 @@
 	"frosthub/idempotency"
 )
 
-// Receive takes a message of a node's process. One of an earlier incarnation
-// than the latest known is ignored.
+// Receive processes a message from an incarnation of a node. Messages of
+// earlier incarnations than the latest known one are ignored.
 func (n *Node) Receive(now time.Duration, from string, incarnation uint64, message *Message) {
 	n.advance(now)
-	if incarnation < n.peers.Incarnation(from) {
+	if incarnation < n.detector.Incarnation(from) {
 		return
 	}
 	n.receive(from, incarnation, message)
@@ -47,8 +47,8 @@
 	}
 }
 
-// mustComeFromHolder reports whether only the process of the message's ballot may
-// send it. The outcome of a run others may relay.
+// mustComeFromHolder reports whether only the process of the message's ballot
+// may send the message. Other nodes may relay the outcome of a run.
 func (m *Message) mustComeFromHolder() bool {
 	switch m.Kind {
 	case MsgAcquire, MsgStart:
@@ -60,18 +60,18 @@
 	}
 }
 
-// holds reports whether this process holds a key under that ballot.
+// holds reports whether this process holds a key under the given ballot.
 func (n *Node) holds(key idempotency.Key, ballot Ballot) bool {
 	claim := n.claims[key]
-	return ballot.Incarnation == n.cfg.Incarnation && claim != nil && claim.ballot == ballot && !claim.otherHolds()
+	return ballot.Incarnation == n.cfg.Incarnation && claim != nil && claim.ballot == ballot && !claim.waitsOrQueries()
 }
 
-// handleReply follows an answer to a claim. Answers to an earlier ballot or step
+// handleReply applies a reply to a claim. Replies to an earlier ballot or state
 // are ignored.
 func (n *Node) handleReply(claim *claim, from string, incarnation uint64, reply *Message) {
 	switch reply.Kind {
 	case MsgCompleted:
-		if claim.otherHolds() {
+		if claim.waitsOrQueries() {
 			n.adoptOutcome(claim, reply)
 		}
 		return
@@ -87,9 +87,9 @@
 	claim.countVote(from, incarnation, reply)
 	switch claim.state {
 	case claimAcquiring, claimQuerying:
-		n.decide(claim)
+		n.evaluateVotes(claim)
 	case claimStarting:
-		n.decideStart(claim, reply)
+		n.evaluateStartVotes(claim, reply)
 	case claimFinishing:
 		if n.majorityVoted(claim, VoteGranted) {
 			n.finishRecorded(claim)
@@ -97,7 +97,7 @@
 	}
 }
 
-// replyKind returns the kind of reply that a claim in the state waits for, 0 if
+// replyKind returns the kind of reply that a claim in the state expects, 0 if
 // none.
 func (s claimState) replyKind() MessageKind {
 	switch s {
--- a/failover/reservation.go
+++ b/failover/reservation.go
@@ -8,21 +8,21 @@
 	"frosthub/idempotency"
 )
 
-// reservation is what this node, as a member of a key's group, records for the
-// holder of the key.
+// reservation is the record that this node, as a member of a key's group, keeps
+// for the holder of the key.
 type reservation struct {
 	key        idempotency.Key
-	ballot     Ballot // that the key is granted to
-	made       time.Duration
-	deadline   time.Duration // of the caller
+	ballot     Ballot // to which the key is granted
+	madeAt     time.Duration
+	deadline   time.Duration // client timeout
 	work       Work
 	replayable bool
 
 	// started: the holder has announced that it is about to run the request.
 	started bool
-	// startDurable: that is on the disk.
+	// startDurable: the record of the start is on disk.
 	startDurable bool
-	// finishing: the outcome is being written to the disk.
+	// finishing: the outcome is being written to disk.
 	finishing bool
 	// finished (replayable): the request has ended with result.
 	finished bool
@@ -31,15 +31,15 @@
 	intentID   uint64          // of the intent in the store, 0 if there is none
 	runID      uint64          // see Message.Run
 	lastNotice uint64          // see Message.Notice
-	waiters    map[string]bool // nodes to be notified of the outcome
+	waiters    map[string]bool // nodes to notify of the outcome
 
-	suspectedAt time.Duration // since when the holder seems lost, 0 if it doesn't
-	queriedAt   time.Duration // when its processor was last asked, 0 if never
+	suspectedSince time.Duration // since when the holder is suspected, 0 if it is not
+	queriedAt      time.Duration // when the holder's processor was last queried, 0 if never
 
-	// transferred: a peer has transferred it. This node may have known its outcome
-	// and lost it, and has granted nothing itself.
+	// transferred: a peer has transferred the reservation. This node may have
+	// had the outcome and lost it, and has granted the key to no ballot itself.
 	transferred bool
-	// otherBallots (transferred) are lower ballots whose start other peers
+	// otherBallots (transferred) are lower ballots whose starts other peers
 	// have recorded.
 	otherBallots []Ballot
 }
@@ -58,14 +58,15 @@
 type reservationTable struct {
 	byKey    map[idempotency.Key]*reservation
 	byIntent map[uint64]*reservation
-	// byRun has the started ones, whose holder's processor may be asked.
+	// byRun has the started reservations, for which the holder's processor may
+	// be queried.
 	byRun map[processorRun]*reservation
-	// order has them in order of creation. Removed ones stay in it until the
-	// next tick.
+	// order has the reservations in order of creation. Removed reservations
+	// stay in it until the next tick.
 	order []*reservation
 
 	replayableCount int
-	resultBytes     int // of replayable ones
+	resultBytes     int // of replayable reservations
 }
 
 func newReservationTable() reservationTable {
@@ -114,20 +115,21 @@
 	return n.lastIntentID
 }
 
-// MarkDurable reports that the store's writes are durable up to a sequence number.
+// MarkDurable reports that the writes of the store are durable up to a sequence
+// number.
 func (n *Node) MarkDurable(now time.Duration, seq uint64) {
 	n.advance(now)
 	n.applyStoreOutcomes(n.store.MarkDurable(seq))
 }
 
-// DiskFailed reports that the disk accepts no more writes: this node records
-// nothing any more.
+// DiskFailed reports that the disk accepts no more writes: the node records
+// nothing from then on.
 func (n *Node) DiskFailed(now time.Duration) {
 	n.advance(now)
 	n.applyStoreOutcomes(n.store.MarkDiskFailed())
 }
 
-// applyStoreOutcomes follows what the store has decided on intents.
+// applyStoreOutcomes carries out the decisions of the store on intents.
 func (n *Node) applyStoreOutcomes(outcomes []idempotency.Outcome) {
 	for _, outcome := range outcomes {
 		reservation := n.reservations.byIntent[outcome.ID]
@@ -156,8 +158,8 @@
 	}
 }
 
-// notifyWaiters reports the outcome to the nodes that asked while the request was
-// in flight.
+// notifyWaiters sends the outcome to the nodes that requested or queried the
+// key while the request was in flight.
 func (n *Node) notifyWaiters(reservation *reservation, kind idempotency.EntryKind, result []byte) {
 	for _, name := range slices.Sorted(maps.Keys(reservation.waiters)) {
 		n.send(name, Message{
@@ -171,10 +173,11 @@
 	}
 }
 
-// tickReservations does what is due for each reservation, in order of creation.
+// tickReservations runs the due actions of each reservation, in order of
+// creation.
 func (n *Node) tickReservations() {
 	reservations := n.reservations.order
-	n.reservations.order = nil // collects those that are created meanwhile
+	n.reservations.order = nil // collects reservations that are created meanwhile
 	remaining := reservations[:0]
 	for _, reservation := range reservations {
 		if n.reservations.contains(reservation) {
@@ -185,8 +188,8 @@
 	n.reservations.order = append(remaining, n.reservations.order...)
 }
 
-// tickReservation looks whether the holder is lost, and removes what has
-// expired.
+// tickReservation checks whether the holder is lost, and removes an expired
+// reservation.
 func (n *Node) tickReservation(reservation *reservation) {
 	expired := n.now > reservation.deadline
 	switch {
@@ -196,7 +199,7 @@
 		}
 	case reservation.started:
 		n.scheduleProcessorQuery(reservation)
-		if n.now > reservation.deadline+unknownAfter && n.suspects(reservation.ballot) {
+		if n.now > reservation.deadline+outcomeUnknownDelay && n.suspects(reservation.ballot) {
 			n.store.MarkOutcomeUnknown(n.now, reservation.key)
 			n.reservations.remove(reservation)
 		}
--- a/failover/roster.go
+++ b/failover/roster.go
@@ -11,31 +11,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Roster holds the member lists by which a node asks the groups of keys.
+// Roster holds the member lists from which a node computes the groups of keys.
 //
-// While the members change, a node uses both the previous and the new list and
-// needs majorities of both groups (joint consensus). So it meets the nodes that
-// still use the previous list alone, those that already use the new one alone,
-// and whatever ran under the previous list alone.
+// During a membership change, a node uses both the previous and the new list
+// and needs majorities of both groups (joint consensus). Its majorities
+// therefore intersect those of nodes that still use only the previous list,
+// those of nodes that already use only the new list, and those of requests that
+// ran under the previous list alone.
 type Roster struct {
-	// Members is the list in force.
+	// Members is the current list.
 	Members []Member
-	// Previous is the list before it; empty while nothing changes.
+	// Previous is the list that Members replaces; empty when no change is in
+	// progress.
 	Previous []Member
-	// Since is the time since 1970 from which all other nodes are known to use
-	// both lists; 0 if some aren't.
+	// Since is the time, since 1970, from which all other nodes are known to
+	// use both lists; 0 if some are not known to.
 	Since time.Duration
 }
 
-// MembersDigest returns a hash of what the groups of a member list depend on: names,
-// zones and weights, in any order.
+// MembersDigest returns a hash of the properties of a member list that
+// determine its groups: names, zones and weights. The order of the members does
+// not matter.
 func MembersDigest(members []Member) uint64 {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
 	hash := xxhash.New()
 	for _, member := range members {
 		weight := cmp.Or(member.Weight, 1)
-		_, _ = fmt.Fprintf(hash, "%q %q %x\n", member.Name, member.Zone, math.Float64bits(weight)) // never an error
+		_, _ = fmt.Fprintf(hash, "%q %q %x\n", member.Name, member.Zone, math.Float64bits(weight)) // a hash never returns an error
 	}
 	return hash.Sum64()
 }
@@ -59,31 +62,32 @@
 
 func (r Roster) inTransition() bool { return len(r.Previous) > 0 }
 
-// Compatible reports whether two nodes with these digests may exchange messages
-// about keys: a list that both use has their majorities meet.
+// Compatible reports whether two nodes with the given list digests may exchange
+// messages about keys. The majorities of two nodes intersect if the nodes share
+// a list.
 func Compatible(x, y []uint64) bool {
 	return slices.ContainsFunc(x, func(digest uint64) bool { return slices.Contains(y, digest) })
 }
 
-// Reasons of Roster.Next for not adopting other lists.
+// The reasons for which Roster.Next rejects other lists.
 var (
-	// ErrTransitionRequired means that the previous list must stand beside the
-	// new one first.
-	ErrTransitionRequired = errors.New("the members change, and the list before must stand beside the new one first")
-	// ErrTransitionInProgress means that the lists belong to another change
-	// than the one under way.
-	ErrTransitionInProgress = errors.New("a change of members is under way: it can only be ended")
-	// ErrRetryHorizon means that what ran under the previous list alone may
-	// still be asked for again.
-	ErrRetryHorizon = errors.New("what ran before may still be asked for again")
-	// ErrNotAdopted means that some nodes aren't known to use the new list.
-	ErrNotAdopted = errors.New("not known to go by the new list")
+	// ErrTransitionRequired means that the new list must first be used together
+	// with the previous list.
+	ErrTransitionRequired = errors.New("the member list changes, and the previous list must stand beside the new one first")
+	// ErrTransitionInProgress means that the lists belong to a different change
+	// than the one in progress.
+	ErrTransitionInProgress = errors.New("another membership change is in progress and must end first")
+	// ErrRetryHorizon means that clients may still retry requests that ran
+	// under the previous list alone.
+	ErrRetryHorizon = errors.New("requests that ran under the previous member list may still be asked for again")
+	// ErrNotAdopted means that some nodes are not known to use the new list.
+	ErrNotAdopted = errors.New("some nodes are not known to go by the new list")
 )
 
-// NotAdopted returns the members other than self that aren't known to use the
-// new list. reported returns the digests of the lists that a node has last said
-// to use, nil if it hasn't said so. Removed members are left out: they never
-// come back under the previous list, by the operator's word.
+// NotAdopted returns the members other than self that are not known to use the
+// new list. reported returns the digests of the lists that a node has last
+// reported, nil if it has not reported any. Removed members are omitted: the
+// operator guarantees that they never return under the previous list.
 func (r Roster) NotAdopted(self string, reported func(name string) []uint64) (names []string) {
 	wanted := MembersDigest(r.Members)
 	for _, member := range slices.Concat(r.Members, r.Previous) {
@@ -98,18 +102,18 @@
 }
 
 // Next decides whether a node that uses the roster may adopt another one, and
-// returns that as it then stands. retryHorizon is how long after a request was
-// read it may still run or be asked for again: a change ends only when every
-// node has used both lists for that long.
+// returns the roster that the node uses from then on. retryHorizon is how long
+// after a request was read it may still run or be retried: a change ends only
+// when every node has used both lists for that long.
 //
-// The allowed steps:
+// The allowed steps, where "N with M" is the list N with the previous list M:
 //
-//	from            to
-//	M               M beside nothing (other addresses)
-//	M               N beside M: a change begins
-//	N beside M      N beside M (other addresses)
-//	N beside M      N: the change ends
-//	N beside M      O beside N: the change ends and the next begins
+//	from        to
+//	M           M: other addresses
+//	M           N with M: a change begins
+//	N with M    N with M: other addresses
+//	N with M    N: the change ends
+//	N with M    O with N: the change ends and the next begins
 //
 // Any other step returns r and one of the errors ErrTransitionRequired,
 // ErrTransitionInProgress, ErrRetryHorizon and ErrNotAdopted.
@@ -126,7 +130,7 @@
 	case !r.inTransition():
 		return r, ErrTransitionRequired
 	case !to.inTransition() && members == toMembers, to.inTransition() && members == toPrevious:
-		if err := r.mayEndTransition(now, retryHorizon); err != nil {
+		if err := r.checkTransitionEnd(now, retryHorizon); err != nil {
 			return r, err
 		}
 		return to, nil
@@ -134,9 +138,9 @@
 	return r, ErrTransitionInProgress
 }
 
-// mayEndTransition returns nil if every node has used both lists for the retry
-// horizon.
-func (r Roster) mayEndTransition(now, retryHorizon time.Duration) error {
+// checkTransitionEnd returns nil if every node has used both lists for the
+// retry horizon.
+func (r Roster) checkTransitionEnd(now, retryHorizon time.Duration) error {
 	if disabledRule == ruleRetryHorizon {
 		return nil
 	}
--- a/failover/rules.go
+++ b/failover/rules.go
@@ -1,43 +1,47 @@
 package failover
 
-// safetyRule names a rule of the protocol that tests can switch off.
+// safetyRule identifies a rule of the protocol that tests can disable.
 //
-// The simulation searches for schedules that break the guarantees. A search
-// that finds nothing proves little unless it is known to find faults, so the
-// tests disable each rule in turn and require that the simulation notices
-// (mutation testing).
+// The simulation searches for schedules that violate the guarantees. A search
+// without findings proves little unless the simulation is known to detect
+// faults. The tests therefore disable each rule in turn and require that the
+// simulation finds a violation (mutation testing).
 type safetyRule uint8
 
 const (
-	// ruleStartQuorum: run only when a majority has recorded the start.
+	// ruleStartQuorum: a request runs only when a majority has recorded its
+	// start.
 	ruleStartQuorum safetyRule = iota + 1
-	// ruleStartBallot: record a start only under the ballot granted last.
+	// ruleStartBallot: a member records a start only under the ballot that it
+	// granted last.
 	ruleStartBallot
-	// ruleNoGrantAfterStart: grant no key whose start is recorded.
+	// ruleNoGrantAfterStart: a member does not grant a key whose start it has
+	// recorded.
 	ruleNoGrantAfterStart
-	// ruleDurableStart: confirm a start only when it is on the disk.
+	// ruleDurableStart: a member confirms a start only when the record is on
+	// disk.
 	ruleDurableStart
-	// rulePreviousGroup: while the members change, ask the group of the
-	// previous list as well.
+	// rulePreviousGroup: during a membership change, a majority of the group of
+	// the previous list is required as well.
 	rulePreviousGroup
-	// ruleRetryHorizon: end a change of members only when all nodes have used
-	// both lists for as long as anything may be asked for again.
+	// ruleRetryHorizon: a membership change ends only when all nodes have used
+	// both lists for as long as any request may be retried.
 	ruleRetryHorizon
-	// ruleFencing: votes that a node cast before it lost its records don't
-	// count beside those of the peers that restored it.
+	// ruleFencing: votes that a node cast before it lost its records are not
+	// counted together with the votes of the peers that restored it.
 	ruleFencing
-	// ruleCompleteSource: a node that has lost records itself doesn't
-	// count as having transferred everything to another.
+	// ruleCompleteSource: a transfer from a node that has lost records itself
+	// does not count as complete.
 	ruleCompleteSource
-	// ruleTransferInFlight: requests in flight are transferred as well.
+	// ruleTransferInFlight: a transfer includes requests in flight.
 	ruleTransferInFlight
-	// ruleTransferExpired: fingerprints of expired keys are transferred as
-	// well.
+	// ruleTransferExpired: a transfer includes the fingerprints of expired
+	// keys.
 	ruleTransferExpired
-	// ruleAllGroupPeers: a key's history is complete only when all other
-	// members of its group have transferred theirs.
+	// ruleAllGroupPeers: the history of a key is complete only when all other
+	// members of its group have transferred their records.
 	ruleAllGroupPeers
 )
 
-// disabledRule is the rule that is switched off; zero outside tests.
+// disabledRule is the rule that is disabled; zero outside tests.
 var disabledRule safetyRule
--- a/failover/rules_test.go
+++ b/failover/rules_test.go
@@ -13,10 +13,10 @@
 		disabled safetyRule
 		scenario scenario
 	}{
-		{"start quorum", ruleStartQuorum, usualFaults},
-		{"start ballot", ruleStartBallot, usualFaults},
-		{"no grant after start", ruleNoGrantAfterStart, usualFaults},
-		{"durable start", ruleDurableStart, usualFaults},
+		{"start quorum", ruleStartQuorum, standardFaults},
+		{"start ballot", ruleStartBallot, standardFaults},
+		{"no grant after start", ruleNoGrantAfterStart, standardFaults},
+		{"durable start", ruleDurableStart, standardFaults},
 		{"previous group", rulePreviousGroup, membersChange},
 		{"retry horizon", ruleRetryHorizon, membersChange},
 		{"complete source", ruleCompleteSource, disksLost},
--- a/failover/sim_cluster_test.go
+++ b/failover/sim_cluster_test.go
@@ -18,15 +18,15 @@
 const simStart = 500_000 * time.Hour
 
 // calmSeeds is the first of the seeds of clusters in which nothing fails.
-const calmSeeds = 1 << 40
+const faultFreeSeeds = 1 << 40
 
 // scenario is what happens in a simulation beside the usual faults.
 type scenario uint8
 
 const (
-	usualFaults   scenario = iota
-	membersChange          // nodes adopt another member list
-	disksLost              // disks lose what they had confirmed
+	standardFaults scenario = iota
+	membersChange           // nodes adopt another member list
+	disksLost               // disks lose what they had confirmed
 )
 
 // simCluster is a cluster in one process: its links delay, lose and repeat
@@ -41,13 +41,13 @@
 	cut    map[link]bool
 
 	lossRate           float64 // of messages that are lost or repeated
-	wrongBeliefRate    float64
+	falseDetectionRate float64
 	maxWriteDelay      time.Duration // of a disk
 	processorsSurvive  bool          // their nodes' crashes
 	faultless          bool
 	membersChange      bool
 	disksLost          bool
-	keys               map[idempotency.Key]*keyTruth
+	keys               map[idempotency.Key]*keyRecord
 	lastRequestID      uint64
 	requestedAt        map[uint64]time.Duration
 	answered           map[uint64]bool
@@ -68,7 +68,7 @@
 type link struct{ from, to int }
 
 // keyTruth is what really happened to a key.
-type keyTruth struct {
+type keyRecord struct {
 	replayable bool
 	requests   int
 	runs       int
@@ -86,13 +86,13 @@
 		cut:           map[link]bool{},
 		membersChange: scenario == membersChange,
 		disksLost:     scenario == disksLost,
-		keys:          map[idempotency.Key]*keyTruth{},
+		keys:          map[idempotency.Key]*keyRecord{},
 		requestedAt:   map[uint64]time.Duration{},
 		answered:      map[uint64]bool{},
 		decisions:     map[idempotency.Decision]int{},
 	}
 	c.lossRate = []float64{0, 0, 0.02, 0.1}[random.IntN(4)]
-	c.wrongBeliefRate = []float64{0, 0.02, 0.3}[random.IntN(3)]
+	c.falseDetectionRate = []float64{0, 0.02, 0.3}[random.IntN(3)]
 	c.maxWriteDelay = []time.Duration{4 * time.Millisecond, 60 * time.Millisecond}[random.IntN(2)]
 	drawnSize := 3 + random.IntN(7)
 	if size == 0 {
@@ -108,7 +108,7 @@
 		node.start()
 	}
 	c.processorsSurvive = random.IntN(2) == 0
-	if seed >= calmSeeds {
+	if seed >= faultFreeSeeds {
 		c.disableFaults()
 	}
 	return c
@@ -117,7 +117,7 @@
 func (c *simCluster) disableFaults() {
 	c.faultless = true
 	c.lossRate = 0
-	c.wrongBeliefRate = 0
+	c.falseDetectionRate = 0
 	c.maxWriteDelay = 4 * time.Millisecond
 }
 
@@ -126,7 +126,7 @@
 func simulate(seed uint64, span time.Duration, scenario scenario) *simCluster {
 	c := newSimCluster(seed, 0, scenario)
 	stepsPerFault := 10 + c.random.IntN(60)
-	for at := time.Duration(0); at < span; at += c.drawUpTo(20 * time.Millisecond) {
+	for at := time.Duration(0); at < span; at += c.randomUpTo(20 * time.Millisecond) {
 		c.After(at, c.sendRequest)
 		if !c.faultless && c.random.IntN(stepsPerFault) == 0 {
 			c.After(at, c.injectFault)
@@ -138,7 +138,7 @@
 		c.foundAtProcessors += node.machine.Stats().FoundAtProcessor
 	}
 	if key, ok := harness.Linearizable(c.history); !ok {
-		c.violated("no order explains %x", key)
+		c.recordViolation("no order explains %x", key)
 	}
 	return c
 }
@@ -146,7 +146,7 @@
 // node returns the node of a name.
 func (c *simCluster) node(name string) *simNode { return c.nodes[name[0]-'a'] }
 
-func (c *simCluster) drawUpTo(limit time.Duration) time.Duration {
+func (c *simCluster) randomUpTo(limit time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(limit) + 1))
 }
 
@@ -157,7 +157,7 @@
 }
 
 // violated records that a guarantee is broken.
-func (c *simCluster) violated(format string, args ...any) {
+func (c *simCluster) recordViolation(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf(format, args...)
 		c.log("VIOLATION %s", c.violation)
@@ -165,7 +165,7 @@
 }
 
 // requireSound ends a test where a guarantee was broken, with all that led there.
-func (c *simCluster) requireSound(t *testing.T) {
+func (c *simCluster) requireNoViolation(t *testing.T) {
 	t.Helper()
 	if c.violation == "" {
 		return
@@ -187,10 +187,10 @@
 		left = 300 * time.Millisecond
 	}
 	if c.keys[key] == nil {
-		c.keys[key] = &keyTruth{replayable: key[15] >= 9}
+		c.keys[key] = &keyRecord{replayable: key[15] >= 9}
 	}
-	truth := c.keys[key]
-	truth.requests++
+	record := c.keys[key]
+	record.requests++
 	for range 1 + c.random.IntN(2) {
 		node := c.nodes[c.random.IntN(len(c.nodes))]
 		c.lastRequestID++
@@ -202,7 +202,7 @@
 			node.requests[id] = key
 			c.requestedAt[id] = c.Now
 			c.log("%s/%d %x %d: requested", node.name, node.incarnation, key[15], id)
-			work := Work{Handler: "file-claim", Left: int64(left), Replayable: truth.replayable}
+			work := Work{Handler: "file-claim", Left: int64(left), Replayable: record.replayable}
 			node.machine.Claim(c.Now, key, 0, id, work)
 		})
 	}
--- a/failover/sim_faults_test.go
+++ b/failover/sim_faults_test.go
@@ -6,7 +6,7 @@
 func (c *simCluster) injectFault() {
 	node := c.nodes[c.random.IntN(len(c.nodes))]
 	if c.disksLost && c.random.IntN(3) == 0 {
-		c.isolateAround(node)
+		c.partitionAround(node)
 		return
 	}
 	switch c.random.IntN(7) {
@@ -25,28 +25,28 @@
 
 // crash has a node come back with what was confirmed to it, and perhaps some
 // more.
-func (x *simNode) crash() {
-	c := x.cluster
-	if !x.up {
+func (n *simNode) crash() {
+	c := n.cluster
+	if !n.up {
 		return
 	}
-	c.log("%s/%d crashes", x.name, x.incarnation)
-	c.foundAtProcessors += x.machine.Stats().FoundAtProcessor
-	x.machine.stats.FoundAtProcessor = 0
-	x.up = false
+	c.log("%s/%d crashes", n.name, n.incarnation)
+	c.foundAtProcessors += n.machine.Stats().FoundAtProcessor
+	n.machine.stats.FoundAtProcessor = 0
+	n.up = false
 	completed := 0
-	if len(x.pendingWrites) > 0 && c.random.IntN(2) == 0 {
-		completed = c.random.IntN(len(x.pendingWrites) + 1)
+	if len(n.pendingWrites) > 0 && c.random.IntN(2) == 0 {
+		completed = c.random.IntN(len(n.pendingWrites) + 1)
 	}
-	x.completeWrites(completed)
+	n.completeWrites(completed)
 	if c.disksLost && c.random.IntN(3) == 0 {
-		x.loseDisk()
+		n.loseDisk()
 	}
 	downtime := 300 * time.Millisecond
 	if c.random.IntN(4) == 0 {
 		downtime = time.Second
 	}
-	c.After(c.drawUpTo(downtime), x.start)
+	c.After(c.randomUpTo(downtime), n.start)
 }
 
 func (c *simCluster) crashSome() {
@@ -58,24 +58,24 @@
 }
 
 // loseDisk has a node come back with an older copy of its disk, or an empty one.
-func (x *simNode) loseDisk() {
-	c := x.cluster
-	kept := c.random.IntN(len(x.disk) + 1)
+func (n *simNode) loseDisk() {
+	c := n.cluster
+	kept := c.random.IntN(len(n.disk) + 1)
 	if c.random.IntN(2) == 0 {
-		kept = max(kept, len(x.disk)-12)
+		kept = max(kept, len(n.disk)-12)
 	}
-	c.log("%s/%d: the disk has %d of %d entries", x.name, x.incarnation, kept, len(x.disk))
-	x.disk = x.disk[:kept]
-	x.diskOutdated = true
-	x.fencesOnDisk = nil
+	c.log("%s/%d: the disk has %d of %d entries", n.name, n.incarnation, kept, len(n.disk))
+	n.disk = n.disk[:kept]
+	n.diskOutdated = true
+	n.fencesOnDisk = nil
 	c.lostDisks++
 }
 
-func (x *simNode) pause() {
-	c := x.cluster
-	duration := c.drawUpTo(1500 * time.Millisecond)
-	c.log("%s/%d pauses for %s", x.name, x.incarnation, duration)
-	x.pausedUntil = max(x.pausedUntil, c.Now+duration)
+func (n *simNode) pause() {
+	c := n.cluster
+	duration := c.randomUpTo(1500 * time.Millisecond)
+	c.log("%s/%d pauses for %s", n.name, n.incarnation, duration)
+	n.pausedUntil = max(n.pausedUntil, c.Now+duration)
 }
 
 // cutFor has a link carry nothing for a while.
@@ -96,7 +96,7 @@
 	}
 	for _, cut := range links {
 		c.log("cut %v", cut)
-		c.cutFor(cut, c.drawUpTo(600*time.Millisecond))
+		c.cutFor(cut, c.randomUpTo(600*time.Millisecond))
 	}
 }
 
@@ -107,7 +107,7 @@
 	for from := range c.nodes {
 		for to := range c.nodes {
 			if side>>from&1 != side>>to&1 {
-				c.cutFor(link{from, to}, c.drawUpTo(500*time.Millisecond))
+				c.cutFor(link{from, to}, c.randomUpTo(500*time.Millisecond))
 			}
 		}
 	}
@@ -115,22 +115,22 @@
 
 // isolateAround has all nodes hear only one, which crashes, loses its disk and
 // soon comes back: it may have confirmed what no other node has heard of.
-func (c *simCluster) isolateAround(center *simNode) {
+func (c *simCluster) partitionAround(center *simNode) {
 	c.log("isolated around %s", center.name)
 	for from := range c.nodes {
 		for to := range c.nodes {
 			if from != center.index && to != center.index && from != to {
-				c.cutFor(link{from, to}, 500*time.Millisecond+c.drawUpTo(100*time.Millisecond))
+				c.cutFor(link{from, to}, 500*time.Millisecond+c.randomUpTo(100*time.Millisecond))
 			}
 		}
 	}
-	c.After(c.drawUpTo(40*time.Millisecond), func() {
+	c.After(c.randomUpTo(40*time.Millisecond), func() {
 		if !center.up {
 			return
 		}
 		c.log("%s/%d crashes", center.name, center.incarnation)
 		center.up = false
 		center.loseDisk()
-		c.After(c.drawUpTo(10*time.Millisecond), center.start)
+		c.After(c.randomUpTo(10*time.Millisecond), center.start)
 	})
 }
--- a/failover/sim_members_test.go
+++ b/failover/sim_members_test.go
@@ -30,36 +30,36 @@
 }
 
 // transitionEnded reports whether the node uses the new list alone.
-func (x *simNode) transitionEnded() bool {
-	return len(x.roster.Previous) == 0 && x.roster.Members[0].Name != "a"
+func (n *simNode) transitionEnded() bool {
+	return len(n.roster.Previous) == 0 && n.roster.Members[0].Name != "a"
 }
 
 // adoptRoster has a node adopt other member lists as soon as it may.
-func (x *simNode) adoptRoster() {
-	c := x.cluster
-	if c.Now < simStart+100*time.Millisecond || x.transitionEnded() {
+func (n *simNode) adoptRoster() {
+	c := n.cluster
+	if c.Now < simStart+100*time.Millisecond || n.transitionEnded() {
 		return
 	}
-	inTransition := len(x.roster.Previous) > 0
-	reported := func(name string) []uint64 { return x.reportedDigests[name] }
-	if inTransition && x.roster.Since == 0 && len(x.roster.NotAdopted(x.name, reported)) == 0 {
-		x.roster.Since = c.Now
+	inTransition := len(n.roster.Previous) > 0
+	reported := func(name string) []uint64 { return n.reportedDigests[name] }
+	if inTransition && n.roster.Since == 0 && len(n.roster.NotAdopted(n.name, reported)) == 0 {
+		n.roster.Since = c.Now
 	}
 	to := Roster{Members: c.oldMembers()}
-	if c.Now > simStart+200*time.Millisecond+time.Duration(x.index)*20*time.Millisecond {
+	if c.Now > simStart+200*time.Millisecond+time.Duration(n.index)*20*time.Millisecond {
 		to = Roster{Members: c.newMembers(), Previous: c.oldMembers()}
 	}
-	if x.roster.Since > 0 || disabledRule == ruleRetryHorizon && inTransition {
+	if n.roster.Since > 0 || disabledRule == ruleRetryHorizon && inTransition {
 		to.Previous = nil
 	}
-	next, err := x.roster.Next(c.Now, simRetryHorizon, to)
-	if err != nil || slices.Equal(next.Digests(), x.digests) {
+	next, err := n.roster.Next(c.Now, simRetryHorizon, to)
+	if err != nil || slices.Equal(next.Digests(), n.digests) {
 		return
 	}
-	x.roster = next
-	x.digests = next.Digests()
-	x.machine.Reconfigure(c.Now, next.Members, next.Previous)
-	c.log("%s/%d adopts %d and %d members", x.name, x.incarnation, len(next.Members), len(next.Previous))
+	n.roster = next
+	n.digests = next.Digests()
+	n.machine.Reconfigure(c.Now, next.Members, next.Previous)
+	c.log("%s/%d adopts %d and %d members", n.name, n.incarnation, len(next.Members), len(next.Previous))
 	if len(next.Previous) == 0 {
 		c.finishedTransition++
 	}
--- a/failover/sim_node_test.go
+++ b/failover/sim_node_test.go
@@ -56,182 +56,182 @@
 }
 
 // Alive implements Peers; the belief may be wrong.
-func (x *simNode) Alive(name string) bool {
-	peer := x.cluster.node(name)
-	alive := peer.up && peer.pausedUntil <= x.cluster.Now && !x.cluster.cut[link{peer.index, x.index}]
-	if x.cluster.random.Float64() < x.cluster.wrongBeliefRate {
+func (n *simNode) Alive(name string) bool {
+	peer := n.cluster.node(name)
+	alive := peer.up && peer.pausedUntil <= n.cluster.Now && !n.cluster.cut[link{peer.index, n.index}]
+	if n.cluster.random.Float64() < n.cluster.falseDetectionRate {
 		return !alive
 	}
 	return alive
 }
 
 // Dead implements Peers.
-func (x *simNode) Dead(name string) bool { return !x.Alive(name) }
+func (n *simNode) Dead(name string) bool { return !n.Alive(name) }
 
 // Incarnation implements Peers.
-func (x *simNode) Incarnation(name string) uint64 {
-	return x.knownIncarnations[x.cluster.node(name).index]
+func (n *simNode) Incarnation(name string) uint64 {
+	return n.knownIncarnations[n.cluster.node(name).index]
 }
 
 // after has a node do something later, if it is still in the same incarnation. A
 // paused node does it when it resumes.
-func (x *simNode) after(delay time.Duration, do func()) {
-	incarnation := x.incarnation
-	x.cluster.After(delay, func() {
+func (n *simNode) after(delay time.Duration, do func()) {
+	incarnation := n.incarnation
+	n.cluster.After(delay, func() {
 		switch {
-		case !x.up || x.incarnation != incarnation:
-		case x.pausedUntil > x.cluster.Now:
-			x.after(x.pausedUntil-x.cluster.Now, do)
+		case !n.up || n.incarnation != incarnation:
+		case n.pausedUntil > n.cluster.Now:
+			n.after(n.pausedUntil-n.cluster.Now, do)
 		default:
 			do()
-			x.flush()
+			n.flush()
 		}
 	})
 }
 
 // start begins a new incarnation with what is on the disk.
-func (x *simNode) start() {
-	x.incarnation++
-	x.up = true
-	x.pausedUntil = 0
-	x.requests = map[uint64]idempotency.Key{}
-	x.pendingWrites = nil
-	x.refill = nil
-	x.knownIncarnations = make([]uint64, len(x.cluster.nodes))
-	x.reportedDigests = map[string][]uint64{}
-	if !x.cluster.processorsSurvive {
-		x.processorRuns = nil
-	}
-	x.loadStore()
-	if len(x.roster.Members) == 0 {
-		x.roster.Members = x.cluster.oldMembers()
-	}
-	x.digests = x.roster.Digests()
+func (n *simNode) start() {
+	n.incarnation++
+	n.up = true
+	n.pausedUntil = 0
+	n.requests = map[uint64]idempotency.Key{}
+	n.pendingWrites = nil
+	n.refill = nil
+	n.knownIncarnations = make([]uint64, len(n.cluster.nodes))
+	n.reportedDigests = map[string][]uint64{}
+	if !n.cluster.processorsSurvive {
+		n.processorRuns = nil
+	}
+	n.loadStore()
+	if len(n.roster.Members) == 0 {
+		n.roster.Members = n.cluster.oldMembers()
+	}
+	n.digests = n.roster.Digests()
 	config := Config{
-		Name:            x.name,
-		Incarnation:     x.incarnation,
-		Members:         x.roster.Members,
-		Previous:        x.roster.Previous,
+		Name:            n.name,
+		Incarnation:     n.incarnation,
+		Members:         n.roster.Members,
+		Previous:        n.roster.Previous,
 		ResumeUnclaimed: true,
 	}
-	x.machine = New(config, x.store, x, x.cluster.random.Uint64(), x.cluster.Now)
-	x.machine.MarkFencesDurable(x.fencesOnDisk)
-	if x.diskOutdated {
-		x.store.MarkOutdated(x.cluster.Now)
+	n.machine = New(config, n.store, n, n.cluster.random.Uint64(), n.cluster.Now)
+	n.machine.MarkFencesDurable(n.fencesOnDisk)
+	if n.diskOutdated {
+		n.store.MarkOutdated(n.cluster.Now)
 	}
-	if !x.store.HistoryComplete() {
-		x.startRefill()
+	if !n.store.HistoryComplete() {
+		n.startRefill()
 	}
-	x.scheduleTick()
-	x.flush()
+	n.scheduleTick()
+	n.flush()
 }
 
-func (x *simNode) loadStore() {
+func (n *simNode) loadStore() {
 	limits := storeLimits
-	if x.cluster.disksLost && x.cluster.seed%2 == 0 {
+	if n.cluster.disksLost && n.cluster.seed%2 == 0 {
 		limits.MaxEntries = 4 // so that keys expire
 	}
-	x.store = idempotency.New(limits)
-	for _, entry := range x.disk {
-		x.store.Load(entry)
+	n.store = idempotency.New(limits)
+	for _, entry := range n.disk {
+		n.store.Load(entry)
 	}
-	x.store.FinishLoading(x.cluster.Now, false, 0)
+	n.store.FinishLoading(n.cluster.Now, false, 0)
 }
 
-func (x *simNode) scheduleTick() {
-	x.after(20*time.Millisecond, func() {
-		x.machine.Tick(x.cluster.Now)
-		x.requestPages()
-		if x.cluster.membersChange {
-			x.adoptRoster()
+func (n *simNode) scheduleTick() {
+	n.after(20*time.Millisecond, func() {
+		n.machine.Tick(n.cluster.Now)
+		n.requestPages()
+		if n.cluster.membersChange {
+			n.adoptRoster()
 		}
-		x.scheduleTick()
+		n.scheduleTick()
 	})
 }
 
 // flush carries out what the state machine and its store ask for.
-func (x *simNode) flush() {
-	x.flushWrites()
-	for _, query := range x.machine.ProcessorQueries() {
-		x.after(x.cluster.drawUpTo(4*time.Millisecond), func() {
-			for _, run := range x.cluster.node(query.Node).processorRuns {
-				x.machine.FinishFromProcessor(x.cluster.Now, query.Node, run.id, run.kind, run.result)
+func (n *simNode) flush() {
+	n.flushWrites()
+	for _, query := range n.machine.ProcessorQueries() {
+		n.after(n.cluster.randomUpTo(4*time.Millisecond), func() {
+			for _, run := range n.cluster.node(query.Node).processorRuns {
+				n.machine.FinishFromProcessor(n.cluster.Now, query.Node, run.id, run.kind, run.result)
 			}
 		})
 	}
 	for {
-		outbox, outcomes := x.machine.Ready()
-		if len(outbox)+len(outcomes) == 0 {
+		outbox, decisions := n.machine.Ready()
+		if len(outbox)+len(decisions) == 0 {
 			return
 		}
 		for _, envelope := range outbox {
-			x.send(envelope)
+			n.send(envelope)
 		}
-		for _, outcome := range outcomes {
-			x.handleOutcome(outcome)
+		for _, decision := range decisions {
+			n.handleDecision(decision)
 		}
 	}
 }
 
-func (x *simNode) flushWrites() {
-	writes := x.store.TakeEntries()
+func (n *simNode) flushWrites() {
+	writes := n.store.TakeEntries()
 	if len(writes) == 0 {
 		return
 	}
-	x.pendingWrites = append(x.pendingWrites, writes...)
-	count := len(x.pendingWrites)
-	x.after(x.cluster.drawUpTo(x.cluster.maxWriteDelay), func() {
-		count = min(count, len(x.pendingWrites))
+	n.pendingWrites = append(n.pendingWrites, writes...)
+	count := len(n.pendingWrites)
+	n.after(n.cluster.randomUpTo(n.cluster.maxWriteDelay), func() {
+		count = min(count, len(n.pendingWrites))
 		if count == 0 {
 			return
 		}
-		seq := x.pendingWrites[count-1].Seq
-		x.completeWrites(count)
-		x.machine.MarkDurable(x.cluster.Now, seq)
+		seq := n.pendingWrites[count-1].Seq
+		n.completeWrites(count)
+		n.machine.MarkDurable(n.cluster.Now, seq)
 	})
 }
 
 // completeWrites has the first pending writes be on the disk.
-func (x *simNode) completeWrites(count int) {
-	for _, entry := range x.pendingWrites[:count] {
+func (n *simNode) completeWrites(count int) {
+	for _, entry := range n.pendingWrites[:count] {
 		if entry.Kind == idempotency.EntryHistoryLost {
-			x.diskOutdated = false // the disk says so itself from now on
+			n.diskOutdated = false // the disk says so itself from now on
 		}
 	}
-	x.disk = append(x.disk, x.pendingWrites[:count]...)
-	x.pendingWrites = x.pendingWrites[count:]
+	n.disk = append(n.disk, n.pendingWrites[:count]...)
+	n.pendingWrites = n.pendingWrites[count:]
 }
 
 // send carries a message to another node, perhaps late, twice or never.
-func (x *simNode) send(envelope Envelope) {
-	c, to := x.cluster, x.cluster.node(envelope.To)
-	if c.cut[link{x.index, to.index}] || c.random.Float64() < c.lossRate {
+func (n *simNode) send(envelope Envelope) {
+	c, to := n.cluster, n.cluster.node(envelope.To)
+	if c.cut[link{n.index, to.index}] || c.random.Float64() < c.lossRate {
 		return
 	}
-	incarnation, message, digests := x.incarnation, envelope.Message, x.digests
+	incarnation, message, digests := n.incarnation, envelope.Message, n.digests
 	copies := 1
 	if c.random.Float64() < c.lossRate {
 		copies = 2
 	}
 	for range copies {
-		delay := c.drawUpTo(2 * time.Millisecond)
+		delay := c.randomUpTo(2 * time.Millisecond)
 		if !c.faultless && c.random.IntN(200) == 0 {
 			delay += 3 * time.Second
 		}
 		c.After(delay, func() {
 			if to.up {
-				to.after(0, func() { to.receive(x, incarnation, digests, &message) })
+				to.after(0, func() { to.receive(n, incarnation, digests, &message) })
 			}
 		})
 	}
 }
 
-func (x *simNode) receive(from *simNode, incarnation uint64, digests []uint64, message *Message) {
-	x.knownIncarnations[from.index] = max(x.knownIncarnations[from.index], incarnation)
-	if incarnation == x.knownIncarnations[from.index] {
-		x.reportedDigests[from.name] = digests
+func (n *simNode) receive(from *simNode, incarnation uint64, digests []uint64, message *Message) {
+	n.knownIncarnations[from.index] = max(n.knownIncarnations[from.index], incarnation)
+	if incarnation == n.knownIncarnations[from.index] {
+		n.reportedDigests[from.name] = digests
 	}
-	if Compatible(digests, x.digests) {
-		x.machine.Receive(x.cluster.Now, from.name, incarnation, message)
+	if Compatible(digests, n.digests) {
+		n.machine.Receive(n.cluster.Now, from.name, incarnation, message)
 	}
 }
--- a/failover/sim_outcome_test.go
+++ b/failover/sim_outcome_test.go
@@ -10,134 +10,134 @@
 )
 
 // handleOutcome plays the part of a node's callers, and judges what they hear.
-func (x *simNode) handleOutcome(outcome RequestDecision) {
-	c := x.cluster
-	truth := c.keys[outcome.Key]
-	c.decisions[outcome.Decision]++
-	_, requested := x.requests[outcome.ID]
-	letIn := outcome.Decision == idempotency.Fresh && requested
-	if !letIn && outcome.Decision != idempotency.Duplicate && outcome.Decision != idempotency.Start {
-		c.answered[outcome.ID] = true
+func (n *simNode) handleDecision(decision RequestDecision) {
+	c := n.cluster
+	record := c.keys[decision.Key]
+	c.decisions[decision.Decision]++
+	_, requested := n.requests[decision.ID]
+	letIn := decision.Decision == idempotency.Fresh && requested
+	if !letIn && decision.Decision != idempotency.Duplicate && decision.Decision != idempotency.Start {
+		c.answered[decision.ID] = true
 	}
-	c.log("%s/%d %x %d: decision %d %q", x.name, x.incarnation, outcome.Key[15], outcome.ID, outcome.Decision, outcome.Result)
-	switch outcome.Decision {
+	c.log("%s/%d %x %d: decision %d %q", n.name, n.incarnation, decision.Key[15], decision.ID, decision.Decision, decision.Result)
+	switch decision.Decision {
 	case idempotency.Fresh, TakenOver:
-		if outcome.Decision == TakenOver || letIn { // otherwise it is rejected after it was let in
-			x.enqueue(outcome, truth)
+		if decision.Decision == TakenOver || letIn { // otherwise it is rejected after it was let in
+			n.enqueue(decision, record)
 		}
 	case idempotency.Duplicate:
-		if truth.replayable {
+		if record.replayable {
 			return // it waits
 		}
-		delete(x.requests, outcome.ID)
-		x.machine.Join(c.Now, outcome.Key, outcome.ID)
+		delete(n.requests, decision.ID)
+		n.machine.Join(c.Now, decision.Key, decision.ID)
 	case idempotency.Start:
-		x.run(outcome, truth)
+		n.run(decision, record)
 	case idempotency.Completed, idempotency.Replay:
-		c.judgeResult(outcome, truth)
+		c.checkResult(decision, record)
 	case idempotency.OutcomeUnknown, idempotency.OriginalFailed:
-		c.recordAnswer(outcome, false)
+		c.recordAnswer(decision, false)
 		// Who asked before the first answer may hear what was so then.
-		if at, ok := c.requestedAt[outcome.ID]; ok && truth.answer != nil && at > truth.answeredAt {
-			c.violated("key %x was answered, and is %d now", outcome.Key[15], outcome.Decision)
+		if at, ok := c.requestedAt[decision.ID]; ok && record.answer != nil && at > record.answeredAt {
+			c.recordViolation("key %x was answered, and is %d now", decision.Key[15], decision.Decision)
 		}
 	}
 }
 
 // enqueue has a request wait for its turn and then ask to start, or give up.
-func (x *simNode) enqueue(outcome RequestDecision, truth *keyTruth) {
-	c := x.cluster
-	delete(x.requests, outcome.ID)
-	x.after(c.drawUpTo(5*time.Millisecond), func() {
+func (n *simNode) enqueue(decision RequestDecision, record *keyRecord) {
+	c := n.cluster
+	delete(n.requests, decision.ID)
+	n.after(c.randomUpTo(5*time.Millisecond), func() {
 		switch {
-		case truth.replayable:
-			x.runReplayable(outcome, truth)
+		case record.replayable:
+			n.runReplayable(decision, record)
 		case c.random.IntN(8) == 0:
-			x.machine.Release(c.Now, outcome.Key, outcome.ID)
-			c.answered[outcome.ID] = true
+			n.machine.Release(c.Now, decision.Key, decision.ID)
+			c.answered[decision.ID] = true
 		default:
-			x.machine.Start(c.Now, outcome.Key, outcome.ID, 0)
+			n.machine.Start(c.Now, decision.Key, decision.ID, 0)
 		}
 	})
 }
 
-func (x *simNode) runReplayable(outcome RequestDecision, truth *keyTruth) {
-	c := x.cluster
-	x.machine.MarkRunning(c.Now, outcome.Key, outcome.ID)
-	truth.runs++
-	result := fmt.Appendf(nil, "run %d of %x", truth.runs, outcome.Key[15])
-	x.after(c.drawUpTo(20*time.Millisecond), func() {
-		x.machine.Finish(c.Now, outcome.Key, outcome.ID, idempotency.EntryResult, result)
+func (n *simNode) runReplayable(decision RequestDecision, record *keyRecord) {
+	c := n.cluster
+	n.machine.MarkRunning(c.Now, decision.Key, decision.ID)
+	record.runs++
+	result := fmt.Appendf(nil, "run %d of %x", record.runs, decision.Key[15])
+	n.after(c.randomUpTo(20*time.Millisecond), func() {
+		n.machine.Finish(c.Now, decision.Key, decision.ID, idempotency.EntryResult, result)
 	})
-	c.answered[outcome.ID] = true
+	c.answered[decision.ID] = true
 }
 
 // run executes a request at the node's processor, or gives it up.
-func (x *simNode) run(outcome RequestDecision, truth *keyTruth) {
-	c := x.cluster
+func (n *simNode) run(decision RequestDecision, record *keyRecord) {
+	c := n.cluster
 	if c.random.IntN(10) == 0 { // its caller has gone
-		x.machine.Finish(c.Now, outcome.Key, outcome.ID, idempotency.EntryNeverRan, nil)
-		c.answered[outcome.ID] = true
+		n.machine.Finish(c.Now, decision.Key, decision.ID, idempotency.EntryNeverRan, nil)
+		c.answered[decision.ID] = true
 		return
 	}
-	truth.runs++
+	record.runs++
 	c.runs++
-	if truth.runs > 1 {
-		c.violated("key %x ran twice, on %s/%d now", outcome.Key[15], x.name, x.incarnation)
+	if record.runs > 1 {
+		c.recordViolation("key %x ran twice, on %s/%d now", decision.Key[15], n.name, n.incarnation)
 	}
-	run := finishedRun{outcome.ID, idempotency.EntryResult, fmt.Appendf(nil, "run %d of %x", c.runs, outcome.Key[15])}
+	run := finishedRun{decision.ID, idempotency.EntryResult, fmt.Appendf(nil, "run %d of %x", c.runs, decision.Key[15])}
 	if c.random.IntN(12) == 0 {
 		run.kind = idempotency.EntryFailed
 		run.result = nil
 	}
 	c.history = append(c.history, harness.HistoryEvent{
-		Key:    string(outcome.Key[:]),
+		Key:    string(decision.Key[:]),
 		Ran:    true,
 		Result: string(run.result),
 		Asked:  int64(c.Now),
 		Heard:  int64(c.Now),
 	})
-	incarnation := x.incarnation
-	c.After(c.drawUpTo(20*time.Millisecond), func() {
-		survived := x.up && x.incarnation == incarnation
+	incarnation := n.incarnation
+	c.After(c.randomUpTo(20*time.Millisecond), func() {
+		survived := n.up && n.incarnation == incarnation
 		if c.processorsSurvive || survived {
-			x.processorRuns = append(x.processorRuns, run)
+			n.processorRuns = append(n.processorRuns, run)
 		}
 		if survived {
-			x.after(c.drawUpTo(4*time.Millisecond), func() {
-				x.machine.Finish(c.Now, outcome.Key, outcome.ID, run.kind, run.result)
+			n.after(c.randomUpTo(4*time.Millisecond), func() {
+				n.machine.Finish(c.Now, decision.Key, decision.ID, run.kind, run.result)
 			})
-			c.answered[outcome.ID] = c.answered[outcome.ID] || run.kind == idempotency.EntryFailed
+			c.answered[decision.ID] = c.answered[decision.ID] || run.kind == idempotency.EntryFailed
 		}
 	})
 }
 
 // judgeResult checks that all callers get the same result.
-func (c *simCluster) judgeResult(outcome RequestDecision, truth *keyTruth) {
-	if truth.replayable {
+func (c *simCluster) checkResult(decision RequestDecision, record *keyRecord) {
+	if record.replayable {
 		c.joinedReplayables++
 		return
 	}
-	c.recordAnswer(outcome, true)
-	if truth.answer == nil {
-		truth.answer = outcome.Result
-		truth.answeredAt = c.Now
+	c.recordAnswer(decision, true)
+	if record.answer == nil {
+		record.answer = decision.Result
+		record.answeredAt = c.Now
 	}
-	if !bytes.Equal(truth.answer, outcome.Result) {
-		c.violated("key %x: %q, and %q before", outcome.Key[15], outcome.Result, truth.answer)
+	if !bytes.Equal(record.answer, decision.Result) {
+		c.recordViolation("key %x: %q, and %q before", decision.Key[15], decision.Result, record.answer)
 	}
 }
 
 // recordAnswer adds an answer to the history.
-func (c *simCluster) recordAnswer(outcome RequestDecision, served bool) {
-	at, ok := c.requestedAt[outcome.ID]
-	if !ok || c.keys[outcome.Key].replayable {
+func (c *simCluster) recordAnswer(decision RequestDecision, served bool) {
+	at, ok := c.requestedAt[decision.ID]
+	if !ok || c.keys[decision.Key].replayable {
 		return
 	}
 	c.history = append(c.history, harness.HistoryEvent{
-		Key:    string(outcome.Key[:]),
+		Key:    string(decision.Key[:]),
 		Served: served,
-		Result: string(outcome.Result),
+		Result: string(decision.Result),
 		Asked:  int64(at),
 		Heard:  int64(c.Now),
 	})
--- a/failover/sim_transfer_test.go
+++ b/failover/sim_transfer_test.go
@@ -9,49 +9,49 @@
 )
 
 // startRefill has the peers transfer what the node's disk lacks.
-func (x *simNode) startRefill() {
-	config := recovery.RefillConfig{Incarnation: x.incarnation}
-	for _, peer := range x.cluster.nodes {
-		if peer != x {
+func (n *simNode) startRefill() {
+	config := recovery.RefillConfig{Incarnation: n.incarnation}
+	for _, peer := range n.cluster.nodes {
+		if peer != n {
 			config.Others = append(config.Others, peer.name)
 		}
 	}
-	x.refill = recovery.NewRefill[Cursor](config, x.cluster.random.Uint64())
-	x.store.SetRefillCheck(func(key idempotency.Key) bool {
-		peers := x.machine.GroupPeers(key)
+	n.refill = recovery.NewRefill[Cursor](config, n.cluster.random.Uint64())
+	n.store.SetRefillCheck(func(key idempotency.Key) bool {
+		peers := n.machine.GroupPeers(key)
 		if disabledRule == ruleAllGroupPeers {
-			return slices.ContainsFunc(peers, func(name string) bool { return x.refill.Covers([]string{name}) })
+			return slices.ContainsFunc(peers, func(name string) bool { return n.refill.Covers([]string{name}) })
 		}
-		return x.refill.Covers(peers)
+		return n.refill.Covers(peers)
 	})
 }
 
 // requestPages asks peers for pages, over links that fail like all others.
-func (x *simNode) requestPages() {
-	if x.refill == nil || x.refill.Done() {
+func (n *simNode) requestPages() {
+	if n.refill == nil || n.refill.Done() {
 		return
 	}
-	for _, question := range x.refill.Tick(x.cluster.Now, x.Alive) {
-		x.carry(question.To, func(peer *simNode) {
-			peer.sendPage(x.name, PageRequest{Incarnation: x.incarnation, From: question.From})
+	for _, request := range n.refill.Tick(n.cluster.Now, n.Alive) {
+		n.deliver(request.To, func(peer *simNode) {
+			peer.sendPage(n.name, PageRequest{Incarnation: n.incarnation, From: request.From})
 		})
 	}
 }
 
-func (x *simNode) sendPage(to string, request PageRequest) {
-	c := x.cluster
-	page := x.machine.BuildPage(c.Now, to, request)
-	fences := x.machine.Fences()
-	x.after(c.drawUpTo(c.maxWriteDelay), func() {
-		x.fencesOnDisk = fences
-		x.machine.MarkFencesDurable(fences)
+func (n *simNode) sendPage(to string, request PageRequest) {
+	c := n.cluster
+	page := n.machine.BuildPage(c.Now, to, request)
+	fences := n.machine.Fences()
+	n.after(c.randomUpTo(c.maxWriteDelay), func() {
+		n.fencesOnDisk = fences
+		n.machine.MarkFencesDurable(fences)
 	})
-	incarnation := x.incarnation
-	x.carry(to, func(receiver *simNode) { receiver.receivePage(x.name, incarnation, &page) })
+	incarnation := n.incarnation
+	n.deliver(to, func(receiver *simNode) { receiver.receivePage(n.name, incarnation, &page) })
 }
 
-func (x *simNode) receivePage(from string, incarnation uint64, page *Page) {
-	c := x.cluster
+func (n *simNode) receivePage(from string, incarnation uint64, page *Page) {
+	c := n.cluster
 	info := recovery.PageInfo[Cursor]{
 		Incarnation: page.Incarnation,
 		From:        page.From,
@@ -59,24 +59,24 @@
 		Last:        page.Next.Step == StepDone,
 		Complete:    page.Complete,
 	}
-	if x.refill == nil || !x.machine.SameConfiguration(page) || !x.refill.Expects(from, incarnation, &info) {
+	if n.refill == nil || !n.machine.SameConfiguration(page) || !n.refill.Expects(from, incarnation, &info) {
 		return
 	}
-	x.refill.PageReceived(c.Now, from, &info, x.machine.ReceivePage(c.Now, page))
-	if x.refill.Done() {
-		c.log("%s/%d has everything transferred", x.name, x.incarnation)
+	n.refill.PageReceived(c.Now, from, &info, n.machine.ReceivePage(c.Now, page))
+	if n.refill.Done() {
+		c.log("%s/%d has everything transferred", n.name, n.incarnation)
 		c.finishedRefills++
-		x.store.MarkRefilled(c.Now)
+		n.store.MarkRefilled(c.Now)
 	}
 }
 
 // carry has something reach another node as messages do.
-func (x *simNode) carry(to string, do func(peer *simNode)) {
-	c, peer := x.cluster, x.cluster.node(to)
-	if c.cut[link{x.index, peer.index}] || c.random.Float64() < c.lossRate {
+func (n *simNode) deliver(to string, do func(peer *simNode)) {
+	c, peer := n.cluster, n.cluster.node(to)
+	if c.cut[link{n.index, peer.index}] || c.random.Float64() < c.lossRate {
 		return
 	}
-	c.After(c.drawUpTo(2*time.Millisecond), func() {
+	c.After(c.randomUpTo(2*time.Millisecond), func() {
 		if peer.up {
 			peer.after(0, func() { do(peer) })
 		}
--- a/failover/status.go
+++ b/failover/status.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// RequestStatus describes what a node has to do with a request, for reports.
+// RequestStatus is the state of a request on a node, for reports.
 type RequestStatus struct {
 	Key     string `json:"key"` // in hexadecimal
 	Handler string `json:"handler"`
-	// Role is the node's: "holds", "waits" (another holds it) or "notes" (it
-	// records it for the holder).
+	// Role is the role of the node: "holds", "waits" (another node holds the
+	// key) or "notes" (the node records the request for its holder).
 	Role string `json:"part"`
-	// State is how far the request has come.
+	// State is the name of the state of the request.
 	State  string `json:"step"`
-	Holder string `json:"holder"` // empty if not known
-	// TakenOver is set if the node has taken it over from another.
+	Holder string `json:"holder"` // empty if unknown
+	// TakenOver is set if the node has taken the request over from another
+	// node.
 	TakenOver bool `json:"taken"`
-	// Left is for how long the caller still waits, in nanoseconds.
+	// Left is the remaining time until the client timeout, in nanoseconds.
 	Left time.Duration `json:"left"`
 }
 
-// The values of Request.Part.
+// The values of RequestStatus.Role.
 const (
-	partHolder  = "holds"
-	partWaiter  = "waits"
-	partRecords = "notes"
+	roleHolder   = "holds"
+	roleWaiter   = "waits"
+	roleRecorder = "notes"
 )
 
 // Requests returns the requests that the node holds, waits for or records, at
-// most limit, in the order of their keys.
+// most limit, sorted by key.
 func (n *Node) Requests(limit int) []RequestStatus {
 	var requests []RequestStatus
 	for _, claim := range n.claims {
@@ -50,14 +51,14 @@
 	status := RequestStatus{
 		Key:       fmt.Sprintf("%x", claim.key),
 		Handler:   claim.work.Handler,
-		Role:      partHolder,
+		Role:      roleHolder,
 		State:     claim.state.String(),
 		Holder:    n.cfg.Name,
 		TakenOver: claim.takenOver,
 		Left:      claim.deadline - n.now,
 	}
-	if claim.otherHolds() {
-		status.Role = partWaiter
+	if claim.waitsOrQueries() {
+		status.Role = roleWaiter
 		status.Holder = claim.holder.Node
 	}
 	return status
@@ -67,15 +68,15 @@
 	return RequestStatus{
 		Key:     fmt.Sprintf("%x", reservation.key),
 		Handler: reservation.work.Handler,
-		Role:    partRecords,
-		State:   reservation.step(),
+		Role:    roleRecorder,
+		State:   reservation.stateName(),
 		Holder:  reservation.ballot.Node,
 		Left:    reservation.deadline - n.now,
 	}
 }
 
-// step returns the word for how far a request has come at its holder.
-func (r *reservation) step() string {
+// stateName returns the name of the state of the request at its holder.
+func (r *reservation) stateName() string {
 	switch {
 	case r.finished:
 		return "answered"
@@ -88,33 +89,39 @@
 	}
 }
 
-// Stats counts what a node has to do with requests of the cluster.
+// Stats counts the cluster's requests that a node handles.
 type Stats struct {
-	// Held is the number of keys that this node holds or asks for.
+	// Held is the number of keys that this node holds or requests.
 	Held int `json:"held"`
-	// Waiting is the number of keys that another node holds for requests here.
+	// Waiting is the number of keys that another node holds for requests on
+	// this node.
 	Waiting int `json:"waiting"`
-	// Reservations is the number of keys that this node records for holders.
+	// Reservations is the number of keys that this node records for their
+	// holders.
 	Reservations int `json:"notes"`
-	// Started is the number of those that have started or are about to.
+	// Started is the number of reservations whose holder has announced the
+	// start.
 	Started int `json:"begun"`
 	// TakenOver counts the requests taken over from other nodes.
 	TakenOver int64 `json:"taken"`
-	// OutcomeUnknown counts the requests answered so.
+	// OutcomeUnknown counts the requests answered with an unknown outcome.
 	OutcomeUnknown int64 `json:"in_doubt"`
-	// Joined counts the requests answered from another request's run.
+	// Joined counts the requests answered with the result of another request's
+	// run.
 	Joined int64 `json:"joined"`
-	// Lost counts the keys held here until another node took them over.
+	// Lost counts the keys that this node held until another node took them
+	// over.
 	Lost int64 `json:"lost"`
-	// FoundAtProcessor counts the outcomes reported by processors of lost nodes.
+	// FoundAtProcessor counts the outcomes reported by the processors of lost
+	// nodes.
 	FoundAtProcessor int64 `json:"found"`
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (n *Node) Stats() Stats {
 	stats := n.stats
 	for _, claim := range n.claims {
-		if claim.otherHolds() {
+		if claim.waitsOrQueries() {
 			stats.Waiting++
 		} else {
 			stats.Held++
--- a/failover/takeover.go
+++ b/failover/takeover.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// takenOverFlag marks IDs of requests that another node has read.
+// takenOverFlag marks the IDs of requests that were read by another node.
 const takenOverFlag = 1 << 63
 
-// incarnationShift leaves room for the count of an incarnation's take-overs.
+// incarnationShift leaves room for the number of take-overs in an incarnation.
 const incarnationShift = 40
 
-// IsTakenOver reports whether an ID is that of a request which was taken over
+// IsTakenOver reports whether an ID is that of a request that was taken over
 // from another node.
 func IsTakenOver(id uint64) bool { return id >= takenOverFlag }
 
@@ -21,58 +21,58 @@
 	return takenOverFlag | n.cfg.Incarnation<<incarnationShift | n.lastTakeOverID
 }
 
-// checkHolder has a request that isn't started taken over if its holder seems
-// lost and this node is the one to do so.
+// checkHolder marks the reservation of a request that has not started for
+// take-over if its holder is suspected and this node is the successor.
 func (n *Node) checkHolder(reservation *reservation) {
 	if !n.suspects(reservation.ballot) {
-		reservation.suspectedAt = 0
+		reservation.suspectedSince = 0
 		return
 	}
-	if reservation.suspectedAt == 0 {
-		reservation.suspectedAt = n.now
+	if reservation.suspectedSince == 0 {
+		reservation.suspectedSince = n.now
 	}
 	if !n.mayTakeOver(reservation) {
 		return
 	}
 	delay := time.Duration(n.successorRank(reservation)) * successorDelay
-	if n.now-reservation.suspectedAt >= delay {
+	if n.now-reservation.suspectedSince >= delay {
 		n.orphaned = append(n.orphaned, reservation)
 	}
 }
 
-// mayTakeOver reports whether this node may take over a request whose holder
-// seems lost.
+// mayTakeOver reports whether this node may take over a request whose holder is
+// suspected.
 func (n *Node) mayTakeOver(reservation *reservation) bool {
 	claim := n.claims[reservation.key]
-	if claim != nil && !claim.otherHolds() || n.draining {
+	if claim != nil && !claim.waitsOrQueries() || n.draining {
 		return false
 	}
 	wanted := claim != nil || len(reservation.waiters) > 0
 	if !wanted && !n.cfg.ResumeUnclaimed {
 		return false
 	}
-	// A holder of a replayable request that is merely slow runs it itself:
-	// nothing would keep both from running it.
-	return wanted || !reservation.replayable || n.peers.Dead(reservation.ballot.Node)
+	// A holder of a replayable request that is merely slow runs the request
+	// itself: nothing would prevent both nodes from running it.
+	return wanted || !reservation.replayable || n.detector.Dead(reservation.ballot.Node)
 }
 
-// successorRank returns the number of live members that come before this node in
-// the order in which they take over a key.
+// successorRank returns the number of live members that precede this node in
+// the order of take-over of a key.
 func (n *Node) successorRank(reservation *reservation) int {
 	rank := 0
 	for _, name := range n.membersOf(reservation.key) {
 		if name == n.cfg.Name {
 			break
 		}
-		if n.peers.Alive(name) {
+		if n.detector.Alive(name) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// takeOverOrphaned takes over the requests that this tick has found, by weight
-// and then by the time left, as far as there is room.
+// takeOverOrphaned takes over the requests collected in the current tick, by
+// weight and then by remaining time, up to the limit of requests in flight.
 func (n *Node) takeOverOrphaned() {
 	if len(n.orphaned) == 0 {
 		return
@@ -94,17 +94,18 @@
 		if i >= room {
 			break
 		}
-		reservation.suspectedAt = n.now
+		reservation.suspectedSince = n.now
 		n.takeOver(reservation)
 	}
 	n.orphaned = n.orphaned[:0]
 }
 
-// takeOver claims a key above its holder, which is lost or leaves.
+// takeOver requests a key under a higher ballot than that of its holder, which
+// is lost or leaves.
 func (n *Node) takeOver(reservation *reservation) {
 	claim := n.claims[reservation.key]
 	if claim == nil {
-		claim = n.newClaim(reservation.key, reservation.made)
+		claim = n.newClaim(reservation.key, reservation.madeAt)
 	} else if claim.originalID != 0 {
 		claim.demoteOriginal()
 	}
@@ -114,7 +115,7 @@
 	claim.deadline = reservation.deadline
 	claim.originalID = n.nextTakeOverID()
 	claim.takenOver = true
-	claim.originalNotified = false
-	claim.attempts = 0
+	claim.originalDecided = false
+	claim.ballotAttempts = 0
 	n.acquire(claim, true)
 }
--- a/failover/transfer.go
+++ b/failover/transfer.go
@@ -7,27 +7,27 @@
 	"frosthub/idempotency"
 )
 
-// A node whose disk is older than what its peers know doesn't know what it
-// lacks, so it counts for neither side in the groups of such keys. The other members of
-// these groups have all of it: whatever started was recorded by a majority, so
-// by one of the others at least. They transfer it page by page (BuildPage,
-// ReceivePage). Once all others of a key's group have done so, the node knows of
-// the key what it ever knew.
-
-// Cursor is the position that a transfer has come to.
+// A node whose disk is older than the records of its peers cannot determine
+// what it lacks, so it abstains in the groups of such keys. The other members
+// of these groups have all of the missing records: a majority recorded every
+// start, so at least one of the others did. They transfer the records page by
+// page (BuildPage, ReceivePage). After all other members of a key's group have
+// done so, the node has all the records of the key that it has lost.
+
+// Cursor is the current position of a transfer.
 type Cursor struct {
 	Step     TransferStep
 	Position uint64 // in the store (StepRecords)
-	// End is where StepRecords ends: what came later is in the messages
-	// of the protocol.
+	// End is the position at which StepRecords ends. The node receives later
+	// records in the messages of the protocol.
 	End     uint64
 	Segment uint64 // of fingerprints (StepExpired)
 }
 
-// TransferStep is a part of a transfer.
+// TransferStep is one step of a transfer.
 type TransferStep uint8
 
-// The steps, in their order. The numbers stand on the wire.
+// The steps, in their order. The values are part of the wire format.
 const (
 	// StepInFlight transfers started requests without an outcome.
 	StepInFlight TransferStep = 0
@@ -39,58 +39,58 @@
 	StepDone TransferStep = 3
 )
 
-// PageRequest asks a peer for a page.
+// PageRequest requests a page from a peer.
 type PageRequest struct {
-	Incarnation uint64 // of the asking node
+	Incarnation uint64 // of the requesting node
 	From        Cursor
 }
 
-// Page is a part of what a peer transfers.
+// Page is a part of the records that a peer transfers.
 type Page struct {
-	Incarnation uint64 // of the asking node
-	// Configuration is the digest of the peer's member lists. Pages of a peer
-	// that uses others are useless: see Node.SameConfiguration.
+	Incarnation uint64 // of the requesting node
+	// Configuration is the digest of the peer's member lists. A node discards
+	// pages from a peer with different lists; see Node.SameConfiguration.
 	Configuration uint64
 	From          Cursor
 	Next          Cursor
-	// Complete is set if the peer has lost no records itself.
+	// Complete is set if the peer itself has lost no records.
 	Complete bool
-	// FencesSupported is set if all other nodes are known to heed fences;
-	// older versions don't.
+	// FencesSupported is set if all other nodes are known to support fences;
+	// older versions do not.
 	FencesSupported bool
 	Records         []idempotency.Record
 	InFlight        []InFlightRequest
 	Expired         []idempotency.ExpiredKeys
 }
 
-// InFlightRequest is a request that may be running.
+// InFlightRequest is a started request without a recorded outcome.
 type InFlightRequest struct {
 	Key    idempotency.Key
 	Ballot Ballot
 	Made   time.Duration // see Message
-	Left   time.Duration // for which its caller still waits
+	Left   time.Duration // remaining time until the client timeout
 	Run    uint64        // see Message
 	Notice uint64        // see Message
 }
 
 // Limits of a page.
 const (
-	// maxPageRecords is the number of records looked at: about a millisecond
-	// of hashing.
+	// maxPageRecords is the maximum number of records examined for a page,
+	// which takes about a millisecond of hashing.
 	maxPageRecords = 2000
-	// maxPageBytes bounds the results, in bytes.
+	// maxPageBytes bounds the total size of the results, in bytes.
 	maxPageBytes = 128 << 10
 )
 
-// BuildPage returns a part of what this node has recorded of keys whose groups it
-// shares with a node that has lost records. If Fences has changed afterwards the
-// caller must make it durable and call AddFences: before that no page is the
-// last.
+// BuildPage returns a page of this node's records for the keys whose groups it
+// shares with a node that has lost records. If Fences has changed afterwards,
+// the caller must make it durable and call MarkFencesDurable; until then no
+// page is the last one.
 func (n *Node) BuildPage(now time.Duration, to string, request PageRequest) Page {
 	n.advance(now)
 	page := Page{
 		Incarnation:   request.Incarnation,
-		Configuration: n.configuration,
+		Configuration: n.configurationDigest,
 		From:          request.From,
 		Next:          request.From,
 		Complete:      n.store.HistoryComplete() || disabledRule == ruleCompleteSource,
@@ -114,7 +114,7 @@
 		case ok && disabledRule != ruleTransferExpired:
 			page.Expired = []idempotency.ExpiredKeys{expired}
 			page.Next.Segment = segment
-		case n.fencedDurably(to, request.Incarnation) || disabledRule == ruleFencing:
+		case n.hasDurableFence(to, request.Incarnation) || disabledRule == ruleFencing:
 			page.Next.Step = StepDone
 		}
 	}
@@ -133,7 +133,7 @@
 		requests = append(requests, InFlightRequest{
 			Key:    reservation.key,
 			Ballot: reservation.ballot,
-			Made:   reservation.made,
+			Made:   reservation.madeAt,
 			Left:   reservation.deadline - n.now,
 			Run:    reservation.runID,
 			Notice: reservation.lastNotice,
@@ -142,14 +142,14 @@
 	return requests
 }
 
-// SameConfiguration reports whether a page comes from a node that uses the same
-// member lists.
+// SameConfiguration reports whether a page was sent by a node that uses the
+// same member lists.
 func (n *Node) SameConfiguration(page *Page) bool {
-	return page.Configuration == n.configuration
+	return page.Configuration == n.configurationDigest
 }
 
-// ReceivePage takes what a peer transfers, and reports whether all of it could be
-// recorded. If not, the page must be asked for again.
+// ReceivePage records a page of a peer, and reports whether all of it was
+// recorded. If not, the page must be requested again.
 func (n *Node) ReceivePage(now time.Duration, page *Page) bool {
 	n.advance(now)
 	for i := range page.InFlight {
@@ -168,7 +168,8 @@
 	return true
 }
 
-// receiveRecord takes the record of an outcome, and reports whether it could.
+// receiveRecord records an outcome of a peer, and reports whether it was
+// recorded.
 func (n *Node) receiveRecord(record idempotency.Record) bool {
 	reservation := n.reservations.get(record.Key)
 	if reservation != nil && !reservation.replayable && record.Kind != 0 {
@@ -179,7 +180,7 @@
 				Ballot:  reservation.ballot,
 				Outcome: record.Kind,
 				Result:  record.Result,
-				Made:    reservation.made,
+				Made:    reservation.madeAt,
 			})
 		}
 		return true
@@ -190,17 +191,17 @@
 	case idempotency.OutcomeUnknown:
 		return n.store.Merge(n.now, record) || record.Kind == 0
 	}
-	return true // its outcome is known here
+	return true // its outcome is already recorded
 }
 
-// receiveInFlight reserves a key that a peer has recorded as started, and reports
-// whether it could.
+// receiveInFlight reserves a key whose start a peer has recorded, and reports
+// whether it succeeded.
 func (n *Node) receiveInFlight(request *InFlightRequest) bool {
 	if existing := n.reservations.get(request.Key); existing != nil {
 		if existing.transferred {
 			existing.addBallot(request.Ballot)
 		}
-		return true // otherwise what is recorded of it is newer
+		return true // a reservation of this node itself is newer
 	}
 	switch n.store.PeekOutcome(n.now, request.Made, request.Key).Decision {
 	case idempotency.Fresh, idempotency.HistoryLost:
@@ -209,7 +210,7 @@
 		}
 	case idempotency.OutcomeUnknown:
 	default:
-		return true // its outcome is known here
+		return true // its outcome is already recorded
 	}
 	n.reserveTransferred(request)
 	return true
@@ -222,7 +223,7 @@
 	created.started = true
 	created.startDurable = true
 	created.ballot = request.Ballot
-	created.made = request.Made
+	created.madeAt = request.Made
 	created.deadline = n.now + request.Left
 	created.runID = request.Run
 	created.lastNotice = request.Notice
@@ -235,7 +236,7 @@
 }
 
 // addBallot adds a ballot whose start another peer has recorded. The highest
-// becomes that of the reservation.
+// ballot becomes the ballot of the reservation.
 func (r *reservation) addBallot(ballot Ballot) {
 	if ballot == r.ballot || slices.Contains(r.otherBallots, ballot) {
 		return
@@ -246,8 +247,8 @@
 	r.otherBallots = append(r.otherBallots, ballot)
 }
 
-// GroupPeers returns the other nodes of a key's group: those that may know what
-// this one has lost of it.
+// GroupPeers returns the other nodes of a key's group, which may have records
+// of the key that this node has lost.
 func (n *Node) GroupPeers(key idempotency.Key) []string {
 	return slices.DeleteFunc(n.membersOf(key), func(name string) bool { return name == n.cfg.Name })
 }
--- a/failover/wait.go
+++ b/failover/wait.go
@@ -6,26 +6,26 @@
 	"frosthub/idempotency"
 )
 
-// waitFor has the requests of a claim wait for the run of another node.
+// waitFor makes the requests of a claim wait for the run on another node.
 func (n *Node) waitFor(claim *claim, holder Ballot) {
-	n.dropGrants(claim)
-	hadHeldKey := claim.state == claimAcquiring && claim.originalNotified
+	n.releaseGrants(claim)
+	hadHeldKey := claim.state == claimAcquiring && claim.originalDecided
 	if claim.startWhenHeld || hadHeldKey {
 		n.stats.Lost++
 	}
-	if claim.takenOver { // it need not run here after all
-		if claim.originalNotified {
-			n.notify(claim, claim.originalID, idempotency.Fresh, nil)
+	if claim.takenOver { // another node continues the request
+		if claim.originalDecided {
+			n.queueDecision(claim, claim.originalID, idempotency.Fresh, nil)
 		}
 		claim.takenOver = false
 		claim.originalID = 0
 	}
-	n.enter(claim, claimWaiting)
-	if claim.originalID != 0 && !claim.originalNotified {
-		n.notify(claim, claim.originalID, idempotency.Duplicate, nil)
+	n.enterState(claim, claimWaiting)
+	if claim.originalID != 0 && !claim.originalDecided {
+		n.queueDecision(claim, claim.originalID, idempotency.Duplicate, nil)
 	}
 	claim.startWhenHeld = false
-	claim.originalNotified = true
+	claim.originalDecided = true
 	claim.holder = holder
 	n.letDuplicatesJoin(claim)
 	if !claim.hasRequests() {
@@ -35,23 +35,25 @@
 	if holder.Node != "" {
 		n.send(holder.Node, Message{Kind: MsgHolderCheck, Key: claim.key, Ballot: holder})
 	}
-	// Random, so that not all nodes that wait query the group at once.
+	// The jitter keeps the waiting nodes from querying the group at the same
+	// time.
 	jitter := n.random.Intn(int(n.cfg.RetryInterval))
 	claim.lastSentAt = n.now + time.Duration(jitter)
 }
 
-// query asks the group what is known of a key that requests wait for.
+// query requests the recorded state of a key from the group, for requests that
+// wait for its outcome.
 func (n *Node) query(claim *claim) {
 	claim.ballot = n.nextBallot()
-	n.enter(claim, claimQuerying)
+	n.enterState(claim, claimQuerying)
 	n.broadcastQuery(claim)
 }
 
 func (n *Node) broadcastQuery(claim *claim) {
-	n.broadcast(claim, Message{Kind: MsgQuery, Made: claim.made})
+	n.broadcast(claim, Message{Kind: MsgQuery, Made: claim.madeAt})
 }
 
-// stopWaiting lets replayable requests run here that have waited long enough for
+// stopWaiting admits replayable requests that have waited long enough for
 // another node, and reports whether it did.
 func (n *Node) stopWaiting(claim *claim) bool {
 	if !claim.replayable {
@@ -65,9 +67,9 @@
 	return true
 }
 
-// ResolveUnknown asks the groups of keys how requests of unknown outcome ended,
-// though no caller waits for them. A majority records what is found, this node
-// among it. Keys in use are left out.
+// ResolveUnknown queries the groups of keys for unknown outcomes that no client
+// waits for. A majority of the group, which includes this node, records the
+// outcomes found. Keys that are in use are skipped.
 func (n *Node) ResolveUnknown(now time.Duration, keys []idempotency.Key) {
 	n.advance(now)
 	for _, key := range keys {
@@ -79,10 +81,10 @@
 	}
 }
 
-// tickClaims does what is due for each claim, in order of creation.
+// tickClaims runs the due actions of each claim, in order of creation.
 func (n *Node) tickClaims() {
 	claims := n.claimOrder
-	n.claimOrder = nil // collects the claims that are created meanwhile
+	n.claimOrder = nil // collects claims that are created meanwhile
 	remaining := claims[:0]
 	for _, claim := range claims {
 		if n.claims[claim.key] == claim {
@@ -100,15 +102,15 @@
 		n.tickAcquiring(claim, retry)
 	case claimStarting:
 		switch {
-		case n.now > claim.deadline: // no caller waits any more, and it never ran
+		case n.now > claim.deadline: // the client has timed out, and the request never ran
 			n.reject(claim, NoQuorum)
 		case retry:
 			n.broadcastStart(claim)
 		}
 	case claimFinishing:
 		switch {
-		case n.now-claim.since > finishTimeout:
-			claim.originalID = 0 // answered when its time was over
+		case n.now-claim.enteredAt > finishTimeout:
+			claim.originalID = 0 // answered when its client timeout expired
 			n.settle(claim, NoQuorum, nil)
 		case retry:
 			n.broadcastFinish(claim)
@@ -122,24 +124,24 @@
 		}
 	case claimQuerying:
 		n.tickQuerying(claim, retry)
-	case claimHeld, claimRunning: // the caller has the next word
+	case claimHeld, claimRunning: // the caller of the Node makes the next transition
 	}
 }
 
 func (n *Node) tickAcquiring(claim *claim, retry bool) {
-	if claim.replayable && n.now-claim.since >= replayableClaimTimeout {
+	if claim.replayable && n.now-claim.enteredAt >= replayableClaimTimeout {
 		n.reject(claim, idempotency.Fresh)
 		return
 	}
-	timedOut := n.now-claim.since >= n.cfg.SuspectAfter
-	n.decide(claim)
-	if !n.active(claim, claimAcquiring) {
+	timedOut := n.now-claim.enteredAt >= n.cfg.SuspectAfter
+	n.evaluateVotes(claim)
+	if !n.inState(claim, claimAcquiring) {
 		return
 	}
 	switch {
 	case timedOut:
-		// It may have come to the state anew under a higher ballot.
-		if n.now-claim.since >= n.cfg.SuspectAfter {
+		// The claim may have entered the state again under a higher ballot.
+		if n.now-claim.enteredAt >= n.cfg.SuspectAfter {
 			n.reject(claim, NoQuorum)
 		}
 	case retry:
@@ -155,12 +157,12 @@
 	if n.stopWaiting(claim) {
 		return
 	}
-	n.decide(claim)
-	if !n.active(claim, claimQuerying) {
+	n.evaluateVotes(claim)
+	if !n.inState(claim, claimQuerying) {
 		return
 	}
 	switch {
-	case n.now-claim.since >= n.cfg.SuspectAfter:
+	case n.now-claim.enteredAt >= n.cfg.SuspectAfter:
 		n.query(claim)
 	case retry:
 		n.broadcastQuery(claim)
