--- a/failover/cluster_test.go
+++ b/failover/cluster_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestClustersWithFaults: whatever fails, no key runs twice, and all callers of a
-// key get the same answer.
+// TestClustersWithFaults checks that under any faults no key runs twice, and
+// that all clients of a key get the same answer.
 func TestClustersWithFaults(t *testing.T) {
 	decisions := map[idempotency.Decision]int{}
 	var runs, requests, joined int
@@ -41,28 +41,28 @@
 		NoQuorum,
 	} {
 		if decisions[decision] == 0 {
-			t.Errorf("decision %d was never met", decision)
+			t.Errorf("no request got decision %d", decision)
 		}
 	}
 }
 
-// TestClustersWithoutFaults: where nothing fails each request is answered soon,
-// also where two nodes claim a key in the same moment.
+// TestClustersWithoutFaults checks that without faults each request is answered
+// soon, even if two nodes claim a key at the same time.
 func TestClustersWithoutFaults(t *testing.T) {
 	const span = 1200 * time.Millisecond
 	for seed := range uint64(*schedules / 10) {
 		cluster := simulate(faultFreeSeeds+seed, span, standardFaults)
 		for id, at := range cluster.requestedAt {
 			if at < simStart+span-500*time.Millisecond && !cluster.answered[id] {
-				cluster.recordViolation("request %d, sent at %s, has no answer", id, at-simStart)
+				cluster.recordViolation("request %d, sent at %s, was not answered", id, at-simStart)
 				cluster.requireNoViolation(t)
 			}
 		}
 	}
 }
 
-// TestMembersChange: while nodes adopt another member list one by one, under the
-// same faults, no key runs twice.
+// TestMembersChange checks that no key runs twice while nodes adopt another
+// member list one by one, under the same faults.
 func TestMembersChange(t *testing.T) {
 	finished, runs := 0, 0
 	for seed := range uint64(*schedules / 8) {
@@ -71,15 +71,15 @@
 		finished += cluster.finishedTransition
 		runs += cluster.runs
 	}
-	t.Logf("%d clusters, %d runs, %d nodes ended the change", *schedules/8, runs, finished)
+	t.Logf("%d clusters, %d runs, %d nodes finished the membership change", *schedules/8, runs, finished)
 	if finished == 0 {
-		t.Error("no node ended the change")
+		t.Error("no node finished the membership change")
 	}
 }
 
-// TestDisksLost: peers restore nodes whose disks lose what they had confirmed;
-// under the same faults no key runs twice, and all callers of a key get the same
-// answer.
+// TestDisksLost checks that peers restore nodes whose disks have lost confirmed
+// writes. Under the same faults no key runs twice, and all clients of a key get
+// the same answer.
 func TestDisksLost(t *testing.T) {
 	lost, refills, runs := 0, 0, 0
 	for seed := range uint64(*schedules / 4) {
@@ -91,11 +91,12 @@
 	}
 	t.Logf("%d clusters, %d runs, %d disks lost records, %d nodes were restored", *schedules/4, runs, lost, refills)
 	if refills < lost/10 {
-		t.Error("hardly any node was restored")
+		t.Error("fewer than a tenth of the nodes that lost records were restored")
 	}
 }
 
-// TestSimulationIsDeterministic: a seed is one run, to the last word.
+// TestSimulationIsDeterministic checks that two simulations with the same seed
+// have identical traces.
 func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(30) {
 		scenario := []scenario{standardFaults, membersChange, disksLost}[seed%3]
--- a/failover/fence_test.go
+++ b/failover/fence_test.go
@@ -7,10 +7,10 @@
 	"frosthub/idempotency"
 )
 
-// TestFencing: a node confirms a start, loses its disk and is restored by peers
-// that never heard of the start. The holder may add that confirmation to the one
-// of a peer only if no fence voids it. The random schedules hardly ever come to
-// this.
+// TestFencing guards against a start that runs on a void confirmation: a node
+// confirms a start, loses its disk and is restored by peers that never received
+// the start. The holder must not add that confirmation to the one of a peer, so
+// a fence voids it. The random schedules rarely produce this case.
 func TestFencing(t *testing.T) {
 	t.Cleanup(func() { disabledRule = 0 })
 	ranTwice := map[safetyRule]int{}
@@ -22,20 +22,20 @@
 		}
 	}
 	if ranTwice[0] > 0 || ranTwice[ruleFencing] == 0 {
-		t.Error("ran twice in so many of 60, with the rule and without it: ", ranTwice)
+		t.Error("clusters of 60 with a violation, by disabled rule (0: none): ", ranTwice)
 	}
 	t.Log(ranTwice)
 }
 
-// simulateLostConfirmation plays a cluster of a holder and a group of three: one
-// member loses its disk, and the links between the other two and to the holder
-// are cut before the holder starts.
+// simulateLostConfirmation simulates a holder and a group of three. One member
+// loses its disk; the links between the other two members, and from both to the
+// holder, are cut before the holder starts.
 func simulateLostConfirmation(seed uint64) *simCluster {
 	cluster := newSimCluster(seed, 4, disksLost)
 	cluster.disableFaults()
 	key := idempotency.Key{13: 1}
 	cluster.keys[key] = &keyRecord{}
-	group := cluster.nodes[0].machine.membersOf(key)
+	group := cluster.nodes[0].stateMachine.membersOf(key)
 	outdated, successor, witness := cluster.node(group[0]), cluster.node(group[1]), cluster.node(group[2])
 	var holder *simNode
 	for _, node := range cluster.nodes {
@@ -48,13 +48,13 @@
 		cluster.cut[link{y.index, x.index}] = cut
 	}
 	holder.after(0, func() {
-		holder.machine.Claim(cluster.Now, key, 0, 1, Work{Handler: "file-claim", Left: int64(2 * time.Second)})
+		holder.stateMachine.Claim(cluster.Now, key, 0, 1, Work{Handler: "file-claim", Left: int64(2 * time.Second)})
 	})
 	holder.requests[1] = key
-	witness.machine.cfg.ResumeUnclaimed = false // it leaves the request to the successor
+	witness.stateMachine.cfg.ResumeUnclaimed = false // only the successor takes over the request
 	var cutWhenHeld func()
-	cutWhenHeld = func() { // all have granted the key, and the request hasn't started
-		if claim := holder.machine.claims[key]; claim == nil || claim.state != claimHeld {
+	cutWhenHeld = func() { // waits until all members have granted the key and the request has not started
+		if claim := holder.stateMachine.claims[key]; claim == nil || claim.state != claimHeld {
 			cluster.After(50*time.Microsecond, cutWhenHeld)
 			return
 		}
--- a/failover/group_test.go
+++ b/failover/group_test.go
@@ -8,8 +8,8 @@
 	"frosthub/idempotency"
 )
 
-// TestGroup: a key's group changes only by members that join or leave, spreads
-// over zones, and follows weights.
+// TestGroup checks that a key's group changes only if a member of it joins or
+// leaves, that it spans several zones, and that it follows the weights.
 func TestGroup(t *testing.T) {
 	var members []Member
 	for i := range 9 {
@@ -38,13 +38,13 @@
 		}
 		moved++
 		if !slices.Contains(group, "n0") {
-			t.Fatal("moved without need: ", group, withoutFirst)
+			t.Fatal("group changed although the removed member is not in it: ", group, withoutFirst)
 		}
 	}
 	if moved < 800 || moved > 1200 {
-		t.Error("groups that moved with one of nine members: ", moved)
+		t.Error("groups changed by the removal of one of nine members: ", moved)
 	}
 	if keysOf["n8"] < keysOf["n7"]*5/4 || keysOf["n0"] < 850 || keysOf["n0"] > 1150 {
-		t.Error("keys of members: ", keysOf)
+		t.Error("keys per member: ", keysOf)
 	}
 }
--- a/failover/roster_test.go
+++ b/failover/roster_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestRosterNext: a node adopts other member lists only in steps whose majorities
-// meet.
+// TestRosterNext checks that a node adopts other member lists only in steps
+// whose majorities intersect.
 func TestRosterNext(t *testing.T) {
 	const retryHorizon = time.Hour
 	const now = 100 * time.Hour
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestRosterNotAdopted: removed members and the node itself are not waited for.
+// TestRosterNotAdopted checks that removed members and the node itself are
+// omitted.
 func TestRosterNotAdopted(t *testing.T) {
 	roster := Roster{
 		Members:  []Member{{Name: "b"}, {Name: "c"}, {Name: "d"}},
--- a/failover/rules_test.go
+++ b/failover/rules_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRulesAreNeeded: with one of the rules disabled, the seeds of CI find a
-// broken guarantee. So the simulation is able to find such faults.
+// TestRulesAreNeeded checks that the seeds of CI find a violation if one of the
+// rules is disabled. This proves that the simulation can detect such faults.
 func TestRulesAreNeeded(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -34,7 +34,7 @@
 					return
 				}
 			}
-			t.Errorf("%s is disabled, and nothing is found", test.name)
+			t.Errorf("no seed finds a violation with rule %q disabled", test.name)
 		})
 	}
 }
--- a/failover/sim_cluster_test.go
+++ b/failover/sim_cluster_test.go
@@ -12,27 +12,27 @@
 	"frosthub/internal/harness"
 )
 
-var schedules = flag.Int("schedules", 2000, "clusters to simulate; each takes some hundred steps")
+var schedules = flag.Int("schedules", 2000, "clusters to simulate; each takes several hundred steps")
 
-// simStart is when a simulation begins, since 1970.
+// simStart is the time since 1970 at which a simulation begins.
 const simStart = 500_000 * time.Hour
 
-// calmSeeds is the first of the seeds of clusters in which nothing fails.
+// faultFreeSeeds is the first seed of clusters without faults.
 const faultFreeSeeds = 1 << 40
 
-// scenario is what happens in a simulation beside the usual faults.
+// scenario selects the events of a simulation beyond the standard faults.
 type scenario uint8
 
 const (
 	standardFaults scenario = iota
 	membersChange           // nodes adopt another member list
-	disksLost               // disks lose what they had confirmed
+	disksLost               // disks lose confirmed writes
 )
 
-// simCluster is a cluster in one process: its links delay, lose and repeat
-// messages or are cut in one direction; its nodes crash and come back with what
-// their disks had confirmed, or pause; and their beliefs about who is alive are
-// wrong at random. A seed determines a run completely.
+// simCluster is a cluster in one process. Its links delay, lose and duplicate
+// messages or are cut in one direction. Its nodes crash and restart with the
+// writes that their disks had confirmed, or pause. Their failure detectors
+// return wrong results at random. The seed determines a run completely.
 type simCluster struct {
 	harness.EventQueue
 	random *rand.Rand
@@ -40,10 +40,10 @@
 	nodes  []*simNode
 	cut    map[link]bool
 
-	lossRate           float64 // of messages that are lost or repeated
+	lossRate           float64 // share of messages that are lost or duplicated
 	falseDetectionRate float64
-	maxWriteDelay      time.Duration // of a disk
-	processorsSurvive  bool          // their nodes' crashes
+	maxWriteDelay      time.Duration // of a disk write
+	processorsSurvive  bool          // processors survive crashes of their nodes
 	faultless          bool
 	membersChange      bool
 	disksLost          bool
@@ -54,29 +54,30 @@
 	decisions          map[idempotency.Decision]int
 	runs               int
 	foundAtProcessors  int64
-	joinedReplayables  int // answered from the run of another request
-	finishedTransition int // nodes that have ended the change of members
+	joinedReplayables  int // answered with the result of another request's run
+	finishedTransition int // nodes that have finished the membership change
 	lostDisks          int
 	finishedRefills    int
 
 	history   []harness.HistoryEvent
-	violation string // the first broken guarantee
+	violation string // the first violated guarantee
 	trace     []string
 }
 
-// link is the direction from one node to another, by index.
+// link is the connection from one node to another in one direction, by index.
 type link struct{ from, to int }
 
-// keyTruth is what really happened to a key.
+// keyRecord records the actual runs and answers of a key.
 type keyRecord struct {
 	replayable bool
 	requests   int
 	runs       int
 	answer     []byte
-	answeredAt time.Duration // for the first time
+	answeredAt time.Duration // time of the first answer
 }
 
-// newSimCluster returns a cluster whose nodes are up; size 0 draws one.
+// newSimCluster returns a cluster whose nodes are up; size 0 selects a random
+// size.
 func newSimCluster(seed uint64, size int, scenario scenario) *simCluster {
 	random := rand.New(rand.NewPCG(seed, 5))
 	c := &simCluster{
@@ -121,8 +122,8 @@
 	c.maxWriteDelay = 4 * time.Millisecond
 }
 
-// simulate plays a cluster for a span of its own time, with requests and faults,
-// and judges its history.
+// simulate runs a cluster for a span of simulated time, with requests and
+// faults, and checks its history.
 func simulate(seed uint64, span time.Duration, scenario scenario) *simCluster {
 	c := newSimCluster(seed, 0, scenario)
 	stepsPerFault := 10 + c.random.IntN(60)
@@ -135,15 +136,15 @@
 	for c.Now < simStart+span && c.violation == "" && c.Next(math.MaxInt64) {
 	}
 	for _, node := range c.nodes {
-		c.foundAtProcessors += node.machine.Stats().FoundAtProcessor
+		c.foundAtProcessors += node.stateMachine.Stats().FoundAtProcessor
 	}
 	if key, ok := harness.Linearizable(c.history); !ok {
-		c.recordViolation("no order explains %x", key)
+		c.recordViolation("the history of key %x is not linearizable", key)
 	}
 	return c
 }
 
-// node returns the node of a name.
+// node returns the node with the given name.
 func (c *simCluster) node(name string) *simNode { return c.nodes[name[0]-'a'] }
 
 func (c *simCluster) randomUpTo(limit time.Duration) time.Duration {
@@ -156,7 +157,7 @@
 	}
 }
 
-// violated records that a guarantee is broken.
+// recordViolation records that a guarantee is violated.
 func (c *simCluster) recordViolation(format string, args ...any) {
 	if c.violation == "" {
 		c.violation = fmt.Sprintf(format, args...)
@@ -164,7 +165,8 @@
 	}
 }
 
-// requireSound ends a test where a guarantee was broken, with all that led there.
+// requireNoViolation fails the test and logs the trace if a guarantee was
+// violated.
 func (c *simCluster) requireNoViolation(t *testing.T) {
 	t.Helper()
 	if c.violation == "" {
@@ -176,13 +178,13 @@
 	t.Fatalf("seed %d: %s", c.seed, c.violation)
 }
 
-// sendRequest has a client send a request to one or two nodes. Keys are few, so
+// sendRequest sends a request of a client to one or two nodes. Keys are few, so
 // that most requests are duplicates.
 func (c *simCluster) sendRequest() {
-	key := idempotency.Key{13: 1, 15: byte(c.random.IntN(12))} // none is all zero
+	key := idempotency.Key{13: 1, 15: byte(c.random.IntN(12))} // never all zero
 	key[14] = byte(c.Count() / 4000)
 	left := time.Second
-	if c.membersChange { // nobody asks for a key again after a while
+	if c.membersChange { // no client retries a key after this interval
 		key[14] = byte((c.Now - simStart) / (200 * time.Millisecond))
 		left = 300 * time.Millisecond
 	}
@@ -203,7 +205,7 @@
 			c.requestedAt[id] = c.Now
 			c.log("%s/%d %x %d: requested", node.name, node.incarnation, key[15], id)
 			work := Work{Handler: "file-claim", Left: int64(left), Replayable: record.replayable}
-			node.machine.Claim(c.Now, key, 0, id, work)
+			node.stateMachine.Claim(c.Now, key, 0, id, work)
 		})
 	}
 }
--- a/failover/sim_faults_test.go
+++ b/failover/sim_faults_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// injectFault has one fault happen.
+// injectFault injects one random fault.
 func (c *simCluster) injectFault() {
 	node := c.nodes[c.random.IntN(len(c.nodes))]
 	if c.disksLost && c.random.IntN(3) == 0 {
@@ -15,7 +15,7 @@
 	case 2:
 		node.pause()
 	case 3, 4:
-		c.cutLinks(node)
+		c.cutLinksBetween(node)
 	case 5:
 		c.partition()
 	case 6:
@@ -23,16 +23,16 @@
 	}
 }
 
-// crash has a node come back with what was confirmed to it, and perhaps some
-// more.
+// crash stops a node, which restarts with its confirmed writes and possibly
+// some unconfirmed ones.
 func (n *simNode) crash() {
 	c := n.cluster
 	if !n.up {
 		return
 	}
 	c.log("%s/%d crashes", n.name, n.incarnation)
-	c.foundAtProcessors += n.machine.Stats().FoundAtProcessor
-	n.machine.stats.FoundAtProcessor = 0
+	c.foundAtProcessors += n.stateMachine.Stats().FoundAtProcessor
+	n.stateMachine.stats.FoundAtProcessor = 0
 	n.up = false
 	completed := 0
 	if len(n.pendingWrites) > 0 && c.random.IntN(2) == 0 {
@@ -57,7 +57,8 @@
 	}
 }
 
-// loseDisk has a node come back with an older copy of its disk, or an empty one.
+// loseDisk replaces the disk of a node with an older copy, possibly an empty
+// one.
 func (n *simNode) loseDisk() {
 	c := n.cluster
 	kept := c.random.IntN(len(n.disk) + 1)
@@ -78,14 +79,15 @@
 	n.pausedUntil = max(n.pausedUntil, c.Now+duration)
 }
 
-// cutFor has a link carry nothing for a while.
+// cutFor drops all messages on a link for a while.
 func (c *simCluster) cutFor(link link, duration time.Duration) {
 	c.cut[link] = true
 	c.After(duration, func() { delete(c.cut, link) })
 }
 
-// cutLinks cuts the link to another node, in one direction or both.
-func (c *simCluster) cutLinks(node *simNode) {
+// cutLinksBetween cuts the link between a node and a random peer, in one
+// direction or both.
+func (c *simCluster) cutLinksBetween(node *simNode) {
 	peer := c.nodes[c.random.IntN(len(c.nodes))]
 	if node == peer {
 		return
@@ -100,7 +102,8 @@
 	}
 }
 
-// partition splits the cluster in two sides that don't hear each other.
+// partition splits the cluster into two sides that receive no messages from
+// each other.
 func (c *simCluster) partition() {
 	side := c.random.Uint64()
 	c.log("partition %b", side&(1<<len(c.nodes)-1))
@@ -113,10 +116,11 @@
 	}
 }
 
-// isolateAround has all nodes hear only one, which crashes, loses its disk and
-// soon comes back: it may have confirmed what no other node has heard of.
+// partitionAround cuts all links except those of one node, which crashes, loses
+// its disk and soon restarts: it may have confirmed starts that no other node
+// received.
 func (c *simCluster) partitionAround(center *simNode) {
-	c.log("isolated around %s", center.name)
+	c.log("cut all links except those of %s", center.name)
 	for from := range c.nodes {
 		for to := range c.nodes {
 			if from != center.index && to != center.index && from != to {
--- a/failover/sim_members_test.go
+++ b/failover/sim_members_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// simRetryHorizon is past the time for which a request is asked for again and
-// its callers wait.
+// simRetryHorizon is longer than the time for which clients retry a request and
+// wait for its answer.
 const simRetryHorizon = 400 * time.Millisecond
 
 // oldMembers returns the member list at the start.
@@ -34,8 +34,8 @@
 	return len(n.roster.Previous) == 0 && n.roster.Members[0].Name != "a"
 }
 
-// adoptRoster has a node adopt other member lists as soon as it may.
-func (n *simNode) adoptRoster() {
+// adoptNextRoster adopts the next member lists as soon as the protocol allows.
+func (n *simNode) adoptNextRoster() {
 	c := n.cluster
 	if c.Now < simStart+100*time.Millisecond || n.transitionEnded() {
 		return
@@ -58,7 +58,7 @@
 	}
 	n.roster = next
 	n.digests = next.Digests()
-	n.machine.Reconfigure(c.Now, next.Members, next.Previous)
+	n.stateMachine.Reconfigure(c.Now, next.Members, next.Previous)
 	c.log("%s/%d adopts %d and %d members", n.name, n.incarnation, len(next.Members), len(next.Previous))
 	if len(next.Previous) == 0 {
 		c.finishedTransition++
--- a/failover/sim_node_test.go
+++ b/failover/sim_node_test.go
@@ -19,32 +19,34 @@
 }
 
 // simNode is a node of a simulated cluster: the state machine under test with
-// its store, disk, processor and callers. It implements Peers.
+// its store, disk, processor and clients. It implements FailureDetector.
 type simNode struct {
-	cluster     *simCluster
-	index       int
-	name        string
-	incarnation uint64
-	up          bool
-	pausedUntil time.Duration
-	machine     *Node
-	store       *idempotency.Store
-	requests    map[uint64]idempotency.Key // not let in yet, by ID
+	cluster      *simCluster
+	index        int
+	name         string
+	incarnation  uint64
+	up           bool
+	pausedUntil  time.Duration
+	stateMachine *Node
+	store        *idempotency.Store
+	requests     map[uint64]idempotency.Key // by ID, until they are admitted
 
 	disk          []idempotency.LogEntry
-	pendingWrites []idempotency.LogEntry // handed over, not confirmed
+	pendingWrites []idempotency.LogEntry // submitted, not confirmed
 	fencesOnDisk  []Fence
-	// diskOutdated: the disk is older than what peers know, and doesn't say so.
+	// diskOutdated: the disk is older than the records of peers, and has no
+	// entry about the loss.
 	diskOutdated bool
 	refill       *recovery.Refill[Cursor]
 
-	knownIncarnations []uint64 // of others, as heard
-	roster            Roster   // on the disk
+	knownIncarnations []uint64 // of other nodes, from their messages
+	roster            Roster   // on disk
 	digests           []uint64 // of the roster
 	reportedDigests   map[string][]uint64
 
-	// processorRuns is what the processor knows, of this incarnation and of
-	// those before if it survives them.
+	// processorRuns holds the finished runs of the processor: those of this
+	// incarnation and, if the processor survives its node, those of earlier
+	// ones.
 	processorRuns []finishedRun
 }
 
@@ -55,7 +57,7 @@
 	result []byte
 }
 
-// Alive implements Peers; the belief may be wrong.
+// Alive implements FailureDetector; the result may be wrong.
 func (n *simNode) Alive(name string) bool {
 	peer := n.cluster.node(name)
 	alive := peer.up && peer.pausedUntil <= n.cluster.Now && !n.cluster.cut[link{peer.index, n.index}]
@@ -65,16 +67,16 @@
 	return alive
 }
 
-// Dead implements Peers.
+// Dead implements FailureDetector.
 func (n *simNode) Dead(name string) bool { return !n.Alive(name) }
 
-// Incarnation implements Peers.
+// Incarnation implements FailureDetector.
 func (n *simNode) Incarnation(name string) uint64 {
 	return n.knownIncarnations[n.cluster.node(name).index]
 }
 
-// after has a node do something later, if it is still in the same incarnation. A
-// paused node does it when it resumes.
+// after schedules a call on a node, which is skipped unless the node is still
+// in the same incarnation. A paused node runs the call when it resumes.
 func (n *simNode) after(delay time.Duration, do func()) {
 	incarnation := n.incarnation
 	n.cluster.After(delay, func() {
@@ -89,7 +91,7 @@
 	})
 }
 
-// start begins a new incarnation with what is on the disk.
+// start begins a new incarnation with the state on disk.
 func (n *simNode) start() {
 	n.incarnation++
 	n.up = true
@@ -114,8 +116,8 @@
 		Previous:        n.roster.Previous,
 		ResumeUnclaimed: true,
 	}
-	n.machine = New(config, n.store, n, n.cluster.random.Uint64(), n.cluster.Now)
-	n.machine.MarkFencesDurable(n.fencesOnDisk)
+	n.stateMachine = New(config, n.store, n, n.cluster.random.Uint64(), n.cluster.Now)
+	n.stateMachine.MarkFencesDurable(n.fencesOnDisk)
 	if n.diskOutdated {
 		n.store.MarkOutdated(n.cluster.Now)
 	}
@@ -140,27 +142,27 @@
 
 func (n *simNode) scheduleTick() {
 	n.after(20*time.Millisecond, func() {
-		n.machine.Tick(n.cluster.Now)
+		n.stateMachine.Tick(n.cluster.Now)
 		n.requestPages()
 		if n.cluster.membersChange {
-			n.adoptRoster()
+			n.adoptNextRoster()
 		}
 		n.scheduleTick()
 	})
 }
 
-// flush carries out what the state machine and its store ask for.
+// flush carries out the pending actions of the state machine and its store.
 func (n *simNode) flush() {
 	n.flushWrites()
-	for _, query := range n.machine.ProcessorQueries() {
+	for _, query := range n.stateMachine.ProcessorQueries() {
 		n.after(n.cluster.randomUpTo(4*time.Millisecond), func() {
 			for _, run := range n.cluster.node(query.Node).processorRuns {
-				n.machine.FinishFromProcessor(n.cluster.Now, query.Node, run.id, run.kind, run.result)
+				n.stateMachine.FinishFromProcessor(n.cluster.Now, query.Node, run.id, run.kind, run.result)
 			}
 		})
 	}
 	for {
-		outbox, decisions := n.machine.Ready()
+		outbox, decisions := n.stateMachine.Ready()
 		if len(outbox)+len(decisions) == 0 {
 			return
 		}
@@ -187,22 +189,22 @@
 		}
 		seq := n.pendingWrites[count-1].Seq
 		n.completeWrites(count)
-		n.machine.MarkDurable(n.cluster.Now, seq)
+		n.stateMachine.MarkDurable(n.cluster.Now, seq)
 	})
 }
 
-// completeWrites has the first pending writes be on the disk.
+// completeWrites moves the first pending writes to the disk.
 func (n *simNode) completeWrites(count int) {
 	for _, entry := range n.pendingWrites[:count] {
 		if entry.Kind == idempotency.EntryHistoryLost {
-			n.diskOutdated = false // the disk says so itself from now on
+			n.diskOutdated = false // from now on the disk has an entry about the loss
 		}
 	}
 	n.disk = append(n.disk, n.pendingWrites[:count]...)
 	n.pendingWrites = n.pendingWrites[count:]
 }
 
-// send carries a message to another node, perhaps late, twice or never.
+// send delivers a message to another node, possibly late, twice or never.
 func (n *simNode) send(envelope Envelope) {
 	c, to := n.cluster, n.cluster.node(envelope.To)
 	if c.cut[link{n.index, to.index}] || c.random.Float64() < c.lossRate {
@@ -232,6 +234,6 @@
 		n.reportedDigests[from.name] = digests
 	}
 	if Compatible(digests, n.digests) {
-		n.machine.Receive(n.cluster.Now, from.name, incarnation, message)
+		n.stateMachine.Receive(n.cluster.Now, from.name, incarnation, message)
 	}
 }
--- a/failover/sim_outcome_test.go
+++ b/failover/sim_outcome_test.go
@@ -9,42 +9,45 @@
 	"frosthub/internal/harness"
 )
 
-// handleOutcome plays the part of a node's callers, and judges what they hear.
+// handleDecision acts for the clients of a node, and checks the decisions that
+// they get.
 func (n *simNode) handleDecision(decision RequestDecision) {
 	c := n.cluster
 	record := c.keys[decision.Key]
 	c.decisions[decision.Decision]++
 	_, requested := n.requests[decision.ID]
-	letIn := decision.Decision == idempotency.Fresh && requested
-	if !letIn && decision.Decision != idempotency.Duplicate && decision.Decision != idempotency.Start {
+	admitted := decision.Decision == idempotency.Fresh && requested
+	if !admitted && decision.Decision != idempotency.Duplicate && decision.Decision != idempotency.Start {
 		c.answered[decision.ID] = true
 	}
 	c.log("%s/%d %x %d: decision %d %q", n.name, n.incarnation, decision.Key[15], decision.ID, decision.Decision, decision.Result)
 	switch decision.Decision {
 	case idempotency.Fresh, TakenOver:
-		if decision.Decision == TakenOver || letIn { // otherwise it is rejected after it was let in
+		if decision.Decision == TakenOver || admitted { // otherwise it is rejected after its admission
 			n.enqueue(decision, record)
 		}
 	case idempotency.Duplicate:
 		if record.replayable {
-			return // it waits
+			return // the request waits
 		}
 		delete(n.requests, decision.ID)
-		n.machine.Join(c.Now, decision.Key, decision.ID)
+		n.stateMachine.Join(c.Now, decision.Key, decision.ID)
 	case idempotency.Start:
 		n.run(decision, record)
 	case idempotency.Completed, idempotency.Replay:
 		c.checkResult(decision, record)
 	case idempotency.OutcomeUnknown, idempotency.OriginalFailed:
 		c.recordAnswer(decision, false)
-		// Who asked before the first answer may hear what was so then.
+		// A request sent before the first answer may get the outcome as of that
+		// time.
 		if at, ok := c.requestedAt[decision.ID]; ok && record.answer != nil && at > record.answeredAt {
-			c.recordViolation("key %x was answered, and is %d now", decision.Key[15], decision.Decision)
+			c.recordViolation("key %x was answered, then got decision %d", decision.Key[15], decision.Decision)
 		}
 	}
 }
 
-// enqueue has a request wait for its turn and then ask to start, or give up.
+// enqueue queues a request for a random time; the request then starts or is
+// cancelled.
 func (n *simNode) enqueue(decision RequestDecision, record *keyRecord) {
 	c := n.cluster
 	delete(n.requests, decision.ID)
@@ -53,37 +56,37 @@
 		case record.replayable:
 			n.runReplayable(decision, record)
 		case c.random.IntN(8) == 0:
-			n.machine.Release(c.Now, decision.Key, decision.ID)
+			n.stateMachine.Release(c.Now, decision.Key, decision.ID)
 			c.answered[decision.ID] = true
 		default:
-			n.machine.Start(c.Now, decision.Key, decision.ID, 0)
+			n.stateMachine.Start(c.Now, decision.Key, decision.ID, 0)
 		}
 	})
 }
 
 func (n *simNode) runReplayable(decision RequestDecision, record *keyRecord) {
 	c := n.cluster
-	n.machine.MarkRunning(c.Now, decision.Key, decision.ID)
+	n.stateMachine.MarkRunning(c.Now, decision.Key, decision.ID)
 	record.runs++
 	result := fmt.Appendf(nil, "run %d of %x", record.runs, decision.Key[15])
 	n.after(c.randomUpTo(20*time.Millisecond), func() {
-		n.machine.Finish(c.Now, decision.Key, decision.ID, idempotency.EntryResult, result)
+		n.stateMachine.Finish(c.Now, decision.Key, decision.ID, idempotency.EntryResult, result)
 	})
 	c.answered[decision.ID] = true
 }
 
-// run executes a request at the node's processor, or gives it up.
+// run executes a request at the node's processor, or cancels it.
 func (n *simNode) run(decision RequestDecision, record *keyRecord) {
 	c := n.cluster
-	if c.random.IntN(10) == 0 { // its caller has gone
-		n.machine.Finish(c.Now, decision.Key, decision.ID, idempotency.EntryNeverRan, nil)
+	if c.random.IntN(10) == 0 { // the client has disconnected
+		n.stateMachine.Finish(c.Now, decision.Key, decision.ID, idempotency.EntryNeverRan, nil)
 		c.answered[decision.ID] = true
 		return
 	}
 	record.runs++
 	c.runs++
 	if record.runs > 1 {
-		c.recordViolation("key %x ran twice, on %s/%d now", decision.Key[15], n.name, n.incarnation)
+		c.recordViolation("key %x ran twice, the second time on %s/%d", decision.Key[15], n.name, n.incarnation)
 	}
 	run := finishedRun{decision.ID, idempotency.EntryResult, fmt.Appendf(nil, "run %d of %x", c.runs, decision.Key[15])}
 	if c.random.IntN(12) == 0 {
@@ -105,14 +108,14 @@
 		}
 		if survived {
 			n.after(c.randomUpTo(4*time.Millisecond), func() {
-				n.machine.Finish(c.Now, decision.Key, decision.ID, run.kind, run.result)
+				n.stateMachine.Finish(c.Now, decision.Key, decision.ID, run.kind, run.result)
 			})
 			c.answered[decision.ID] = c.answered[decision.ID] || run.kind == idempotency.EntryFailed
 		}
 	})
 }
 
-// judgeResult checks that all callers get the same result.
+// checkResult checks that all clients get the same result.
 func (c *simCluster) checkResult(decision RequestDecision, record *keyRecord) {
 	if record.replayable {
 		c.joinedReplayables++
@@ -124,7 +127,7 @@
 		record.answeredAt = c.Now
 	}
 	if !bytes.Equal(record.answer, decision.Result) {
-		c.recordViolation("key %x: %q, and %q before", decision.Key[15], decision.Result, record.answer)
+		c.recordViolation("key %x: result %q differs from the earlier %q", decision.Key[15], decision.Result, record.answer)
 	}
 }
 
--- a/failover/sim_transfer_test.go
+++ b/failover/sim_transfer_test.go
@@ -8,7 +8,7 @@
 	"frosthub/recovery"
 )
 
-// startRefill has the peers transfer what the node's disk lacks.
+// startRefill begins the transfer of the records that the node's disk lacks.
 func (n *simNode) startRefill() {
 	config := recovery.RefillConfig{Incarnation: n.incarnation}
 	for _, peer := range n.cluster.nodes {
@@ -18,7 +18,7 @@
 	}
 	n.refill = recovery.NewRefill[Cursor](config, n.cluster.random.Uint64())
 	n.store.SetRefillCheck(func(key idempotency.Key) bool {
-		peers := n.machine.GroupPeers(key)
+		peers := n.stateMachine.GroupPeers(key)
 		if disabledRule == ruleAllGroupPeers {
 			return slices.ContainsFunc(peers, func(name string) bool { return n.refill.Covers([]string{name}) })
 		}
@@ -26,7 +26,8 @@
 	})
 }
 
-// requestPages asks peers for pages, over links that fail like all others.
+// requestPages requests pages from peers, over links with the same faults as
+// for messages.
 func (n *simNode) requestPages() {
 	if n.refill == nil || n.refill.Done() {
 		return
@@ -40,11 +41,11 @@
 
 func (n *simNode) sendPage(to string, request PageRequest) {
 	c := n.cluster
-	page := n.machine.BuildPage(c.Now, to, request)
-	fences := n.machine.Fences()
+	page := n.stateMachine.BuildPage(c.Now, to, request)
+	fences := n.stateMachine.Fences()
 	n.after(c.randomUpTo(c.maxWriteDelay), func() {
 		n.fencesOnDisk = fences
-		n.machine.MarkFencesDurable(fences)
+		n.stateMachine.MarkFencesDurable(fences)
 	})
 	incarnation := n.incarnation
 	n.deliver(to, func(receiver *simNode) { receiver.receivePage(n.name, incarnation, &page) })
@@ -59,18 +60,18 @@
 		Last:        page.Next.Step == StepDone,
 		Complete:    page.Complete,
 	}
-	if n.refill == nil || !n.machine.SameConfiguration(page) || !n.refill.Expects(from, incarnation, &info) {
+	if n.refill == nil || !n.stateMachine.SameConfiguration(page) || !n.refill.Expects(from, incarnation, &info) {
 		return
 	}
-	n.refill.PageReceived(c.Now, from, &info, n.machine.ReceivePage(c.Now, page))
+	n.refill.PageReceived(c.Now, from, &info, n.stateMachine.ReceivePage(c.Now, page))
 	if n.refill.Done() {
-		c.log("%s/%d has everything transferred", n.name, n.incarnation)
+		c.log("%s/%d finishes its refill", n.name, n.incarnation)
 		c.finishedRefills++
 		n.store.MarkRefilled(c.Now)
 	}
 }
 
-// carry has something reach another node as messages do.
+// deliver runs a call on another node, with the same faults as for messages.
 func (n *simNode) deliver(to string, do func(peer *simNode)) {
 	c, peer := n.cluster, n.cluster.node(to)
 	if c.cut[link{n.index, peer.index}] || c.random.Float64() < c.lossRate {
