--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -243,7 +243,8 @@
 	n.notifyWaiters(reservation, idempotency.EntryResult, reservation.result)
 }
 
-// releaseBallot removes the reservation that is granted to a ballot.
+// releaseBallot releases the grant of a ballot. The reservation then passes to
+// another ballot whose start is recorded, or is removed if there is none.
 func (n *Node) releaseBallot(reservation *reservation, ballot Ballot) {
 	switch {
 	case reservation.ballot != ballot:
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -87,7 +87,7 @@
 	return !waitForMore || n.now-claim.enteredAt >= n.cfg.SuspectAfter/4
 }
 
-// evaluateVotes decides on a claim if the votes so far suffice.
+// evaluateVotes decides on a claim as far as the votes received so far allow.
 func (n *Node) evaluateVotes(claim *claim) {
 	totals := n.tallyVotes(claim)
 	switch {
@@ -112,7 +112,7 @@
 	}
 }
 
-// outcomeLost reports whether the request was started and no live node can
+// outcomeLost reports whether the request was started and no live holder can
 // report its outcome.
 func (n *Node) outcomeLost(totals *tally) bool {
 	if totals.holderStarted() {
--- a/failover/takeover.go
+++ b/failover/takeover.go
@@ -72,7 +72,7 @@
 }
 
 // takeOverOrphaned takes over the requests collected in the current tick, by
-// weight and then by remaining time, up to the limit of requests in flight.
+// weight and then by remaining time, as far as Config.MaxInFlight permits.
 func (n *Node) takeOverOrphaned() {
 	if len(n.orphaned) == 0 {
 		return
--- a/failover/wait.go
+++ b/failover/wait.go
@@ -68,8 +68,8 @@
 }
 
 // ResolveUnknown queries the groups of keys for unknown outcomes that no client
-// waits for. A majority of the group, which includes this node, records the
-// outcomes found. Keys that are in use are skipped.
+// waits for. A majority of the group, including this node, records the outcomes
+// found. Keys that are in use are skipped.
 func (n *Node) ResolveUnknown(now time.Duration, keys []idempotency.Key) {
 	n.advance(now)
 	for _, key := range keys {
