--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -30,8 +30,8 @@
 	compareAt  time.Duration       // when the ledger is compared next with what the backend knows
 }
 
-// rowOf returns the row of a handler in the ledger, that of no handler for a negative index.
-func (a *requestAccounting) rowOf(handler int) uint16 {
+// ledgerRow returns the row of a handler in the ledger, that of no handler for a negative index.
+func (a *requestAccounting) ledgerRow(handler int) uint16 {
 	if handler < 0 {
 		return 0
 	}
@@ -55,10 +55,10 @@
 	}
 	b.readClocks()
 	if b.cfg.Accounting.File == "" {
-		ledger.StartIncarnation(b.wall, 0)
+		ledger.StartIncarnation(b.wallTime, 0)
 	} else {
 		b.recorder = statsfile.NewRecorder(b.cfg.Accounting.File, b.cfg.Accounting.Entries, b.log)
-		ledger = b.recorder.Open(ledger, cfg, b.wall, statsFileOpenLimit)
+		ledger = b.recorder.Open(ledger, cfg, b.wallTime, statsFileOpenLimit)
 	}
 	b.ledger = ledger
 	for _, h := range b.handlers {
@@ -81,15 +81,15 @@
 }
 
 func (b *Backend) recordFlush(before bool) {
-	b.ledger.SetFlushing(b.wall, before)
-	b.recorder.Append(b.ledger, b.wall)
+	b.ledger.SetFlushing(b.wallTime, before)
+	b.recorder.Append(b.ledger, b.wallTime)
 }
 
 // closeAccounts closes the accounts of a process that exits by itself.
 func (b *Backend) closeAccounts() {
 	b.ledger.EndIncarnation(accounting.OpenAtExit, accounting.Exited)
 	if b.recorder != nil {
-		b.recorder.Close(b.ledger, b.wall)
+		b.recorder.Close(b.ledger, b.wallTime)
 	}
 }
 
@@ -97,7 +97,7 @@
 // them. It may be called from any goroutine while Serve runs and after that.
 func (b *Backend) Accounting() accounting.Report {
 	var report accounting.Report
-	b.onOwner(func() {
+	b.runOnOwner(func() {
 		if b.ledger != nil { // Serve got that far
 			report = b.ledger.Report(false)
 		}
@@ -109,6 +109,6 @@
 // goroutine while Serve runs and after that.
 func (b *Backend) AccountingRecorded() bool {
 	recorded := true
-	b.onOwner(func() { recorded = b.recorder == nil || b.recorder.Recording() })
+	b.runOnOwner(func() { recorded = b.recorder == nil || b.recorder.Recording() })
 	return recorded
 }
--- a/backend/audit.go
+++ b/backend/audit.go
@@ -7,10 +7,10 @@
 	"frosthub/internal/invariant"
 )
 
-// audit has the ledger check that its sums add up, from time to time compares it with the requests that are known here,
+// auditLedger has the ledger check that its sums add up, from time to time compares it with the requests that are known here,
 // and logs what differs.
-func (b *Backend) audit() {
-	b.ledger.Audit(b.wall)
+func (b *Backend) auditLedger() {
+	b.ledger.Audit(b.wallTime)
 	if b.now >= b.compareAt {
 		b.compareAt = b.now + compareInterval
 		b.compareLedger()
@@ -20,9 +20,9 @@
 
 // compareLedger compares the open accounts of the ledger with the requests that are known here.
 func (b *Backend) compareLedger() {
-	b.ledger.CompareOpenRequests(b.wall, func(open func(accounting.Ticket, uint64)) {
+	b.ledger.CompareOpenRequests(b.wallTime, func(open func(accounting.Ticket, uint64)) {
 		for _, r := range b.requests { // a sum: the order does not matter
-			if b.hasClient(r) || r.failedOver && !r.accounted {
+			if b.hasClient(r) || r.failedOver && !r.accountClosed {
 				open(r.ticket, r.id)
 			}
 		}
@@ -47,9 +47,9 @@
 func (b *Backend) checkInvariants() {
 	b.checkRequests()
 	b.compareLedger()
-	b.ledger.Audit(b.wall)
+	b.ledger.Audit(b.wallTime)
 	b.logMismatches()
-	invariant.Check(float64(b.results.resultBytes) <= b.memoryShare(resultCacheShare), "kept results stay within their bound")
+	invariant.Check(float64(b.results.usedBytes) <= b.memoryShare(resultCacheShare), "kept results stay within their bound")
 }
 
 func (b *Backend) checkRequests() {
@@ -71,9 +71,9 @@
 	slots := 0
 	for client := range b.frontend.clients {
 		slots += len(client.requests)
-		known := client.broken || client.protocol.openSlots() >= client.openAnswers()
+		known := client.readStopped || client.protocol.openSlots() >= client.pendingResponses()
 		invariant.Check(known, "open slots are known to the parser")
 	}
 	invariant.Check(waiting == b.unanswered && waiting == slots, "unanswered requests hold one slot each")
-	invariant.Check(calls == b.upstream.inFlight(), "calls in flight are those of requests")
+	invariant.Check(calls == b.upstream.callsInFlight(), "calls in flight are those of requests")
 }
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -31,19 +31,19 @@
 	listeners []*conn.Listener
 
 	// What the configuration says of the work.
-	handlers  []handler
-	customers []string // names, in the order of the settings
-	canCancel bool     // the processor takes interrupts of runs
+	handlers      []handler
+	customerNames []string // names, in the order of the settings
+	canCancel     bool     // the processor takes interrupts of runs
 
 	// The core: the time, the decisions, the requests and their accounts.
 	ownerClock
 	controllerDriver
 	requestTable
 	requestAccounting
-	advice  loadAdvice
-	process lifecycle.Process
-	drain   drainState
-	sweepAt time.Duration // when idle and expired things are looked for next
+	advice      loadAdvice
+	process     lifecycle.Process
+	drain       drainState
+	nextSweepAt time.Duration // when idle and expired things are looked for next
 
 	// The parts at its edges.
 	frontend  frontend
@@ -66,12 +66,12 @@
 
 // handler is what the configuration says of one handler.
 type handler struct {
-	name         string
-	replayable   bool          // a request may run again without harm
-	deduplicated bool          // its requests bring a key by which a repeat is recognized, and run once
-	window       time.Duration // in which such a repeat may come
-	timeout      time.Duration // how long its clients wait
-	weight       float64       // its weight against other handlers
+	name          string
+	replayable    bool          // a request may run again without harm
+	deduplicated  bool          // its requests bring a key by which a repeat is recognized, and run once
+	repeatWindow  time.Duration // in which such a repeat may come
+	clientTimeout time.Duration // how long its clients wait
+	weight        float64       // its weight against other handlers
 }
 
 // New returns a backend for a configuration. It opens nothing: that is done by Serve. A nil log stands for
@@ -123,18 +123,18 @@
 		b.handlers = append(b.handlers, newHandler(&settings.Handlers[i]))
 	}
 	for _, customer := range settings.Customers {
-		b.customers = append(b.customers, customer.Name)
+		b.customerNames = append(b.customerNames, customer.Name)
 	}
 }
 
 func newHandler(settings *overload.Handler) handler {
 	return handler{
-		name:         settings.Name,
-		replayable:   settings.Idempotency == overload.Replayable,
-		deduplicated: settings.Idempotency == overload.Deduplicated,
-		window:       settings.Window,
-		timeout:      settings.ClientTimeout.Or(overload.DefaultClientTimeout),
-		weight:       settings.Value.Or(0),
+		name:          settings.Name,
+		replayable:    settings.Idempotency == overload.Replayable,
+		deduplicated:  settings.Idempotency == overload.Deduplicated,
+		repeatWindow:  settings.Window,
+		clientTimeout: settings.ClientTimeout.Or(overload.DefaultClientTimeout),
+		weight:        settings.Value.Or(0),
 	}
 }
 
@@ -148,13 +148,13 @@
 	return handlers
 }
 
-// handlerOf returns the index of the handler of that name, -1 if there is none.
-func (b *Backend) handlerOf(name string) int {
+// handlerIndex returns the index of the handler of that name, -1 if there is none.
+func (b *Backend) handlerIndex(name string) int {
 	return slices.IndexFunc(b.handlers, func(h handler) bool { return h.name == name })
 }
 
-// Log returns the logger of the backend.
-func (b *Backend) Log() *slog.Logger { return b.log }
+// Logger returns the logger of the backend.
+func (b *Backend) Logger() *slog.Logger { return b.log }
 
 // Reload has new work use the addresses of another configuration: those of the processor, the upstream tier, the control
 // plane and the other nodes of the cluster. It also takes the time to stop from there. Work in flight at the old
@@ -182,8 +182,8 @@
 	b.log.Info("configuration reloaded", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
-// onOwner has the owner call f between two turns, and waits for it. After Serve has returned, f is called at once.
-func (b *Backend) onOwner(f func()) {
+// runOnOwner has the owner call f between two turns, and waits for it. After Serve has returned, f is called at once.
+func (b *Backend) runOnOwner(f func()) {
 	called := make(chan struct{})
 	select {
 	case b.ownerCalls <- func() { f(); close(called) }:
--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -14,20 +14,20 @@
 
 // clientConn is one connection of a client. It belongs to the owner goroutine.
 type clientConn struct {
-	conn            *conn.Conn
-	number          int // for log lines
-	protocol        protocol
-	requests        map[uint16]*request  // without their answer, by slot
-	checks          map[uint16]deepCheck // health checks that wait for the processor, by slot
-	acceptedAt      time.Duration
-	lastUsed        time.Duration // when it last carried a complete request or a response
-	badRequests     int           // malformed requests since the last one that was run
-	hasSentRequest  bool          // it has sent a complete request
-	verified        bool          // one of its requests was known to the processor
-	buffersReleased bool          // it is idle and keeps no buffers
-	broken          bool          // nothing more is read of it; it ends once what is open is answered
-	partialBytes    int           // its part of frontend.partialBytes
-	undelivered     []sentAnswer  // final answers that are not yet handed to the system, in order
+	conn              *conn.Conn
+	number            int // for log lines
+	protocol          protocol
+	requests          map[uint16]*request  // without their answer, by slot
+	deepChecks        map[uint16]deepCheck // health checks that wait for the processor, by slot
+	acceptedAt        time.Duration
+	lastUsed          time.Duration  // when it last carried a complete request or a response
+	malformedRequests int            // malformed requests since the last one that was run
+	hasSentRequest    bool           // it has sent a complete request
+	verified          bool           // one of its requests was known to the processor
+	buffersReleased   bool           // it is idle and keeps no buffers
+	readStopped       bool           // nothing more is read of it; it ends once what is open is answered
+	partialBytes      int            // its part of frontend.partialBytes
+	undelivered       []sentResponse // final answers that are not yet handed to the system, in order
 }
 
 // exchange is one slot of a connection, on which a request is read and answered.
@@ -42,18 +42,18 @@
 	return exchange{client: r.client, slot: r.slot, keepOpen: r.keepOpen}
 }
 
-// sentAnswer is a final answer that was written and may not have left yet.
-type sentAnswer struct {
-	mark   int // bytes of the connection that have left when its last byte has
-	ticket accounting.Ticket
-	id     uint64
+// sentResponse is a final answer that was written and may not have left yet.
+type sentResponse struct {
+	endOffset int // bytes of the connection that have left when its last byte has
+	ticket    accounting.Ticket
+	id        uint64
 }
 
-// openAnswers returns how many answers the client waits for.
-func (c *clientConn) openAnswers() int { return len(c.requests) + len(c.checks) }
+// pendingResponses returns how many answers the client waits for.
+func (c *clientConn) pendingResponses() int { return len(c.requests) + len(c.deepChecks) }
 
 // busy reports whether the client waits for an answer.
-func (c *clientConn) busy() bool { return c.openAnswers() > 0 }
+func (c *clientConn) busy() bool { return c.pendingResponses() > 0 }
 
 // idle reports whether nothing is open and nothing waits to be sent.
 func (c *clientConn) idle() bool { return c.protocol.openSlots() == 0 && c.conn.Unsent() == 0 }
@@ -62,9 +62,9 @@
 // by the connection itself.
 func (c *clientConn) lifecycleState() lifecycle.Connection {
 	return lifecycle.Connection{
-		OpenRequests: c.openAnswers(),
-		HalfRead:     c.protocol.openSlots() > c.openAnswers() || c.protocol.midMessage(),
-		Broken:       c.broken,
+		OpenRequests: c.pendingResponses(),
+		HalfRead:     c.protocol.openSlots() > c.pendingResponses() || c.protocol.midMessage(),
+		Broken:       c.readStopped,
 	}
 }
 
@@ -82,11 +82,11 @@
 	client.protocol = newProtocol(client)
 	f.clients[client] = struct{}{}
 	b.stats.Accepted++
-	accepted.MaxUnsent = connUnsentMax
+	accepted.MaxUnsent = maxUnsentPerClient
 	accepted.OnSent = func() { f.confirmDelivered(client) }
 	accepted.ResponsePending = func() bool { return lifecycle.CheckCloseWrite(client.lifecycleState()) != lifecycle.Allowed }
 	accepted.OnData = func(input []byte) error {
-		f.read(client, input)
+		f.handleInput(client, input)
 		return nil
 	}
 	accepted.OnClosed = func(err error) { f.connectionClosed(client, err) }
@@ -95,18 +95,18 @@
 	}
 }
 
-// read takes input of a connection.
-func (f *frontend) read(client *clientConn, input []byte) {
-	if client.broken {
+// handleInput takes input of a connection.
+func (f *frontend) handleInput(client *clientConn, input []byte) {
+	if client.readStopped {
 		return
 	}
 	client.buffersReleased = false
 	if err := client.protocol.feed(input); err != nil {
-		f.cut(client, err)
+		f.terminateConnection(client, err)
 	}
 	f.updatePartialBytes(client)
 	if float64(f.partialBytes) > f.backend.memoryShare(partialShare) {
-		f.cutLargestPartial()
+		f.terminateLargestPartial()
 	}
 }
 
@@ -123,14 +123,14 @@
 		if r.state != stateUnverified {
 			f.recordUnanswered(r.id, reason)
 		}
-		if client.conn.SendClosed() && !client.broken {
+		if client.conn.SendClosed() && !client.readStopped {
 			b.recordViolation("end a connection", r, lifecycle.RequestOpen)
 		}
 		b.clientGone(r, overload.ConnectionLost)
 	}
 	for _, answer := range client.undelivered {
 		f.recordUnanswered(answer.id, reason)
-		b.ledger.Close(b.wall, answer.ticket, accounting.Undelivered)
+		b.ledger.Close(b.wallTime, answer.ticket, accounting.Undelivered)
 	}
 	client.undelivered = nil
 }
@@ -144,7 +144,7 @@
 		return
 	}
 	f.backend.log.Info("connection closed", "connection", client.number, "reason", reason, "phase", phase, "open", len(client.requests),
-		"half_read", client.protocol.openSlots()-client.openAnswers(), "unsent_answers", len(client.undelivered),
+		"half_read", client.protocol.openSlots()-client.pendingResponses(), "unsent_answers", len(client.undelivered),
 		"dropped_bytes", dropped)
 }
 
@@ -156,8 +156,8 @@
 
 // trackDelivery has the account of a request follow the answer that was just written.
 func (f *frontend) trackDelivery(client *clientConn, ticket accounting.Ticket, id uint64, reason accounting.Reason) {
-	if f.backend.ledger.ResponseWritten(f.backend.wall, ticket, reason) {
-		answer := sentAnswer{mark: client.conn.QueuedTotal(), ticket: ticket, id: id}
+	if f.backend.ledger.ResponseWritten(f.backend.wallTime, ticket, reason) {
+		answer := sentResponse{endOffset: client.conn.QueuedTotal(), ticket: ticket, id: id}
 		client.undelivered = append(client.undelivered, answer)
 	}
 }
@@ -165,12 +165,12 @@
 // confirmDelivered closes the accounts of the answers whose last byte was handed to the system.
 func (f *frontend) confirmDelivered(client *clientConn) {
 	n := 0
-	for n < len(client.undelivered) && client.undelivered[n].mark <= client.conn.SentTotal() {
-		f.backend.ledger.ResponseSent(f.backend.wall, client.undelivered[n].ticket)
+	for n < len(client.undelivered) && client.undelivered[n].endOffset <= client.conn.SentTotal() {
+		f.backend.ledger.ResponseSent(f.backend.wallTime, client.undelivered[n].ticket)
 		n++
 	}
 	client.undelivered = slices.Delete(client.undelivered, 0, n)
-	if len(client.undelivered) == 0 && cap(client.undelivered) > undeliveredKept {
+	if len(client.undelivered) == 0 && cap(client.undelivered) > maxUndeliveredKept {
 		client.undelivered = nil
 	}
 }
--- a/backend/client_socket_test.go
+++ b/backend/client_socket_test.go
@@ -73,8 +73,8 @@
 
 // client returns the connection of that name; over AJP there is one for each slot.
 func (bed *testbed) client(name string, slot uint16) *clientSocket {
-	key, address := name, bed.listen
-	if bed.ajp {
+	key, address := name, bed.listenAddress
+	if bed.useAJP {
 		key, address = fmt.Sprint(name, "/", slot), bed.ajpAddress
 	}
 	if client := bed.clients[key]; client != nil {
@@ -87,7 +87,7 @@
 	}
 	client := &clientSocket{conn: conn}
 	bed.clients[key] = client
-	if bed.ajp {
+	if bed.useAJP {
 		go bed.readAJP(name, slot, conn)
 	} else {
 		go bed.readFastCGI(name, conn)
@@ -121,7 +121,7 @@
 					words[i] = header
 				}
 			}
-			print("%d ends with %d, %s, %s", slot, content[4], strings.Join(words, ", "), quoted(body))
+			print("%d ends with %d, %s, %s", slot, content[4], strings.Join(words, ", "), quoteBody(body))
 		default:
 			print("record %d: %s", head[1], hex.EncodeToString(content))
 		}
@@ -148,7 +148,7 @@
 		parser.AwaitingResponse = true
 		err = parser.Feed(buf[:n], func(reply ajp.Reply) {
 			if reply.Kind == ajp.Response {
-				bed.print("edge "+name, "%d ends with 0, %s, %s", slot, ajpHeaders(reply), quoted(string(reply.Body)))
+				bed.print("edge "+name, "%d ends with 0, %s, %s", slot, ajpHeaders(reply), quoteBody(string(reply.Body)))
 			}
 		})
 		if err != nil {
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -60,7 +60,7 @@
 	backend     *Backend // nil for a node alone
 	detector    *membership.Detector
 	node        *failover.Node // nil until start
-	links       map[string]*nodeLink
+	links       map[string]*peerLink
 	incarnation uint64
 	nextTick    time.Duration
 	store       *idempotency.Store
@@ -87,7 +87,7 @@
 		return
 	}
 	c.backend = b
-	c.links = map[string]*nodeLink{}
+	c.links = map[string]*peerLink{}
 	c.processorQueries = map[string]*processorQuery{}
 	c.peerDigests = map[string][]uint64{}
 	for _, handler := range b.handlers {
@@ -115,16 +115,16 @@
 		ProbeInterval: probeInterval,
 		ProbeTimeout:  probeTimeout,
 	}, b.cfg.Seed, b.now)
-	c.connect()
+	c.updateLinks()
 	c.node = failover.New(failover.Config{
 		Name:            b.cfg.Name,
 		Incarnation:     c.incarnation,
 		Members:         roster.Members,
 		Previous:        roster.Previous,
 		ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
-		MaxResultBytes:  int(min(b.memoryShare(notedResultShare), notedResultShare*unlimitedMemory)),
+		MaxResultBytes:  int(min(b.memoryShare(notedResultShare), notedResultShare*assumedMemoryBytes)),
 	}, c.store, c, b.cfg.Seed^1, b.guard.now())
-	c.node.MarkFencesDurable(fences(c.peerStates.Fences))
+	c.node.MarkFencesDurable(fenceList(c.peerStates.Fences))
 	c.startRefill()
 	b.log.Info("cluster member started", "name", b.cfg.Cluster.Name, "incarnation", c.incarnation,
 		"members", len(roster.Members), "before", len(roster.Previous))
@@ -186,7 +186,7 @@
 		}
 	}
 	for _, change := range changes {
-		c.dropDeparted(change.Update)
+		c.unlinkDeparted(change.Update)
 		c.backend.log.Info("member state changed", "name", change.Name, "incarnation", change.Incarnation,
 			"state", change.State.String(), "was", change.Previous.State.String())
 	}
--- a/backend/cluster_link.go
+++ b/backend/cluster_link.go
@@ -15,9 +15,9 @@
 	maxUnsentToNode = 4 << 20
 )
 
-// nodeLink is the connection on which this node sends to another one. What the other sends comes on a connection that
+// peerLink is the connection on which this node sends to another one. What the other sends comes on a connection that
 // it has opened; see peerConn.
-type nodeLink struct {
+type peerLink struct {
 	address    string
 	processor  string
 	conn       *conn.Conn // nil while there is none
@@ -28,23 +28,23 @@
 }
 
 // hasPending reports whether a link has something to send.
-func (l *nodeLink) hasPending() bool {
+func (l *peerLink) hasPending() bool {
 	batch := &l.batch
 	messages := len(batch.Members) + len(batch.Claims)
 	return messages > 0 || batch.PeerState != nil || batch.PageRequest != nil || batch.Page != nil || l.queryState
 }
 
 // abort closes the connection of a link, if there is one.
-func (l *nodeLink) abort() {
+func (l *peerLink) abort() {
 	if l.conn != nil {
 		l.conn.Abort(conn.ErrClosedLocally)
 	}
 }
 
-// connect makes the links those to the nodes of the roster, at their addresses, and has the failure detector probe
+// updateLinks makes the links those to the nodes of the roster, at their addresses, and has the failure detector probe
 // those nodes.
-func (c *cluster) connect() {
-	nodes := append(c.roster.all(), c.departing...)
+func (c *cluster) updateLinks() {
+	nodes := append(c.roster.allMembers(), c.departing...)
 	var names []string
 	for _, node := range nodes {
 		names = append(names, node.Name)
@@ -53,7 +53,7 @@
 		}
 		link := c.links[node.Name]
 		if link == nil {
-			link = &nodeLink{}
+			link = &peerLink{}
 			c.links[node.Name] = link
 		}
 		if link.address != node.Address {
@@ -74,15 +74,15 @@
 	}
 }
 
-// send writes what has come together in a turn, one batch a node.
-func (c *cluster) send() {
+// sendBatches writes what has come together in a turn, one batch a node.
+func (c *cluster) sendBatches() {
 	for _, link := range c.links { // each has its own connection: the order doesn't matter
 		c.flush(link)
 	}
 }
 
 // flush writes a turn's batch to a node. What can't be sent is lost; its sender retries.
-func (c *cluster) flush(link *nodeLink) {
+func (c *cluster) flush(link *peerLink) {
 	if !link.hasPending() {
 		return
 	}
@@ -90,7 +90,7 @@
 	if link.conn != nil {
 		if link.queryState {
 			link.queryState = false
-			link.conn.Write(c.hello(true))
+			link.conn.Write(c.helloMessage(true))
 		}
 		b.scratch = peerproto.Append(b.scratch[:0], &link.batch)
 		link.conn.Write(b.scratch)
@@ -102,7 +102,7 @@
 	link.batch = peerproto.Batch{}
 }
 
-func (c *cluster) dialed(link *nodeLink, address string, opened *conn.Conn, err error) {
+func (c *cluster) dialed(link *peerLink, address string, opened *conn.Conn, err error) {
 	link.dialing = false
 	link.redialAt = c.backend.now + nodeRedialWait
 	if err != nil {
@@ -120,13 +120,13 @@
 			link.conn = nil
 		}
 	}
-	opened.Write(c.hello(link.queryState))
+	opened.Write(c.helloMessage(link.queryState))
 	link.queryState = false
 }
 
-// hello is the first message on a connection to another node. It is sent again when the roster changes, and when this
+// helloMessage is the first message on a connection to another node. It is sent again when the roster changes, and when this
 // node's log has grown.
-func (c *cluster) hello(queryState bool) []byte {
+func (c *cluster) helloMessage(queryState bool) []byte {
 	b := c.backend
 	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
 		Cluster:       b.cfg.Cluster.Name,
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -115,7 +115,7 @@
 	}
 	if c.peerStates.MarkReturned(hello.From) {
 		c.backend.log.Warn("recovery", "back", hello.From, "so", "it is waited for again")
-		c.recovery.SetOthers(c.witnesses())
+		c.recovery.SetOthers(c.recoveryPeers())
 	}
 	c.peerStates.Update(hello.From, hello.Mark, recovery.PeerState{Incarnation: hello.Incarnation, Seq: hello.Seq})
 	c.peerStates.SetFeatures(hello.From, hello.Features)
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -36,7 +36,7 @@
 		}
 		query.conn = opened
 		query.deadline = b.now + processorQueryTimeout
-		opened.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
+		opened.MaxUnsent = int(min(b.memoryShare(linkMemoryShare), math.MaxInt32))
 		opened.SetInputLimit(opened.MaxUnsent)
 		opened.OnClosed = func(error) { delete(c.processorQueries, wanted.Node) }
 		parser := processor.NewParser(func(notice processor.Notice) { c.onForeignNotice(wanted.Node, opened, &notice) })
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -49,7 +49,7 @@
 	c.change.retryAt = b.now + reconfigureRetry
 	b.wakeBy(c.change.retryAt)
 	roster := c.roster.forFailover()
-	if len(roster.Previous) > 0 && roster.Since == 0 && c.noteAdoptedByAll(&roster) {
+	if len(roster.Previous) > 0 && roster.Since == 0 && c.recordAdoptedByAll(&roster) {
 		return
 	}
 	if c.change.pending {
@@ -57,8 +57,8 @@
 	}
 }
 
-// noteAdoptedByAll records when all nodes have adopted both lists, and reports whether they have.
-func (c *cluster) noteAdoptedByAll(roster *failover.Roster) bool {
+// recordAdoptedByAll records when all nodes have adopted both lists, and reports whether they have.
+func (c *cluster) recordAdoptedByAll(roster *failover.Roster) bool {
 	b := c.backend
 	behind := roster.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.peerDigests[name] })
 	if len(behind) > 0 {
@@ -96,7 +96,7 @@
 func (c *cluster) retryWindow() time.Duration {
 	longest := c.backend.cfg.Idempotency.Store.RetryHorizon
 	for _, handler := range c.backend.handlers {
-		longest = max(longest, handler.timeout)
+		longest = max(longest, handler.clientTimeout)
 	}
 	return longest
 }
@@ -128,12 +128,12 @@
 	members := roster.forFailover()
 	c.ownDigests = members.Digests()
 	c.node.Reconfigure(b.guard.now(), members.Members, members.Previous)
-	c.connect()
-	c.recovery.SetOthers(c.witnesses())
-	if refill := c.refill.from; refill != nil && !refill.Done() {
+	c.updateLinks()
+	c.recovery.SetOthers(c.recoveryPeers())
+	if refill := c.refill.history; refill != nil && !refill.Done() {
 		refill.SetOthers(c.others())
 	}
-	c.announce()
+	c.sendHelloToAll()
 	b.log.Info("membership changed", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
 }
 
@@ -148,15 +148,15 @@
 		}
 	}
 	c.departing = slices.DeleteFunc(c.departing, func(member ClusterMember) bool {
-		return containsMember(next.all(), member.Name)
+		return containsMember(next.allMembers(), member.Name)
 	})
 }
 
-// announce sends a hello to all nodes that are connected.
-func (c *cluster) announce() {
+// sendHelloToAll sends a hello to all nodes that are connected.
+func (c *cluster) sendHelloToAll() {
 	for _, link := range c.links {
 		if link.conn != nil {
-			link.conn.Write(c.hello(false))
+			link.conn.Write(c.helloMessage(false))
 		}
 	}
 }
@@ -170,15 +170,15 @@
 	return time.Unix(0, int64(c.roster.Since)).UTC().Format(time.RFC3339)
 }
 
-// dropDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has
+// unlinkDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has
 // left may still wait for the ends of its runs.
-func (c *cluster) dropDeparted(update membership.Update) {
+func (c *cluster) unlinkDeparted(update membership.Update) {
 	if update.State != membership.Dead {
 		return
 	}
 	before := len(c.departing)
 	c.departing = slices.DeleteFunc(c.departing, func(member ClusterMember) bool { return member.Name == update.Name })
 	if len(c.departing) < before {
-		c.connect()
+		c.updateLinks()
 	}
 }
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -21,7 +21,7 @@
 	c.node.Claim(c.backend.guard.now(), r.guard.key, r.guard.createdAt, r.id, failover.Work{
 		Handler:    handler.name,
 		Body:       r.body,
-		Left:       int64(r.guard.answerBy - c.backend.now),
+		Left:       int64(r.guard.answerDeadline - c.backend.now),
 		Cost:       int64(r.arrival.Hint),
 		Size:       r.arrival.SizeKB,
 		Rank:       r.arrival.ValueRank,
@@ -34,7 +34,7 @@
 func (c *cluster) submitClaimed(r *request) {
 	c.endClaim(r)
 	if r.guard.replayable {
-		c.backend.results.lookup(r) // where there is no room it isn't cached: it may run twice
+		c.backend.results.checkRepeat(r) // where there is no room it isn't cached: it may run twice
 	}
 	c.backend.submitArrival(r)
 }
@@ -52,7 +52,7 @@
 
 func (c *cluster) endClaim(r *request) {
 	r.hold()
-	r.arrival.QueueDelay += c.backend.now - r.guard.askedAt
+	r.arrival.QueueDelay += c.backend.now - r.guard.claimedAt
 }
 
 // requestWithdrawn implements requestObserver. It does nothing: the account of a request that was taken over is closed by
@@ -60,17 +60,17 @@
 func (c *cluster) requestWithdrawn(*request) {}
 
 // requestEnded implements requestObserver.
-func (c *cluster) requestEnded(r *request, end requestEnd) { c.closeAccount(r, end.reason) }
+func (c *cluster) requestEnded(r *request, end requestEnd) { c.recordFailoverResponse(r, end.reason) }
 
-// closeAccount closes the account of a request that was taken over: its answer is the group's.
-func (c *cluster) closeAccount(r *request, reason accounting.Reason) {
-	if !r.failedOver || r.accounted {
+// recordFailoverResponse closes the account of a request that was taken over: its answer is the group's.
+func (c *cluster) recordFailoverResponse(r *request, reason accounting.Reason) {
+	if !r.failedOver || r.accountClosed {
 		return
 	}
-	r.accounted = true
+	r.accountClosed = true
 	ledger := c.backend.ledger
-	ledger.ResponseWritten(c.backend.wall, r.ticket, reason)
-	ledger.ResponseSent(c.backend.wall, r.ticket)
+	ledger.ResponseWritten(c.backend.wallTime, r.ticket, reason)
+	ledger.ResponseSent(c.backend.wallTime, r.ticket)
 }
 
 // handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does.
@@ -84,7 +84,7 @@
 	}
 	c.backend.stats.HandedOff++
 	r.awaitResult()
-	c.backend.guard.awaitingDisk[r] = struct{}{}
+	c.backend.guard.awaitingResult[r] = struct{}{}
 	return true
 }
 
@@ -93,7 +93,7 @@
 func (c *cluster) acceptFailover(outcome *failover.RequestDecision) {
 	b := c.backend
 	work := outcome.Work
-	handler := b.handlerOf(work.Handler)
+	handler := b.handlerIndex(work.Handler)
 	left := time.Duration(work.Left)
 	if handler < 0 || left <= 0 || b.controller == nil || b.requests[outcome.ID] != nil {
 		c.node.Release(b.guard.now(), outcome.Key, outcome.ID)
@@ -108,10 +108,10 @@
 		failedOver: true,
 		readAt:     b.now,
 		guard: &guardState{
-			key:        outcome.Key,
-			createdAt:  outcome.Made,
-			answerBy:   b.now + left,
-			replayable: work.Replayable,
+			key:            outcome.Key,
+			createdAt:      outcome.Made,
+			answerDeadline: b.now + left,
+			replayable:     work.Replayable,
 		},
 	}
 	r.arrival = overload.Event{
@@ -122,9 +122,9 @@
 		Hint:       time.Duration(work.Cost),
 		SizeKB:     cmp.Or(work.Size, defaultSizeKB),
 		ValueRank:  work.Rank,
-		QueueDelay: max(0, b.handlers[handler].timeout-left),
+		QueueDelay: max(0, b.handlers[handler].clientTimeout-left),
 	}
-	r.ticket = b.ledger.Open(b.wall, r.id, b.rowOf(handler), accounting.FailedOver, accounting.CustomerName{})
+	r.ticket = b.ledger.Open(b.wallTime, r.id, b.ledgerRow(handler), accounting.FailedOver, accounting.CustomerName{})
 	b.requests[r.id] = r
 	b.stats.FailedOver++
 	b.events = append(b.events, r.arrival)
@@ -162,12 +162,12 @@
 		c.submitRepeat(r)
 	case outcome.Decision == idempotency.Replay:
 		b.guard.countDecision(outcome.Decision)
-		b.frontend.succeeded(r, accounting.Replayed, outcome.Result)
+		b.frontend.respondSuccess(r, accounting.Replayed, outcome.Result)
 		b.finishAnswered(r)
 	case r.guard.replayable:
 		c.submitClaimed(r)
 	default:
-		b.frontend.declined(r, b.guard.countDecision(outcome.Decision))
+		b.frontend.respondWithoutResult(r, b.guard.countDecision(outcome.Decision))
 		b.finishAnswered(r)
 	}
 }
@@ -180,7 +180,7 @@
 	case outcome.Decision == idempotency.Duplicate: // it goes on where it is, or waits for the node that has taken it over
 	case controllerDecides && outcome.Decision != idempotency.Replay:
 	case outcome.Decision == idempotency.Start && !b.isWanted(r):
-		r.guard.resultDurable = true
+		r.guard.endRecorded = true
 		c.node.Finish(b.guard.now(), outcome.Key, outcome.ID, idempotency.EntryNeverRan, nil)
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	default:
--- a/backend/cluster_stats.go
+++ b/backend/cluster_stats.go
@@ -41,7 +41,7 @@
 // any goroutine while Serve runs and after it.
 func (b *Backend) ClusterStats() *ClusterStats {
 	var out *ClusterStats
-	b.onOwner(func() {
+	b.runOnOwner(func() {
 		if b.cluster.recovery != nil {
 			out = b.cluster.stats()
 		}
@@ -64,9 +64,9 @@
 		return out
 	}
 	out.OutcomeUnknown = c.store.UnknownOutcomesByHandler()
-	out.UnknownOutcomes = c.refill.unknown.Remaining()
-	if c.refill.from != nil {
-		out.Refill = c.refill.from.Progress()
+	out.UnknownOutcomes = c.refill.unknownOutcomes.Remaining()
+	if c.refill.history != nil {
+		out.Refill = c.refill.history.Progress()
 	}
 	out.LocalHealth = c.detector.LocalHealth()
 	out.Failover = c.node.Stats()
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -92,7 +92,7 @@
 	if err := wal.Init(disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 		t.Fatal(err)
 	}
-	s := &testbed{t: t, clients: map[string]*clientSocket{}, begunIDs: map[string]bool{}, options: map[string]string{}}
+	s := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, options: map[string]string{}}
 	s.startPeers("")
 	var address [2]string
 	for i := range address {
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 	}
-	s.listen = address[0]
+	s.listenAddress = address[0]
 	cfg := s.config()
 	cfg.Idempotency = IdempotencyConfig{Dir: t.TempDir(), Handlers: map[string][]KeyPart{"file-claim": {KeyPartBody}}, Disk: disk}
 	cfg.Cluster = ClusterConfig{Name: "north", Listen: address[1]}
@@ -126,7 +126,7 @@
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		for _, p := range s.peers {
+		for _, p := range s.fakeServers {
 			p.stop()
 		}
 	})
--- a/backend/config.go
+++ b/backend/config.go
@@ -72,10 +72,10 @@
 	Settings json.RawMessage
 }
 
-// Load reads the configuration file that the environment names. The stop timeout is bounded by what the platform allows,
+// LoadConfig reads the configuration file that the environment names. The stop timeout is bounded by what the platform allows,
 // see lifecycle.KillAfter. An error that wraps *fs.PathError says that the file could not be read; others say that it
 // can't be used.
-func Load() (Config, error) {
+func LoadConfig() (Config, error) {
 	path := os.Getenv(configPathVariable)
 	if path == "" {
 		return Config{}, errors.New(configPathVariable + " is not set: it names the configuration file")
@@ -87,7 +87,7 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := Parse(text)
+	c, err := ParseConfig(text)
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
@@ -103,8 +103,8 @@
 	return longest
 }
 
-// Parse reads the platform's part of a configuration from JSON. Fields that it does not know are ignored.
-func Parse(text []byte) (Config, error) {
+// ParseConfig reads the platform's part of a configuration from JSON. Fields that it does not know are ignored.
+func ParseConfig(text []byte) (Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, fmt.Errorf("not understood: %w", err)
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -19,7 +19,7 @@
 
 // TestParse: all fields of a configuration are read, and those that are not known are ignored.
 func TestParse(t *testing.T) {
-	got, err := Parse([]byte(goodConfig))
+	got, err := ParseConfig([]byte(goodConfig))
 	want := Config{
 		Name:        "n3",
 		Listen:      "127.0.0.1:4100",
@@ -49,7 +49,7 @@
 		{"too few sockets", `"sockets":64`, `"sockets":9`, "limits: 9 sockets are too few"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(goodConfig, test.old, test.new, 1)))
+			_, err := ParseConfig([]byte(strings.Replace(goodConfig, test.old, test.new, 1)))
 			if err == nil || !strings.HasPrefix(err.Error(), test.err) {
 				t.Errorf("%s for %s: %v", test.new, test.old, err)
 			}
@@ -60,15 +60,15 @@
 // TestLoadErrors: what can't be read is told apart from what can't be used, since the former may pass.
 func TestLoadErrors(t *testing.T) {
 	t.Setenv(configPathVariable, "")
-	if _, err := Load(); err == nil || isUnreadable(err) {
+	if _, err := LoadConfig(); err == nil || isUnreadable(err) {
 		t.Error("without a path:", err)
 	}
 	t.Setenv(configPathVariable, filepath.Join(t.TempDir(), "none.json"))
-	if _, err := Load(); !errors.Is(err, fs.ErrNotExist) || isUnreadable(err) {
+	if _, err := LoadConfig(); !errors.Is(err, fs.ErrNotExist) || isUnreadable(err) {
 		t.Error("without a file:", err)
 	}
 	t.Setenv(configPathVariable, t.TempDir())
-	if _, err := Load(); !isUnreadable(err) {
+	if _, err := LoadConfig(); !isUnreadable(err) {
 		t.Error("with a directory for a file:", err)
 	}
 }
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -21,13 +21,13 @@
 	controller     *overload.Controller // nil until the processor is up
 	events         []overload.Event     // what has happened since the last batch, in order
 	controllerWake time.Duration        // when the controller wants a timer event; 0 for none
-	gaugesBy       time.Duration        // the timer event waits for gauges until then; 0 if it does not wait
+	gaugesDeadline time.Duration        // the timer event waits for gauges until then; 0 if it does not wait
 	gauges         []float64            // as the processor reported them last
 }
 
-// timerEvent adds the timer event, with the gauges as they are known.
-func (d *controllerDriver) timerEvent() {
-	d.gaugesBy = 0
+// addTimerEvent adds the timer event, with the gauges as they are known.
+func (d *controllerDriver) addTimerEvent() {
+	d.gaugesDeadline = 0
 	d.events = append(d.events, overload.Event{Kind: overload.Timer, Gauges: d.gauges})
 }
 
@@ -35,47 +35,47 @@
 type loadAdvice struct {
 	healthy       bool          // what health checks are answered
 	shallowChecks bool          // deep health checks are answered without asking the processor
-	signal        []byte        // the load signal as it is written on answers; empty before the first
+	loadSignal    []byte        // the load signal as it is written on answers; empty before the first
 	idleTimeout   time.Duration // idle connections are closed after this; 0 for the default
 }
 
-// processorUp makes the controller, once the processor is up. Its first batch brings the health, the load signal and the
+// startController makes the controller, once the processor is up. Its first batch brings the health, the load signal and the
 // first timer event.
-func (b *Backend) processorUp(warmingUp bool, started time.Duration) {
+func (b *Backend) startController(warmingUp bool, started time.Duration) {
 	settings := b.cfg.Settings
 	settings.Backend.Cold = warmingUp
 	b.controller = overload.New(b.cfg.Seed, settings, started)
 	b.log.Info("processor ready", "cold", warmingUp, "age", (b.now - started).Round(time.Millisecond))
-	b.timerEvent()
+	b.addTimerEvent()
 }
 
-// controllerTimer asks for the gauges when a timer event is due, and adds the event once they are there or are late.
-func (b *Backend) controllerTimer() {
+// onControllerTimer asks for the gauges when a timer event is due, and adds the event once they are there or are late.
+func (b *Backend) onControllerTimer() {
 	switch {
-	case b.controller == nil || b.controllerWake == 0 && b.gaugesBy == 0:
-	case b.gaugesBy > 0 && b.now >= b.gaugesBy:
+	case b.controller == nil || b.controllerWake == 0 && b.gaugesDeadline == 0:
+	case b.gaugesDeadline > 0 && b.now >= b.gaugesDeadline:
 		b.stats.GaugesLate++
-		b.timerEvent()
-	case b.gaugesBy > 0:
-		b.wakeBy(b.gaugesBy)
+		b.addTimerEvent()
+	case b.gaugesDeadline > 0:
+		b.wakeBy(b.gaugesDeadline)
 	case b.now < b.controllerWake:
 		b.wakeBy(b.controllerWake)
 	default:
 		b.controllerWake = 0
 		if !b.processor.requestGauges() {
-			b.timerEvent()
+			b.addTimerEvent()
 			return
 		}
-		b.gaugesBy = b.now + gaugeTimeout
-		b.wakeBy(b.gaugesBy)
+		b.gaugesDeadline = b.now + gaugeTimeout
+		b.wakeBy(b.gaugesDeadline)
 	}
 }
 
 // runController hands the controller what has happened and carries out its actions, until these cause no more events.
 func (b *Backend) runController() {
-	for b.controller != nil && (b.drain.unreported || len(b.events) > 0) {
-		if b.drain.unreported {
-			b.drain.unreported = false
+	for b.controller != nil && (b.drain.eventPending || len(b.events) > 0) {
+		if b.drain.eventPending {
+			b.drain.eventPending = false
 			b.events = slices.Insert(b.events, 0, b.drainEvent())
 		}
 		b.stats.Batches++
@@ -100,7 +100,7 @@
 		b.advice.healthy = action.Healthy
 		b.advice.shallowChecks = action.Shallow
 	case overload.Signal:
-		b.advice.signal = strconv.AppendFloat(b.advice.signal[:0], action.Value, 'f', 4, 64)
+		b.advice.loadSignal = strconv.AppendFloat(b.advice.loadSignal[:0], action.Value, 'f', 4, 64)
 	case overload.SetTimer:
 		b.controllerWake = action.At
 		b.wakeBy(action.At)
@@ -158,7 +158,7 @@
 		return
 	}
 	if r.guard != nil {
-		b.guard.requestStart(r)
+		b.guard.startGuarded(r)
 		return
 	}
 	b.startRun(r)
@@ -167,7 +167,7 @@
 // applyCancel stops a run, or gives up one that waits for its intent to be durable.
 func (b *Backend) applyCancel(r *request) {
 	switch {
-	case r.state.started():
+	case r.state.runInProgress():
 		b.stats.Stopped++
 		b.processor.cancel(r)
 	case r.state == stateAwaitingIntent:
@@ -178,7 +178,7 @@
 // applyReject answers a request that is shed. While the process ends, another node of the cluster may take it instead.
 func (b *Backend) applyReject(r *request, action *overload.Action) {
 	if r.failedOver {
-		b.cluster.closeAccount(r, accounting.Shed)
+		b.cluster.recordFailoverResponse(r, accounting.Shed)
 		b.releaseUnstarted(r)
 		return
 	}
@@ -186,9 +186,9 @@
 		return
 	}
 	if invariant.Check(r.state == stateHeld, "a request that is shed never ran") {
-		b.frontend.shed(r, action.RetryAfter, action.NoRetry)
+		b.frontend.respondShed(r, action.RetryAfter, action.NoRetry)
 	} else {
-		b.frontend.failed(r, accounting.Cancelled)
+		b.frontend.respondFailure(r, accounting.Cancelled)
 	}
 	b.finishAnswered(r)
 }
@@ -201,10 +201,10 @@
 		if r.state == stateAwaitingCall && r.callFailed {
 			reason = accounting.CallFailed
 		}
-		b.frontend.failed(r, reason)
+		b.frontend.respondFailure(r, reason)
 		b.finishAnswered(r)
 	case r.failedOver && r.state < stateAwaitingIntent:
-		b.cluster.closeAccount(r, accounting.Cancelled)
+		b.cluster.recordFailoverResponse(r, accounting.Cancelled)
 		b.releaseUnstarted(r)
 	case r.state >= stateAwaitingCall: // nobody waits for its answer, but the run waits for its call
 		b.cancelRun(r)
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -68,7 +68,7 @@
 // Counters returns the counters. It may be called from any goroutine while Serve runs and after that.
 func (b *Backend) Counters() Counters {
 	var counters Counters
-	b.onOwner(func() { counters = b.counters() })
+	b.runOnOwner(func() { counters = b.counters() })
 	return counters
 }
 
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -16,7 +16,7 @@
 // TestBrokenStream: who breaks the protocol gets the answers of what was read whole of it, and then the end.
 func TestBrokenStream(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
 	bed.startRun(client, 1)
 	client.send(fastcgiRequest(2, nil)[:30] + strings.Repeat("?", 40)) // half a request, and what is no record
@@ -31,16 +31,16 @@
 // TestPartialsReleased: what is held of requests that never come whole is released with their answers, however they end.
 func TestPartialsReleased(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
-	bed.serve(client, 20)
+	bed.serveRequest(client, 20)
 	const parts = 4
 	for slot := range uint16(parts) {
 		client.send(beginText(slot+1) + fake.FastCGIRecord(paramsRecord, slot+1, strings.Repeat("x", 1000)))
 	}
 	bed.await(func() bool { return bed.backend.frontend.partialBytes == parts*1000 })
 	for range parts {
-		bed.inTurn(func() {
+		bed.runInTurn(func() {
 			bed.backend.now += partialTimeout
 			bed.backend.frontend.sweep()
 		})
@@ -55,9 +55,9 @@
 func TestSilentFlood(t *testing.T) {
 	t.Parallel()
 	for _, says := range []string{"", "\x01"} {
-		bed := startReady(t, map[string]string{"sockets": "64"})
+		bed := newReadyTestbed(t, map[string]string{"sockets": "64"})
 		for range 200 {
-			c, err := net.Dial("tcp", bed.listen)
+			c, err := net.Dial("tcp", bed.listenAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,7 +66,7 @@
 		}
 		bed.await(func() bool { return bed.backend.stats.Accepted > 100 }) // those that came between two turns found no room
 		client := bed.dialClient()
-		bed.serve(client, 1)
+		bed.serveRequest(client, 1)
 		bed.await(func() bool {
 			return bed.backend.stats.ConnsEvicted > 0 && int(bed.backend.loop.Open.Load()) <= bed.backend.frontend.connectionLimit()
 		})
@@ -76,10 +76,10 @@
 // TestResetInAnswer: a connection that ends while an answer is on its way leaves nothing behind, and is logged.
 func TestResetInAnswer(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
 	bed.startRun(client, 1)
-	bed.inTurn(func() {
+	bed.runInTurn(func() {
 		r := bed.backend.requests[1]
 		e := r.client
 		bed.backend.runEnded(r, overload.OK, accounting.Completed, 0, []byte("done")) // written, and not sent before the turn is over
@@ -94,13 +94,13 @@
 // there again the next report comes.
 func TestControlSilent(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	address := bed.control.LocalAddr().String()
 	_ = bed.control.Close()
 	sent := bed.backend.Counters().Reports
 	bed.await(func() bool { return bed.backend.stats.Reports >= sent+2 }) // at least one of them met the refusal of another
 	client := bed.dialClient()
-	bed.serve(client, 1)
+	bed.serveRequest(client, 1)
 	back, err := net.ListenPacket("udp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 // ends with nothing left of either.
 func TestHalfClose(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
 	bed.startRun(client, 1)
 	_ = client.conn.CloseWrite()
@@ -133,7 +133,7 @@
 // knows the request; not on a known connection either.
 func TestUnverifiedRepeat(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, map[string]string{"claim": "dedup"})
+	bed := newReadyTestbed(t, map[string]string{"claim": "dedup"})
 	keyed := map[string]string{"SCRIPT_NAME": "/invoke/file-claim", "HTTP_IDEMPOTENCY_KEY": "k"}
 	client := bed.dialClient()
 	client.send(fastcgiRequest(1, keyed))
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -11,9 +11,9 @@
 // sweep closes connections that have been idle for too long, or the longest idle ones where places run short. It
 // rejects requests that take too long to be complete, and answers deep health checks that the processor did not answer.
 func (f *frontend) sweep() {
-	idleTimeout := min(idleMax, cmp.Or(f.backend.advice.idleTimeout, idleMax))
+	idleTimeout := min(maxIdle, cmp.Or(f.backend.advice.idleTimeout, maxIdle))
 	for client := range f.clients {
-		f.expireChecks(client, f.backend.now)
+		f.expireDeepChecks(client, f.backend.now)
 		f.sweepConnection(client, idleTimeout)
 	}
 	f.evict()
@@ -24,21 +24,21 @@
 	unused := b.now - client.lastUsed
 	partial, late := client.protocol.overdue(b.now - partialTimeout)
 	switch {
-	case client.broken:
+	case client.readStopped:
 	case !client.hasSentRequest && b.now-client.acceptedAt >= partialTimeout:
-		f.cut(client, errIncomplete)
+		f.terminateConnection(client, errIncomplete)
 	case late: // its other requests may be good
-		f.rejectMalformed(partial, f.openUnnamed(client), 0, accounting.Incomplete, errIncomplete.Error())
+		f.rejectMalformed(partial, f.openAccountWithoutID(client), 0, accounting.Incomplete, errIncomplete.Error())
 		f.updatePartialBytes(client)
 	case !client.idle():
 	case client.conn.Closing():
 		if unused >= idleTimeout+partialTimeout { // part of a message keeps it from its end
-			f.cut(client, errIncomplete)
+			f.terminateConnection(client, errIncomplete)
 		}
 	case unused >= idleTimeout:
 		b.stats.ConnsEvicted++
 		client.conn.CloseGracefully(errIdle)
-	case !client.buffersReleased && unused >= idleBuffersMax:
+	case !client.buffersReleased && unused >= bufferReleaseDelay:
 		client.buffersReleased = true
 		client.conn.ReleaseBuffers()
 	}
@@ -58,7 +58,7 @@
 			continue
 		}
 		excess++
-		if !client.broken && client.idle() {
+		if !client.readStopped && client.idle() {
 			idle = append(idle, client)
 		}
 	}
@@ -75,22 +75,22 @@
 	}
 }
 
-// closeAll closes all connections, each as soon as nothing is open on it.
-func (f *frontend) closeAll() {
+// closeAllWhenIdle closes all connections, each as soon as nothing is open on it.
+func (f *frontend) closeAllWhenIdle() {
 	for client := range f.clients {
-		client.conn.CloseGracefully(errLeaving)
+		client.conn.CloseGracefully(errShuttingDown)
 	}
 }
 
-// endAll closes all connections like closeAll, and does not wait for the rest of what was partly read: requests are
+// closeAllRejectingPartials closes all connections like closeAll, and does not wait for the rest of what was partly read: requests are
 // rejected, and what is only part of a message is discarded.
-func (f *frontend) endAll() {
+func (f *frontend) closeAllRejectingPartials() {
 	for client := range f.clients {
 		f.rejectPartials(client)
 		if !client.busy() && client.protocol.midMessage() {
 			f.stopReading(client)
 		}
-		client.conn.CloseGracefully(errLeaving)
+		client.conn.CloseGracefully(errShuttingDown)
 	}
 }
 
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -11,7 +11,7 @@
 // A program that embeds a backend parses a configuration, adds what its operator chose, and serves until its context is
 // done. Serve returns once every request that was read is answered.
 func Example() {
-	cfg, err := backend.Parse([]byte(`{
+	cfg, err := backend.ParseConfig([]byte(`{
 		"name": "n1",
 		"listen": "127.0.0.1:0",
 		"processor": "127.0.0.1:1",
@@ -40,8 +40,8 @@
 }
 
 // What is wrong with a configuration is said in one line.
-func ExampleParse() {
-	_, err := backend.Parse([]byte(`{"name": "n1", "listen": "127.0.0.1:4100"}`))
+func ExampleParseConfig() {
+	_, err := backend.ParseConfig([]byte(`{"name": "n1", "listen": "127.0.0.1:4100"}`))
 	fmt.Println(err)
 	// Output:
 	// field "processor" is missing
--- a/backend/fake_peer_test.go
+++ b/backend/fake_peer_test.go
@@ -11,28 +11,28 @@
 	"sync"
 )
 
-// fakePeer is a stand-in for the processor or the upstream tier, which listen.
-type fakePeer struct {
+// fakeServer is a stand-in for the processor or the upstream tier, which listen.
+type fakeServer struct {
 	bed      *testbed
 	name     string
 	listener net.Listener
 
-	mu           sync.Mutex
-	lastConn     net.Conn            // that spoke last
-	connByID     map[string]net.Conn // that named a request's id last
-	conns        []net.Conn
-	mute         bool // the processor does not answer for the gauges
-	completesAll bool // the processor completes each request at once, which is not printed
-	resetsReused bool // the upstream tier resets a connection at its second call, unread
+	mu                   sync.Mutex
+	lastConn             net.Conn            // that spoke last
+	connByID             map[string]net.Conn // that named a request's id last
+	conns                []net.Conn
+	ignoresGaugeRequests bool // the processor does not answer for the gauges
+	completesAll         bool // the processor completes each request at once, which is not printed
+	resetsReused         bool // the upstream tier resets a connection at its second call, unread
 }
 
-func newFakePeer(bed *testbed, name string) *fakePeer {
-	p := &fakePeer{bed: bed, name: name, connByID: map[string]net.Conn{}}
+func newFakeServer(bed *testbed, name string) *fakeServer {
+	p := &fakeServer{bed: bed, name: name, connByID: map[string]net.Conn{}}
 	p.open("127.0.0.1:0")
 	return p
 }
 
-func (p *fakePeer) open(address string) {
+func (p *fakeServer) open(address string) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		p.bed.t.Error(err)
@@ -57,7 +57,7 @@
 var commandsWithBody = map[string]bool{"begin": true, "answer": true, "invoke": true}
 
 // read reads the commands of a connection and prints those that are not handled here.
-func (p *fakePeer) read(conn net.Conn) {
+func (p *fakeServer) read(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for commands := 0; ; commands++ {
 		line, err := reader.ReadString('\n')
@@ -70,7 +70,7 @@
 		}
 		words := strings.Fields(line)
 		if words[0] == "usage" {
-			p.tellGauges(conn, words[1])
+			p.sendGauges(conn, words[1])
 			continue
 		}
 		p.remember(conn, words)
@@ -80,7 +80,7 @@
 			if _, err := io.ReadFull(reader, body); err != nil {
 				return
 			}
-			words[len(words)-1] = quoted(string(body[:size]))
+			words[len(words)-1] = quoteBody(string(body[:size]))
 		}
 		if p.handled(conn, words) {
 			continue
@@ -93,22 +93,22 @@
 }
 
 // resets reports whether a connection that carried so many commands is to be reset.
-func (p *fakePeer) resets(commands int) bool {
+func (p *fakeServer) resets(commands int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.resetsReused && commands > 0
 }
 
-func (p *fakePeer) tellGauges(conn net.Conn, tag string) {
+func (p *fakeServer) sendGauges(conn net.Conn, tag string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.mute {
+	if !p.ignoresGaugeRequests {
 		_, _ = fmt.Fprintf(conn, "used %s 0.1 0 0.01 3\r\n", tag)
 	}
 }
 
 // remember notes which connection spoke last, and of which request.
-func (p *fakePeer) remember(conn net.Conn, words []string) {
+func (p *fakeServer) remember(conn net.Conn, words []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastConn = conn
@@ -118,20 +118,20 @@
 }
 
 // handled carries out what the processor does by itself, and reports whether that is all that is to be done.
-func (p *fakePeer) handled(conn net.Conn, words []string) bool {
+func (p *fakeServer) handled(conn net.Conn, words []string) bool {
 	switch words[0] {
 	case "begin":
-		p.bed.lookUp(words[1], true)
+		p.bed.lookUpID(words[1], true)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if !p.completesAll {
 			return false
 		}
-		p.bed.notices++
-		_, _ = fmt.Fprintf(conn, "complete %d %s ok 1 2\r\nok\r\n", p.bed.notices, words[1])
+		p.bed.noticeCount++
+		_, _ = fmt.Fprintf(conn, "complete %d %s ok 1 2\r\nok\r\n", p.bed.noticeCount, words[1])
 		return true
 	case "interrupt":
-		begun, rejected := p.bed.lookUp(words[1], false)
+		begun, rejected := p.bed.lookUpID(words[1], false)
 		if rejected {
 			_, _ = fmt.Fprintf(conn, "reject interrupt %s\r\n", words[1])
 		}
@@ -140,7 +140,7 @@
 	return false
 }
 
-func quoted(body string) string {
+func quoteBody(body string) string {
 	if len(body) > 80 {
 		return fmt.Sprintf("%q... of %d bytes", body[:8], len(body))
 	}
@@ -148,7 +148,7 @@
 }
 
 // write sends text on the connection that named its first word last, or else on the one that spoke last.
-func (p *fakePeer) write(text string) {
+func (p *fakeServer) write(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn := p.lastConn
@@ -163,7 +163,7 @@
 }
 
 // close ends all connections.
-func (p *fakePeer) close() {
+func (p *fakeServer) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range p.conns {
@@ -173,7 +173,7 @@
 }
 
 // stop ends all connections and listens no more.
-func (p *fakePeer) stop() {
+func (p *fakeServer) stop() {
 	_ = p.listener.Close()
 	p.close()
 }
--- a/backend/fastcgi_forms_test.go
+++ b/backend/fastcgi_forms_test.go
@@ -85,7 +85,7 @@
 // of the connection has begun, and what the protocol does not know, does no harm to a request that is open beside it.
 func TestForms(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	for i, form := range fastcgiForms() {
 		bed.playForm(form, uint16(20+i))
 	}
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -18,9 +18,9 @@
 
 // What the connections of clients may hold.
 const (
-	connUnsentMax   = 192 << 10 // bytes of answers that one client may leave: 32 of the longest are 140 KB
-	partialShare    = 0.15      // of the memory limit, for incomplete requests
-	undeliveredKept = 32        // answers of one connection in flight; a longer list is let go once it is empty
+	maxUnsentPerClient = 192 << 10 // bytes of answers that one client may leave: 32 of the longest are 140 KB
+	partialShare       = 0.15      // of the memory limit, for incomplete requests
+	maxUndeliveredKept = 32        // answers of one connection in flight; a longer list is let go once it is empty
 )
 
 // How long connections of clients may stay.
@@ -29,23 +29,23 @@
 	// is complete. Clients may take 3 s.
 	partialTimeout = 2500 * time.Millisecond
 
-	idleMax          = 3 * time.Second        // between requests: some clients never close an idle connection
-	idleBuffersMax   = 300 * time.Millisecond // after that an idle connection keeps no buffers
-	deepCheckTimeout = time.Second            // for the processor's answer: clients wait no longer for a health check
+	maxIdle            = 3 * time.Second        // between requests: some clients never close an idle connection
+	bufferReleaseDelay = 300 * time.Millisecond // after that an idle connection keeps no buffers
+	deepCheckTimeout   = time.Second            // for the processor's answer: clients wait no longer for a health check
 )
 
 // Malformed requests of a connection since the last good one that was run.
 const (
-	malformedMax    = 8                // then the connection is closed once nothing is open there
-	malformedCutoff = 2 * malformedMax // then nothing more is read of it: it does not let itself be closed
+	maxMalformed    = 8                // then the connection is closed once nothing is open there
+	malformedCutoff = 2 * maxMalformed // then nothing more is read of it: it does not let itself be closed
 )
 
 // Why connections of clients are closed here.
 var (
 	errEvicted          = errors.New("idle while connections run short")
 	errIdle             = errors.New("idle")
-	errNotKept          = errors.New("not kept open")
-	errLeaving          = errors.New("the process ends")
+	errNotKeptAlive     = errors.New("not kept open")
+	errShuttingDown     = errors.New("the process ends")
 	errMalformed        = errors.New("too many malformed requests")
 	errIncomplete       = errors.New("a request stays incomplete")
 	errPartialsTooLarge = errors.New("too many bytes of incomplete requests")
@@ -96,7 +96,7 @@
 	f.httpFields = map[string][]requestField{}
 	headers := append(slices.Clone(headerFields),
 		headerField{b.cfg.Accounting.CustomerField, customerField},
-		headerField{b.cfg.Idempotency.KeyField, keyField},
+		headerField{b.cfg.Idempotency.KeyField, guardKeyField},
 		headerField{b.cfg.Idempotency.CreatedField, createdField})
 	for _, header := range headers {
 		if header.name == "" {
@@ -112,11 +112,11 @@
 // connectionLimit returns how many connections there may be in all when one more of a client is accepted. It leaves
 // room for those that calls need.
 func (f *frontend) connectionLimit() int {
-	return f.backend.cfg.Limits.Sockets - reservedDescriptors - f.backend.upstream.reservedConns()
+	return f.backend.cfg.Limits.Sockets - reservedDescriptors - f.backend.upstream.connectionLimit()
 }
 
-// accept returns the function that takes the connections of clients which speak a protocol.
-func (f *frontend) accept(newProtocol func(*clientConn) protocol) func(*conn.Conn) {
+// acceptFunc returns the function that takes the connections of clients which speak a protocol.
+func (f *frontend) acceptFunc(newProtocol func(*clientConn) protocol) func(*conn.Conn) {
 	return func(c *conn.Conn) { f.addConnection(c, newProtocol) }
 }
 
@@ -127,9 +127,9 @@
 	client.partialBytes = held
 }
 
-// cut reads no more of a connection that does not keep to its protocol. Complete requests that were read are still answered;
+// terminateConnection reads no more of a connection that does not keep to its protocol. Complete requests that were read are still answered;
 // with nothing to answer the connection is aborted at once.
-func (f *frontend) cut(client *clientConn, reason error) {
+func (f *frontend) terminateConnection(client *clientConn, reason error) {
 	f.backend.stats.BadConns++
 	f.backend.logLimited("client protocol error", "from", "edge node", "reason", reason)
 	f.stopReading(client)
@@ -140,20 +140,20 @@
 	client.conn.CloseGracefully(reason)
 }
 
-// cutLargestPartial cuts the connection that holds most of incomplete requests.
-func (f *frontend) cutLargestPartial() {
+// terminateLargestPartial cuts the connection that holds most of incomplete requests.
+func (f *frontend) terminateLargestPartial() {
 	var largest *clientConn
 	for client := range f.clients {
 		if largest == nil || client.protocol.partialBytes() > largest.protocol.partialBytes() {
 			largest = client
 		}
 	}
-	f.cut(largest, errPartialsTooLarge)
+	f.terminateConnection(largest, errPartialsTooLarge)
 }
 
 // stopReading has nothing more be read of a connection.
 func (f *frontend) stopReading(client *clientConn) {
-	client.broken = true
+	client.readStopped = true
 	client.conn.DiscardInput()
 	client.protocol.discardPartial()
 	f.updatePartialBytes(client)
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -40,7 +40,7 @@
 	begunAt   time.Duration // when that request began
 }
 
-func (f *frontend) ajp(client *clientConn) protocol {
+func (f *frontend) newAJPProtocol(client *clientConn) protocol {
 	return &ajpProtocol{frontend: f, client: client, server: ajp.NewServer(f.backend.cfg.AJP.packet())}
 }
 
@@ -86,7 +86,7 @@
 func (p *ajpProtocol) onMessage(message ajp.Message) {
 	f, client := p.frontend, p.client
 	b := f.backend
-	if client.broken {
+	if client.readStopped {
 		return
 	}
 	client.lastUsed = b.now
@@ -99,7 +99,7 @@
 		b.scratch = ajp.AppendGetBodyChunk(b.scratch[:0], b.cfg.AJP.packet())
 		client.conn.Write(b.scratch)
 	case ajp.Shutdown:
-		f.cut(client, errShutdownRequested)
+		f.terminateConnection(client, errShutdownRequested)
 	case ajp.TooLarge:
 		p.reject(accounting.BadFields, "the body is too large")
 	case ajp.Request:
@@ -129,7 +129,7 @@
 // reject answers a request that can't be taken, and closes the connection.
 func (p *ajpProtocol) reject(reason accounting.Reason, problem string) {
 	from := exchange{client: p.client, slot: ajpSlot}
-	p.frontend.rejectMalformed(from, p.frontend.openUnnamed(p.client), 0, reason, problem)
+	p.frontend.rejectMalformed(from, p.frontend.openAccountWithoutID(p.client), 0, reason, problem)
 }
 
 // appendLower appends a name in lower case.
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -15,7 +15,7 @@
 	parser   fastcgi.Parser
 }
 
-func (f *frontend) fastCGI(client *clientConn) protocol {
+func (f *frontend) newFastCGIProtocol(client *clientConn) protocol {
 	return &fastcgiProtocol{frontend: f, client: client}
 }
 
@@ -42,7 +42,7 @@
 // onMessage takes one message of the parser.
 func (p *fastcgiProtocol) onMessage(message fastcgi.Message) {
 	f, client := p.frontend, p.client
-	if client.broken {
+	if client.readStopped {
 		return
 	}
 	client.lastUsed = f.backend.now
@@ -55,9 +55,9 @@
 		f.handleRequest(parsed, complete)
 	case fastcgi.Invalid:
 		from.keepOpen = false
-		f.rejectMalformed(from, f.openUnnamed(client), 0, accounting.BadFields, "too large, or without its parameters")
+		f.rejectMalformed(from, f.openAccountWithoutID(client), 0, accounting.BadFields, "too large, or without its parameters")
 	case fastcgi.Abort:
-		f.abort(client, message.RequestID)
+		f.abortRequest(client, message.RequestID)
 		p.endSlot(from, fastcgi.StatusComplete)
 	case fastcgi.Rejected:
 		p.refuse(from, message.Status)
@@ -71,7 +71,7 @@
 	f := p.frontend
 	f.backend.stats.BadRequests++
 	f.backend.logLimited("bad request", "reason", "role, or too many open requests", "status", status)
-	ticket := f.openUnnamed(p.client)
+	ticket := f.openAccountWithoutID(p.client)
 	reason := accounting.UnsupportedRole
 	if status == fastcgi.StatusOverloaded {
 		reason = accounting.TooManyOpen
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -23,18 +23,18 @@
 //
 // Its methods are called by the goroutine that owns the backend.
 type idempotencyGuard struct {
-	backend       *Backend
-	keyParts      [][]KeyPart        // by handler; nil: not guarded
-	store         *idempotency.Store // nil until it is loaded
-	log           *wal.Log
-	lock          *os.File
-	startedAt     time.Duration         // both clocks are read once, here
-	startedAtWall time.Duration         // so that a step of the wall clock changes nothing while the process runs
-	failed        bool                  // nothing can be guarded until a restart
-	stopOpening   chan struct{}         // closed when the process ends
-	opening       chan struct{}         // closed when the loading is over
-	awaitingDisk  map[*request]struct{} // their runs have ended, their answers wait for the disk
-	stats         IdempotencyStats
+	backend        *Backend
+	keyParts       [][]KeyPart        // by handler; nil: not guarded
+	store          *idempotency.Store // nil until it is loaded
+	log            *wal.Log
+	lock           *os.File
+	startedAt      time.Duration         // both clocks are read once, here
+	startedAtWall  time.Duration         // so that a step of the wall clock changes nothing while the process runs
+	storeFailed    bool                  // nothing can be guarded until a restart
+	stopLoading    chan struct{}         // closed when the process ends
+	loadingDone    chan struct{}         // closed when the loading is over
+	awaitingResult map[*request]struct{} // their runs have ended, their answers wait for the disk
+	stats          IdempotencyStats
 }
 
 // IdempotencyStats tells what the store has done for requests, and how it is.
@@ -84,10 +84,10 @@
 // because nothing of it can be run, or the cluster is asked first.
 func (g *idempotencyGuard) admit(r *request) bool {
 	b := g.backend
-	r.guard.answerBy = b.now - r.arrival.QueueDelay + b.handlers[r.handler].timeout - answerMargin
-	if r.guard.replayable && (b.cluster.node == nil || g.failed) {
+	r.guard.answerDeadline = b.now - r.arrival.QueueDelay + b.handlers[r.handler].clientTimeout - answerMargin
+	if r.guard.replayable && (b.cluster.node == nil || g.storeFailed) {
 		r.guard = nil
-		b.results.lookup(r)
+		b.results.checkRepeat(r)
 		return true
 	}
 	if g.storeState() == storeReady && b.cluster.node != nil {
@@ -106,7 +106,7 @@
 	if decision != undecided {
 		reason = g.countDecision(decision)
 	}
-	b.frontend.declined(r, reason)
+	b.frontend.respondWithoutResult(r, reason)
 	b.finishAnswered(r)
 	return false
 }
@@ -171,8 +171,8 @@
 	return accounting.StoreFailed
 }
 
-// requestStart has a request that the overload controller wants run wait until its intent is on disk.
-func (g *idempotencyGuard) requestStart(r *request) {
+// startGuarded has a request that the overload controller wants run wait until its intent is on disk.
+func (g *idempotencyGuard) startGuarded(r *request) {
 	b := g.backend
 	if r.guard.replayable {
 		b.cluster.node.MarkRunning(g.now(), r.guard.key, r.id)
@@ -239,11 +239,11 @@
 		return nil
 	}
 	var out IdempotencyStats
-	b.onOwner(func() {
+	b.runOnOwner(func() {
 		g := &b.guard
 		out = g.stats
 		out.Loading = g.storeState() == storeLoading
-		out.StoreFailed = g.failed
+		out.StoreFailed = g.storeFailed
 		if g.store != nil {
 			out.Store = g.store.Stats()
 		}
--- a/backend/idempotency_config.go
+++ b/backend/idempotency_config.go
@@ -52,8 +52,8 @@
 	entryShare = 0.1
 	// resultShare is the part of the memory limit for all results.
 	resultShare = 0.08
-	// unlimitedMemory is taken for the memory limit, in bytes, where there is none.
-	unlimitedMemory = 512 << 20
+	// assumedMemoryBytes is taken for the memory limit, in bytes, where there is none.
+	assumedMemoryBytes = 512 << 20
 	// defaultMaxResultBytes is the size of the largest result that is kept.
 	defaultMaxResultBytes = 64 << 10
 )
@@ -86,7 +86,7 @@
 func (c *IdempotencyConfig) SetDefaults(memoryMB float64) {
 	memory := memoryMB * (1 << 20)
 	if memory <= 0 {
-		memory = unlimitedMemory
+		memory = assumedMemoryBytes
 	}
 	store := &c.Store
 	setDefault(&store.MaxEntries, entryShare*memory/entryBytes)
--- a/backend/idempotency_key.go
+++ b/backend/idempotency_key.go
@@ -12,22 +12,22 @@
 
 // guardState is what the guard keeps of a request that must not run twice.
 type guardState struct {
-	key           idempotency.Key
-	createdAt     time.Duration     // since 1970; 0 unknown
-	answerBy      time.Duration     // when it is answered at the latest, whatever the disk does
-	askedAt       time.Duration     // when the store, or the group, was asked
-	reason        accounting.Reason // of its answer, once its run has ended
-	resultDurable bool              // its end was reported to the store
-	replayable    bool              // it may run twice: only the nodes of the cluster know of it
+	key            idempotency.Key
+	createdAt      time.Duration     // since 1970; 0 unknown
+	answerDeadline time.Duration     // when it is answered at the latest, whatever the disk does
+	claimedAt      time.Duration     // when the store, or the group, was asked
+	answerReason   accounting.Reason // of its answer, once its run has ended
+	endRecorded    bool              // its end was reported to the store
+	replayable     bool              // it may run twice: only the nodes of the cluster know of it
 }
 
-// hasRequiredKey reports whether a request has the field that its key is made of, if it needs one.
-func (g *idempotencyGuard) hasRequiredKey(parsed *parsedRequest) bool {
+// hasRequiredKeyField reports whether a request has the field that its key is made of, if it needs one.
+func (g *idempotencyGuard) hasRequiredKeyField(parsed *parsedRequest) bool {
 	return !g.enabled() || len(parsed.guardKey) > 0 || !slices.Contains(g.keyParts[parsed.request.handler], KeyPartField)
 }
 
-// stateOf returns the guard's state for a new request, nil if the request is not guarded.
-func (g *idempotencyGuard) stateOf(parsed *parsedRequest) *guardState {
+// newState returns the guard's state for a new request, nil if the request is not guarded.
+func (g *idempotencyGuard) newState(parsed *parsedRequest) *guardState {
 	if !g.enabled() {
 		return nil
 	}
--- a/backend/idempotency_outcome.go
+++ b/backend/idempotency_outcome.go
@@ -18,11 +18,11 @@
 func (g *idempotencyGuard) applyOutcome(outcome idempotency.Outcome) {
 	b := g.backend
 	r := b.requests[outcome.ID]
-	if r == nil || r.guard == nil || r.guard.resultDurable && r.state != stateAwaitingResult {
+	if r == nil || r.guard == nil || r.guard.endRecorded && r.state != stateAwaitingResult {
 		invariant.Check(outcome.Decision != idempotency.Start, "what is to be begun is there")
 		return
 	}
-	delete(g.awaitingDisk, r)
+	delete(g.awaitingResult, r)
 	switch outcome.Decision {
 	case idempotency.Start:
 		if r.state == stateAwaitingIntent && b.isWanted(r) {
@@ -31,17 +31,17 @@
 			g.abandonIntent(r)
 		}
 	case idempotency.Completed:
-		b.cluster.closeAccount(r, r.guard.reason)
+		b.cluster.recordFailoverResponse(r, r.guard.answerReason)
 		delete(b.requests, r.id)
 		if b.hasClient(r) {
-			b.frontend.succeeded(r, r.guard.reason, outcome.Result)
+			b.frontend.respondSuccess(r, r.guard.answerReason, outcome.Result)
 			b.releaseClient(r)
 		}
 	case idempotency.Replay:
-		r.guard.resultDurable = true
+		r.guard.endRecorded = true
 		b.runEnded(r, overload.OK, g.countDecision(outcome.Decision), 0, outcome.Result)
 	default:
-		r.guard.resultDurable = true
+		r.guard.endRecorded = true
 		reason := g.countDecision(outcome.Decision)
 		ended := overload.Failed
 		if reason.Category() == accounting.Rejected {
@@ -58,7 +58,7 @@
 	if r.state == stateJoined {
 		reason = accounting.RetryAllowed
 	}
-	r.guard.resultDurable = true
+	r.guard.endRecorded = true
 	others := g.store.Finish(g.now(), r.guard.key, idempotency.EntryNeverRan, nil)
 	g.backend.runEnded(r, overload.NeverRan, reason, 0, nil)
 	g.applyOutcomes(others)
@@ -72,22 +72,22 @@
 		return false
 	}
 	switch {
-	case r.guard.resultDurable, r.state < stateJoined:
+	case r.guard.endRecorded, r.state < stateJoined:
 		return false
 	case r.state == stateJoined: // it has no run of its own
 		g.withdraw(r)
 		return false
 	case r.state == stateAwaitingIntent:
-		r.guard.resultDurable = true
+		r.guard.endRecorded = true
 		g.withdraw(r)
 		return false
 	}
-	r.guard.resultDurable = true
+	r.guard.endRecorded = true
 	kind := entryKindOf(outcome)
 	if kind == idempotency.EntryResult {
-		r.guard.reason = reason
+		r.guard.answerReason = reason
 		r.awaitResult()
-		g.awaitingDisk[r] = struct{}{}
+		g.awaitingResult[r] = struct{}{}
 	}
 	if g.backend.cluster.enabled() {
 		g.backend.cluster.node.Finish(g.now(), r.guard.key, r.id, kind, body)
@@ -101,11 +101,11 @@
 // wait.
 func (g *idempotencyGuard) recordReplayableEnd(r *request, outcome overload.Outcome, body []byte) {
 	switch {
-	case r.guard.resultDurable:
-	case !r.state.started():
+	case r.guard.endRecorded:
+	case !r.state.runInProgress():
 		g.withdraw(r)
 	default:
-		r.guard.resultDurable = true
+		r.guard.endRecorded = true
 		kind := idempotency.EntryNeverRan
 		if outcome == overload.OK {
 			kind = idempotency.EntryResult
@@ -129,8 +129,8 @@
 // the disk has them.
 func (g *idempotencyGuard) onTimer() {
 	b := g.backend
-	for r := range g.awaitingDisk {
-		deadline := r.guard.answerBy
+	for r := range g.awaitingResult {
+		deadline := r.guard.answerDeadline
 		if b.process.Phase() > lifecycle.Serving {
 			deadline = min(deadline, b.process.AnswerDeadline())
 		}
@@ -139,12 +139,12 @@
 			continue
 		}
 		if b.hasClient(r) {
-			b.frontend.failed(r, accounting.ResultNotDurable)
+			b.frontend.respondFailure(r, accounting.ResultNotDurable)
 			b.finishAnswered(r)
 		}
-		delete(g.awaitingDisk, r)
+		delete(g.awaitingResult, r)
 		if b.cluster.enabled() { // too few nodes of its group may ever answer
-			b.cluster.closeAccount(r, accounting.ResultNotDurable)
+			b.cluster.recordFailoverResponse(r, accounting.ResultNotDurable)
 			delete(b.requests, r.id)
 		}
 	}
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -52,11 +52,11 @@
 // storeState returns what the store can do.
 func (g *idempotencyGuard) storeState() storeState {
 	switch {
-	case g.store == nil && g.failed:
+	case g.store == nil && g.storeFailed:
 		return storeUnavailable
 	case g.store == nil:
 		return storeLoading
-	case g.failed:
+	case g.storeFailed:
 		return storeReadOnly
 	}
 	return storeReady
@@ -97,22 +97,22 @@
 		return
 	}
 	for name := range b.cfg.Idempotency.Handlers {
-		if b.handlerOf(name) < 0 {
+		if b.handlerIndex(name) < 0 {
 			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "reason", "no such handler", "handler", name)
 		}
 	}
 	b.readClocks()
-	g.startedAtWall = b.wall
+	g.startedAtWall = b.wallTime
 	g.startedAt = b.now
-	g.awaitingDisk = map[*request]struct{}{}
-	g.stopOpening = make(chan struct{})
-	g.opening = make(chan struct{})
+	g.awaitingResult = map[*request]struct{}{}
+	g.stopLoading = make(chan struct{})
+	g.loadingDone = make(chan struct{})
 	began := b.now
 	opener := storeOpener{
 		node:   b.cfg.Name,
 		config: &b.cfg.Idempotency,
 		now:    g.startedAtWall,
-		stop:   g.stopOpening,
+		stop:   g.stopLoading,
 		log:    b.log,
 	}
 	if b.cluster.enabled() {
@@ -120,7 +120,7 @@
 		opener.firstRoster = &configured
 	}
 	go func() {
-		defer close(g.opening)
+		defer close(g.loadingDone)
 		loaded, err := opener.open()
 		b.loop.Post(func() { g.onOpened(loaded, err, began) })
 	}()
@@ -189,7 +189,7 @@
 	dir := b.cfg.Idempotency.Dir
 	g.lock = loaded.lock
 	if err != nil {
-		g.failed = true
+		g.storeFailed = true
 		b.log.Error(storeMessage, "dir", dir, "reason", err, "so", "guarded requests are rejected until a restart")
 		return
 	}
@@ -226,7 +226,7 @@
 func (g *idempotencyGuard) onDurable(seq uint64, err error) {
 	node := g.backend.cluster.node // nil for a node alone
 	if err != nil {
-		g.failed = true
+		g.storeFailed = true
 		g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err,
 			"so", "guarded requests are rejected until a restart, but for repeats")
 	}
@@ -260,7 +260,7 @@
 	if !g.enabled() {
 		return
 	}
-	close(g.stopOpening)
+	close(g.stopLoading)
 	if g.log != nil {
 		g.flushEntries()
 		if err := g.log.Close(closeTimeout); err != nil {
@@ -269,7 +269,7 @@
 		}
 	} else {
 		select {
-		case <-g.opening:
+		case <-g.loadingDone:
 		case <-time.After(closeTimeout):
 			return
 		}
--- a/backend/idempotency_test.go
+++ b/backend/idempotency_test.go
@@ -13,9 +13,9 @@
 		want  storeState
 	}{
 		{idempotencyGuard{}, storeLoading},
-		{idempotencyGuard{failed: true}, storeUnavailable},
+		{idempotencyGuard{storeFailed: true}, storeUnavailable},
 		{idempotencyGuard{store: &idempotency.Store{}}, storeReady},
-		{idempotencyGuard{store: &idempotency.Store{}, failed: true}, storeReadOnly},
+		{idempotencyGuard{store: &idempotency.Store{}, storeFailed: true}, storeReadOnly},
 	} {
 		t.Run(test.want.String(), func(t *testing.T) {
 			if got := test.guard.storeState(); got != test.want {
--- a/backend/listen.go
+++ b/backend/listen.go
@@ -43,13 +43,13 @@
 			return err
 		}
 	}
-	if err := b.listen(ctx, b.cfg.Listen, b.frontend.accept(b.frontend.fastCGI)); err != nil {
+	if err := b.listen(ctx, b.cfg.Listen, b.frontend.acceptFunc(b.frontend.newFastCGIProtocol)); err != nil {
 		return err
 	}
 	if b.cfg.AJP.Listen == "" {
 		return nil
 	}
-	if err := b.listen(ctx, b.cfg.AJP.Listen, b.frontend.accept(b.frontend.ajp)); err != nil {
+	if err := b.listen(ctx, b.cfg.AJP.Listen, b.frontend.acceptFunc(b.frontend.newAJPProtocol)); err != nil {
 		return err
 	}
 	b.log.Info("serving AJP", "listen", b.cfg.AJP.Listen)
@@ -60,7 +60,7 @@
 // an earlier process may still hold the address.
 func (b *Backend) listen(ctx context.Context, address string, accept func(*conn.Conn)) error {
 	for end := time.Now().Add(listenTimeout); ; {
-		listener, err := b.loop.Listen(address, b.frontend.connectionLimit(), accept, b.notAccepted)
+		listener, err := b.loop.Listen(address, b.frontend.connectionLimit(), accept, b.recordNotAccepted)
 		if err == nil {
 			b.listeners = append(b.listeners, listener)
 			return nil
@@ -73,9 +73,9 @@
 	}
 }
 
-// notAccepted counts a connection for which there was no room (a nil error), or that the system could not give. It is
+// recordNotAccepted counts a connection for which there was no room (a nil error), or that the system could not give. It is
 // called by the accepting goroutine.
-func (b *Backend) notAccepted(err error) {
+func (b *Backend) recordNotAccepted(err error) {
 	b.connsRejected.Add(1)
 	if err != nil {
 		b.loop.Post(func() { b.logLimited("accept failed", "reason", err) })
--- a/backend/main.go
+++ b/backend/main.go
@@ -85,7 +85,7 @@
 
 // load reads the platform's configuration and has the operator's part filled in.
 func load(configure func(*Config) error) (Config, error) {
-	cfg, err := Load()
+	cfg, err := LoadConfig()
 	if err == nil {
 		err = configure(&cfg)
 	}
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -16,19 +16,19 @@
 	// stallMin is how late a turn must be to count as a stall. A busy machine keeps a thread waiting for less.
 	stallMin = 100 * time.Millisecond
 
-	// turnIntervalMax is the longest sleep of the owner.
-	turnIntervalMax = time.Second
+	// maxTurnInterval is the longest sleep of the owner.
+	maxTurnInterval = time.Second
 )
 
 // ownerClock is the time as the owner goroutine sees it. Both clocks are read once a turn, at the same moment, so that
 // everything which happens in a turn happens at one time. It is not safe for concurrent use.
 type ownerClock struct {
-	start     time.Time     // the origin of now
-	now       time.Duration // monotonic time since start
-	wall      time.Duration // the same moment as a span since the start of 1970, for stamps alone
-	wakeAt    time.Duration // when the owner wakes next without news
-	heartbeat lifecycle.EventTimeBound
-	arrivals  arrival.DelayEstimator
+	start        time.Time     // the origin of now
+	now          time.Duration // monotonic time since start
+	wallTime     time.Duration // the same moment as a span since the start of 1970, for stamps alone
+	wakeAt       time.Duration // when the owner wakes next without news
+	heartbeat    lifecycle.EventTimeBound
+	arrivalDelay arrival.DelayEstimator
 }
 
 // clockReading is what reading the clocks has shown.
@@ -42,9 +42,9 @@
 func (c *ownerClock) read() clockReading {
 	at := time.Now()
 	c.now = at.Sub(c.start)
-	c.wall = time.Duration(at.UnixNano()) + faultinject.ClockOffset()
+	c.wallTime = time.Duration(at.UnixNano()) + faultinject.ClockOffset()
 	c.heartbeat.Record(c.now)
-	step, stall := c.arrivals.BeginTurn(c.now, c.wall)
+	step, stall := c.arrivalDelay.BeginTurn(c.now, c.wallTime)
 	return clockReading{at: at, step: step, stall: stall}
 }
 
--- a/backend/peer_states.go
+++ b/backend/peer_states.go
@@ -21,7 +21,7 @@
 type peerStateFile struct {
 	*recovery.PeerStates
 	writing      bool
-	nextAt       time.Duration
+	nextTick     time.Duration
 	announcedSeq uint64 // the last record of this node's log that was announced to the others
 }
 
@@ -50,7 +50,7 @@
 	c.peerStates.writing = true
 	text, err := json.Marshal(c.peerStates.PeerStates)
 	dir := b.cfg.Idempotency.Dir
-	written := fences(c.peerStates.Fences)
+	written := fenceList(c.peerStates.Fences)
 	go func() { // the disk may be slow
 		if err == nil {
 			err = wal.WriteFile(wal.DirDisk(dir), peerStatesFileName, text)
@@ -67,8 +67,8 @@
 	}()
 }
 
-// fences converts the fences that are remembered.
-func fences(remembered map[string]uint64) (out []failover.Fence) {
+// fenceList converts the fences that are remembered.
+func fenceList(remembered map[string]uint64) (out []failover.Fence) {
 	for name, incarnation := range remembered {
 		out = append(out, failover.Fence{Node: name, Incarnation: incarnation})
 	}
--- a/backend/processor_commands.go
+++ b/backend/processor_commands.go
@@ -6,7 +6,7 @@
 
 // requestGauges queries the gauges and reports whether there is anybody to ask.
 func (l *processorLink) requestGauges() bool {
-	if !l.greeted {
+	if !l.helloReceived {
 		return false
 	}
 	l.lastTag++
@@ -15,12 +15,12 @@
 	return true
 }
 
-// startCheck asks for the work of a deep health check and returns the tag of the query. Where the link is down the
+// startDeepCheck asks for the work of a deep health check and returns the tag of the query. Where the link is down the
 // processor is asked once the link stands.
-func (l *processorLink) startCheck() uint64 {
+func (l *processorLink) startDeepCheck() uint64 {
 	l.lastTag++
 	l.pendingChecks = append(l.pendingChecks, l.lastTag)
-	if l.greeted {
+	if l.helloReceived {
 		l.write(processor.AppendCheck(nil, l.lastTag))
 	}
 	return l.lastTag
@@ -32,7 +32,7 @@
 		return
 	}
 	r.startSent = true
-	r.confirmTag = l.lastTag
+	r.tagBeforeCommand = l.lastTag
 	b := l.backend
 	b.scratch = processor.AppendBegin(b.scratch[:0], r.wireID, b.handlers[r.handler].name, r.body)
 	l.write(b.scratch)
@@ -41,7 +41,7 @@
 // cancel has the processor stop the run of r.
 func (l *processorLink) cancel(r *request) {
 	r.cancelRequested = true
-	if l.greeted {
+	if l.helloReceived {
 		l.sendInterrupt(r)
 	}
 }
@@ -51,16 +51,16 @@
 	l.write(l.backend.scratch)
 }
 
-// answer gives the run of r the reply to its call. The reply is kept until the next notice of the run.
-func (l *processorLink) answer(r *request, body []byte) {
+// replyToCall gives the run of r the reply to its call. The reply is kept until the next notice of the run.
+func (l *processorLink) replyToCall(r *request, body []byte) {
 	r.callReply = append(r.callReply[:0], body...)
 	r.callReplied = true
-	l.sendAnswer(r)
+	l.sendCallReply(r)
 }
 
-// sendAnswer sends the reply kept for r. If the link isn't ready the resynchronization does.
-func (l *processorLink) sendAnswer(r *request) {
-	r.confirmTag = l.lastTag
+// sendCallReply sends the reply kept for r. If the link isn't ready the resynchronization does.
+func (l *processorLink) sendCallReply(r *request) {
+	r.tagBeforeCommand = l.lastTag
 	if !l.ready() {
 		return
 	}
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -14,13 +14,13 @@
 	firstRedialWait = 2 * time.Millisecond
 	// maxRedialWait bounds the wait between later ones: the processor may come up long after this backend.
 	maxRedialWait = 500 * time.Millisecond
-	// maxQuiesce is how long the last answer on a connection that is to be replaced is waited for.
-	maxQuiesce = 50 * time.Millisecond
+	// quiesceTimeout is how long the last answer on a connection that is to be replaced is waited for.
+	quiesceTimeout = 50 * time.Millisecond
 	// oldAddressGrace is how long what is in flight may go on at an address that was replaced: there the connections
 	// are closed after 1.5 s.
 	oldAddressGrace = 1400 * time.Millisecond
-	// linkShare is the part of the memory limit for commands that wait to be written, and as much again for notices.
-	linkShare = 0.25
+	// linkMemoryShare is the part of the memory limit for commands that wait to be written, and as much again for notices.
+	linkMemoryShare = 0.25
 )
 
 // linkState is how far the link to the processor is.
@@ -69,17 +69,17 @@
 	address string
 
 	// The connection and what follows it.
-	conn         *conn.Conn    // nil while there is none
-	greeted      bool          // the processor's hello was read on conn
-	movedAway    bool          // conn leads to an address that was replaced
-	closeAt      time.Duration // when conn is closed then
-	replacement  *conn.Conn    // takes the place of conn; nil none
-	quiesceTag   uint64        // query whose answer proves that all sent on conn has arrived; 0 not quiescing
-	quiesceBy    time.Duration // when conn is replaced without that proof
-	dialing      bool
-	redialAt     time.Duration
-	redialWait   time.Duration
-	processorAge time.Duration // as its last hello said
+	conn            *conn.Conn    // nil while there is none
+	helloReceived   bool          // the processor's hello was read on conn
+	addressReplaced bool          // conn leads to an address that was replaced
+	oldConnDeadline time.Duration // when conn is closed then
+	replacement     *conn.Conn    // takes the place of conn; nil none
+	quiesceTag      uint64        // query whose answer proves that all sent on conn has arrived; 0 not quiescing
+	quiesceDeadline time.Duration // when conn is replaced without that proof
+	dialing         bool
+	redialAt        time.Duration
+	redialWait      time.Duration
+	processorAge    time.Duration // as its last hello said
 
 	// Queries and notices.
 	lastNotice    uint64   // the last notice read
@@ -89,7 +89,7 @@
 	pendingChecks []uint64 // tags of deep health checks not answered yet
 
 	unverified []*request // the processor is asked whether it knows these, in order
-	probing    int        // requests whose start may be lost and is being probed
+	probeCount int        // requests whose start may be lost and is being probed
 }
 
 func (l *processorLink) init(b *Backend) {
@@ -103,7 +103,7 @@
 	switch {
 	case l.conn == nil:
 		return linkDown
-	case !l.greeted:
+	case !l.helloReceived:
 		return linkGreeting
 	case l.quiesceTag > 0:
 		return linkQuiescing
@@ -118,20 +118,20 @@
 
 func (l *processorLink) onTimer() {
 	b := l.backend
-	if l.movedAway && l.conn != nil {
-		if b.now >= l.closeAt {
+	if l.addressReplaced && l.conn != nil {
+		if b.now >= l.oldConnDeadline {
 			l.conn.Abort(conn.ErrClosedLocally) // the outcome of what is in flight there is unknown from now on
 			return
 		}
-		b.wakeBy(l.closeAt)
+		b.wakeBy(l.oldConnDeadline)
 	}
 	l.expireUnverified()
 	if l.quiesceTag > 0 {
-		if b.now >= l.quiesceBy {
-			l.replace()
+		if b.now >= l.quiesceDeadline {
+			l.switchToReplacement()
 			return
 		}
-		b.wakeBy(l.quiesceBy)
+		b.wakeBy(l.quiesceDeadline)
 	}
 	l.dialIfNeeded()
 }
@@ -139,7 +139,7 @@
 // dialIfNeeded dials once it is time to, if there is no connection to the present address.
 func (l *processorLink) dialIfNeeded() {
 	b := l.backend
-	connected := l.conn != nil && !l.movedAway
+	connected := l.conn != nil && !l.addressReplaced
 	if connected || l.dialing || l.replacement != nil {
 		return
 	}
@@ -161,17 +161,17 @@
 		}
 	case err != nil:
 		l.backend.logLimited("processor unreachable", "reason", err)
-		l.redialLater()
+		l.scheduleRedial()
 	case l.ready():
 		l.quiesce(c)
 	default:
 		l.replacement = c
-		l.replace()
+		l.switchToReplacement()
 	}
 }
 
-// redialLater puts the next dial off, each time for longer, until the processor says hello.
-func (l *processorLink) redialLater() {
+// scheduleRedial puts the next dial off, each time for longer, until the processor says hello.
+func (l *processorLink) scheduleRedial() {
 	l.redialAt = l.backend.now + l.redialWait
 	l.redialWait = min(2*l.redialWait, maxRedialWait)
 }
@@ -182,26 +182,26 @@
 	replacement.OnClosed = func(error) { l.cancelReplacement() }
 	l.requestGauges()
 	l.quiesceTag = l.lastTag
-	l.quiesceBy = l.backend.now + maxQuiesce
-	l.backend.wakeBy(l.quiesceBy)
+	l.quiesceDeadline = l.backend.now + quiesceTimeout
+	l.backend.wakeBy(l.quiesceDeadline)
 }
 
 // cancelReplacement lets the present connection go on.
 func (l *processorLink) cancelReplacement() {
 	l.replacement = nil
 	l.quiesceTag = 0
-	l.redialLater()
+	l.scheduleRedial()
 }
 
-// replace lets the replacement take the place of the present connection.
-func (l *processorLink) replace() {
+// switchToReplacement lets the replacement take the place of the present connection.
+func (l *processorLink) switchToReplacement() {
 	old := l.conn
 	opened := l.replacement
 	l.replacement = nil
 	l.quiesceTag = 0
-	l.movedAway = false
-	l.admitAll()
-	l.open(opened)
+	l.addressReplaced = false
+	l.admitAllUnverified()
+	l.useConn(opened)
 	if old != nil {
 		old.CloseAfterSend(conn.ErrClosedLocally)
 	}
@@ -215,21 +215,21 @@
 	l.address = address
 	l.redialAt = l.backend.now
 	l.redialWait = firstRedialWait
-	if !l.movedAway {
-		l.movedAway = true
-		l.closeAt = l.backend.now + oldAddressGrace
+	if !l.addressReplaced {
+		l.addressReplaced = true
+		l.oldConnDeadline = l.backend.now + oldAddressGrace
 	}
 	if l.replacement != nil {
 		l.replacement.CloseAfterSend(conn.ErrClosedLocally) // its end lets the old connection go on
 	}
 }
 
-func (l *processorLink) open(c *conn.Conn) {
+func (l *processorLink) useConn(c *conn.Conn) {
 	b := l.backend
 	l.conn = c
-	l.greeted = false
+	l.helloReceived = false
 	b.stats.Links++
-	c.MaxUnsent = int(min(b.memoryShare(linkShare), math.MaxInt32))
+	c.MaxUnsent = int(min(b.memoryShare(linkMemoryShare), math.MaxInt32))
 	c.SetInputLimit(c.MaxUnsent)
 	c.OnData = b.parseLogged("processor protocol error", processor.NewParser(l.onNotice).Feed)
 	c.OnClosed = func(err error) { l.onClosed(c, err) }
@@ -243,11 +243,11 @@
 	l.backend.stats.LinksLost++
 	l.backend.logLimited("processor link lost", "reason", err)
 	l.conn = nil
-	l.greeted = false
-	l.movedAway = false
-	l.admitAll() // nobody can tell now
-	l.redialLater()
+	l.helloReceived = false
+	l.addressReplaced = false
+	l.admitAllUnverified() // nobody can tell now
+	l.scheduleRedial()
 	if l.replacement != nil {
-		l.replace()
+		l.switchToReplacement()
 	}
 }
--- a/backend/processor_link_test.go
+++ b/backend/processor_link_test.go
@@ -16,10 +16,10 @@
 		{processorLink{replacement: &conn.Conn{}}, linkDown},
 		{processorLink{conn: &conn.Conn{}}, linkGreeting},
 		{processorLink{conn: &conn.Conn{}, resyncTag: 3}, linkGreeting}, // of the connection before
-		{processorLink{conn: &conn.Conn{}, greeted: true, resyncTag: 3}, linkResyncing},
-		{processorLink{conn: &conn.Conn{}, greeted: true}, linkReady},
-		{processorLink{conn: &conn.Conn{}, greeted: true, movedAway: true}, linkReady},
-		{processorLink{conn: &conn.Conn{}, greeted: true, quiesceTag: 4, replacement: &conn.Conn{}}, linkQuiescing},
+		{processorLink{conn: &conn.Conn{}, helloReceived: true, resyncTag: 3}, linkResyncing},
+		{processorLink{conn: &conn.Conn{}, helloReceived: true}, linkReady},
+		{processorLink{conn: &conn.Conn{}, helloReceived: true, addressReplaced: true}, linkReady},
+		{processorLink{conn: &conn.Conn{}, helloReceived: true, quiesceTag: 4, replacement: &conn.Conn{}}, linkQuiescing},
 	} {
 		t.Run(test.want.String(), func(t *testing.T) {
 			if got := test.link.state(); got != test.want {
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -11,7 +11,7 @@
 // onNotice handles one notice of the processor.
 func (l *processorLink) onNotice(n processor.Notice) {
 	b := l.backend
-	if !l.countNotice(&n) {
+	if !l.acceptNotice(&n) {
 		return
 	}
 	switch n.Kind {
@@ -19,7 +19,7 @@
 		l.onHello(&n)
 	case processor.Complete:
 		if r := b.requests[n.ID]; r != nil {
-			b.runEnded(r, n.Outcome, reasonOf(n.Outcome), n.Elapsed, n.Body)
+			b.runEnded(r, n.Outcome, reasonForOutcome(n.Outcome), n.Elapsed, n.Body)
 		}
 	case processor.CallRequest:
 		if r := b.requests[n.ID]; r != nil {
@@ -29,7 +29,7 @@
 		l.onGauges(&n)
 	case processor.CheckDone:
 		l.pendingChecks = slices.DeleteFunc(l.pendingChecks, func(tag uint64) bool { return tag == n.Tag })
-		b.frontend.checkDone(n.Tag, n.Outcome == overload.OK)
+		b.frontend.finishDeepCheck(n.Tag, n.Outcome == overload.OK)
 	case processor.Reject:
 		l.onReject(&n)
 	case processor.Remark:
@@ -37,9 +37,9 @@
 	}
 }
 
-// countNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are
+// acceptNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are
 // missing the outcomes of all runs are unknown.
-func (l *processorLink) countNotice(n *processor.Notice) bool {
+func (l *processorLink) acceptNotice(n *processor.Notice) bool {
 	switch n.Kind {
 	case processor.Complete, processor.CallRequest, processor.Remark:
 	default:
@@ -50,7 +50,7 @@
 	}
 	if n.Number != l.lastNotice+1 {
 		l.backend.logLimited("processor notices lost", "after", l.lastNotice, "got", n.Number)
-		l.noticesLost()
+		l.onNoticesLost()
 	}
 	l.lastNotice = n.Number
 	return true
@@ -59,13 +59,13 @@
 // onHello handles the first notice of a connection.
 func (l *processorLink) onHello(n *processor.Notice) {
 	b := l.backend
-	l.greeted = true
+	l.helloReceived = true
 	l.redialWait = firstRedialWait
 	if b.controller == nil {
-		b.processorUp(n.WarmingUp, b.now-min(n.Elapsed, b.now))
+		b.startController(n.WarmingUp, b.now-min(n.Elapsed, b.now))
 	} else if n.Elapsed < l.processorAge { // one that went on would be older, however long the notice lay unread
 		b.logLimited("processor restarted", "age", n.Elapsed)
-		l.noticesLost()
+		l.onNoticesLost()
 		l.lastNotice = 0
 	}
 	l.processorAge = n.Elapsed
@@ -79,7 +79,7 @@
 // onCallRequest handles the notice that a run needs a call.
 func (l *processorLink) onCallRequest(r *request, body []byte) {
 	b := l.backend
-	r.runHeard = true
+	r.runNoticeReceived = true
 	r.callReplied = false
 	r.callReply = nil
 	r.callBody = append(r.callBody[:0], body...)
@@ -96,21 +96,21 @@
 	b := l.backend
 	previouslyAcked := l.ackedTag
 	l.ackedTag = max(l.ackedTag, n.Tag)
-	l.admit(n.Tag)
+	l.admitUnverified(n.Tag)
 	b.gauges = append(b.gauges[:0], n.Gauges...)
-	if b.gaugesBy > 0 {
-		b.timerEvent()
+	if b.gaugesDeadline > 0 {
+		b.addTimerEvent()
 	}
 	if l.quiesceTag > 0 && n.Tag >= l.quiesceTag {
-		l.replace()
+		l.switchToReplacement()
 		return
 	}
 	if l.resyncTag > 0 && n.Tag >= l.resyncTag {
 		l.resyncTag = 0
 		l.resync(previouslyAcked)
 	}
-	if l.probing > 0 {
-		for _, r := range b.requestsByID() {
+	if l.probeCount > 0 {
+		for _, r := range b.sortedRequests() {
 			l.probe(r, n.Tag)
 		}
 	}
@@ -126,7 +126,7 @@
 	case r == nil:
 	case n.Text == "interrupt" && r.state == stateUnverified:
 		b.frontend.rejectUnknown(r)
-	case n.Text == "begin" && r.state == stateRunning && r.startSent && !r.runHeard:
+	case n.Text == "begin" && r.state == stateRunning && r.startSent && !r.runNoticeReceived:
 		if b.hasClient(r) {
 			r.client.verified = false
 		}
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -11,12 +11,12 @@
 	"frosthub/overload"
 )
 
-// probeWait is how long a notice of a run that may never have been started is waited for, and then one of its
+// runProbeTimeout is how long a notice of a run that may never have been started is waited for, and then one of its
 // interrupt: twenty ticks of the processor.
-const probeWait = 100 * time.Millisecond
+const runProbeTimeout = 100 * time.Millisecond
 
-// requestsByID returns all requests in an order that is the same in each run of the program.
-func (b *Backend) requestsByID() []*request {
+// sortedRequests returns all requests in an order that is the same in each run of the program.
+func (b *Backend) sortedRequests() []*request {
 	return slices.SortedFunc(maps.Values(b.requests), func(x, y *request) int { return cmp.Compare(x.id, y.id) })
 }
 
@@ -27,8 +27,8 @@
 // the run is waited for: a start could meet a run that is just ending. Without a notice the run is interrupted, and
 // counts as never started if no notice follows that either. See probe.
 func (l *processorLink) resync(acked uint64) {
-	for _, r := range l.backend.requestsByID() {
-		if r.state.started() {
+	for _, r := range l.backend.sortedRequests() {
+		if r.state.runInProgress() {
 			l.resyncRun(r, acked)
 		}
 	}
@@ -36,22 +36,22 @@
 
 func (l *processorLink) resyncRun(r *request, acked uint64) {
 	b := l.backend
-	maybeLost := r.confirmTag >= acked
+	maybeLost := r.tagBeforeCommand >= acked
 	command := l.startCommand(r)
 	switch {
 	case !r.startSent && !b.isWanted(r):
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	case !r.startSent:
 		l.start(r)
-	case maybeLost && !r.runHeard && !r.cancelRequested && lifecycle.CheckRetry(command) == lifecycle.Allowed:
+	case maybeLost && !r.runNoticeReceived && !r.cancelRequested && lifecycle.CheckRetry(command) == lifecycle.Allowed:
 		l.retryStart(r, command, "it may run again")
-	case maybeLost && !r.runHeard:
+	case maybeLost && !r.runNoticeReceived:
 		l.beginProbe(r)
 	case r.cancelRequested:
 		l.cancel(r)
 	case r.callReplied && maybeLost:
 		l.logRetry(r, "answer", "nothing was heard of the run since")
-		l.sendAnswer(r)
+		l.sendCallReply(r)
 	}
 }
 
@@ -60,11 +60,11 @@
 	if r.cancelRequested {
 		l.cancel(r)
 	}
-	if r.probeDue == 0 { // else the link broke again during the probe
-		l.probing++
+	if r.probeDeadline == 0 { // else the link broke again during the probe
+		l.probeCount++
 	}
 	r.probeTag = 0
-	r.probeDue = l.backend.now + probeWait
+	r.probeDeadline = l.backend.now + runProbeTimeout
 }
 
 // probe takes the next step of finding out whether a run was ever started; acked is the tag of the query that was just
@@ -73,27 +73,27 @@
 func (l *processorLink) probe(r *request, acked uint64) {
 	now := l.backend.now
 	switch {
-	case r.probeDue == 0 || now < r.probeDue:
-	case r.runHeard: // it runs, or its end follows
+	case r.probeDeadline == 0 || now < r.probeDeadline:
+	case r.runNoticeReceived: // it runs, or its end follows
 		l.endProbe(r)
 	case !r.cancelRequested:
 		l.cancel(r)
-		r.probeDue = now + probeWait
+		r.probeDeadline = now + runProbeTimeout
 	case r.probeTag == 0:
 		r.probeTag = l.lastTag + 1 // the next query
 	case acked >= r.probeTag:
-		l.startLost(r)
+		l.onStartLost(r)
 	}
 }
 
 func (l *processorLink) endProbe(r *request) {
-	l.probing--
+	l.probeCount--
 	r.probeTag = 0
-	r.probeDue = 0
+	r.probeDeadline = 0
 }
 
-// startLost follows the proof that a start was lost.
-func (l *processorLink) startLost(r *request) {
+// onStartLost follows the proof that a start was lost.
+func (l *processorLink) onStartLost(r *request) {
 	l.endProbe(r)
 	r.cancelRequested = false
 	command := l.startCommand(r)
@@ -105,11 +105,11 @@
 	l.retryStart(r, command, "it is proved never to have run")
 }
 
-// noticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that
+// onNoticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that
 // still run are interrupted.
-func (l *processorLink) noticesLost() {
-	for _, r := range l.backend.requestsByID() {
-		if r.state.started() && r.startSent {
+func (l *processorLink) onNoticesLost() {
+	for _, r := range l.backend.sortedRequests() {
+		if r.state.runInProgress() && r.startSent {
 			l.cancel(r)
 			l.backend.runEnded(r, overload.Failed, accounting.ProcessorLost, 0, nil)
 		}
--- a/backend/processor_verify.go
+++ b/backend/processor_verify.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxUnverified is how long the processor's answer whether it knows a request is waited for: far past any pause of it.
-const maxUnverified = 500 * time.Millisecond
+// verifyTimeout is how long the processor's answer whether it knows a request is waited for: far past any pause of it.
+const verifyTimeout = 500 * time.Millisecond
 
 // verify asks whether the processor knows r, and reports whether there is anybody to ask. It is called for the first
 // request of a client connection, and for each that would be answered from the cache, since the processor is not asked
@@ -23,8 +23,8 @@
 	return true
 }
 
-// askUnverified sends the query whose answer ends the wait of the requests that became unverified in this turn.
-func (l *processorLink) askUnverified() {
+// queryUnverified sends the query whose answer ends the wait of the requests that became unverified in this turn.
+func (l *processorLink) queryUnverified() {
 	if n := len(l.unverified); n > 0 && l.unverified[n-1].verifyTag > l.lastTag {
 		l.requestGauges()
 	}
@@ -36,17 +36,17 @@
 	if len(l.unverified) == 0 {
 		return
 	}
-	deadline := l.unverified[0].readAt + maxUnverified
+	deadline := l.unverified[0].readAt + verifyTimeout
 	if l.backend.now >= deadline {
-		l.admitAll()
+		l.admitAllUnverified()
 	} else {
 		l.backend.wakeBy(deadline)
 	}
 }
 
-// admit takes the unverified requests up to a query's tag as known: they were not rejected before that query was
+// admitUnverified takes the unverified requests up to a query's tag as known: they were not rejected before that query was
 // answered.
-func (l *processorLink) admit(tag uint64) {
+func (l *processorLink) admitUnverified(tag uint64) {
 	for len(l.unverified) > 0 && l.unverified[0].verifyTag <= tag {
 		r := l.unverified[0]
 		l.unverified = l.unverified[1:]
@@ -58,5 +58,5 @@
 	}
 }
 
-// admitAll admits all unverified requests without a proof: nobody can tell, or there is no time to wait for it.
-func (l *processorLink) admitAll() { l.admit(math.MaxUint64) }
+// admitAllUnverified admits all unverified requests without a proof: nobody can tell, or there is no time to wait for it.
+func (l *processorLink) admitAllUnverified() { l.admitUnverified(math.MaxUint64) }
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -28,10 +28,10 @@
 	members := c.roster.forFailover()
 	c.ownDigests = members.Digests()
 	c.mark = rand.Uint64()
-	c.connect()
+	c.updateLinks()
 	c.recovery = recovery.New(recovery.Config{
 		Mark:          c.mark,
-		Others:        c.witnesses(),
+		Others:        c.recoveryPeers(),
 		RetryHorizon:  c.retryWindow(),
 		MajorityAfter: b.cfg.Cluster.MajorityAfter,
 		DegradeAfter:  b.cfg.Cluster.DegradeAfter,
@@ -45,9 +45,9 @@
 	c.runRecovery()
 }
 
-// witnesses returns the nodes that remember how far this node's log is: some of each list, the same whoever computes
+// recoveryPeers returns the nodes that remember how far this node's log is: some of each list, the same whoever computes
 // them, so that what is announced and asked doesn't grow with the fleet.
-func (c *cluster) witnesses() (names []string) {
+func (c *cluster) recoveryPeers() (names []string) {
 	own := c.backend.cfg.Name
 	var key idempotency.Key
 	copy(key[:], own)
@@ -114,7 +114,7 @@
 func (c *cluster) raiseIncarnation(known uint64) {
 	b := c.backend
 	if !c.store.RaiseIncarnation(known) {
-		b.guard.failed = true
+		b.guard.storeFailed = true
 		b.log.Error("store older than peers know", "reason", "an incarnation that can't be counted", "known", known,
 			"so", "guarded requests are rejected until a restart")
 	}
@@ -132,12 +132,12 @@
 		c.recovery.Tick(b.now)
 	}
 	b.wakeBy(c.recovery.NextDeadline())
-	if b.now < c.peerStates.nextAt {
-		b.wakeBy(c.peerStates.nextAt)
+	if b.now < c.peerStates.nextTick {
+		b.wakeBy(c.peerStates.nextTick)
 		return
 	}
-	c.peerStates.nextAt = b.now + peerStateInterval
-	b.wakeBy(c.peerStates.nextAt)
+	c.peerStates.nextTick = b.now + peerStateInterval
+	b.wakeBy(c.peerStates.nextTick)
 	c.announceLog()
 	c.writePeerStates()
 }
@@ -149,9 +149,9 @@
 		return
 	}
 	c.peerStates.announcedSeq = last
-	for _, name := range c.witnesses() {
+	for _, name := range c.recoveryPeers() {
 		if link := c.links[name]; link != nil && link.conn != nil {
-			link.conn.Write(c.hello(false))
+			link.conn.Write(c.helloMessage(false))
 		}
 	}
 }
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -15,8 +15,8 @@
 // refillState is what this node still asks of the others: the history that its disk lacks, and the outcomes of
 // runs whose end it does not know.
 type refillState struct {
-	from    *recovery.Refill[failover.Cursor] // nil while nothing is lacking
-	unknown *recovery.UnknownOutcomes
+	history         *recovery.Refill[failover.Cursor] // nil while nothing is lacking
+	unknownOutcomes *recovery.UnknownOutcomes
 }
 
 // startRefill asks for what the store lacks of its history, if anything, and for the keys with an unknown outcome.
@@ -25,7 +25,7 @@
 	for _, key := range c.store.KeysWithUnknownOutcome(maxUnknownKeys) {
 		keys = append(keys, key)
 	}
-	c.refill = refillState{unknown: recovery.NewUnknownOutcomes(keys)}
+	c.refill = refillState{unknownOutcomes: recovery.NewUnknownOutcomes(keys)}
 	if c.store.HistoryComplete() {
 		return
 	}
@@ -35,14 +35,14 @@
 			refill.Exclude(name)
 		}
 	}
-	c.refill.from = refill
+	c.refill.history = refill
 	c.store.SetRefillCheck(func(key idempotency.Key) bool { return refill.Covers(c.node.GroupPeers(key)) })
 	c.finishRefill() // it is over at once if an operator has said of all others that they never come back
 }
 
 // others returns the names of all nodes of the roster but this one.
 func (c *cluster) others() (names []string) {
-	for _, member := range c.roster.all() {
+	for _, member := range c.roster.allMembers() {
 		if member.Name != c.backend.cfg.Name {
 			names = append(names, member.Name)
 		}
@@ -53,7 +53,7 @@
 // refillTick asks for what is due.
 func (c *cluster) refillTick() {
 	c.queryUnknown()
-	refill := c.refill.from
+	refill := c.refill.history
 	if refill == nil || refill.Done() {
 		return
 	}
@@ -71,7 +71,7 @@
 		return c.store.PeekOutcome(now, 0, key).Decision == idempotency.OutcomeUnknown
 	}
 	var keys []idempotency.Key
-	for _, key := range c.refill.unknown.Tick(now, isUnknown) {
+	for _, key := range c.refill.unknownOutcomes.Tick(now, isUnknown) {
 		keys = append(keys, key)
 	}
 	c.node.ResolveUnknown(now, keys)
@@ -94,7 +94,7 @@
 // onPage takes a page of the history that this node has lost.
 func (c *cluster) onPage(from string, incarnation uint64, page *failover.Page) {
 	b := c.backend
-	refill := c.refill.from
+	refill := c.refill.history
 	info := recovery.PageInfo[failover.Cursor]{
 		Incarnation: page.Incarnation,
 		From:        page.From,
@@ -116,7 +116,7 @@
 // finishRefill ends the refill if all other nodes have sent what they know.
 func (c *cluster) finishRefill() {
 	b := c.backend
-	if c.refill.from == nil || !c.refill.from.Done() {
+	if c.refill.history == nil || !c.refill.history.Done() {
 		return
 	}
 	kept := c.store.MarkRefilled(b.guard.now())
--- a/backend/request.go
+++ b/backend/request.go
@@ -24,20 +24,20 @@
 	keepOpen bool        // the connection stays open after the answer
 
 	// Its run.
-	startSent       bool          // the begin command is written
-	runHeard        bool          // something was heard of the run
-	confirmTag      uint64        // the last gauge query before the last command: an answer to a later one proves that it arrived
-	cancelRequested bool          // the run is to end
-	probeDue        time.Duration // after an interrupt: if nothing is heard until then, the run may be proved never to have been
-	probeTag        uint64        // the gauge query after that, whose answer proves it; 0 before
+	startSent         bool          // the begin command is written
+	runNoticeReceived bool          // something was heard of the run
+	tagBeforeCommand  uint64        // the last gauge query before the last command: an answer to a later one proves that it arrived
+	cancelRequested   bool          // the run is to end
+	probeDeadline     time.Duration // after an interrupt: if nothing is heard until then, the run may be proved never to have been
+	probeTag          uint64        // the gauge query after that, whose answer proves it; 0 before
 
 	// The call of its run.
 	callBody           []byte // what the run asks of the upstream tier
 	callReply          []byte // the reply, until more is heard of the run
 	callReplied        bool
-	call               *call // in flight; nil for none
-	callFailed         bool  // the last one failed
-	callOutcomeUnknown bool  // it may have had its effect all the same
+	call               *upstreamCall // in flight; nil for none
+	callFailed         bool          // the last one failed
+	callOutcomeUnknown bool          // it may have had its effect all the same
 
 	// Its arrival.
 	arrival   overload.Event // what the controller hears of it
@@ -46,9 +46,9 @@
 	verified  bool           // the processor knows it
 	verifyTag uint64         // the gauge query whose answer proves that it is known, unless it is rejected before
 
-	guard      *guardState // nil where it may run twice
-	failedOver bool        // from another node of the cluster: no client of this node waits for it
-	accounted  bool        // it was taken over, and its account is closed
+	guard         *guardState // nil where it may run twice
+	failedOver    bool        // from another node of the cluster: no client of this node waits for it
+	accountClosed bool        // it was taken over, and its account is closed
 
 	clientTimeout time.Duration // how long its client waits from its arrival on, as stated; 0 if not stated
 	cacheKey      cacheKey
@@ -79,19 +79,19 @@
 	r.hold()
 	r.arrival.QueueDelay += b.now - r.readAt
 	if r.guard != nil {
-		r.guard.askedAt = b.now
+		r.guard.claimedAt = b.now
 		if b.guard.admit(r) {
 			b.submitArrival(r)
 		}
 		return
 	}
-	switch reason := b.results.lookup(r); reason {
+	switch reason := b.results.checkRepeat(r); reason {
 	case accounting.NoReason:
 		b.submitArrival(r)
 	case accounting.UnknownRequest:
 		b.frontend.rejectUnknown(r)
 	default:
-		b.frontend.declined(r, reason)
+		b.frontend.respondWithoutResult(r, reason)
 		b.finishAnswered(r)
 	}
 }
@@ -123,7 +123,7 @@
 	if outcome == overload.ConnectionLost {
 		reason = accounting.ConnectionLost
 	}
-	b.ledger.Close(b.wall, r.ticket, reason)
+	b.ledger.Close(b.wallTime, r.ticket, reason)
 	b.releaseClient(r)
 	if r.state != stateUnverified && r.state != stateAwaitingResult {
 		b.events = append(b.events, overload.Event{Kind: overload.ClientGone, ID: r.id, Outcome: outcome})
@@ -150,12 +150,12 @@
 // runEnded follows the end of a run: outcome is how it ended, reason how it is accounted for, took how long it ran.
 // The answer of a guarded request waits until its result is durable.
 func (b *Backend) runEnded(r *request, outcome overload.Outcome, reason accounting.Reason, took time.Duration, result []byte) {
-	if r.state.started() {
+	if r.state.runInProgress() {
 		b.stats.Ended++
 	}
 	awaitsDisk := r.guard != nil && b.guard.recordEnd(r, outcome, reason, result)
 	b.upstream.cancel(r)
-	if r.probeDue > 0 {
+	if r.probeDeadline > 0 {
 		b.processor.endProbe(r)
 	}
 	b.events = append(b.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: outcome, Took: took})
@@ -164,18 +164,18 @@
 	}
 	if b.hasClient(r) {
 		if outcome == overload.OK {
-			b.frontend.succeeded(r, reason, result)
+			b.frontend.respondSuccess(r, reason, result)
 		} else {
-			b.frontend.declined(r, reason)
+			b.frontend.respondWithoutResult(r, reason)
 		}
 		b.releaseClient(r)
 	}
 	ran := r.startSent && reason != accounting.NeverRan
-	b.endRequest(r, requestEnd{outcome: outcome, reason: reason, ran: ran, result: result})
+	b.endRequest(r, requestEnd{outcome: outcome, reason: reason, mayHaveRun: ran, result: result})
 }
 
-// reasonOf returns how the end of a run is accounted for.
-func reasonOf(outcome overload.Outcome) accounting.Reason {
+// reasonForOutcome returns how the end of a run is accounted for.
+func reasonForOutcome(outcome overload.Outcome) accounting.Reason {
 	switch outcome {
 	case overload.OK:
 		return accounting.Completed
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -12,11 +12,11 @@
 
 // Bounds of what requests may say of themselves.
 const (
-	memoryMax     = 2000.0                  // kilobytes booked for a request, by the protocol
-	costMaxFactor = 10                      // client timeouts that a stated cost may be: nothing could come of a longer run
-	startMax      = math.MaxInt64 / 2 / 1e6 // milliseconds since 1970 that fit a time.Duration
-	stampMax      = math.MaxInt64 / 2       // of any time in milliseconds
-	millisMax     = 1e9                     // milliseconds of a cost or a timeout
+	maxMemoryKB        = 2000.0                  // kilobytes booked for a request, by the protocol
+	maxCostFactor      = 10                      // client timeouts that a stated cost may be: nothing could come of a longer run
+	maxStartMillis     = math.MaxInt64 / 2 / 1e6 // milliseconds since 1970 that fit a time.Duration
+	maxTimestampMillis = math.MaxInt64 / 2       // of any time in milliseconds
+	maxDurationMillis  = 1e9                     // milliseconds of a cost or a timeout
 )
 
 // requestField is a field that a request may have, whatever its protocol calls it.
@@ -33,7 +33,7 @@
 	rankField
 	objectField
 	customerField // the customer by which requests are accounted for
-	keyField      // what names a request that must not run twice
+	guardKeyField // what names a request that must not run twice
 	createdField  // when the request was first made
 	idempotencyKeyField
 	tenantField // the customer whose quota the request counts against
@@ -102,24 +102,24 @@
 		p.request.wireID = string(value)
 		p.request.id, _ = lineproto.ParseID(value)
 	case startField:
-		p.start = p.number(value, stampMax)
+		p.start = p.number(value, maxTimestampMillis)
 		p.hasStart = true
 	case callerField:
 		p.setCaller(value)
 	case costField:
 		p.arrival.Hint = p.milliseconds(value)
 	case memoryField:
-		p.arrival.SizeKB = p.number(value, memoryMax)
+		p.arrival.SizeKB = p.number(value, maxMemoryKB)
 	case rankField:
 		p.arrival.ValueRank = p.number(value, 1)
 	case objectField:
 		p.arrival.Resource = string(value)
 	case customerField:
 		p.setCustomer(value)
-	case keyField:
+	case guardKeyField:
 		p.guardKey = append(p.guardKey[:0], value...)
 	case createdField:
-		p.createdAt = p.number(value, stampMax)
+		p.createdAt = p.number(value, maxTimestampMillis)
 	case idempotencyKeyField:
 		p.idempotencyKey = string(value)
 	case tenantField:
@@ -141,7 +141,7 @@
 }
 
 func (p *parsedRequest) milliseconds(value []byte) time.Duration {
-	return time.Duration(p.number(value, millisMax) * float64(time.Millisecond))
+	return time.Duration(p.number(value, maxDurationMillis) * float64(time.Millisecond))
 }
 
 // setCaller takes the number of the calling front end, which is the customer too where no header names one.
--- a/backend/request_observer.go
+++ b/backend/request_observer.go
@@ -18,10 +18,10 @@
 
 // requestEnd is how a request ended.
 type requestEnd struct {
-	outcome overload.Outcome  // of its run
-	reason  accounting.Reason // by which it is accounted for
-	ran     bool              // it may have run, in whole or in part
-	result  []byte            // valid until the observer returns
+	outcome    overload.Outcome  // of its run
+	reason     accounting.Reason // by which it is accounted for
+	mayHaveRun bool              // it may have run, in whole or in part
+	result     []byte            // valid until the observer returns
 }
 
 // registerObservers lists the parts that are notified of the ends of requests. Their order is part of the behaviour: the
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -55,8 +55,8 @@
 	return "unknown state"
 }
 
-// started reports whether the run has been started and its end has not been heard of.
-func (s requestState) started() bool { return s >= stateRunning }
+// runInProgress reports whether the run has been started and its end has not been heard of.
+func (s requestState) runInProgress() bool { return s >= stateRunning }
 
 // hold makes the transition to held: the controller is about to hear of the request.
 func (r *request) hold() { r.state = stateHeld }
--- a/backend/request_state_test.go
+++ b/backend/request_state_test.go
@@ -12,8 +12,8 @@
 		}
 		names[name] = state
 		running := state == stateRunning || state == stateAwaitingCall || state == stateCalling
-		if state.started() != running {
-			t.Errorf("%v: started is %v", state, state.started())
+		if state.runInProgress() != running {
+			t.Errorf("%v: started is %v", state, state.runInProgress())
 		}
 	}
 	if name := (stateCalling + 1).String(); name != "unknown state" {
--- a/backend/response.go
+++ b/backend/response.go
@@ -26,38 +26,40 @@
 	body       []byte
 }
 
-// succeeded answers a request with the result of its run.
-func (f *frontend) succeeded(r *request, reason accounting.Reason, result []byte) {
-	r.client.badRequests = 0
-	f.sendFinal(r, reason, &response{status: 200, body: result})
+// respondSuccess answers a request with the result of its run.
+func (f *frontend) respondSuccess(r *request, reason accounting.Reason, result []byte) {
+	r.client.malformedRequests = 0
+	f.sendFinalResponse(r, reason, &response{status: 200, body: result})
 }
 
-// failed answers a request whose run failed or whose result can't be given.
-func (f *frontend) failed(r *request, reason accounting.Reason) {
-	f.sendFinal(r, reason, &response{status: 500})
+// respondFailure answers a request whose run failed or whose result can't be given.
+func (f *frontend) respondFailure(r *request, reason accounting.Reason) {
+	f.sendFinalResponse(r, reason, &response{status: 500})
 }
 
-// declined answers a request without a result where the overload controller has nothing, or nothing any more, to
+// respondWithoutResult answers a request without a result where the overload controller has nothing, or nothing any more, to
 // decide. Whether that is a rejection or a failure follows from the reason.
-func (f *frontend) declined(r *request, reason accounting.Reason) {
+func (f *frontend) respondWithoutResult(r *request, reason accounting.Reason) {
 	if reason.Category() == accounting.Rejected {
-		f.sendFinal(r, reason, &response{status: 503, retryAfter: f.backend.drain.retryAfter})
+		f.sendFinalResponse(r, reason, &response{status: 503, retryAfter: f.backend.drain.retryAfter})
 		return
 	}
-	f.failed(r, reason)
+	f.respondFailure(r, reason)
 }
 
-// shed answers a request that the overload controller rejects.
-func (f *frontend) shed(r *request, retryAfter time.Duration, dontRetry bool) {
-	f.sendFinal(r, accounting.Shed, &response{status: 503, retryAfter: retryAfter, dontRetry: dontRetry})
+// respondShed answers a request that the overload controller rejects.
+func (f *frontend) respondShed(r *request, retryAfter time.Duration, dontRetry bool) {
+	f.sendFinalResponse(r, accounting.Shed, &response{status: 503, retryAfter: retryAfter, dontRetry: dontRetry})
 }
 
 // rejectNotReady answers a request that was not started before the process exits.
-func (f *frontend) rejectNotReady(r *request) { f.sendFinal(r, accounting.NotReady, f.rejection()) }
+func (f *frontend) rejectNotReady(r *request) {
+	f.sendFinalResponse(r, accounting.NotReady, f.rejectionResponse())
+}
 
-// rejection returns the response to a request that the overload controller does not hear of. A process that ends says
+// rejectionResponse returns the response to a request that the overload controller does not hear of. A process that ends says
 // how long to stay away from its address.
-func (f *frontend) rejection() *response {
+func (f *frontend) rejectionResponse() *response {
 	rejection := &response{status: 503}
 	if f.backend.process.CheckAccept() != lifecycle.Allowed {
 		rejection.retryAfter = f.backend.drain.retryAfter
@@ -65,8 +67,8 @@
 	return rejection
 }
 
-// sendFinal sends the one final answer of a request.
-func (f *frontend) sendFinal(r *request, reason accounting.Reason, answer *response) {
+// sendFinalResponse sends the one final answer of a request.
+func (f *frontend) sendFinalResponse(r *request, reason accounting.Reason, answer *response) {
 	waits := r.client != nil
 	answered := waits && r.client.requests[r.slot] != r
 	if verdict := lifecycle.CheckAnswer(answered, waits); verdict != lifecycle.Allowed {
@@ -74,13 +76,13 @@
 		return
 	}
 	delete(r.client.requests, r.slot)
-	f.answer(r.exchange(), answer)
+	f.writeResponse(r.exchange(), answer)
 	f.trackDelivery(r.client, r.ticket, r.id, reason)
 }
 
-// answer writes a response, with the load signal.
-func (f *frontend) answer(to exchange, answer *response) {
-	answer.signal = f.backend.advice.signal
+// writeResponse writes a response, with the load signal.
+func (f *frontend) writeResponse(to exchange, answer *response) {
+	answer.signal = f.backend.advice.loadSignal
 	f.backend.scratch = to.client.protocol.appendResponse(f.backend.scratch[:0], to.slot, to.keepOpen, answer)
 	f.writeScratch(to)
 }
@@ -90,7 +92,7 @@
 func (f *frontend) writeScratch(to exchange) {
 	to.client.lastUsed = f.backend.now
 	to.client.conn.Write(f.backend.scratch)
-	if !to.keepOpen || to.client.broken {
-		to.client.conn.CloseGracefully(errNotKept)
+	if !to.keepOpen || to.client.readStopped {
+		to.client.conn.CloseGracefully(errNotKeptAlive)
 	}
 }
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -51,11 +51,11 @@
 //
 // Its methods are called by the goroutine that owns the backend.
 type resultCache struct {
-	backend     *Backend
-	entries     map[cacheKey]*cacheEntry
-	byID        map[uint64]*cacheEntry
-	resultBytes int
-	shareFor    time.Duration // how long after its end the result of a read may be shared
+	backend   *Backend
+	entries   map[cacheKey]*cacheEntry
+	byID      map[uint64]*cacheEntry
+	usedBytes int
+	shareFor  time.Duration // how long after its end the result of a read may be shared
 }
 
 func (c *resultCache) init(b *Backend) {
@@ -92,14 +92,14 @@
 	return entry
 }
 
-// lookup marks a request that is about to be submitted to the overload controller as a repeat of the cached one, if
+// checkRepeat marks a request that is about to be submitted to the overload controller as a repeat of the cached one, if
 // there is one. A request that must run once is cached from then on, since its repeat may come in the same batch.
 //
 // It returns why the request can't be admitted, or accounting.None. There may be no room to cache it, or nobody could
 // be asked whether the processor knows it, or its id is that of an earlier attempt. Each attempt has an id of its own:
 // somebody replays what an edge node sent, and the processor, which knows the id, would not be asked to run what is
 // answered from the cache.
-func (c *resultCache) lookup(r *request) accounting.Reason {
+func (c *resultCache) checkRepeat(r *request) accounting.Reason {
 	if r.cacheKey.name == "" {
 		return accounting.NoReason // nothing by which a repeat could be known
 	}
@@ -135,7 +135,7 @@
 		id:        r.id,
 		key:       r.cacheKey,
 		runsOnce:  handler.deduplicated,
-		expiresAt: r.arrivedAt + handler.window + windowMargin,
+		expiresAt: r.arrivedAt + handler.repeatWindow + windowMargin,
 	}
 	entry.bytes = entry.baseBytes()
 	if entry.runsOnce {
@@ -146,12 +146,12 @@
 	}
 	c.entries[r.cacheKey] = entry
 	c.byID[r.id] = entry
-	c.resultBytes += entry.bytes
+	c.usedBytes += entry.bytes
 	return true
 }
 
 func (c *resultCache) hasRoom(bytes int) bool {
-	return float64(c.resultBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
+	return float64(c.usedBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
 }
 
 // remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it
@@ -172,7 +172,7 @@
 	if entry == nil {
 		return
 	}
-	c.resultBytes -= entry.bytes
+	c.usedBytes -= entry.bytes
 	if c.entries[entry.key] == entry {
 		delete(c.entries, entry.key)
 	}
@@ -189,7 +189,7 @@
 	}
 	end := requestEnd{outcome: overload.Failed}
 	if entry := c.byID[r.originalID]; entry != nil {
-		end.ran = true
+		end.mayHaveRun = true
 		if entry.ok {
 			end.outcome = overload.OK
 			end.result = entry.result
@@ -203,7 +203,7 @@
 	switch {
 	case original.outcome == overload.OK:
 		c.backend.runEnded(r, overload.OK, accounting.Replayed, 0, original.result)
-	case original.ran:
+	case original.mayHaveRun:
 		c.backend.runEnded(r, overload.Failed, accounting.OriginalFailed, 0, nil)
 	default:
 		c.backend.runEnded(r, overload.Failed, accounting.RetryAllowed, 0, nil)
@@ -234,18 +234,18 @@
 // once is dropped only if it never ran: otherwise a repeat would be its second run.
 func (c *resultCache) storeEnd(entry *cacheEntry, end requestEnd) {
 	entry.ended = true
-	c.resultBytes -= entry.bytes
+	c.usedBytes -= entry.bytes
 	entry.bytes = entry.baseBytes()
 	entry.ok = end.outcome == overload.OK && c.hasRoom(entry.bytes+len(end.result))
 	if entry.ok {
 		entry.result = append([]byte(nil), end.result...)
 		entry.bytes += len(end.result)
 	}
-	c.resultBytes += entry.bytes
+	c.usedBytes += entry.bytes
 	if !entry.runsOnce {
 		entry.expiresAt = min(entry.expiresAt, c.backend.now+c.shareFor)
 	}
-	mustStay := entry.runsOnce && end.ran
+	mustStay := entry.runsOnce && end.mayHaveRun
 	if !entry.ok && !mustStay {
 		c.drop(entry)
 	}
@@ -257,7 +257,7 @@
 	for _, entry := range c.byID { // only removals: the order doesn't matter
 		expiresAt := entry.expiresAt
 		if entry.runsOnce {
-			expiresAt += c.backend.handlers[entry.key.handler].timeout
+			expiresAt += c.backend.handlers[entry.key.handler].clientTimeout
 		}
 		if expiresAt <= c.backend.now && (entry.ended || !entry.runsOnce) {
 			c.drop(entry)
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -12,7 +12,7 @@
 // newCacheBackend returns a backend that doesn't serve, for tests of its result cache that set the clock.
 func newCacheBackend(t *testing.T, memoryMB string) *Backend {
 	t.Helper()
-	s := &testbed{t: t, listen: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
+	s := &testbed{t: t, listenAddress: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
 	s.startPeers("")
 	t.Cleanup(func() { s.processor.stop(); s.upstream.stop() })
 	return New(s.config(), nil)
@@ -59,19 +59,19 @@
 		b.now = step.at
 		b.results.sweep()
 		r := newCacheRequest(b, step.id, step.handler, "k", step.unread)
-		b.results.lookup(r)
+		b.results.checkRepeat(r)
 		if r.originalID != step.repeats {
 			t.Errorf("request %d repeats %d, want %d", step.id, r.originalID, step.repeats)
 		}
 		if r.originalID == 0 {
 			b.results.remember(r, time.Hour)
-			b.results.requestEnded(r, requestEnd{outcome: overload.OK, ran: true, result: []byte("x")})
+			b.results.requestEnded(r, requestEnd{outcome: overload.OK, mayHaveRun: true, result: []byte("x")})
 		}
 	}
 	b.now = time.Hour
 	b.results.sweep()
-	if len(b.results.byID) > 0 || len(b.results.entries) > 0 || b.results.resultBytes != 0 {
-		t.Error("not all has expired:", len(b.results.byID), len(b.results.entries), b.results.resultBytes)
+	if len(b.results.byID) > 0 || len(b.results.entries) > 0 || b.results.usedBytes != 0 {
+		t.Error("not all has expired:", len(b.results.byID), len(b.results.entries), b.results.usedBytes)
 	}
 }
 
@@ -82,22 +82,22 @@
 	claim := func(id uint64, name int) *request { return newCacheRequest(b, id, claimHandler, fmt.Sprint(name), 0) }
 	admitted := 0
 	for i := range 100 {
-		if b.results.lookup(claim(uint64(i)+1, i)) == accounting.NoReason {
+		if b.results.checkRepeat(claim(uint64(i)+1, i)) == accounting.NoReason {
 			admitted++
 		}
 	}
-	if admitted == 0 || admitted == 100 || float64(b.results.resultBytes) > b.memoryShare(resultCacheShare) {
-		t.Error(admitted, "of 100 are admitted,", b.results.resultBytes, "bytes are kept")
+	if admitted == 0 || admitted == 100 || float64(b.results.usedBytes) > b.memoryShare(resultCacheShare) {
+		t.Error(admitted, "of 100 are admitted,", b.results.usedBytes, "bytes are kept")
 	}
 	for i := range admitted {
 		id := uint64(i) + 1
-		b.results.requestEnded(claim(id, i), requestEnd{outcome: overload.Failed, ran: true})
-		if r := claim(id+999, i); b.results.lookup(r) != accounting.NoReason || r.originalID != id {
+		b.results.requestEnded(claim(id, i), requestEnd{outcome: overload.Failed, mayHaveRun: true})
+		if r := claim(id+999, i); b.results.checkRepeat(r) != accounting.NoReason || r.originalID != id {
 			t.Fatal(i, "is forgotten")
 		}
 	}
 	b.results.requestWithdrawn(&request{id: 1})
-	if r := claim(2000, 0); b.results.lookup(r) != accounting.NoReason || r.originalID != 0 {
+	if r := claim(2000, 0); b.results.checkRepeat(r) != accounting.NoReason || r.originalID != 0 {
 		t.Error("a request that never ran is still cached")
 	}
 }
@@ -108,7 +108,7 @@
 	for _, front := range []string{"fastcgi", "ajp"} {
 		t.Run(front, func(t *testing.T) {
 			t.Parallel()
-			s := &testbed{t: t, clients: map[string]*clientSocket{}, begunIDs: map[string]bool{}, ajp: front == "ajp"}
+			s := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, useAJP: front == "ajp"}
 			s.start(map[string]string{})
 			s.awaitQuiet(2)
 			s.step([]string{"processor", "says", "hi warm 500000"})
@@ -116,7 +116,7 @@
 			s.step([]string{"edge", "a", "sends", "1", "HTTP_X_TENANT=south", "HTTP_X_TIMEOUT_MS=700"})
 			s.step([]string{"edge", "a", "sends", "2", "HTTP_X_TENANT=east"})
 			s.awaitQuiet(2)
-			s.backend.onOwner(func() {
+			s.backend.runOnOwner(func() {
 				known, unknown := s.backend.requests[1], s.backend.requests[2]
 				if known == nil || known.arrival.Customer != 1 || known.arrival.Remaining <= 0 || known.arrival.Remaining > 700*time.Millisecond {
 					t.Error("a known customer with a timeout:", known)
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -51,8 +51,8 @@
 	return slices.ContainsFunc(members, func(member ClusterMember) bool { return member.Name == name })
 }
 
-// all returns the members of both lists. A node that is on both is returned as it is on the new one.
-func (r *clusterRoster) all() []ClusterMember {
+// allMembers returns the members of both lists. A node that is on both is returned as it is on the new one.
+func (r *clusterRoster) allMembers() []ClusterMember {
 	out := slices.Clone(r.Members)
 	for _, member := range r.Previous {
 		if !containsMember(out, member.Name) {
--- a/backend/serve.go
+++ b/backend/serve.go
@@ -80,18 +80,18 @@
 // bring comes before what is due, all of that before the controller's decisions, and the results of those are sent last.
 func (b *Backend) turn() (last bool) {
 	at := b.readClocks()
-	b.wakeAt = b.now + turnIntervalMax
+	b.wakeAt = b.now + maxTurnInterval
 	b.loop.Dispatch()
-	b.processor.askUnverified()
+	b.processor.queryUnverified()
 	b.onTimer()
 	b.runController()
 	for b.cluster.runPending() {
 		b.runController()
 	}
-	b.cluster.send()
+	b.cluster.sendBatches()
 	b.guard.flushEntries()
 	b.reporter.report(b)
-	if b.shutdown() {
+	if b.advanceShutdown() {
 		b.flush(at)
 		b.closeAccounts()
 		return true
@@ -99,23 +99,23 @@
 	if retryAfter := b.flush(at); retryAfter > 0 {
 		b.wakeBy(b.now + retryAfter)
 	}
-	b.arrivals.ExpectTurn(b.wakeAt)
+	b.arrivalDelay.ExpectTurn(b.wakeAt)
 	return false
 }
 
 // onTimer does what is due in each part, and has the owner wake for the rest.
 func (b *Backend) onTimer() {
-	b.controllerTimer()
+	b.onControllerTimer()
 	b.processor.onTimer()
 	b.upstream.onTimer()
 	b.guard.onTimer()
 	b.cluster.onTimer()
-	if b.now >= b.sweepAt {
-		b.sweepAt = b.now + sweepInterval
+	if b.now >= b.nextSweepAt {
+		b.nextSweepAt = b.now + sweepInterval
 		b.frontend.sweep()
 		b.results.sweep()
 		b.guard.sweep()
-		b.audit()
+		b.auditLedger()
 	}
-	b.wakeBy(b.sweepAt)
+	b.wakeBy(b.nextSweepAt)
 }
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -10,14 +10,14 @@
 	"frosthub/overload"
 )
 
-// closingInterval is how often a process that ends checks what may be closed.
-const closingInterval = 10 * time.Millisecond
+// closingCheckInterval is how often a process that ends checks what may be closed.
+const closingCheckInterval = 10 * time.Millisecond
 
 // drainState is what the end of the process needs beside lifecycle.Process.
 type drainState struct {
-	unreported bool          // the notice came, and the overload controller has not heard of it
-	grace      time.Duration // after the notice, in which a request that is read may still start
-	retryAfter time.Duration // the retry-after of requests that are rejected at the end; 0 for none
+	eventPending bool          // the notice came, and the overload controller has not heard of it
+	grace        time.Duration // after the notice, in which a request that is read may still start
+	retryAfter   time.Duration // the retry-after of requests that are rejected at the end; 0 for none
 }
 
 // startDrain follows the notice to leave. A second one changes nothing.
@@ -28,7 +28,7 @@
 	b.log.Info("shutdown started", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.NoticeTime())
 	b.logPhase()
 	b.cluster.leave()
-	b.drain.unreported = true
+	b.drain.eventPending = true
 }
 
 // drainEvent returns the event by which the overload controller hears of the notice: first in its batch, and dated by
@@ -58,15 +58,15 @@
 	}
 }
 
-// shutdown takes the end of the process as far as the time allows, and reports whether it may exit.
-func (b *Backend) shutdown() (exit bool) {
+// advanceShutdown takes the end of the process as far as the time allows, and reports whether it may exit.
+func (b *Backend) advanceShutdown() (exit bool) {
 	for b.process.Advance(b.now, b.pendingWork()) {
 		b.logPhase()
 		switch b.process.Phase() {
 		case lifecycle.Closing:
 			b.beginClosing()
 		case lifecycle.Ended:
-			b.failAll()
+			b.failUnanswered()
 			return true
 		}
 	}
@@ -75,11 +75,11 @@
 	case lifecycle.Draining:
 		b.wakeBy(b.process.ClosingTime())
 	case lifecycle.Closing:
-		b.frontend.closeAll()
-		b.wakeBy(b.now + closingInterval)
+		b.frontend.closeAllWhenIdle()
+		b.wakeBy(b.now + closingCheckInterval)
 	default:
-		b.frontend.endAll()
-		b.wakeBy(b.now + closingInterval)
+		b.frontend.closeAllRejectingPartials()
+		b.wakeBy(b.now + closingCheckInterval)
 	}
 	return false
 }
@@ -87,22 +87,22 @@
 // beginClosing accepts no more connections, and waits no longer for what others may say.
 func (b *Backend) beginClosing() {
 	b.closeListeners()
-	b.processor.admitAll()
+	b.processor.admitAllUnverified()
 	for client := range b.frontend.clients {
-		b.frontend.expireChecks(client, math.MaxInt64)
+		b.frontend.expireDeepChecks(client, math.MaxInt64)
 	}
 	b.runController()
 }
 
-// failAll answers what is still unanswered, so that nothing which was read goes without a final answer.
-func (b *Backend) failAll() {
-	for _, r := range b.requestsByID() {
+// failUnanswered answers what is still unanswered, so that nothing which was read goes without a final answer.
+func (b *Backend) failUnanswered() {
+	for _, r := range b.sortedRequests() {
 		if !b.hasClient(r) {
 			continue
 		}
-		b.log.Warn("request cancelled at shutdown deadline", "id", r.wireID, "held", !r.state.started())
-		if r.state.started() {
-			b.frontend.failed(r, accounting.Cancelled)
+		b.log.Warn("request cancelled at shutdown deadline", "id", r.wireID, "held", !r.state.runInProgress())
+		if r.state.runInProgress() {
+			b.frontend.respondFailure(r, accounting.Cancelled)
 		} else {
 			b.frontend.rejectNotReady(r)
 		}
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -15,7 +15,7 @@
 
 // beginClosing has the process be so near its stop that it closes now. Then the stop is far again: only a test that wants it
 // comes to the phases after.
-func (bed *testbed) beginClosing() { bed.inTurn(bed.beginClosingNow) }
+func (bed *testbed) beginClosing() { bed.runInTurn(bed.beginClosingNow) }
 
 func (bed *testbed) beginClosingNow() {
 	bed.backend.startDrain()
@@ -30,7 +30,7 @@
 }{
 	{"at rest: ended in order, a request that crosses it is not run", func(bed *testbed) {
 		client := bed.dialClient()
-		bed.serve(client, 1)
+		bed.serveRequest(client, 1)
 		bed.beginClosing()
 		client.send(fastcgiRequest(2, nil))
 		client.expect("end")
@@ -39,10 +39,10 @@
 	}},
 	{"in the ring when the closing begins: rejected, and never run", func(bed *testbed) {
 		client := bed.dialClient()
-		bed.serve(client, 1)
+		bed.serveRequest(client, 1)
 		release := bed.holdOwner(bed.beginClosingNow)
 		client.send(fastcgiRequest(2, nil))
-		bed.awaitInput()
+		bed.awaitOwnerInput()
 		release()
 		client.expect("2"+rejectedLine, "end")
 		bed.expectExit()
@@ -76,10 +76,10 @@
 	}},
 	{"half read: its rest comes in the closing and is rejected", func(bed *testbed) {
 		client := bed.dialClient()
-		bed.serve(client, 1)
+		bed.serveRequest(client, 1)
 		complete := fastcgiRequest(2, nil)
 		client.send(complete[:len(complete)-20])
-		bed.awaitPartial(1)
+		bed.awaitPartialRequests(1)
 		bed.beginClosing()
 		client.send(complete[len(complete)-20:])
 		client.expect("2"+rejectedLine, "end")
@@ -89,17 +89,17 @@
 	{"half read for good: rejected, and the connection ends", func(bed *testbed) {
 		client := bed.dialClient()
 		client.send(fastcgiRequest(2, nil)[:30])
-		bed.awaitPartial(1)
+		bed.awaitPartialRequests(1)
 		bed.beginClosing()
-		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.EndingBeforeKill) })
+		bed.runInTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.EndingBeforeKill) })
 		client.expect("2"+rejectedLine, "end")
 		bed.expectExit()
 	}},
 	{"complete and not handled, in the same batch as the notice: taken on, within the grace", func(bed *testbed) {
 		client := bed.dialClient()
-		bed.serve(client, 1)
+		bed.serveRequest(client, 1)
 		release := bed.holdOwner()
-		bed.leave()
+		bed.shutDown()
 		client.send(fastcgiRequest(2, nil))
 		release()
 		bed.expect(`processor: begin 0000000000000002 status ""`)
@@ -132,7 +132,7 @@
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		bed.beginClosing()
-		bed.inTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ExitBeforeKill) })
+		bed.runInTurn(func() { bed.backend.process.SetKillTime(bed.backend.now + lifecycle.ExitBeforeKill) })
 		client.expect("1" + failedLine)
 		bed.expectExit()
 	}},
@@ -148,7 +148,7 @@
 		bed.expectExit()
 	}},
 	{"a deep check at the processor: answered in the closing", func(bed *testbed) {
-		bed.inTurn(func() { bed.backend.advice.shallowChecks = false })
+		bed.runInTurn(func() { bed.backend.advice.shallowChecks = false })
 		client := bed.dialClient()
 		client.send(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
 		bed.await(func() bool { return len(bed.backend.processor.pendingChecks) == 1 })
@@ -161,7 +161,7 @@
 		bed.startRun(client, 1)
 		bed.beginClosing()
 		var before, after time.Duration
-		bed.inTurn(func() {
+		bed.runInTurn(func() {
 			before = bed.backend.process.KillTime()
 			bed.backend.now += time.Millisecond
 			bed.backend.startDrain()
@@ -177,7 +177,7 @@
 	{"SIGHUP in the drain and in the closing: what runs goes on", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.startRun(client, 1)
-		bed.inTurn(bed.backend.startDrain)
+		bed.runInTurn(bed.backend.startDrain)
 		bed.step([]string{"moves"})
 		bed.expect("new processor: hello 0")
 		bed.step([]string{"processor", "says", "hi warm 500100"})
@@ -197,7 +197,7 @@
 	for _, test := range shutdownCrossings {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			test.play(startReady(t, options))
+			test.play(newReadyTestbed(t, options))
 		})
 	}
 	t.Run("before the processor is up: rejected, and the process ends", func(t *testing.T) {
@@ -226,12 +226,12 @@
 		play func(bed *testbed, client *testClient)
 	}{
 		{"stamped before the notice", func(bed *testbed, client *testClient) {
-			bed.inTurn(func() { bed.noticeAgo(past + time.Millisecond) })
+			bed.runInTurn(func() { bed.noticeAgo(past + time.Millisecond) })
 			client.send(fastcgiRequest(2, longAgo))
 			client.expect("2" + rejectedLine)
 		}},
 		{"the notice is heard of late", func(bed *testbed, client *testClient) {
-			bed.inTurn(func() {
+			bed.runInTurn(func() {
 				bed.backend.heartbeat = lifecycle.EventTimeBound{}
 				bed.backend.heartbeat.Record(bed.backend.now - past - time.Millisecond) // it last ran then
 				bed.backend.startDrain()
@@ -244,18 +244,18 @@
 			other := bed.dialClient() // the processor does not know it yet
 			other.send(fastcgiRequest(2, nil))
 			bed.awaitUnverified(1)
-			bed.inTurn(func() {
+			bed.runInTurn(func() {
 				bed.noticeAgo(past + time.Millisecond)
-				bed.backend.processor.admitAll()
+				bed.backend.processor.admitAllUnverified()
 			})
 			other.expect("2" + rejectedLine)
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			bed := startReady(t, options)
+			bed := newReadyTestbed(t, options)
 			client := bed.dialClient()
-			bed.serve(client, 1)
+			bed.serveRequest(client, 1)
 			test.play(bed, client)
 			bed.expectRejected()
 		})
@@ -265,7 +265,7 @@
 		bed := newTestbed(t)
 		bed.start(withLongTimeouts(options))
 		bed.expect("processor: hello 0")
-		bed.inTurn(func() { bed.noticeAgo(past + time.Millisecond) })
+		bed.runInTurn(func() { bed.noticeAgo(past + time.Millisecond) })
 		bed.step([]string{"processor", "says", "hi warm 500000"})
 		bed.await(func() bool { return bed.backend.processor.ready() })
 		client := bed.dialClient()
@@ -296,10 +296,10 @@
 func TestClockSteps(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{-time.Hour, -time.Second, time.Second, time.Hour} {
-		bed := startReady(t, nil)
-		bed.inTurn(func() { bed.backend.arrivals.BeginTurn(bed.backend.now, bed.backend.wall-step) }) // the next turn sees it step
+		bed := newReadyTestbed(t, nil)
+		bed.runInTurn(func() { bed.backend.arrivalDelay.BeginTurn(bed.backend.now, bed.backend.wallTime-step) }) // the next turn sees it step
 		client := bed.dialClient()
-		bed.serve(client, 1)
+		bed.serveRequest(client, 1)
 		stamped := time.Now().Add(-step)
 		client.send(fastcgiRequest(2, map[string]string{"HTTP_X_REQUEST_START": fmt.Sprint(stamped.UnixMilli())}))
 		bed.expect(`processor: begin 0000000000000002 status ""`)
--- a/backend/signal_test.go
+++ b/backend/signal_test.go
@@ -14,7 +14,7 @@
 	bed := newTestbed(t)
 	bed.options = map[string]string{"stop_ms": "500"}
 	bed.startPeers("")
-	bed.listen = "127.0.0.1:0"
+	bed.listenAddress = "127.0.0.1:0"
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("PROXY_CONFIG", path)
 	write := func(text []byte) {
@@ -49,7 +49,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	for _, p := range bed.peers {
+	for _, p := range bed.fakeServers {
 		p.stop()
 	}
 }
--- a/backend/test_client_test.go
+++ b/backend/test_client_test.go
@@ -21,7 +21,7 @@
 
 func (bed *testbed) dialClient() *testClient {
 	bed.t.Helper()
-	c, err := net.Dial("tcp", bed.listen)
+	c, err := net.Dial("tcp", bed.listenAddress)
 	if err != nil {
 		bed.t.Fatal(err)
 	}
--- a/backend/testbed_await_test.go
+++ b/backend/testbed_await_test.go
@@ -13,8 +13,8 @@
 // waits so long.
 const eventTimeout = time.Minute
 
-// startReady returns a testbed whose backend serves, with its processor up.
-func startReady(t *testing.T, options map[string]string) *testbed {
+// newReadyTestbed returns a testbed whose backend serves, with its processor up.
+func newReadyTestbed(t *testing.T, options map[string]string) *testbed {
 	bed := newTestbed(t)
 	bed.start(withLongTimeouts(options))
 	bed.expect("processor: hello 0")
@@ -93,8 +93,8 @@
 	return sync.OnceFunc(func() { close(gate) })
 }
 
-// inTurn has the owner call f, and waits until the turn of that is over.
-func (bed *testbed) inTurn(f func()) {
+// runInTurn has the owner call f, and waits until the turn of that is over.
+func (bed *testbed) runInTurn(f func()) {
 	done := make(chan struct{})
 	bed.backend.loop.Post(func() { f(); bed.backend.loop.Post(func() { close(done) }) })
 	select {
@@ -110,8 +110,8 @@
 	bed.expect(fmt.Sprintf("processor: begin %016x status \"\"", slot))
 }
 
-// serve has the connection be verified: a request of it is run and answered.
-func (bed *testbed) serve(client *testClient, slot uint16) {
+// serveRequest has the connection be verified: a request of it is run and answered.
+func (bed *testbed) serveRequest(client *testClient, slot uint16) {
 	bed.t.Helper()
 	bed.startRun(client, slot)
 	bed.completeRun(slot)
@@ -128,16 +128,16 @@
 	bed.expect("backend: ended: <nil>")
 }
 
-// awaitInput waits until something waits for the owner, which is held.
-func (bed *testbed) awaitInput() {
+// awaitOwnerInput waits until something waits for the owner, which is held.
+func (bed *testbed) awaitOwnerInput() {
 	bed.t.Helper()
 	if !bed.eventually(func() bool { return !bed.backend.loop.Idle() }) {
 		bed.t.Fatal("nothing arrives")
 	}
 }
 
-// awaitPartial waits until so many connections hold a request that is not whole.
-func (bed *testbed) awaitPartial(n int) {
+// awaitPartialRequests waits until so many connections hold a request that is not whole.
+func (bed *testbed) awaitPartialRequests(n int) {
 	bed.t.Helper()
 	bed.await(func() bool {
 		partial := 0
@@ -161,7 +161,7 @@
 	bed.t.Helper()
 	if !bed.eventually(func() bool {
 		holds := false
-		bed.inTurn(func() { holds = f() })
+		bed.runInTurn(func() { holds = f() })
 		return holds
 	}) {
 		bed.t.Fatal("it does not come about")
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -33,21 +33,21 @@
 
 	backend     *Backend
 	options     map[string]string // of the backend's configuration
-	leave       context.CancelFunc
+	shutDown    context.CancelFunc
 	incarnation atomic.Int32  // of the backend
 	ownerGate   chan struct{} // holds the owner
 
-	processor *fakePeer
-	upstream  *fakePeer
-	peers     []*fakePeer     // those two, and those before they moved
-	notices   int             // sent by the processor
-	begunIDs  map[string]bool // of requests that were begun; false: the processor knows no such request
-	control   net.PacketConn
+	processor   *fakeServer
+	upstream    *fakeServer
+	fakeServers []*fakeServer   // those two, and those before they moved
+	noticeCount int             // sent by the processor
+	knownIDs    map[string]bool // of requests that were begun; false: the processor knows no such request
+	control     net.PacketConn
 
-	clients    map[string]*clientSocket
-	listen     string
-	ajp        bool // clients speak AJP
-	ajpAddress string
+	clients       map[string]*clientSocket
+	listenAddress string
+	useAJP        bool // clients speak AJP
+	ajpAddress    string
 
 	disk     *fake.Disk  // of the store
 	diskGate *sync.Mutex // held while the disk stalls
@@ -55,7 +55,7 @@
 
 // newTestbed returns a testbed whose backend is not started.
 func newTestbed(t *testing.T) *testbed {
-	return &testbed{t: t, clients: map[string]*clientSocket{}, begunIDs: map[string]bool{}}
+	return &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}}
 }
 
 func (bed *testbed) print(party, format string, args ...any) {
@@ -75,14 +75,14 @@
 	}
 }
 
-// lookUp reports whether an id was begun, and whether it is to be rejected.
-func (bed *testbed) lookUp(id string, begins bool) (begun, rejected bool) {
+// lookUpID reports whether an id was begun, and whether it is to be rejected.
+func (bed *testbed) lookUpID(id string, begins bool) (begun, rejected bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	if begins {
-		bed.begunIDs[id] = true
+		bed.knownIDs[id] = true
 	}
-	begun, known := bed.begunIDs[id]
+	begun, known := bed.knownIDs[id]
 	return begun, known && !begun
 }
 
@@ -145,7 +145,7 @@
 		upstream = ""
 	}
 	return fmt.Appendf(nil, testConfig,
-		bed.listen, bed.processor.listener.Addr(), bed.control.LocalAddr(), upstream,
+		bed.listenAddress, bed.processor.listener.Addr(), bed.control.LocalAddr(), upstream,
 		option("stop_ms", "3000"),
 		option("memory_mb", "192"),
 		option("sockets", "200"),
@@ -158,7 +158,7 @@
 }
 
 func (bed *testbed) config() Config {
-	cfg, err := Parse(bed.configText())
+	cfg, err := ParseConfig(bed.configText())
 	if err != nil {
 		bed.t.Fatal(err)
 	}
@@ -167,9 +167,9 @@
 
 // startPeers has new stand-ins listen. What they print begins with prefix.
 func (bed *testbed) startPeers(prefix string) {
-	bed.processor = newFakePeer(bed, prefix+"processor")
-	bed.upstream = newFakePeer(bed, prefix+"tier")
-	bed.peers = append(bed.peers, bed.processor, bed.upstream)
+	bed.processor = newFakeServer(bed, prefix+"processor")
+	bed.upstream = newFakeServer(bed, prefix+"tier")
+	bed.fakeServers = append(bed.fakeServers, bed.processor, bed.upstream)
 	control, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		bed.t.Fatal(err)
@@ -211,8 +211,8 @@
 	bed.incarnation.Add(1)
 	bed.disk.CutPower()
 	after := bed.disk.AfterPowerLoss(rand.New(rand.NewPCG(1, 1)))
-	bed.leave()
-	for _, peer := range bed.peers {
+	bed.shutDown()
+	for _, peer := range bed.fakeServers {
 		peer.stop()
 	}
 	for _, client := range bed.clients {
@@ -220,7 +220,7 @@
 	}
 	bed.mu.Lock()
 	bed.printed = nil
-	bed.notices = 0
+	bed.noticeCount = 0
 	bed.clients = map[string]*clientSocket{}
 	bed.mu.Unlock()
 	bed.useDisk(after)
@@ -238,7 +238,7 @@
 		}
 	}
 	bed.startPeers("")
-	bed.listen = bed.freeAddress()
+	bed.listenAddress = bed.freeAddress()
 	cfg := bed.config()
 	if bed.disk != nil {
 		cfg.Idempotency = IdempotencyConfig{
@@ -248,21 +248,21 @@
 			Disk:           bed.disk,
 		}
 	}
-	bed.ajp = bed.ajp || options["ajp"] != ""
-	if bed.ajp {
+	bed.useAJP = bed.useAJP || options["ajp"] != ""
+	if bed.useAJP {
 		bed.ajpAddress = bed.freeAddress()
 		cfg.AJP.Secret = options["secret"]
 		cfg.AJP.Listen = bed.ajpAddress
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	bed.leave = cancel
+	bed.shutDown = cancel
 	b := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	bed.backend = b
 	print := bed.printer("backend")
 	go func() { print("ended: %v", b.Serve(ctx)) }()
 	bed.t.Cleanup(func() {
 		cancel()
-		for _, peer := range bed.peers {
+		for _, peer := range bed.fakeServers {
 			peer.stop()
 		}
 		for _, client := range bed.clients {
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -49,7 +49,7 @@
 			diff := ""
 			for range 4 { // as with the others: a machine stalls at times
 				bed := newTestbed(t)
-				bed.ajp = true
+				bed.useAJP = true
 				if diff = cmp.Diff(want, withoutFastCGI(bed.play(want))); diff == "" {
 					return
 				}
@@ -85,7 +85,7 @@
 var steps = map[string]func(bed *testbed, words []string){
 	"start":     func(bed *testbed, words []string) { bed.start(parseOptions(words)) },
 	"wait":      func(_ *testbed, words []string) { time.Sleep(duration(words[0])) },
-	"leave":     func(bed *testbed, _ []string) { bed.leave() },
+	"leave":     func(bed *testbed, _ []string) { bed.shutDown() },
 	"dies":      func(bed *testbed, _ []string) { bed.crash() },
 	"disk":      (*testbed).diskStep,
 	"moves":     (*testbed).move,
@@ -184,7 +184,7 @@
 	limit, _ := strconv.Atoi(words[1])
 	var conns []net.Conn
 	for range n {
-		if conn, err := net.Dial("tcp", bed.listen); err == nil {
+		if conn, err := net.Dial("tcp", bed.listenAddress); err == nil {
 			conns = append(conns, conn)
 			bed.t.Cleanup(func() { _ = conn.Close() })
 		}
@@ -209,7 +209,7 @@
 	n, _ := strconv.Atoi(words[0])
 	done := 0
 	for i := range n {
-		conn, err := net.Dial("tcp", bed.listen)
+		conn, err := net.Dial("tcp", bed.listenAddress)
 		if err != nil {
 			continue
 		}
@@ -236,7 +236,7 @@
 	b := bed.backend
 	b.loop.Post(func() {
 		bed.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
-			len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.inFlight(), b.upstream.connections(),
+			len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.callsInFlight(), b.upstream.connections(),
 			len(b.results.byID), len(b.processor.pendingChecks), b.frontend.partialBytes)
 	})
 }
@@ -267,34 +267,34 @@
 
 // movedPeerStep plays a step of the stand-ins as they were before they moved.
 func (bed *testbed) movedPeerStep(words []string) {
-	peer := map[string]*fakePeer{"processor": bed.peers[0], "tier": bed.peers[1]}[words[0]]
+	peer := map[string]*fakeServer{"processor": bed.fakeServers[0], "tier": bed.fakeServers[1]}[words[0]]
 	bed.peerStep(peer, words[1:])
 }
 
 // peerStep plays a step of the processor or the upstream tier.
-func (bed *testbed) peerStep(peer *fakePeer, words []string) {
+func (bed *testbed) peerStep(peer *fakeServer, words []string) {
 	verb, rest := words[0], words[1:]
 	switch verb {
 	case "says":
 		peer.write(bed.unescape(rest) + "\r\n")
 	case "notes": // a numbered notice: the word before its number, the rest, and a body
-		bed.notices++
+		bed.noticeCount++
 		last := len(rest) - 1
 		body := bed.unescape(rest[last:])
-		peer.write(fmt.Sprintf("%s %d %s %d\r\n%s\r\n", rest[0], bed.notices, strings.Join(rest[1:last], " "), len(body), body))
+		peer.write(fmt.Sprintf("%s %d %s %d\r\n%s\r\n", rest[0], bed.noticeCount, strings.Join(rest[1:last], " "), len(body), body))
 	case "replies":
 		body := bed.unescape(rest[1:])
 		peer.write(fmt.Sprintf("%s ok %d\r\n%s\r\n", rest[0], len(body), body))
 	case "misses": // it knows no such request
 		bed.mu.Lock()
-		bed.begunIDs[rest[0]] = false
+		bed.knownIDs[rest[0]] = false
 		bed.mu.Unlock()
 	case "runs":
 		peer.set(&peer.completesAll, rest)
 	case "forgets":
 		peer.set(&peer.resetsReused, rest)
 	case "mute":
-		peer.set(&peer.mute, rest)
+		peer.set(&peer.ignoresGaugeRequests, rest)
 	case "breaks":
 		peer.close()
 	case "shuts":
@@ -303,7 +303,7 @@
 }
 
 // set sets one of the peer's ways: on, unless the words say otherwise.
-func (p *fakePeer) set(way *bool, words []string) {
+func (p *fakeServer) set(way *bool, words []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	*way = len(words) == 0 || words[0] == "on"
@@ -325,7 +325,7 @@
 	if client.conn == nil {
 		return
 	}
-	if verb == "aborts" && bed.ajp { // the end of its connection is the abort
+	if verb == "aborts" && bed.useAJP { // the end of its connection is the abort
 		_ = client.conn.Close()
 		delete(bed.clients, fmt.Sprint(name, "/", slot))
 		return
@@ -346,7 +346,7 @@
 // clientText returns what a client sends.
 func (bed *testbed) clientText(verb string, slot uint16, words []string) string {
 	request := fastcgiRequest
-	if bed.ajp {
+	if bed.useAJP {
 		request = ajpRequest
 	}
 	text := ""
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -22,8 +22,8 @@
 // upstream makes the calls that runs need from the upstream tier. The overload controller decides which calls are made; an
 // upstream only carries them. All methods are called by the goroutine that owns the backend.
 type upstream interface {
-	// reservedConns is the number of connections that the upstream may hold.
-	reservedConns() int
+	// connectionLimit is the number of connections that the upstream may hold.
+	connectionLimit() int
 	// invoke makes the call of r, which times out after the given time.
 	invoke(r *request, after time.Duration)
 	// cancel gives up the call of r, if there is one.
@@ -32,14 +32,14 @@
 	reconfigure(cfg *Config)
 	// onTimer does what is due and asks the backend to wake up for the rest.
 	onTimer()
-	// inFlight is the number of calls in flight.
-	inFlight() int
+	// callsInFlight is the number of calls in flight.
+	callsInFlight() int
 	// connections is the number of connections to the upstream tier.
 	connections() int
 }
 
-// call is a call in flight.
-type call struct {
+// upstreamCall is a call in flight.
+type upstreamCall struct {
 	request   *request
 	startedAt time.Duration
 	deadline  time.Duration
@@ -60,25 +60,25 @@
 // upstreamCalls are the calls in flight of an upstream, by the id of their request. Both upstreams embed it.
 type upstreamCalls struct {
 	backend *Backend
-	calls   map[uint64]*call
+	calls   map[uint64]*upstreamCall
 }
 
 func newUpstreamCalls(b *Backend) upstreamCalls {
-	return upstreamCalls{backend: b, calls: map[uint64]*call{}}
+	return upstreamCalls{backend: b, calls: map[uint64]*upstreamCall{}}
 }
 
-// reservedConns is the number of connections to the upstream tier that the limit on descriptors leaves.
-func (u *upstreamCalls) reservedConns() int {
+// connectionLimit is the number of connections to the upstream tier that the limit on descriptors leaves.
+func (u *upstreamCalls) connectionLimit() int {
 	return max(1, int(upstreamConnShare*float64(u.backend.cfg.Limits.Sockets)))
 }
 
-func (u *upstreamCalls) inFlight() int { return len(u.calls) }
+func (u *upstreamCalls) callsInFlight() int { return len(u.calls) }
 
 // add puts the run of r on hold until its call has ended.
-func (u *upstreamCalls) add(r *request, after time.Duration) *call {
+func (u *upstreamCalls) add(r *request, after time.Duration) *upstreamCall {
 	b := u.backend
 	b.stats.Calls++
-	added := &call{request: r, startedAt: b.now, deadline: b.now + after}
+	added := &upstreamCall{request: r, startedAt: b.now, deadline: b.now + after}
 	r.startCall()
 	r.call = added
 	u.calls[r.id] = added
@@ -86,7 +86,7 @@
 }
 
 // remove forgets a call without reporting its end.
-func (u *upstreamCalls) remove(ended *call) {
+func (u *upstreamCalls) remove(ended *upstreamCall) {
 	r := ended.request
 	delete(u.calls, r.id)
 	r.call = nil
@@ -110,7 +110,7 @@
 }
 
 // callEnded reports the end of a call to the overload controller.
-func (b *Backend) callEnded(ended *call, outcome overload.Outcome) {
+func (b *Backend) callEnded(ended *upstreamCall, outcome overload.Outcome) {
 	r := ended.request
 	r.callFailed = outcome != overload.OK
 	r.callOutcomeUnknown = !provesCallOutcome(outcome)
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -47,7 +47,7 @@
 func (u *ajpUpstream) invoke(r *request, after time.Duration) { u.place(u.add(r, after)) }
 
 // place has the load balancer pick a target for a call and gives the call a connection there.
-func (u *ajpUpstream) place(waiting *call) {
+func (u *ajpUpstream) place(waiting *upstreamCall) {
 	waiting.target = u.balancer.Pick(u.backend.now, waiting.request.stickyRoute, waiting.tried...)
 	if waiting.target == nil {
 		u.end(waiting, cmp.Or(waiting.proved, overload.Overloaded))
@@ -57,7 +57,7 @@
 		u.assign(idle, waiting)
 		return
 	}
-	if u.open >= u.reservedConns() && !u.closeOldest() {
+	if u.open >= u.connectionLimit() && !u.closeOldest() {
 		u.leaveTarget(waiting, loadbalance.Abandoned)
 		u.end(waiting, overload.Overloaded)
 		return
@@ -67,7 +67,7 @@
 
 // assign has a connection carry a call. Where it was idle for a while, or its target may be down, the target is asked
 // first whether it is there.
-func (u *ajpUpstream) assign(carrier *ajpConn, waiting *call) {
+func (u *ajpUpstream) assign(carrier *ajpConn, waiting *upstreamCall) {
 	b := u.backend
 	carrier.call = waiting
 	waiting.ajpConn = carrier
@@ -96,7 +96,7 @@
 		Body:   r.callBody,
 		Headers: []ajp.Header{
 			{Name: "X-Request-Id", Value: r.wireID},
-			{Name: "X-Request-Start", Value: strconv.FormatInt(b.wall.Milliseconds(), 10)},
+			{Name: "X-Request-Start", Value: strconv.FormatInt(b.wallTime.Milliseconds(), 10)},
 			{Name: "X-Timeout-Ms", Value: strconv.FormatInt(left, 10)},
 			{Name: "X-Caller", Value: strconv.Itoa(r.arrival.EdgeNode)},
 			{Name: "X-Memory-Kb", Value: strconv.FormatFloat(r.arrival.SizeKB, 'f', -1, 64)},
@@ -142,11 +142,11 @@
 }
 
 // endAnswered ends a call, or retries it at another target, as the answer's status says.
-func (u *ajpUpstream) endAnswered(answered *call, answer *ajp.Reply) {
+func (u *ajpUpstream) endAnswered(answered *upstreamCall, answer *ajp.Reply) {
 	switch answer.Status {
 	case 200:
 		u.leaveTarget(answered, loadbalance.Succeeded)
-		u.backend.processor.answer(answered.request, answer.Body)
+		u.backend.processor.replyToCall(answered.request, answer.Body)
 		u.end(answered, overload.OK)
 	case 429, 503: // it never ran
 		if forbidsRetry(answer) {
@@ -174,14 +174,14 @@
 }
 
 // leaveTarget tells the load balancer how a call ended at its target.
-func (u *ajpUpstream) leaveTarget(left *call, outcome loadbalance.Outcome) {
+func (u *ajpUpstream) leaveTarget(left *upstreamCall, outcome loadbalance.Outcome) {
 	u.balancer.Done(u.backend.now, left.target, outcome)
 	left.target = nil
 	left.ajpConn = nil
 }
 
 // retryElsewhere follows the proof that a call never ran at its target: another target may have it.
-func (u *ajpUpstream) retryElsewhere(failed *call, outcome loadbalance.Outcome, proved overload.Outcome) {
+func (u *ajpUpstream) retryElsewhere(failed *upstreamCall, outcome loadbalance.Outcome, proved overload.Outcome) {
 	failed.tried = append(failed.tried, failed.target)
 	failed.proved = proved
 	u.leaveTarget(failed, outcome)
@@ -192,7 +192,7 @@
 	u.place(failed)
 }
 
-func (u *ajpUpstream) end(ended *call, outcome overload.Outcome) {
+func (u *ajpUpstream) end(ended *upstreamCall, outcome overload.Outcome) {
 	invariant.Check(ended.target == nil, "a call that ends is at no target")
 	u.remove(ended)
 	u.backend.callEnded(ended, outcome)
@@ -200,7 +200,7 @@
 
 // drop takes a call of which nothing is known from its target and closes its connection: AJP has no other way to abort
 // a call.
-func (u *ajpUpstream) drop(dropped *call, outcome loadbalance.Outcome) {
+func (u *ajpUpstream) drop(dropped *upstreamCall, outcome loadbalance.Outcome) {
 	carrier := dropped.ajpConn
 	if dropped.target != nil {
 		u.leaveTarget(dropped, outcome)
@@ -244,7 +244,7 @@
 }
 
 // expireCall gives up a call whose time has passed, and the connection of a call whose target doesn't answer CPing.
-func (u *ajpUpstream) expireCall(pending *call) {
+func (u *ajpUpstream) expireCall(pending *upstreamCall) {
 	b := u.backend
 	carrier := pending.ajpConn
 	awaitsPong := carrier != nil && carrier.pongBy > 0
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -33,7 +33,7 @@
 	conn       *conn.Conn // nil once it was closed here
 	parser     *ajp.Client
 	target     *loadbalance.Target
-	call       *call         // in flight; nil while the connection is idle
+	call       *upstreamCall // in flight; nil while the connection is idle
 	pongBy     time.Duration // when the wait for a CPong ends; 0 none is awaited
 	unsentBody []byte        // the part of the call's body that the server has not asked for yet
 	usedAt     time.Duration
@@ -77,13 +77,13 @@
 }
 
 // dial opens a connection for a call.
-func (u *ajpUpstream) dial(waiting *call) {
+func (u *ajpUpstream) dial(waiting *upstreamCall) {
 	u.open++
 	target := waiting.target
 	u.backend.loop.Dial(target.Address, func(c *conn.Conn, err error) { u.dialed(target, waiting, c, err) })
 }
 
-func (u *ajpUpstream) dialed(target *loadbalance.Target, waiting *call, c *conn.Conn, err error) {
+func (u *ajpUpstream) dialed(target *loadbalance.Target, waiting *upstreamCall, c *conn.Conn, err error) {
 	b := u.backend
 	stillWaits := waiting.request.call == waiting && waiting.target == target && waiting.ajpConn == nil
 	if err != nil {
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -17,10 +17,10 @@
 // TestSlowDial: a connection that stands only after its call was given up carries another one, and never that call.
 func TestSlowDial(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
 	bed.startRun(client, 1)
-	bed.inTurn(func() {
+	bed.runInTurn(func() {
 		r := bed.backend.requests[1]
 		bed.backend.processor.onCallRequest(r, []byte("what"))
 		bed.backend.runController() // its call is being dialled for
@@ -34,7 +34,7 @@
 		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
 	})
 	client.expect("1" + failedLine)
-	bed.await(func() bool { return bed.backend.upstream.inFlight() == 0 })
+	bed.await(func() bool { return bed.backend.upstream.callsInFlight() == 0 })
 	bed.startRun(client, 2)
 	bed.step([]string{"processor", "notes", "ask", "0000000000000002", "what"})
 	bed.expect(`tier: invoke 0000000000000002 "what"`)
@@ -76,7 +76,7 @@
 // TestSilentDial: a dial that nobody answers does not end its call while that has time.
 func TestSilentDial(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	address, goes := fullListener(t)
 	cfg := bed.config()
 	cfg.Upstream = address
@@ -109,16 +109,18 @@
 // carried it carries no other call.
 func TestReplyCrossesCancel(t *testing.T) {
 	t.Parallel()
-	bed := startReady(t, nil)
+	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
 	bed.startRun(client, 1)
 	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	bed.expect(`tier: invoke 0000000000000001 "what"`)
 	release := bed.holdOwner()
-	bed.backend.loop.Post(func() { bed.backend.frontend.abort(bed.backend.requests[1].client, 1) }) // as an abort that is read first
+	bed.backend.loop.Post(func() { bed.backend.frontend.abortRequest(bed.backend.requests[1].client, 1) }) // as an abort that is read first
 	bed.step([]string{"tier", "replies", "0000000000000001", "late"})
 	release()
-	bed.await(func() bool { return bed.backend.upstream.inFlight() == 0 && bed.backend.upstream.connections() == 0 })
+	bed.await(func() bool {
+		return bed.backend.upstream.callsInFlight() == 0 && bed.backend.upstream.connections() == 0
+	})
 	bed.expect("tier: cancel 0000000000000001")
 	bed.step([]string{"processor", "notes", "complete", "0000000000000001", "halted", "5", "-"})
 	bed.await(func() bool { return len(bed.backend.requests) == 0 })
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -32,16 +32,16 @@
 	address string
 	maxIdle time.Duration // a connection that was idle for longer isn't used
 	conns   map[*proxyConn]struct{}
-	idle    []*proxyConn // free connections, the last used at the end
-	queue   []*call      // calls that wait for a connection, in order
-	dialing int          // connections being dialed for the queue
+	idle    []*proxyConn    // free connections, the last used at the end
+	queue   []*upstreamCall // calls that wait for a connection, in order
+	dialing int             // connections being dialed for the queue
 }
 
 // proxyConn is one connection to the proxy.
 type proxyConn struct {
 	conn        *conn.Conn
-	calls       map[uint64]*call // in flight on it, by the id of the request
-	lastRequest uint64           // request whose call it carried last: a duplicate of that reply may follow
+	calls       map[uint64]*upstreamCall // in flight on it, by the id of the request
+	lastRequest uint64                   // request whose call it carried last: a duplicate of that reply may follow
 	usedAt      time.Duration
 	retired     bool          // takes no more calls
 	closeAt     time.Duration // when it is closed whatever is in flight; 0 never
@@ -69,7 +69,7 @@
 
 // place gives a call a connection: a free one, a new one, or where there is no room for more the one with the fewest
 // calls.
-func (u *proxyUpstream) place(waiting *call) {
+func (u *proxyUpstream) place(waiting *upstreamCall) {
 	b := u.backend
 	for i := len(u.idle) - 1; i >= 0; i-- {
 		free := u.idle[i]
@@ -78,7 +78,7 @@
 			return
 		}
 	}
-	if len(u.conns)+u.dialing < u.reservedConns() {
+	if len(u.conns)+u.dialing < u.connectionLimit() {
 		u.queue = append(u.queue, waiting)
 		u.dial()
 		return
@@ -131,7 +131,7 @@
 		u.dialFailed(err)
 		return
 	}
-	opened := &proxyConn{conn: c, calls: map[uint64]*call{}, usedAt: u.backend.now}
+	opened := &proxyConn{conn: c, calls: map[uint64]*upstreamCall{}, usedAt: u.backend.now}
 	u.conns[opened] = struct{}{}
 	c.MaxUnsent = maxUnsentCalls
 	parser := upstreamproto.NewParser(func(reply upstreamproto.Reply) { u.onReply(opened, reply) })
@@ -153,7 +153,7 @@
 }
 
 // dequeue removes and returns the first call of the queue that still waits, nil if there is none.
-func (u *proxyUpstream) dequeue() *call {
+func (u *proxyUpstream) dequeue() *upstreamCall {
 	for len(u.queue) > 0 {
 		first := u.queue[0]
 		u.queue = u.queue[1:]
@@ -177,7 +177,7 @@
 	u.idle = append(u.idle, free)
 }
 
-func (u *proxyUpstream) send(carrier *proxyConn, sent *call) {
+func (u *proxyUpstream) send(carrier *proxyConn, sent *upstreamCall) {
 	b := u.backend
 	r := sent.request
 	u.removeIdle(carrier)
@@ -199,7 +199,7 @@
 	}
 	from.usedAt = u.backend.now
 	if reply.Outcome == overload.OK {
-		u.backend.processor.answer(answered.request, reply.Body)
+		u.backend.processor.replyToCall(answered.request, reply.Body)
 	}
 	u.end(answered, reply.Outcome)
 	if len(from.calls) == 0 {
@@ -250,14 +250,14 @@
 }
 
 // detach takes a call from its connection and from the calls in flight.
-func (u *proxyUpstream) detach(ended *call) {
+func (u *proxyUpstream) detach(ended *upstreamCall) {
 	if ended.proxyConn != nil {
 		delete(ended.proxyConn.calls, ended.request.id)
 	}
 	u.remove(ended)
 }
 
-func (u *proxyUpstream) end(ended *call, outcome overload.Outcome) {
+func (u *proxyUpstream) end(ended *upstreamCall, outcome overload.Outcome) {
 	u.detach(ended)
 	u.backend.callEnded(ended, outcome)
 }
--- a/cmd/frosthub/idempotency_test.go
+++ b/cmd/frosthub/idempotency_test.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := backend.Parse(text)
+	cfg, err := backend.ParseConfig(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -87,7 +87,7 @@
 		if operator.Admin == "" {
 			return func() {}, nil
 		}
-		stop, _, err := admin.Serve(operator.Admin, b, b.Log())
+		stop, _, err := admin.Serve(operator.Admin, b, b.Logger())
 		return stop, err
 	})
 }
@@ -128,7 +128,7 @@
 		_, err := conffile.Load(file)
 		return err
 	}
-	if _, err := backend.Parse(text); err != nil {
+	if _, err := backend.ParseConfig(text); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	return nil
--- a/internal/cli/cluster_test.go
+++ b/internal/cli/cluster_test.go
@@ -23,7 +23,7 @@
 func (n fakeNode) Accounting() accounting.Report               { return n.report }
 func (n fakeNode) AccountingRecorded() bool                    { return true }
 func (n fakeNode) IdempotencyStats() *backend.IdempotencyStats { return nil }
-func (n fakeNode) Trust() error                                { return backend.ErrNothingUnknown }
+func (n fakeNode) Trust() error                                { return backend.ErrHistoryComplete }
 
 func (n fakeNode) Forget(node string) error {
 	if node != "n9" {
@@ -193,7 +193,7 @@
 		{[]string{"forget", "n9", "--yes"}, ""},
 		{[]string{"forget", "n9"}, "nothing was done"},
 		{[]string{"forget", "n2", "--yes"}, backend.ErrUnknownNode.Error()},
-		{[]string{"trust", "--yes"}, backend.ErrNothingUnknown.Error()},
+		{[]string{"trust", "--yes"}, backend.ErrHistoryComplete.Error()},
 	} {
 		t.Run(strings.Join(test.args, " "), func(t *testing.T) {
 			args := append([]string{"recovery", "--admin", address}, test.args...)
