--- a/cmd/frosthub/idempotency_test.go
+++ b/cmd/frosthub/idempotency_test.go
@@ -107,7 +107,7 @@
 		t.Error("too few requests were sent to prove anything")
 	}
 	out, err := exec.Command(binary, "keep", "check", "--conf", filepath.Join(node.process.Dir, "frosthub.conf"), dir).CombinedOutput()
-	if err != nil || !strings.Contains(string(out), fmt.Sprintf("%d lives", kills+1)) {
+	if err != nil || !strings.Contains(string(out), fmt.Sprintf("%d incarnations", kills+1)) {
 		t.Error(string(out), err)
 	}
 	if out, err := exec.Command(binary, "figures", node.accountingPath).CombinedOutput(); err != nil {
--- a/cmd/frosthub/main.go
+++ b/cmd/frosthub/main.go
@@ -1,5 +1,5 @@
-// Command frosthub runs one backend, and the commands with which operators inspect
-// and change it.
+// Command frosthub runs one node of a fleet, or a command with which operators
+// inspect and control it.
 package main
 
 import (
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost lets the overload controller decide for the servers of a simulator. It reads the simulator's events
-// from standard input and writes the actions to standard output, until the input ends. It exits with status 1 if it
-// can't understand the input.
+// Command simhost runs the overload controllers of the servers in a simulation. It reads the simulator's events from
+// standard input and writes the controllers' actions to standard output until the input ends. It exits with status 1 if
+// it can't parse the input.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli implements the command line: the backend itself, and the commands
-// with which operators inspect and change it.
+// Package cli implements the command line: the node itself and the commands with
+// which operators inspect and control it.
 package cli
 
 import (
@@ -14,18 +14,20 @@
 	"github.com/spf13/cobra"
 )
 
-// configVariable names the operator's file in the environment.
+// configVariable is the environment variable that holds the path of the operator's
+// file.
 const configVariable = "FROSTHUB_CONF"
 
-// errReported is returned by a command that has printed its errors itself.
+// errReported is the error of a command that has printed its errors already. Run
+// exits with status 1 and prints nothing more.
 var errReported = errors.New("errors were reported")
 
-// Run runs the command that the arguments name and returns the exit status: 0,
-// or 1 after an error, which is printed as one line on standard error.
+// Run runs the command that the arguments name and returns the exit status: 0 on
+// success, 1 after an error, which Run prints as one line on standard error.
 func Run(args []string) int {
-	c := rootCommand()
-	c.SetArgs(args)
-	err := c.Execute()
+	cmd := rootCommand()
+	cmd.SetArgs(args)
+	err := cmd.Execute()
 	if err == nil {
 		return 0
 	}
@@ -38,21 +40,21 @@
 func rootCommand() *cobra.Command {
 	var configPath string
 	serve := func(*cobra.Command, []string) error { return serve(configPath) }
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "frosthub",
-		Short: "An overload controller in front of a processor",
-		Long: "frosthub serves as one backend. Without a command it does what serve does.\n\n" +
-			"PROXY_CONFIG names the platform's configuration; " + configVariable + " or --conf the operator's file, if there is one.",
+		Short: "Overload controller in front of a processor",
+		Long: "frosthub runs one node of a fleet. Without a subcommand it does the same as serve.\n\n" +
+			"PROXY_CONFIG holds the path of the platform's configuration, " + configVariable + " or --conf the path of the operator's file, which is optional.",
 		Args:          cobra.NoArgs,
 		RunE:          serve,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	c.PersistentFlags().StringVar(&configPath, "conf", os.Getenv(configVariable), "the operator's file")
-	c.AddCommand(
+	cmd.PersistentFlags().StringVar(&configPath, "conf", os.Getenv(configVariable), "path of the operator's file")
+	cmd.AddCommand(
 		&cobra.Command{
 			Use:   "serve",
-			Short: "Serve as one backend until SIGTERM",
+			Short: "Serve requests until SIGTERM",
 			Args:  cobra.NoArgs,
 			RunE:  serve,
 		},
@@ -60,15 +62,15 @@
 		figuresCommand(),
 		keepCommand(&configPath),
 	)
-	c.AddCommand(clusterCommands()...)
-	return c
+	cmd.AddCommand(clusterCommands()...)
+	return cmd
 }
 
-// serve runs a backend until it is told to stop. The path of the operator's file
-// may be empty.
+// serve runs a node until it receives SIGTERM. An empty configPath means that
+// there is no operator's file.
 func serve(configPath string) error {
 	var operator conffile.Config
-	configure := func(c *backend.Config) error { // at the start, and again at SIGHUP
+	configure := func(c *backend.Config) error { // called at the start and at each SIGHUP
 		if configPath != "" {
 			loaded, err := conffile.Load(configPath)
 			operator = loaded
@@ -95,22 +97,22 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check operator's files, or platform configurations (JSON)",
+		Short: "Validate operator's files or platform configurations (JSON)",
 		Args:  cobra.MinimumNArgs(1),
 		RunE:  checkFiles,
 	}
 }
 
-func checkFiles(c *cobra.Command, files []string) error {
-	out := newPrinter(c.OutOrStdout())
+func checkFiles(cmd *cobra.Command, files []string) error {
+	out := newPrinter(cmd.OutOrStdout())
 	failed := false
 	for _, file := range files {
 		if err := checkFile(file); err != nil {
 			failed = true
-			c.PrintErrln(err)
+			cmd.PrintErrln(err)
 			continue
 		}
-		out.println(file + ": good")
+		out.println(file + ": valid")
 	}
 	if out.err == nil && failed {
 		return errReported
@@ -118,7 +120,8 @@
 	return out.err
 }
 
-// checkFile reads a file of either kind: platform configurations are JSON objects.
+// checkFile validates an operator's file or a platform configuration. A file that
+// begins with a brace is a platform configuration, which is a JSON object.
 func checkFile(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -17,54 +17,57 @@
 )
 
 const (
-	// adminTimeout is how long a node on this machine may take to answer.
+	// adminTimeout bounds a request to the admin server of a node, which listens
+	// on this machine.
 	adminTimeout = 3 * time.Second
-	// shownKeyDigits is how much of a key is shown: enough to tell apart those
-	// in flight.
+	// shownKeyDigits is the length to which keys are cut in tables. It is enough
+	// to distinguish the keys of requests in flight.
 	shownKeyDigits = 12
 )
 
-var errNoAddress = errors.New("--admin: the address of the box's \"admin listen\"")
+var errNoAddress = errors.New("--admin is missing: expected the address in the \"admin listen\" directive of the node")
 
-// clusterCommands returns the commands that ask a running node about its cluster.
+// clusterCommands returns the commands that query a running node about its cluster.
 func clusterCommands() []*cobra.Command {
 	return []*cobra.Command{
-		nodeCommand("cluster", "Show how a running box sees its cluster, and what it holds and took over", printCluster),
-		nodeCommand("members", "Show which boxes a running box takes for alive, and by which lists they go", printMembers),
+		nodeCommand("cluster", "Show the members of a running node's cluster and its failover counts", printCluster),
+		nodeCommand("members", "Show the state of each member as a running node sees it, and the member list it uses", printMembers),
 		recoveryCommand(),
-		nodeCommand("takeover", "Show the reqs that a running box holds, waits for, or has noted for others", printRequests),
+		nodeCommand("takeover", "Show the requests that a running node holds, waits for or has reserved for other nodes", printRequests),
 	}
 }
 
-// nodeCommand returns a command that prints how a running node sees its cluster.
+// nodeCommand returns a command that fetches the cluster statistics of a running
+// node and prints them with show, or as JSON.
 func nodeCommand(use, short string, show func(io.Writer, *backend.ClusterStats) error) *cobra.Command {
 	var address string
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   use,
 		Short: short,
 		Args:  cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			stats, err := fetchClusterStats(c.Context(), address)
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			stats, err := fetchClusterStats(cmd.Context(), address)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				return printJSON(c.OutOrStdout(), stats)
+				return printJSON(cmd.OutOrStdout(), stats)
 			}
-			return show(c.OutOrStdout(), stats)
+			return show(cmd.OutOrStdout(), stats)
 		},
 	}
-	addAddressFlag(c, &address)
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	return c
+	addAddressFlag(cmd, &address)
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
+	return cmd
 }
 
-func addAddressFlag(c *cobra.Command, address *string) {
-	c.Flags().StringVar(address, "admin", "", "the address of the box's \"admin listen\"")
+func addAddressFlag(cmd *cobra.Command, address *string) {
+	cmd.Flags().StringVar(address, "admin", "", "address in the \"admin listen\" directive of the node")
 }
 
-// fetchClusterStats asks the node whose admin server listens at the address.
+// fetchClusterStats fetches the cluster statistics of the node whose admin server
+// listens at the address. It returns an error for a node that is in no cluster.
 func fetchClusterStats(ctx context.Context, address string) (*backend.ClusterStats, error) {
 	if address == "" {
 		return nil, errNoAddress
@@ -81,10 +84,10 @@
 	defer func() { _ = response.Body.Close() }()
 	var stats *backend.ClusterStats
 	if err := json.NewDecoder(response.Body).Decode(&stats); err != nil {
-		return nil, fmt.Errorf("%s: not understood: %w", address, err)
+		return nil, fmt.Errorf("%s: decode cluster statistics: %w", address, err)
 	}
 	if stats == nil {
-		return nil, fmt.Errorf("%s: no cluster there, or its store is still being read", address)
+		return nil, fmt.Errorf("%s: the node is in no cluster, or its store is still loading", address)
 	}
 	return stats, nil
 }
@@ -98,15 +101,15 @@
 
 func printMembers(out io.Writer, stats *backend.ClusterStats) error {
 	p := newPrinter(out)
-	p.printf("cluster %s, life %d\n", stats.Name, stats.Incarnation)
+	p.printf("cluster %s, incarnation %d\n", stats.Name, stats.Incarnation)
 	switch {
 	case stats.Previous > 0 && stats.Since == "":
-		p.printf("members change: by both lists (%d boxes before), not all others yet\n", stats.Previous)
+		p.printf("membership change: both member lists apply (%d nodes in the previous one), not yet adopted by all other nodes\n", stats.Previous)
 	case stats.Previous > 0:
-		p.printf("members change: by both lists (%d boxes before), all others since %s\n", stats.Previous, stats.Since)
+		p.printf("membership change: both member lists apply (%d nodes in the previous one), adopted by all other nodes since %s\n", stats.Previous, stats.Since)
 	}
 	if stats.RosterReason != "" {
-		p.printf("its file says otherwise: %s\n", stats.RosterReason)
+		p.printf("member lists of the operator's file not adopted: %s\n", stats.RosterReason)
 	}
 	if p.err != nil {
 		return p.err
@@ -121,10 +124,10 @@
 
 func printFailoverCounts(out io.Writer, stats *backend.ClusterStats) error {
 	p := newPrinter(out)
-	f := stats.Failover
-	p.printf("holds %d, waits for %d of others, notes %d for others (%d begun); ", f.Held, f.Waiting, f.Reservations, f.Started)
-	p.printf("taken over %d, lost to others %d, joined %d, in doubt %d, ", f.TakenOver, f.Lost, f.Joined, f.OutcomeUnknown)
-	p.printf("ends from lost boxes' processors %d\n", f.FoundAtProcessor)
+	failover := stats.Failover
+	p.printf("holds %d, waits for %d of other nodes, reserves %d for other nodes (%d started); ", failover.Held, failover.Waiting, failover.Reservations, failover.Started)
+	p.printf("taken over %d, lost to other nodes %d, joined %d, outcome unknown %d, ", failover.TakenOver, failover.Lost, failover.Joined, failover.OutcomeUnknown)
+	p.printf("outcomes from processors of lost nodes %d\n", failover.FoundAtProcessor)
 	return p.err
 }
 
--- a/internal/cli/cluster_test.go
+++ b/internal/cli/cluster_test.go
@@ -17,7 +17,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// fakeNode is a node whose figures never change.
+// fakeNode is an admin.Source that returns fixed data.
 type fakeNode struct{ report accounting.Report }
 
 func (n fakeNode) Accounting() accounting.Report               { return n.report }
@@ -55,7 +55,8 @@
 	}
 }
 
-// serveFakeNode serves a fakeNode, and returns the address.
+// serveFakeNode starts an admin server for a fakeNode and returns its address. The
+// server stops at the end of the test.
 func serveFakeNode(t *testing.T) string {
 	t.Helper()
 	ledger := writeFigures(t, filepath.Join(t.TempDir(), "one"), 500_000*time.Hour)
@@ -67,7 +68,7 @@
 	return address
 }
 
-// get returns the body of what a server answers.
+// get returns the body of the response to a GET request.
 func get(t *testing.T, url string) string {
 	t.Helper()
 	response, err := http.Get(url)
@@ -80,7 +81,7 @@
 	return text.String()
 }
 
-// TestMetrics checks that the metrics add up as Prometheus reads them.
+// TestMetrics checks the complete metrics of a node as Prometheus scrapes them.
 func TestMetrics(t *testing.T) {
 	var got []string
 	for line := range strings.Lines(get(t, "http://"+serveFakeNode(t)+admin.PathMetrics)) {
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestAdmin checks what the admin server answers beside metrics, and that it takes
-// no decision of an unnamed operator.
+// TestAdmin checks that the admin server serves the accounting as JSON, and that it
+// rejects the decision of an operator who is not named.
 func TestAdmin(t *testing.T) {
 	address := serveFakeNode(t)
 	if text := get(t, "http://"+address+admin.PathAccounting); !strings.Contains(text, `"taken":6`) {
@@ -133,25 +134,25 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusForbidden {
-		t.Error("an unnamed operator is answered with", response.Status)
+		t.Error("status of a decision without the name of the operator:", response.Status)
 	}
 }
 
-// TestClusterCommands checks what the commands print that ask a running node.
+// TestClusterCommands checks the output of the commands that query a running node.
 func TestClusterCommands(t *testing.T) {
 	const (
-		members = "cluster north, life 2\n" +
+		members = "cluster north, incarnation 2\n" +
 			"  member  life      state    lists\n" +
 			"      n1     2      alive  as here\n" +
 			"      n2     7  suspected  unknown\n"
-		counts = "holds 0, waits for 0 of others, notes 0 for others (0 begun); taken over 0, lost to others 0, joined 0, in doubt 0, " +
-			"ends from lost boxes' processors 0\n"
+		counts = "holds 0, waits for 0 of other nodes, reserves 0 for other nodes (0 started); taken over 0, lost to other nodes 0, joined 0, outcome unknown 0, " +
+			"outcomes from processors of lost nodes 0\n"
 		requests = "key           handler     part   step   holder  time left  taken over\n" +
 			"001122334455  file-claim  notes  begun  n2      1.5s       \n"
 		recovery = "asking: others are asked\n" +
-			"not answered yet: n2\n" +
-			"in doubt: 1 of handlers that are not known\n" +
-			"in doubt: 3 of file-claim\n"
+			"no answer yet from: n2\n" +
+			"outcome unknown: 1 of unknown handlers\n" +
+			"outcome unknown: 3 of file-claim\n"
 	)
 	address := serveFakeNode(t)
 	for command, want := range map[string]string{
@@ -175,20 +176,20 @@
 			t.Error(out, err)
 		}
 	})
-	t.Run("without an address", func(t *testing.T) {
+	t.Run("no address", func(t *testing.T) {
 		if _, _, err := run("-", "cluster"); err == nil {
-			t.Error("the command does not fail")
+			t.Error("the command succeeds without an address")
 		}
 	})
 }
 
-// TestDecisions checks that decisions need a confirmation, print their
-// consequences, and fail where the node refuses them.
+// TestDecisions checks that a decision command prints the consequences, requires
+// --yes, and fails if the node rejects the decision.
 func TestDecisions(t *testing.T) {
 	address := serveFakeNode(t)
 	for _, test := range []struct {
 		args    []string
-		wantErr string // part of the error, empty for success
+		wantErr string // substring of the error; empty if the command must succeed
 	}{
 		{[]string{"forget", "n9", "--yes"}, ""},
 		{[]string{"forget", "n9"}, "nothing was done"},
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// The groups that the figures command can sum by.
+// The values of --by: the attributes by which the figures command groups its sums.
 const (
 	byHandler     = "handler"
 	byFrontEnd    = "front"
@@ -34,31 +34,31 @@
 	since  string
 	by     string
 	tally  string
-	cutoff time.Duration // since, in nanoseconds since 1970; 0 for everything
+	cutoff time.Duration // parsed from since, in nanoseconds since 1970; 0 selects all periods
 }
 
 func figuresCommand() *cobra.Command {
 	var options figuresOptions
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "figures FILE...",
-		Short: "Show the figures of boxes, and whether they add up",
-		Long: "figures reads figures files, of boxes that run or do not, checks each and shows the sum of all.\n" +
-			"The exit status is 1 where one does not add up or can't be read.",
+		Short: "Show the request figures of nodes and check that they add up",
+		Long: "figures reads the figures files of nodes, running or stopped, checks each file and shows the sum over all files.\n" +
+			"The exit status is 1 if the figures of a file do not add up or a file can't be read.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: options.run,
 	}
-	f := c.Flags()
-	f.BoolVar(&options.json, "json", false, "as JSON, one report for each file")
-	f.BoolVar(&options.csv, "csv", false, "as comma separated values")
-	f.StringVar(&options.since, "since", "", "only periods that began since then: a span back as 2h, or a time as 2026-03-01T06:00:00Z")
-	f.StringVar(&options.by, "by", byHandler, "handler, front, reason, customer, period or life")
-	f.BoolVar(&options.trail, "trail", false, "the last changes one by one instead")
-	f.StringVar(&options.tally, "tally", "", "a file of lines 'id figure' that settles ids in doubt")
-	c.MarkFlagsMutuallyExclusive("json", "csv", "trail")
-	return c
+	flags := cmd.Flags()
+	flags.BoolVar(&options.json, "json", false, "print as JSON, one report for each file")
+	flags.BoolVar(&options.csv, "csv", false, "print as comma-separated values")
+	flags.StringVar(&options.since, "since", "", "only periods that began since then: a duration before now such as 2h, or a time such as 2026-03-01T06:00:00Z")
+	flags.StringVar(&options.by, "by", byHandler, "sum by handler, front, reason, customer, period or life")
+	flags.BoolVar(&options.trail, "trail", false, "print the most recent ledger entries one by one instead")
+	flags.StringVar(&options.tally, "tally", "", "file of lines 'id figure' that gives the outcome of requests whose outcome is unknown")
+	cmd.MarkFlagsMutuallyExclusive("json", "csv", "trail")
+	return cmd
 }
 
-func (o *figuresOptions) run(c *cobra.Command, files []string) error {
+func (o *figuresOptions) run(cmd *cobra.Command, files []string) error {
 	if err := o.validate(); err != nil {
 		return err
 	}
@@ -67,10 +67,10 @@
 		return err
 	}
 	if o.trail {
-		return printTrails(c, files)
+		return printTrails(cmd, files)
 	}
-	nodes, failed := o.readAll(c, files, tally)
-	out := c.OutOrStdout()
+	nodes, failed := o.readAll(cmd, files, tally)
+	out := cmd.OutOrStdout()
 	switch {
 	case o.json:
 		err = printJSON(out, nodes)
@@ -85,7 +85,7 @@
 	return err
 }
 
-// validate checks the options and sets the cutoff.
+// validate checks the options and sets cutoff.
 func (o *figuresOptions) validate() error {
 	cutoff, err := parseSince(o.since)
 	if err != nil {
@@ -93,16 +93,16 @@
 	}
 	o.cutoff = cutoff
 	if !slices.Contains(groups, o.by) {
-		return fmt.Errorf("--by %s: one of %s", o.by, strings.Join(groups, ", "))
+		return fmt.Errorf("--by %s: expected one of %s", o.by, strings.Join(groups, ", "))
 	}
 	if cutoff > 0 && (o.by == byCustomer || o.by == byIncarnation) {
-		return fmt.Errorf("--since goes by periods, which are not kept by %s", o.by)
+		return fmt.Errorf("--since selects periods, which are not recorded by %s", o.by)
 	}
 	return nil
 }
 
-// parseSince reads a span back from now or a time, and returns nanoseconds since
-// 1970; 0 for an empty text.
+// parseSince parses a duration before now or an RFC 3339 time. It returns
+// nanoseconds since 1970, or 0 for an empty text.
 func parseSince(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -112,35 +112,35 @@
 	}
 	at, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return 0, fmt.Errorf("--since %s: a span back as 2h, or a time as 2026-03-01T06:00:00Z", text)
+		return 0, fmt.Errorf("--since %s: expected a duration before now such as 2h, or a time such as 2026-03-01T06:00:00Z", text)
 	}
 	return time.Duration(at.UnixNano()), nil
 }
 
-// nodeFigures are the figures of one file. Operators' scripts read it as JSON,
-// whose keys are fixed.
+// nodeFigures holds the figures of one file. The JSON keys are fixed because
+// operators' scripts read them.
 type nodeFigures struct {
-	File          string            `json:"file"`
-	InUse         bool              `json:"runs"` // a process holds its lock
-	Report        accounting.Report `json:"report"`
-	Uncertain     int64             `json:"in_doubt"`   // responses that may have been sent or not
-	Settled       int64             `json:"settled"`    // those of them that the tally settled
-	UnsettledIDs  []string          `json:"doubt_ids"`  // the request ids of the others
-	Contradiction string            `json:"difference"` // what does not add up
+	File           string            `json:"file"`
+	InUse          bool              `json:"runs"` // a process holds the lock of the file
+	Report         accounting.Report `json:"report"`
+	OutcomeUnknown int64             `json:"in_doubt"`   // requests whose response may or may not have been sent
+	Settled        int64             `json:"settled"`    // how many of them the tally settled
+	UnsettledIDs   []string          `json:"doubt_ids"`  // ids of those that the tally did not settle
+	Mismatch       string            `json:"difference"` // description of a mismatch; empty if all figures add up
 }
 
-// readAll reads the files, and reports the errors of those that can't be read or
-// whose figures contradict each other.
-func (o *figuresOptions) readAll(c *cobra.Command, files []string, outcomes tally) (nodes []nodeFigures, failed bool) {
+// readAll reads the files. It prints an error for each file that can't be read or
+// whose figures do not add up; failed reports whether there was one.
+func (o *figuresOptions) readAll(cmd *cobra.Command, files []string, outcomes tally) (nodes []nodeFigures, failed bool) {
 	for _, file := range files {
 		node, err := o.read(file, outcomes)
 		if err != nil {
-			c.PrintErrf("%s: %v\n", file, err)
+			cmd.PrintErrf("%s: %v\n", file, err)
 			failed = true
 			continue
 		}
-		if node.Contradiction != "" {
-			c.PrintErrf("%s: figures differ: %s\n", file, node.Contradiction)
+		if node.Mismatch != "" {
+			cmd.PrintErrf("%s: figures do not add up: %s\n", file, node.Mismatch)
 			failed = true
 		}
 		nodes = append(nodes, node)
@@ -155,11 +155,11 @@
 	}
 	node := nodeFigures{File: file, InUse: statsfile.Locked(file)}
 	if !node.InUse && wasKilled(ledger) {
-		ledger.EndIncarnation(accounting.OpenAtKill, accounting.Killed) // as the next start of the node will
+		ledger.EndIncarnation(accounting.OpenAtKill, accounting.Killed) // as the next start of the node does
 	}
 	node.Report = ledger.Report(o.cutoff > 0 || o.by == byPeriod || o.json)
 	node.settle(outcomes)
-	node.Contradiction = node.Report.Check()
+	node.Mismatch = node.Report.Check()
 	if o.cutoff > 0 {
 		node.Report.Periods = slices.DeleteFunc(node.Report.Periods, func(p accounting.Period) bool {
 			return p.Start < o.cutoff
@@ -168,8 +168,8 @@
 	return node, nil
 }
 
-// wasKilled reports whether the last incarnation of a ledger that no process
-// uses did not come to an orderly end.
+// wasKilled reports whether the last incarnation of a ledger that no process uses
+// ended without an orderly exit.
 func wasKilled(ledger *accounting.Ledger) bool {
 	incarnations, _, _ := ledger.Incarnations()
 	if len(incarnations) == 0 {
@@ -197,34 +197,34 @@
 }
 
 func (n *nodeFigures) print(out *printer) {
-	state := "no process holds it"
+	state := "no process uses it"
 	if n.InUse {
 		state = "in use"
 	}
 	incarnations := n.Report.EarlierIncarnations + uint64(len(n.Report.Incarnations))
 	total := n.Report.Total
-	out.printf("%s: %s, %d lives, taken %d = served %d + refused %d + failed %d + open %d\n", n.File, state, incarnations,
+	out.printf("%s: %s, %d incarnations, taken %d = served %d + refused %d + failed %d + open %d\n", n.File, state, incarnations,
 		total.Received, total.Served, total.Rejected, total.Failed, total.Open)
-	if n.Uncertain == 0 {
+	if n.OutcomeUnknown == 0 {
 		return
 	}
-	out.printf("%s: %d in doubt after kills, %d settled by the tally\n", n.File, n.Uncertain, n.Settled)
+	out.printf("%s: %d requests with unknown outcome after kills, %d settled by the tally\n", n.File, n.OutcomeUnknown, n.Settled)
 	for _, id := range n.UnsettledIDs {
-		out.printf("%s: in doubt %s\n", n.File, id)
+		out.printf("%s: request %s: outcome unknown\n", n.File, id)
 	}
 }
 
-// printTrails prints the last changes of each file, one by one.
-func printTrails(c *cobra.Command, files []string) error {
+// printTrails prints the most recent ledger entries of each file, one a line.
+func printTrails(cmd *cobra.Command, files []string) error {
 	failed := false
 	for _, file := range files {
 		_, data, err := statsfile.ReadFile(file)
 		if err != nil {
-			c.PrintErrf("%s: %v\n", file, err)
+			cmd.PrintErrf("%s: %v\n", file, err)
 			failed = true
 			continue
 		}
-		if err := printTrail(c.OutOrStdout(), data); err != nil {
+		if err := printTrail(cmd.OutOrStdout(), data); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/figures_table.go
+++ b/internal/cli/figures_table.go
@@ -10,10 +10,10 @@
 	"frosthub/accounting"
 )
 
-// columns are the heads of the columns of figuresRow.cells.
+// columns are the headings of the columns that figuresRow.cells returns.
 var columns = []string{"taken", "served", "refused", "failed", "open"}
 
-// figuresRow is one row of the table of figures.
+// figuresRow is one row of the printed table: the sum for one key.
 type figuresRow struct {
 	key string
 	accounting.Counts
@@ -35,8 +35,8 @@
 	return sum
 }
 
-// figuresTable sums figures by key. Its rows stand in the order in which their
-// keys were first added.
+// figuresTable sums figures by key. The rows are in the order in which their keys
+// were first added.
 type figuresTable struct{ rows []figuresRow }
 
 func (t *figuresTable) add(key string, counts accounting.Counts) {
@@ -49,8 +49,8 @@
 	t.rows = append(t.rows, figuresRow{key, counts})
 }
 
-// table sums the figures of all nodes by the group that was asked for. The rows
-// are sorted by key, but for incarnations, which stay in order.
+// table sums the figures of all nodes by the attribute that --by selects. The rows
+// are sorted by key, except for incarnations, which stay in the order of the files.
 func (o *figuresOptions) table(nodes []nodeFigures) []figuresRow {
 	var table figuresTable
 	for i := range nodes {
@@ -72,7 +72,8 @@
 	return table.rows
 }
 
-// rows returns the rows of the report, or those of its periods.
+// rows returns the rows of the whole report, or those of its periods if ofPeriods
+// is set.
 func (n *nodeFigures) rows(ofPeriods bool) []accounting.Row {
 	if !ofPeriods {
 		return n.Report.Rows
@@ -110,7 +111,7 @@
 	}
 }
 
-// addRows adds rows by handler, front end or reason.
+// addRows adds rows, grouped by handler, front end or reason.
 func (t *figuresTable) addRows(by string, rows []accounting.Row) {
 	for i := range rows {
 		row := &rows[i]
@@ -138,7 +139,7 @@
 
 func printCSV(out io.Writer, rows []figuresRow) error {
 	w := csv.NewWriter(out)
-	_ = w.Write(append([]string{"key"}, columns...)) // Error returns what failed
+	_ = w.Write(append([]string{"key"}, columns...)) // w.Error returns the first error
 	for _, row := range rows {
 		_ = w.Write(append([]string{row.key}, row.cells()...))
 	}
--- a/internal/cli/figures_test.go
+++ b/internal/cli/figures_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// writeFigures writes the figures file of a node with two incarnations, the second
-// of which was killed with a response that may have been sent or not.
+// writeFigures writes the figures file of a node with two incarnations. The second
+// one was killed with one response that may or may not have been sent.
 func writeFigures(t *testing.T, path string, at time.Duration) *accounting.Ledger {
 	t.Helper()
 	config := accounting.Config{
@@ -52,8 +52,8 @@
 	return ledger
 }
 
-// TestFigures checks that the figures of nodes are shown, summed and checked, and
-// that a tally settles uncertain requests.
+// TestFigures checks that the figures command prints, sums and checks the figures of
+// nodes, and that a tally settles requests whose outcome is unknown.
 func TestFigures(t *testing.T) {
 	dir := t.TempDir()
 	const at = 500_000 * time.Hour
@@ -62,12 +62,12 @@
 	writeFigures(t, one, at)
 	writeFigures(t, two, at)
 	out, errOut, err := run(dir, "figures", one, two)
-	want := `one: no process holds it, 2 lives, taken 6 = served 2 + refused 2 + failed 2 + open 0
-one: 1 in doubt after kills, 0 settled by the tally
-one: in doubt 0000000000000013
-two: no process holds it, 2 lives, taken 6 = served 2 + refused 2 + failed 2 + open 0
-two: 1 in doubt after kills, 0 settled by the tally
-two: in doubt 0000000000000013
+	want := `one: no process uses it, 2 incarnations, taken 6 = served 2 + refused 2 + failed 2 + open 0
+one: 1 requests with unknown outcome after kills, 0 settled by the tally
+one: request 0000000000000013: outcome unknown
+two: no process uses it, 2 incarnations, taken 6 = served 2 + refused 2 + failed 2 + open 0
+two: 1 requests with unknown outcome after kills, 0 settled by the tally
+two: request 0000000000000013: outcome unknown
      handler  taken  served  refused  failed  open
   file-claim      4       0        4       0     0
       status      8       4        0       4     0
@@ -86,7 +86,7 @@
 		t.Error(diff, err)
 	}
 	if out, _, err = run(dir, "figures", "--tally", tally, one); err != nil ||
-		!strings.HasPrefix(out, "one: no process holds it, 2 lives, taken 6 = served 3 + refused 2 + failed 1 + open 0\none: 1 in doubt after kills, 1 settled") {
+		!strings.HasPrefix(out, "one: no process uses it, 2 incarnations, taken 6 = served 3 + refused 2 + failed 1 + open 0\none: 1 requests with unknown outcome after kills, 1 settled") {
 		t.Error(out, err)
 	}
 	if out, _, err = run(dir, "figures", "--since", "2027-01-15T08:30:00Z", one); err != nil || !strings.Contains(out, "sum      3") {
@@ -117,7 +117,7 @@
 	} {
 		t.Run(strings.Join(args, " "), func(t *testing.T) {
 			if _, _, err := run(dir, args...); err == nil {
-				t.Error("the command does not fail")
+				t.Error("the command succeeds")
 			}
 		})
 	}
--- a/internal/cli/keep.go
+++ b/internal/cli/keep.go
@@ -17,33 +17,34 @@
 	"github.com/spf13/cobra"
 )
 
-// keepCommand groups the commands that work on the idempotency store of a node.
+// keepCommand groups the commands that work on the idempotency store of a node,
+// which records the requests that must not run twice.
 func keepCommand(configPath *string) *cobra.Command {
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "keep",
-		Short: "What must not run twice: make, check, list, compact a box's store",
+		Short: "Create, check, list and compact a node's store of requests that must not run twice",
 	}
-	c.AddCommand(
+	cmd.AddCommand(
 		keepInitCommand(),
 		keepCheckCommand(configPath),
 		keepListCommand(configPath),
 		keepCompactCommand(configPath),
 		keepAcceptCommand(configPath),
 	)
-	return c
+	return cmd
 }
 
 func keepInitCommand() *cobra.Command {
 	var node string
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "init DIR",
-		Short: "Make an empty store",
-		Long: "init makes an empty store in a folder, which is made if it is not there.\n\n" +
-			"It says that nothing this box has run is still being repeated. Where an earlier store of the box is lost, wait for the horizon first.",
+		Short: "Create an empty store",
+		Long: "init creates an empty store in a directory, which it creates if it does not exist.\n\n" +
+			"An empty store asserts that no request that this node ran is still being retried. If an earlier store of the node was lost, first wait until the retry horizon has passed.",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			if node == "" {
-				return errors.New("--box: the name of the box it is for, as in the platform's configuration")
+				return errors.New("--box is missing: expected the name of the node, as in the platform's configuration")
 			}
 			dir := args[0]
 			if err := os.MkdirAll(dir, 0o750); err != nil {
@@ -52,37 +53,37 @@
 			if err := wal.Init(wal.DirDisk(dir), node, wallClock(), rand.Uint64()); err != nil {
 				return fmt.Errorf("%s: %w", dir, err)
 			}
-			out := newPrinter(c.OutOrStdout())
-			out.printf("%s: an empty store for box %s\n", dir, node)
+			out := newPrinter(cmd.OutOrStdout())
+			out.printf("%s: created an empty store for node %s\n", dir, node)
 			return out.err
 		},
 	}
-	c.Flags().StringVar(&node, "box", "", "the box's name")
-	return c
+	cmd.Flags().StringVar(&node, "box", "", "name of the node")
+	return cmd
 }
 
 func keepCheckCommand(configPath *string) *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "check DIR...",
-		Short: "Read stores as a start would, and tell what is there and what is damaged",
+		Short: "Read stores as a node does at its start, and report their contents and any damage",
 		Args:  cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, dirs []string) error {
-			return checkStores(c, dirs, *configPath, asJSON)
+		RunE: func(cmd *cobra.Command, dirs []string) error {
+			return checkStores(cmd, dirs, *configPath, asJSON)
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	return c
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
+	return cmd
 }
 
-func checkStores(c *cobra.Command, dirs []string, configPath string, asJSON bool) error {
-	out := newPrinter(c.OutOrStdout())
+func checkStores(cmd *cobra.Command, dirs []string, configPath string, asJSON bool) error {
+	out := newPrinter(cmd.OutOrStdout())
 	var reports []storeReport
 	failed := false
 	for _, dir := range dirs {
 		report, _, err := readStore(dir, configPath, nil)
 		if err != nil {
-			c.PrintErrf("%s: %v\n", dir, err)
+			cmd.PrintErrf("%s: %v\n", dir, err)
 			failed = true
 			continue
 		}
@@ -105,17 +106,17 @@
 
 func keepListCommand(configPath *string) *cobra.Command {
 	var unknownOnly, records bool
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "list DIR",
-		Short: "List the keys that are kept, the oldest first",
+		Short: "List the keys in a store, the oldest first",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			dir := args[0]
 			var err error
 			if records {
-				err = listRecords(c.OutOrStdout(), dir, *configPath)
+				err = listRecords(cmd.OutOrStdout(), dir, *configPath)
 			} else {
-				err = listKeys(c.OutOrStdout(), dir, *configPath, unknownOnly)
+				err = listKeys(cmd.OutOrStdout(), dir, *configPath, unknownOnly)
 			}
 			if err != nil {
 				return fmt.Errorf("%s: %w", dir, err)
@@ -123,13 +124,13 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&unknownOnly, "in-doubt", false, "only those that may have run or not")
-	c.Flags().BoolVar(&records, "records", false, "all records instead, in their order")
-	c.MarkFlagsMutuallyExclusive("in-doubt", "records")
-	return c
+	cmd.Flags().BoolVar(&unknownOnly, "in-doubt", false, "only keys whose request may or may not have run")
+	cmd.Flags().BoolVar(&records, "records", false, "all records instead, in the order of the log")
+	cmd.MarkFlagsMutuallyExclusive("in-doubt", "records")
+	return cmd
 }
 
-// listRecords prints all records of a store in their order.
+// listRecords prints all records of a store in the order of the log.
 func listRecords(out io.Writer, dir, configPath string) error {
 	w := bufio.NewWriter(out)
 	_, _, err := readStore(dir, configPath, func(e idempotency.LogEntry) error {
@@ -142,8 +143,8 @@
 	return w.Flush()
 }
 
-// listKeys prints the keys of a store, the oldest first; unknownOnly leaves out
-// those whose outcome is known.
+// listKeys prints the keys of a store, the oldest first. unknownOnly selects those
+// whose outcome is unknown.
 func listKeys(out io.Writer, dir, configPath string, unknownOnly bool) error {
 	_, store, err := readStore(dir, configPath, nil)
 	if err != nil {
@@ -172,29 +173,30 @@
 }
 
 func keepCompactCommand(configPath *string) *cobra.Command {
-	c := storeChangeCommand(configPath, func(store *idempotency.Store, now time.Duration) { store.Sweep(now) })
-	c.Use = "compact DIR"
-	c.Short = "Age what is past its lifetime, and replace records by prints"
-	c.Long = "compact works by the bounds of --conf, or the usual ones, " +
-		"on a store that no box uses. A box that runs does the same by itself."
-	return c
+	cmd := storeChangeCommand(configPath, func(store *idempotency.Store, now time.Duration) { store.Sweep(now) })
+	cmd.Use = "compact DIR"
+	cmd.Short = "Expire records past their lifetime, and replace them by fingerprints"
+	cmd.Long = "compact applies the limits of --conf, or the default ones, " +
+		"to a store that no node uses. A running node does the same by itself."
+	return cmd
 }
 
 func keepAcceptCommand(configPath *string) *cobra.Command {
-	c := storeChangeCommand(configPath, func(store *idempotency.Store, now time.Duration) { store.AcceptHistory(now) })
-	c.Use = "accept DIR"
-	c.Short = "Answer for records that are lost"
-	c.Long = "accept says that whatever ran and is lost from the records is not being repeated any more, or may run twice.\n" +
-		"From then on what is not in the store is taken for fresh again. It is recorded in the store."
-	return c
+	cmd := storeChangeCommand(configPath, func(store *idempotency.Store, now time.Duration) { store.AcceptHistory(now) })
+	cmd.Use = "accept DIR"
+	cmd.Short = "Accept the loss of records"
+	cmd.Long = "accept asserts that each request that ran and whose records are lost is not being retried any more, or may run twice.\n" +
+		"From then on a request that is not in the store is treated as new again. The store records the decision."
+	return cmd
 }
 
-// storeChangeCommand returns a command that makes a change to the store in a
-// directory and then prints what is in it. The caller sets its texts.
+// storeChangeCommand returns a command that applies a change to the store in a
+// directory and then prints a report of the store. The caller sets Use and the help
+// texts.
 func storeChangeCommand(configPath *string, change func(store *idempotency.Store, now time.Duration)) *cobra.Command {
 	return &cobra.Command{
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			dir := args[0]
 			if err := changeStore(dir, *configPath, change); err != nil {
 				return fmt.Errorf("%s: %w", dir, err)
@@ -203,7 +205,7 @@
 			if err != nil {
 				return err
 			}
-			out := newPrinter(c.OutOrStdout())
+			out := newPrinter(cmd.OutOrStdout())
 			report.print(out)
 			return out.err
 		},
--- a/internal/cli/keep_test.go
+++ b/internal/cli/keep_test.go
@@ -12,11 +12,11 @@
 	"frosthub/internal/wal"
 )
 
-// unfinished is the outcome of a request that is still running.
+// unfinished is passed to runOnce for a request that has no outcome.
 const unfinished idempotency.EntryKind = 0
 
-// runOnce runs one incarnation of a node that reserves a key and records the
-// outcome of its request.
+// runOnce runs one incarnation of a node, which reserves a key and records the
+// outcome of the request unless that is unfinished.
 func runOnce(t *testing.T, dir string, key byte, outcome idempotency.EntryKind) {
 	t.Helper()
 	store := idempotency.New(idempotency.Config{
@@ -44,16 +44,16 @@
 	}
 }
 
-// TestKeep checks that a store is created and shown, and that the loss of records
-// is found and can be accepted.
+// TestKeep checks that the keep commands create and print a store, detect the loss of
+// records and accept that loss.
 func TestKeep(t *testing.T) {
 	dir := t.TempDir()
 	store := filepath.Join(dir, "store")
 	if _, _, err := run(dir, "keep", "init", store); err == nil {
-		t.Error("a store is created for no node")
+		t.Error("a store is created without the name of a node")
 	}
 	out, _, err := run(dir, "keep", "init", "--box", "n1", store)
-	if out != "store: an empty store for box n1\n" || err != nil {
+	if out != "store: created an empty store for node n1\n" || err != nil {
 		t.Error(out, err)
 	}
 	for _, args := range [][]string{
@@ -64,7 +64,7 @@
 	} {
 		t.Run(strings.Join(args, " "), func(t *testing.T) {
 			if _, _, err := run(dir, args...); err == nil {
-				t.Error("the command does not fail")
+				t.Error("the command succeeds")
 			}
 		})
 	}
@@ -72,8 +72,8 @@
 	runOnce(t, store, 2, unfinished)
 	runOnce(t, store, 3, idempotency.EntryFailed)
 	out, errOut, err := run(dir, "keep", "check", store)
-	if !strings.Contains(out, "store: box n1, no process uses it, 3 lives, 9 records in 1 segments since ") || errOut != "" || err != nil ||
-		!strings.Contains(out, "store: 3 keys, 1 of them in doubt, 3 bytes of results, prints of 0 more\n") {
+	if !strings.Contains(out, "store: node n1, no process uses it, 3 incarnations, 9 records in 1 segments since ") || errOut != "" || err != nil ||
+		!strings.Contains(out, "store: 3 keys, 1 of them with unknown outcome, 3 bytes of results, fingerprints of 0 more\n") {
 		t.Error(out, errOut, err)
 	}
 	out, _, err = run(dir, "keep", "list", "--in-doubt", store)
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -10,7 +10,7 @@
 )
 
 // printer writes text and keeps the first error, after which it writes nothing
-// more: a command prints line by line and returns err at its end.
+// more. A command prints line by line and returns err at the end.
 type printer struct {
 	out io.Writer
 	err error
@@ -30,8 +30,8 @@
 	}
 }
 
-// printTable prints what fill writes as aligned columns: cells end with a tab,
-// lines with a newline. The flags are those of package tabwriter.
+// printTable prints the text that fill writes as aligned columns. Cells end with a
+// tab, lines with a newline. The flags are those of package tabwriter.
 func printTable(out io.Writer, flags uint, fill func(*printer)) error {
 	const (
 		minWidth = 0
@@ -47,7 +47,7 @@
 	return w.Flush()
 }
 
-// printBuffered prints what fill writes, in large pieces.
+// printBuffered prints the text that fill writes through a buffer.
 func printBuffered(out io.Writer, fill func(*printer)) error {
 	w := bufio.NewWriter(out)
 	p := newPrinter(w)
@@ -65,12 +65,14 @@
 	return encoder.Encode(value)
 }
 
-// timestamp formats a time, in nanoseconds since 1970, with milliseconds.
+// timestamp formats a time, given in nanoseconds since 1970, as UTC with
+// milliseconds.
 func timestamp(at time.Duration) string {
 	return time.Unix(0, int64(at)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// timestampSeconds formats a time, in nanoseconds since 1970, with seconds.
+// timestampSeconds formats a time, given in nanoseconds since 1970, as UTC with
+// seconds.
 func timestampSeconds(at time.Duration) string {
 	return time.Unix(0, int64(at)).UTC().Format(time.RFC3339)
 }
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -11,11 +11,11 @@
 	"frosthub/internal/wal"
 )
 
-// wallClock returns the time of day in nanoseconds since 1970.
+// wallClock returns the current time in nanoseconds since 1970.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// storeConfig returns the limits of the operator's file, or the default ones
-// without a file.
+// storeConfig returns the store limits in the operator's file. Limits that are not
+// set there, or all of them without a file, have their defaults.
 func storeConfig(configPath string) (idempotency.Config, error) {
 	var config backend.IdempotencyConfig
 	if configPath != "" {
@@ -29,20 +29,20 @@
 	return config.Store, nil
 }
 
-// storeReport is what is in the idempotency store of a directory. Operators'
-// scripts read it as JSON, whose keys are fixed.
+// storeReport summarizes the idempotency store in a directory. The JSON keys are
+// fixed because operators' scripts read them.
 type storeReport struct {
 	Dir       string            `json:"dir"`
 	Node      string            `json:"box"`
-	InUse     bool              `json:"runs"` // a process holds its lock
+	InUse     bool              `json:"runs"` // a process holds the lock of the store
 	Records   int               `json:"records"`
-	TornBytes int               `json:"cut"`    // at its end, never confirmed by the disk
-	Damage    []string          `json:"damage"` // a line each
+	TornBytes int               `json:"cut"`    // size of a write at the end of the log that was never durable
+	Damage    []string          `json:"damage"` // one line for each finding
 	Store     idempotency.Stats `json:"store"`
 }
 
-// readStore reads a store as the start of a node would, without changing it. It
-// passes each record to each, unless that is nil.
+// readStore reads a store as a node does at its start, but does not change it. It
+// calls each for every record, unless each is nil.
 func readStore(dir, configPath string, each func(idempotency.LogEntry) error) (storeReport, *idempotency.Store, error) {
 	report := storeReport{Dir: dir, InUse: filelock.IsLocked(filepath.Join(dir, wal.LockName))}
 	config, err := storeConfig(configPath)
@@ -60,11 +60,12 @@
 	report.TornBytes = contents.TornBytes
 	report.Damage = contents.Damage
 	report.Store = store.Stats()
-	report.Store.Incarnation-- // loading counted this process as an incarnation
+	report.Store.Incarnation-- // loading counted this command as an incarnation
 	return report, store, nil
 }
 
-// changeStore opens a store that no process uses, makes a change and commits it.
+// changeStore opens a store, applies a change and commits it. It holds the lock of
+// the store meanwhile, and fails if another process holds it.
 func changeStore(dir, configPath string, change func(store *idempotency.Store, now time.Duration)) error {
 	config, err := storeConfig(configPath)
 	if err != nil {
@@ -97,19 +98,19 @@
 	if r.InUse {
 		state = "in use"
 	}
-	s := r.Store
-	out.printf("%s: box %s, %s, %d lives, %d records in %d segments since %s\n",
-		r.Dir, r.Node, state, s.Incarnation, r.Records, s.Segments, timestamp(s.Since))
-	out.printf("%s: %d keys, %d of them in doubt, %d bytes of results, prints of %d more\n",
-		r.Dir, s.Keys, s.OutcomeUnknown, s.ResultBytes, s.Fingerprints)
+	stats := r.Store
+	out.printf("%s: node %s, %s, %d incarnations, %d records in %d segments since %s\n",
+		r.Dir, r.Node, state, stats.Incarnation, r.Records, stats.Segments, timestamp(stats.Since))
+	out.printf("%s: %d keys, %d of them with unknown outcome, %d bytes of results, fingerprints of %d more\n",
+		r.Dir, stats.Keys, stats.OutcomeUnknown, stats.ResultBytes, stats.Fingerprints)
 	if r.TornBytes > 0 {
-		out.printf("%s: %d bytes at its end were never confirmed, and are cut\n", r.Dir, r.TornBytes)
+		out.printf("%s: %d bytes at the end of the log were never confirmed by the disk and are discarded\n", r.Dir, r.TornBytes)
 	}
 	for _, damage := range r.Damage {
 		out.printf("%s: DAMAGED: %s\n", r.Dir, damage)
 	}
-	if s.LostBefore > 0 {
-		out.printf("%s: what was made before %s and is not kept is refused, as records of it may be lost\n",
-			r.Dir, timestamp(s.LostBefore))
+	if stats.LostBefore > 0 {
+		out.printf("%s: requests first made before %s that are not in the store are rejected, as records of them may be lost\n",
+			r.Dir, timestamp(stats.LostBefore))
 	}
 }
--- a/internal/cli/tally.go
+++ b/internal/cli/tally.go
@@ -10,18 +10,18 @@
 	"frosthub/accounting"
 )
 
-// tally is what callers know about the outcome of their requests, by id.
+// tally holds the outcomes that callers recorded for their requests, by request id.
 type tally map[uint64]accounting.Category
 
-// tallyWords are the outcomes as they stand in a tally file.
+// tallyWords maps the words of a tally file to categories.
 var tallyWords = map[string]accounting.Category{
 	"served":  accounting.Served,
 	"refused": accounting.Rejected,
 	"failed":  accounting.Failed,
 }
 
-// readTally reads a tally from a file of lines of an id and an outcome. An empty
-// path is an empty tally.
+// readTally reads a tally from a file. Each line holds a request id in hexadecimal
+// and an outcome. An empty path gives an empty tally.
 func readTally(path string) (tally, error) {
 	if path == "" {
 		return nil, nil
@@ -40,21 +40,21 @@
 		}
 		id, err := strconv.ParseUint(words[0], 16, 64)
 		if err != nil || len(words) != 2 || tallyWords[words[1]] == 0 {
-			return nil, fmt.Errorf("%s:%d: not understood, expected an id in hexadecimal and served, refused or failed", path, number)
+			return nil, fmt.Errorf("%s:%d: invalid line, expected a request id in hexadecimal and served, refused or failed", path, number)
 		}
 		outcomes[id] = tallyWords[words[1]]
 	}
 	return outcomes, scanner.Err()
 }
 
-// settle moves the uncertain requests of a report that the tally knows to the
-// category it gives, and lists the others.
-func (n *nodeFigures) settle(known tally) {
+// settle moves each request of unknown outcome to the category that the tally gives
+// for it. It lists the ids of those that are not in the tally.
+func (n *nodeFigures) settle(outcomes tally) {
 	for i := range n.Report.Incarnations {
 		incarnation := &n.Report.Incarnations[i]
-		n.Uncertain += incarnation.Uncertain
+		n.OutcomeUnknown += incarnation.Uncertain
 		for _, id := range incarnation.UncertainIDs {
-			category, ok := known[id]
+			category, ok := outcomes[id]
 			if !ok {
 				n.UnsettledIDs = append(n.UnsettledIDs, fmt.Sprintf("%016x", id))
 				continue
