--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin serves the figures of a node to programs on the same machine, for
-// Prometheus and as JSON, and takes the decisions of operators.
+// Package admin implements the admin server of a node. It serves the node's
+// statistics to programs on the same machine, as Prometheus metrics and as JSON, and
+// accepts decisions of operators.
 package admin
 
 import (
@@ -17,51 +18,56 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Limits of the server. Requests are short and come from this machine.
+// Limits of the server. They are small because requests are short and come from this
+// machine.
 const (
 	readTimeout     = 2 * time.Second
 	writeTimeout    = 5 * time.Second
 	idleTimeout     = 30 * time.Second
 	shutdownTimeout = time.Second
 	maxHeaderBytes  = 8 << 10
-	// maxConcurrent requests are answered at a time, of metrics and of JSON
-	// each: every one has the event loop copy its figures.
+	// maxConcurrent bounds the concurrent requests for metrics, and separately
+	// those for JSON, because each of them makes the node's owner goroutine copy
+	// its statistics.
 	maxConcurrent = 2
 )
 
 // Paths of the server.
 const (
-	PathMetrics     = "/metrics" // for Prometheus
+	PathMetrics     = "/metrics" // in the Prometheus format
 	PathAccounting  = "/figures"
 	PathIdempotency = "/keep"
 	PathCluster     = "/cluster"
 	PathTrust       = "/recovery/trust"  // POST: see Source.Trust
-	PathForget      = "/recovery/forget" // POST: see Source.Forget; the node is the query's "box"
+	PathForget      = "/recovery/forget" // POST: see Source.Forget; the query parameter "box" names the node
 )
 
-// OperatorHeader is the header that a request needs which changes something: it
-// names the operator. A page in a browser can't send it to this server unasked.
+// OperatorHeader is the header that names the operator. It is required on requests
+// that change something. A page of another origin can't make a browser send it
+// without a preflight request, which this server does not permit.
 const OperatorHeader = "Frosthub-Said-By"
 
-// Source is the node whose figures are served. Its methods are called from any
-// goroutine.
+// Source is the node whose statistics the server returns. Its methods must be safe
+// for concurrent use.
 type Source interface {
-	// Accounting returns the figures of requests.
+	// Accounting returns the request counts.
 	Accounting() accounting.Report
-	// AccountingRecorded reports whether they are recorded on disk or need not be.
+	// AccountingRecorded reports whether the request counts are recorded on disk. It
+	// is also true for a node that is not configured to record them.
 	AccountingRecorded() bool
-	// IdempotencyStats returns nil where the node has no idempotency store.
+	// IdempotencyStats returns nil if the node has no idempotency store.
 	IdempotencyStats() *backend.IdempotencyStats
-	// ClusterStats returns nil where the node is in no cluster.
+	// ClusterStats returns nil if the node is in no cluster.
 	ClusterStats() *backend.ClusterStats
-	// Trust has the node take its own store for complete.
+	// Trust makes the node treat its own store as complete.
 	Trust() error
-	// Forget has the node no longer wait for what another node may know.
+	// Forget makes the node stop waiting for the records of another node.
 	Forget(node string) error
 }
 
-// Serve answers requests at the address until stop is called, and returns where
-// it listens. Errors after the start are logged.
+// Serve starts a server at the address and returns the address at which it listens.
+// The server runs until stop is called, which gives requests in progress a second to
+// finish. Errors after the start are logged.
 func Serve(address string, source Source, log *slog.Logger) (stop func(), listenAddress string, err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -77,7 +83,7 @@
 	}
 	listenAddress = listener.Addr().String()
 	log.Info("admin", "listen", listenAddress)
-	go func() { _ = server.Serve(listener) }() // it returns when stop is called
+	go func() { _ = server.Serve(listener) }() // returns when stop is called
 	stop = func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
@@ -92,7 +98,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET "+PathMetrics, promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrent}))
 
-	slots := make(chan struct{}, maxConcurrent) // shared by all that answer JSON
+	slots := make(chan struct{}, maxConcurrent) // shared by all JSON handlers
 	mux.Handle("GET "+PathAccounting, jsonHandler(slots, func() any { return source.Accounting() }))
 	mux.Handle("GET "+PathCluster, jsonHandler(slots, func() any { return source.ClusterStats() }))
 	mux.Handle("GET "+PathIdempotency, jsonHandler(slots, func() any { return source.IdempotencyStats() }))
@@ -106,31 +112,33 @@
 	return mux
 }
 
-// jsonHandler answers with a value as JSON, or that it is busy if no slot is free.
+// jsonHandler returns a handler that responds with a value as JSON, or with status
+// 503 if no slot is free.
 func jsonHandler(slots chan struct{}, value func() any) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		select {
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		default:
-			http.Error(w, "two others are being answered", http.StatusServiceUnavailable)
+			http.Error(w, "too many concurrent requests", http.StatusServiceUnavailable)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(value()) // fails only if the client is gone
+		_ = json.NewEncoder(w).Encode(value()) // fails only if the client has disconnected
 	}
 }
 
-// operatorHandler carries out the decision of an operator, who must be named, and
-// logs it.
-func operatorHandler(path string, log *slog.Logger, do func(*http.Request) error) http.HandlerFunc {
+// operatorHandler returns a handler that carries out and logs the decision of an
+// operator. It responds with status 403 if OperatorHeader is missing, and with 409
+// and the text of the error if the node rejects the decision.
+func operatorHandler(path string, log *slog.Logger, decide func(*http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		operator := r.Header.Get(OperatorHeader)
 		if operator == "" {
-			http.Error(w, "said by nobody", http.StatusForbidden)
+			http.Error(w, "the header that names the operator is missing", http.StatusForbidden)
 			return
 		}
-		if err := do(r); err != nil {
+		if err := decide(r); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -7,7 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// The metrics. Their names and labels are fixed: dashboards and alerts use them.
+// The metrics. Their names and labels are fixed because dashboards and alerts use
+// them.
 var (
 	rowLabels = []string{"handler", "front"}
 
@@ -36,10 +37,10 @@
 	return prometheus.NewDesc(name, help, labels, nil)
 }
 
-// collector makes metrics of the figures of a source, anew at each scrape.
+// collector converts the statistics of a source to metrics at each scrape.
 type collector struct{ source Source }
 
-// Describe sends all metrics.
+// Describe sends the descriptions of all metrics.
 func (c collector) Describe(descs chan<- *prometheus.Desc) {
 	for _, desc := range []*prometheus.Desc{
 		requestsReceived,
@@ -63,7 +64,7 @@
 	}
 }
 
-// Collect sends the present value of all metrics.
+// Collect sends the current values of all metrics.
 func (c collector) Collect(metrics chan<- prometheus.Metric) {
 	s := sink(metrics)
 	s.sendAccounting(c.source.Accounting(), c.source.AccountingRecorded())
@@ -75,7 +76,7 @@
 	}
 }
 
-// sink takes the metrics of one scrape.
+// sink receives the metrics of one scrape.
 type sink chan<- prometheus.Metric
 
 func (s sink) counter(desc *prometheus.Desc, n int64, labels ...string) {
