--- a/internal/conffile/argument.go
+++ b/internal/conffile/argument.go
@@ -14,26 +14,26 @@
 
 // Limits of values, in bytes.
 const (
-	maxNameLength   = 64 // of nodes, zones, headers and workers
+	maxNameLength   = 64 // of the names of nodes, zones, headers and workers
 	maxSecretLength = 256
 )
 
-// The constructors below make an argument that stores its value in a field. The
-// field is given by a function, as the configuration is made only when a file is
-// read.
+// The constructors below return an argument that stores its value in a field. The
+// field is given as a function because the configuration is allocated only when a
+// file is read.
 
-// keyword returns a fixed word.
+// keyword returns a fixed word, which stores nothing.
 func keyword(word string) argument { return argument{name: "word", keyword: word} }
 
-// named returns the argument with another name.
+// named returns a copy of the argument with another name.
 func (a argument) named(name string) argument {
 	a.name = name
 	return a
 }
 
-// withExample returns the argument with an example in its messages.
+// withExample returns a copy of the argument whose messages hold an example.
 func (a argument) withExample(example string) argument {
-	a.kind += ", as " + example
+	a.kind += ", such as " + example
 	return a
 }
 
@@ -64,11 +64,11 @@
 	}
 }
 
-// duration returns a time span from minimum to maximum.
+// duration returns a duration from minimum to maximum.
 func duration(field func(*Config) *time.Duration, minimum, maximum time.Duration) argument {
 	return argument{
 		name: "span",
-		kind: fmt.Sprintf("a span from %s to %s", formatDuration(minimum), formatDuration(maximum)),
+		kind: fmt.Sprintf("a duration from %s to %s", formatDuration(minimum), formatDuration(maximum)),
 		set: func(c *Config, value string) error {
 			d, err := parseDuration(value, minimum, maximum)
 			*field(c) = d
@@ -77,12 +77,12 @@
 	}
 }
 
-// durationFrom returns a time span that is not shorter than the one in another
-// field, which stands before it on the line.
+// durationFrom returns a duration that is not shorter than the one in the field
+// minimum, which an argument before it on the line has set.
 func durationFrom(minimum, field func(*Config) *time.Duration, maximum time.Duration) argument {
 	return argument{
 		name: "span",
-		kind: "a span, not under the first",
+		kind: "a duration, not less than the first",
 		set: func(c *Config, value string) error {
 			d, err := parseDuration(value, *minimum(c), maximum)
 			*field(c) = d
@@ -91,11 +91,11 @@
 	}
 }
 
-// percentage returns a share in percent, stored as a fraction of 1.
+// percentage returns a percentage, stored as a fraction of 1.
 func percentage(field func(*Config) *float64) argument {
 	return argument{
 		name: "share",
-		kind: "a share from 1% to 100%",
+		kind: "a percentage from 1% to 100%",
 		set: func(c *Config, value string) error {
 			share, err := parsePercentage(value)
 			*field(c) = share
@@ -104,15 +104,15 @@
 	}
 }
 
-// listenAddress returns an IP address and port to listen at.
+// listenAddress returns an IP address and port to listen on.
 func listenAddress(field func(*Config) *string, example string) argument {
 	return argument{
 		name: "address",
-		kind: "an address and a port, as " + example,
+		kind: "an address and a port, such as " + example,
 		set: func(c *Config, value string) error {
 			*field(c) = value
 			anyIP := func(net.IP) bool { return true }
-			return checkListenAddress(value, "no address", anyIP)
+			return checkListenAddress(value, "not an IP address", anyIP)
 		},
 	}
 }
@@ -121,7 +121,7 @@
 func peerAddress(name string, field func(*Config) *string, example string) argument {
 	return argument{
 		name: name,
-		kind: "an address and a port, as " + example,
+		kind: "an address and a port, such as " + example,
 		set: func(c *Config, value string) error {
 			*field(c) = value
 			return checkPeerAddress(value)
@@ -129,7 +129,7 @@
 	}
 }
 
-// shortName returns a name; the kind says of what.
+// shortName returns a name; kind describes it in messages.
 func shortName(name, kind string, field func(*Config) *string) argument {
 	return argument{
 		name: name,
@@ -145,7 +145,7 @@
 func headerName(field func(*Config) *string, example string) argument {
 	return argument{
 		name: "header",
-		kind: "the name of a header, as " + example,
+		kind: "the name of a header, such as " + example,
 		set: func(c *Config, value string) error {
 			*field(c) = value
 			return checkHeaderName(value)
@@ -157,10 +157,10 @@
 func absolutePath(field func(*Config) *string) argument {
 	return argument{
 		name: "path",
-		kind: "an absolute path on a disk of this machine",
+		kind: "an absolute path on a local disk",
 		set: func(c *Config, value string) error {
 			if !filepath.IsAbs(value) {
-				return errors.New("no absolute path")
+				return errors.New("not an absolute path")
 			}
 			*field(c) = filepath.Clean(value)
 			return nil
@@ -168,11 +168,12 @@
 	}
 }
 
-// secretFile returns the path of a file, whose first line is stored.
+// secretFile returns the path of a file. The argument stores the first line of the
+// file.
 func secretFile(field func(*Config) *string) argument {
 	return argument{
 		name: "path",
-		kind: "a file that can be read, with one line",
+		kind: "a readable file with one line",
 		set: func(c *Config, value string) error {
 			secret, err := readSecret(value)
 			*field(c) = secret
@@ -181,13 +182,14 @@
 	}
 }
 
-// last returns the element of a list that the rest of a line belongs to.
+// last returns the last element of a list. The first argument of a line has appended
+// it, and the rest of the line sets its fields.
 func last[T any](list []T) *T { return &list[len(list)-1] }
 
 func parseInteger(text string, minimum, maximum int) (int, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return 0, errors.New("no whole number")
+		return 0, errors.New("not a whole number")
 	}
 	if n < minimum || n > maximum {
 		return 0, errOutOfRange
@@ -198,7 +200,7 @@
 func parseDuration(text string, minimum, maximum time.Duration) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		return 0, errors.New("no span")
+		return 0, errors.New("not a duration")
 	}
 	if d < minimum || d > maximum {
 		return 0, errOutOfRange
@@ -206,35 +208,36 @@
 	return d, nil
 }
 
-var errOutOfRange = errors.New("out of its range")
+var errOutOfRange = errors.New("out of range")
 
-// formatDuration formats a whole number of a unit as operators write it.
+// formatDuration formats a whole number of a unit in the notation of the operator's
+// file.
 func formatDuration(d time.Duration) string {
-	text := strings.TrimSuffix(d.String(), "0m0s") // of hours
+	text := strings.TrimSuffix(d.String(), "0m0s") // of whole hours
 	return strings.Replace(text, "µs", "us", 1)
 }
 
 func parsePercentage(text string) (float64, error) {
 	number, ok := strings.CutSuffix(text, "%")
 	if !ok {
-		return 0, errors.New("no share in percent")
+		return 0, errors.New("not a percentage")
 	}
 	n, err := parseInteger(number, 1, 100)
 	return float64(n) / 100, err
 }
 
-// checkListenAddress checks an IP address and port; otherwise is the error where
-// the address is none that is allowed.
-func checkListenAddress(address, otherwise string, allowed func(net.IP) bool) error {
+// checkListenAddress checks an IP address and port. problem is the text of the error for
+// a host that is not an IP address or is not allowed.
+func checkListenAddress(address, problem string, allowed func(net.IP) bool) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return errNoPort
 	}
 	if ip := net.ParseIP(host); ip == nil || !allowed(ip) {
-		return errors.New(otherwise)
+		return errors.New(problem)
 	}
 	if _, err := parseInteger(port, 0, 65535); err != nil {
-		return fmt.Errorf("its port is %w", err)
+		return fmt.Errorf("the port is %w", err)
 	}
 	return nil
 }
@@ -246,11 +249,11 @@
 	return nil
 }
 
-var errNoPort = errors.New("no address with a port")
+var errNoPort = errors.New("not an address with a port")
 
 func checkName(name string) error {
 	if name == "" || len(name) > maxNameLength {
-		return errors.New("no name")
+		return errors.New("empty or too long")
 	}
 	return nil
 }
@@ -259,7 +262,7 @@
 
 func checkHeaderName(name string) error {
 	if len(name) > maxNameLength || !headerPattern.MatchString(name) {
-		return errors.New("no name of a header")
+		return errors.New("not a header name")
 	}
 	return nil
 }
@@ -273,7 +276,7 @@
 	first, _, _ := strings.Cut(string(text), "\n")
 	secret := strings.TrimRight(first, "\r")
 	if secret == "" || len(secret) > maxSecretLength {
-		return "", errors.New("its first line is empty or too long")
+		return "", errors.New("the first line is empty or too long")
 	}
 	return secret, nil
 }
--- a/internal/conffile/conffile.go
+++ b/internal/conffile/conffile.go
@@ -1,9 +1,9 @@
-// Package conffile reads the operator's file: one directive a line, made of words,
-// numbers, time spans and options, with comments after #.
+// Package conffile parses the operator's file. Each line holds one directive, which
+// consists of words, numbers, durations and options. # begins a comment.
 //
-// The directives that a file may hold are data: tables by group, from which all
-// checks and messages come. The names of directives are fixed, as operators' files
-// hold them.
+// Tables define the directives, one table for each group. All checks and error
+// messages derive from these tables. The names of directives are fixed because the
+// files of operators contain them.
 package conffile
 
 import (
@@ -15,10 +15,11 @@
 	"frosthub/backend"
 )
 
-// maxFileSize is the size of a file in bytes: far more than a person writes.
+// maxFileSize is the largest size of a file in bytes, far above that of a file written
+// by hand.
 const maxFileSize = 1 << 20
 
-// Config is what the operator's file says.
+// Config is the configuration in the operator's file.
 type Config struct {
 	// Admin is the address of the admin server, empty for none.
 	Admin       string
@@ -29,13 +30,13 @@
 	Cluster     backend.ClusterConfig
 }
 
-// Error is what is wrong at one place of a file.
+// Error describes a problem at one position of a file.
 type Error struct {
 	File     string
 	Line     int // from 1
 	Column   int // from 1
 	Problem  string
-	Expected string // what should stand there; may be empty
+	Expected string // the text that is valid at this position; may be empty
 }
 
 func (e *Error) Error() string {
@@ -46,7 +47,8 @@
 	return out
 }
 
-// Load reads a file. What is wrong with its content is an *Error.
+// Load reads and parses a file. It returns an *Error for content that is not valid,
+// another error for a file that is too large or can't be read.
 func Load(path string) (Config, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -58,13 +60,13 @@
 		return Config{}, err
 	}
 	if len(text) > maxFileSize {
-		return Config{}, fmt.Errorf("%s: over %d bytes, that is no configuration", path, maxFileSize)
+		return Config{}, fmt.Errorf("%s: too large for a configuration, more than %d bytes", path, maxFileSize)
 	}
 	return Parse(path, string(text))
 }
 
-// Parse reads the text of a file, whose name is for messages. Its errors are of
-// type *Error.
+// Parse parses the text of a file. The name of the file is used in messages only. All
+// errors are of type *Error.
 func Parse(name, text string) (Config, error) {
 	lines, err := splitLines(name, text)
 	if err != nil {
@@ -76,7 +78,7 @@
 			return Config{}, err
 		}
 	}
-	if err := p.checkTogether(); err != nil {
+	if err := p.checkConflicts(); err != nil {
 		return Config{}, err
 	}
 	return p.config, nil
@@ -86,27 +88,27 @@
 type parser struct {
 	file   string
 	config Config
-	seen   map[string]*word // the first word of the last line of each directive, by its name
+	seen   map[string]*word // by the name of a directive: the first word of its last line
 }
 
 func (p *parser) errorAt(w *word, problem, expected string) error {
 	return &Error{p.file, w.Pos.Line, w.Pos.Column, problem, expected}
 }
 
-// apply follows one line, of at least one word.
+// apply applies one line, which has at least one word.
 func (p *parser) apply(words []*word) error {
 	d, rest := findDirective(words)
 	if d == nil {
 		return p.errorAt(words[0], fmt.Sprintf("unknown directive %q", directiveText(words)), alternatives(words))
 	}
 	if first := p.seen[d.name]; first != nil && !d.repeatable {
-		expected := fmt.Sprintf("it once: it stands on line %d", first.Pos.Line)
-		return p.errorAt(words[0], fmt.Sprintf("%q again", d.name), expected)
+		expected := fmt.Sprintf("only the one on line %d", first.Pos.Line)
+		return p.errorAt(words[0], fmt.Sprintf("duplicate directive %q", d.name), expected)
 	}
 	p.seen[d.name] = words[0]
 	for _, arg := range d.args {
 		if len(rest) == 0 {
-			return p.missing(d, arg, words[len(words)-1])
+			return p.missingArgument(d, arg, words[len(words)-1])
 		}
 		if err := p.applyArgument(arg, rest[0]); err != nil {
 			return err
@@ -118,18 +120,18 @@
 		return err
 	}
 	if len(rest) > 0 {
-		return p.errorAt(rest[0], fmt.Sprintf("%q is too much for %q", rest[0].Text, d.name), "the end of the line")
+		return p.errorAt(rest[0], fmt.Sprintf("unexpected %q after the arguments of %q", rest[0].Text, d.name), "the end of the line")
 	}
 	return nil
 }
 
-// missing is the error of a line that ends before an argument.
-func (p *parser) missing(d *directive, arg argument, last *word) error {
+// missing returns the error for a line that ends before an argument.
+func (p *parser) missingArgument(d *directive, arg argument, last *word) error {
 	return &Error{
 		File:     p.file,
 		Line:     last.Pos.Line,
 		Column:   last.Pos.Column + len(last.Text),
-		Problem:  fmt.Sprintf("%q lacks its %s", d.name, arg.name),
+		Problem:  fmt.Sprintf("%q is missing its %s", d.name, arg.name),
 		Expected: arg.expected(),
 	}
 }
@@ -139,12 +141,12 @@
 		return p.set(arg, w, w.Text)
 	}
 	if w.Text != arg.keyword {
-		return p.errorAt(w, fmt.Sprintf("%q where %q belongs", w.Text, arg.keyword), arg.expected())
+		return p.errorAt(w, fmt.Sprintf("unexpected %q instead of %q", w.Text, arg.keyword), arg.expected())
 	}
 	return nil
 }
 
-// applyOptions takes options off the front of the words, and returns the rest.
+// applyOptions applies the options at the front of words and returns the rest.
 func (p *parser) applyOptions(d *directive, words []*word) ([]*word, error) {
 	for len(words) > 0 {
 		option, value, ok := d.findOption(words[0].Text)
@@ -159,7 +161,7 @@
 	return words, nil
 }
 
-// set takes the value of an argument or option, which stands in a word.
+// set stores the value of an argument or option. w is the word that holds the value.
 func (p *parser) set(arg argument, w *word, value string) error {
 	if err := arg.set(&p.config, value); err != nil {
 		return p.errorAt(w, fmt.Sprintf("%s %q: %v", arg.name, value, err), arg.expected())
@@ -167,25 +169,27 @@
 	return nil
 }
 
-// checkTogether checks the directives of the file against each other.
-func (p *parser) checkTogether() error {
+// checkConflicts checks that the directives of the file are consistent with each
+// other.
+func (p *parser) checkConflicts() error {
 	for _, d := range directives {
-		at := p.seen[d.name]
-		if at == nil {
+		firstWord := p.seen[d.name]
+		if firstWord == nil {
 			continue
 		}
 		if d.requires != "" && p.seen[d.requires] == nil {
-			return p.errorAt(at, fmt.Sprintf("%q says nothing alone", d.name), fmt.Sprintf("also %q", d.requires))
+			return p.errorAt(firstWord, fmt.Sprintf("%q has no effect alone", d.name), fmt.Sprintf("also %q", d.requires))
 		}
 		if d.check == nil {
 			continue
 		}
 		if c := d.check(&p.config); c != nil {
-			return p.errorAt(at, fmt.Sprintf("%q %s", d.name, c.problem), c.expected)
+			return p.errorAt(firstWord, fmt.Sprintf("%q %s", d.name, c.problem), c.expected)
 		}
 	}
 	return nil
 }
 
-// errDuplicate is the error of a value that may stand in a file once.
-var errDuplicate = errors.New("it is there already")
+// errDuplicate is the error of a value that occurs again but must be unique in the
+// file.
+var errDuplicate = errors.New("already in the file")
--- a/internal/conffile/directive.go
+++ b/internal/conffile/directive.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// directives are all that a file may hold.
+// directives are all directives that a file may hold.
 var directives = slices.Concat(
 	adminDirectives,
 	ajpDirectives,
@@ -16,28 +16,28 @@
 	accountingDirectives,
 )
 
-// directive is a line that may stand in a file: the words of its name, its
-// arguments and then options.
+// directive defines a line of the file: the words of its name, then its arguments,
+// then its options.
 type directive struct {
 	name       string
 	args       []argument
-	options    []argument // that may follow as name=value, in any order
-	repeatable bool       // it may stand on several lines
-	requires   string     // another directive without which it is an error
-	// check returns what is wrong with the directive beside the others, nil for
-	// nothing. It is called once everything is read.
+	options    []argument // optional, written as name=value, in any order
+	repeatable bool       // allowed on several lines
+	requires   string     // name of a directive that the file must hold too, if any
+	// check returns a conflict of the directive with others, or nil. It is called
+	// after all lines have been applied. A nil check always passes.
 	check func(*Config) *conflict
 }
 
 // argument is a value of a directive, or a fixed word between values.
 type argument struct {
 	name    string
-	keyword string // the fixed word
-	kind    string // what the value is, for messages
+	keyword string // the fixed word; empty for a value
+	kind    string // description of valid values, for messages
 	set     func(c *Config, value string) error
 }
 
-// conflict is what is wrong with a directive beside others.
+// conflict describes why a directive is not valid in combination with others.
 type conflict struct {
 	problem  string
 	expected string
@@ -50,7 +50,8 @@
 	return a.kind
 }
 
-// findOption returns the option that a word name=value sets, and the value.
+// findOption returns the option and the value of a word of the form name=value. ok is
+// false for other words and unknown options.
 func (d *directive) findOption(text string) (option argument, value string, ok bool) {
 	name, value, ok := strings.Cut(text, "=")
 	if !ok {
@@ -63,8 +64,8 @@
 	return d.options[i], value, true
 }
 
-// findDirective returns the directive of a line and the words after its name; nil
-// if there is none.
+// findDirective returns the directive of a line and the words after its name, or nil
+// if no directive has that name.
 func findDirective(words []*word) (*directive, []*word) {
 	for i := range directives {
 		d := &directives[i]
@@ -88,9 +89,10 @@
 	return true
 }
 
-// directiveText is what stands where the name of a directive should.
+// directiveText returns the beginning of a line whose directive is unknown, for
+// messages.
 func directiveText(words []*word) string {
-	const nameWords = 2 // of most directives
+	const nameWords = 2 // length of most names of directives
 	var texts []string
 	for _, w := range words[:min(nameWords, len(words))] {
 		texts = append(texts, w.Text)
@@ -98,7 +100,8 @@
 	return strings.Join(texts, " ")
 }
 
-// alternatives lists the directives that begin with the same word, or all.
+// alternatives lists the directives that begin with the same word as a line, or all
+// directives if there are none.
 func alternatives(words []*word) string {
 	var similar, all []string
 	for _, d := range directives {
--- a/internal/conffile/directives_accounting.go
+++ b/internal/conffile/directives_accounting.go
@@ -8,22 +8,22 @@
 	"frosthub/internal/statsfile"
 )
 
-// Bounds of the accounting.
+// Bounds of the accounting directives.
 const (
 	maxTrailEntries = 1 << 20
-	maxPeriods      = 10080 // a week of minutes
+	maxPeriods      = 10080 // one week of periods of a minute
 	maxCustomers    = 1024
 )
 
 var accountingDirectives = []directive{
-	// Records the accounting on disk, so that it outlives the process.
+	// The file in which the accounting is recorded, so that it outlives the process.
 	{
 		name: "figures file",
 		args: []argument{
 			absolutePath(func(c *Config) *string { return &c.Accounting.File }),
 		},
 	},
-	// How many of the last changes the file holds one by one.
+	// How many of the most recent ledger entries the file holds.
 	{
 		name:     "figures trail",
 		requires: "figures file",
@@ -33,7 +33,7 @@
 			set:  (*Config).setTrailEntries,
 		}},
 	},
-	// Keeps the accounting of past periods as well.
+	// How many past periods the accounting keeps, and how long a period is.
 	{
 		name: "figures periods",
 		args: []argument{
@@ -42,14 +42,15 @@
 			duration(func(c *Config) *time.Duration { return &c.Accounting.PeriodLength }, time.Second, time.Hour).withExample("1m"),
 		},
 	},
-	// How many customers are told apart; all others are counted as one.
+	// How many customers are counted separately; all others are counted as one.
 	{
 		name: "figures customers",
 		args: []argument{
 			integer(func(c *Config) *int { return &c.Accounting.MaxCustomers }, 1, maxCustomers),
 		},
 	},
-	// The header that names the customer; without it the front end does.
+	// The header that names the customer. Without this directive the edge node that
+	// sends a request is its customer.
 	{
 		name:     "figures customer-field",
 		requires: "figures customers",
@@ -65,7 +66,7 @@
 		return err
 	}
 	if powerOfTwo := n&(n-1) == 0; !powerOfTwo {
-		return errors.New("no power of two")
+		return errors.New("not a power of two")
 	}
 	c.Accounting.Entries = n
 	return nil
--- a/internal/conffile/directives_ajp.go
+++ b/internal/conffile/directives_ajp.go
@@ -1,20 +1,20 @@
 package conffile
 
-// Bounds of the size of an AJP packet, in bytes: those of the protocol.
+// Bounds of the size of an AJP packet, in bytes. They are those of the protocol.
 const (
 	minAJPPacket = 8192
 	maxAJPPacket = 65535
 )
 
 var ajpDirectives = []directive{
-	// Serves front ends that speak AJP/1.3.
+	// The address at which the node accepts AJP/1.3 connections of edge nodes.
 	{
 		name: "ajp listen",
 		args: []argument{
 			listenAddress(func(c *Config) *string { return &c.AJP.Listen }, "127.0.0.1:8009"),
 		},
 	},
-	// What each request over AJP must carry.
+	// The file with the secret that each request over AJP must carry.
 	{
 		name:     "ajp secret file",
 		requires: "ajp listen",
@@ -22,7 +22,8 @@
 			secretFile(func(c *Config) *string { return &c.AJP.Secret }),
 		},
 	},
-	// The size of an AJP packet, in bytes; front ends must be set to the same.
+	// The largest size of an AJP packet, in bytes. Edge nodes must be configured with
+	// the same size.
 	{
 		name:     "ajp packet",
 		requires: "ajp listen",
--- a/internal/conffile/directives_cluster.go
+++ b/internal/conffile/directives_cluster.go
@@ -12,22 +12,22 @@
 const minMembers = 3
 
 var clusterDirectives = []directive{
-	// The cluster whose nodes hold guarded requests in groups, and take over those
-	// of lost nodes.
+	// The name of the cluster. Groups of its nodes record each guarded request, and
+	// take over the requests of lost nodes.
 	{
 		name:     "cluster name",
 		requires: "keep dir",
 		args: []argument{
-			shortName("name", "a name, the same for all boxes", func(c *Config) *string { return &c.Cluster.Name }),
+			shortName("name", "a name, the same on all nodes", func(c *Config) *string { return &c.Cluster.Name }),
 		},
 		check: func(c *Config) *conflict {
 			if c.Cluster.Listen == "" || len(c.Cluster.Members) < minMembers {
-				return &conflict{"says nothing alone", `also "cluster listen", and "cluster member" three times at least`}
+				return &conflict{"has no effect alone", `also "cluster listen", and "cluster member" at least three times`}
 			}
 			return nil
 		},
 	},
-	// Where the other nodes of the cluster connect.
+	// The address at which the node accepts connections of the other members.
 	{
 		name:     "cluster listen",
 		requires: "cluster name",
@@ -35,7 +35,8 @@
 			listenAddress(func(c *Config) *string { return &c.Cluster.Listen }, "127.0.0.1:9700"),
 		},
 	},
-	// A node of the cluster, this one included. All nodes have the same lines.
+	// A member of the cluster. The file lists all members including this node, and
+	// must list the same on all nodes.
 	{
 		name:       "cluster member",
 		repeatable: true,
@@ -43,8 +44,8 @@
 		args:       memberArguments(currentMembers),
 		options:    memberOptions(currentMembers),
 	},
-	// A node of the previous list of members, while that changes: the complete list
-	// as it was.
+	// A member of the previous member list. During a membership change the file holds
+	// the complete previous list.
 	{
 		name:       "cluster former",
 		repeatable: true,
@@ -52,7 +53,8 @@
 		args:       memberArguments(previousMembers),
 		options:    append(memberOptions(previousMembers), removedOption),
 	},
-	// Whether requests that a lost node held are resumed without a retry.
+	// Whether the cluster resumes the requests that a lost node held although no
+	// client retries them.
 	{
 		name:     "cluster promise",
 		requires: "cluster name",
@@ -68,8 +70,8 @@
 			},
 		}},
 	},
-	// How long a started node waits for all that may know more than its disk, and
-	// then for a majority of them.
+	// How long a started node waits for the answers of all nodes that may have records
+	// that its disk lacks, and then for those of a majority.
 	{
 		name:     "cluster wait",
 		requires: "cluster name",
@@ -79,8 +81,8 @@
 			durationFrom(majorityAfter, func(c *Config) *time.Duration { return &c.Cluster.DegradeAfter }, time.Hour),
 		},
 	},
-	// A handler whose requests may run again, and are taken over too. The parts
-	// identify a request.
+	// A handler whose requests may run more than once. The cluster takes over its
+	// requests too. The parts make up the key that identifies a request.
 	{
 		name:       "cluster replay",
 		repeatable: true,
@@ -89,7 +91,7 @@
 		check: func(c *Config) *conflict {
 			for handler, parts := range c.Cluster.ReplayableHandlers {
 				if c.Idempotency.Handlers[handler] != nil {
-					return &conflict{handler + ` is guarded by "keep handler"`, "one of the two"}
+					return &conflict{handler + ` is also guarded by "keep handler"`, "only one of the two"}
 				}
 				if conflict := c.checkKeyParts(handler, parts); conflict != nil {
 					return conflict
@@ -102,13 +104,13 @@
 
 func majorityAfter(c *Config) *time.Duration { return &c.Cluster.MajorityAfter }
 
-// memberList returns a list of members of the configuration.
+// memberList selects a member list of the configuration.
 type memberList func(*Config) *[]backend.ClusterMember
 
 func currentMembers(c *Config) *[]backend.ClusterMember  { return &c.Cluster.Members }
 func previousMembers(c *Config) *[]backend.ClusterMember { return &c.Cluster.Previous }
 
-// last returns the member that the rest of a line belongs to.
+// last returns the member that the current line has added.
 func (list memberList) last(c *Config) *backend.ClusterMember { return last(*list(c)) }
 
 // memberArguments returns the arguments of a directive that adds a member.
@@ -116,7 +118,7 @@
 	return []argument{
 		{
 			name: "name",
-			kind: "a box's name, as in its platform's configuration",
+			kind: "the name of a node, as in its platform's configuration",
 			set: func(c *Config, value string) error {
 				return addMember(list(c), value)
 			},
@@ -133,10 +135,10 @@
 	}
 }
 
-// removedOption marks a previous member that never comes back.
+// removedOption marks a member of the previous list that never comes back.
 var removedOption = argument{
 	name: "gone",
-	kind: "yes, where it never comes back",
+	kind: "yes, if the node never comes back",
 	set: func(c *Config, value string) error {
 		if value != "yes" {
 			return errors.New("not yes")
--- a/internal/conffile/directives_idempotency.go
+++ b/internal/conffile/directives_idempotency.go
@@ -12,7 +12,7 @@
 // Bounds of the idempotency store.
 const (
 	minStoreEntries = 16
-	maxStoreEntries = 100_000_000 // keys: some 20 GB of memory
+	maxStoreEntries = 100_000_000 // keys, which take about 20 GB of memory
 	minStoreBytes   = 1 << 10
 	maxStoreBytes   = 1 << 34
 	minResultBytes  = 16
@@ -20,7 +20,7 @@
 )
 
 var idempotencyDirectives = []directive{
-	// The idempotency store, created by frosthub keep init.
+	// The directory of the idempotency store, which frosthub keep init creates.
 	{
 		name: "keep dir",
 		args: []argument{
@@ -28,13 +28,13 @@
 		},
 		check: func(c *Config) *conflict {
 			if len(c.Idempotency.Handlers) == 0 {
-				return &conflict{"says nothing alone", `also "keep handler"`}
+				return &conflict{"has no effect alone", `also "keep handler"`}
 			}
 			return nil
 		},
 	},
-	// A guarded handler: its requests must not run twice. The parts identify a
-	// request.
+	// A guarded handler, whose requests must not run twice. The parts make up the key
+	// that identifies a request.
 	{
 		name:       "keep handler",
 		repeatable: true,
@@ -49,7 +49,7 @@
 			return nil
 		},
 	},
-	// The header that identifies a request, for handlers guarded by field.
+	// The header with the idempotency key, for handlers whose key parts include field.
 	{
 		name:     "keep key-field",
 		requires: "keep handler",
@@ -57,7 +57,7 @@
 			headerName(func(c *Config) *string { return &c.Idempotency.KeyField }, "X-Claim"),
 		},
 	},
-	// The header with the time at which a request was first made, in Unix
+	// The header with the time at which the client first made a request, in Unix
 	// milliseconds.
 	{
 		name:     "keep made-field",
@@ -66,7 +66,7 @@
 			headerName(func(c *Config) *string { return &c.Idempotency.CreatedField }, "X-First-Made"),
 		},
 	},
-	// How many keys are kept with their results.
+	// The maximum number of keys that the store keeps with their results.
 	{
 		name:     "keep entries",
 		requires: "keep dir",
@@ -74,7 +74,7 @@
 			integer(func(c *Config) *int { return &c.Idempotency.Store.MaxEntries }, minStoreEntries, maxStoreEntries),
 		},
 	},
-	// The size of all results kept, in bytes.
+	// The maximum total size of the results in the store, in bytes.
 	{
 		name:     "keep bytes",
 		requires: "keep dir",
@@ -82,7 +82,7 @@
 			integer(func(c *Config) *int { return &c.Idempotency.Store.MaxBytes }, minStoreBytes, maxStoreBytes),
 		},
 	},
-	// The size of one result, in bytes; larger ones are not kept.
+	// The maximum size of one result, in bytes. Larger results are not stored.
 	{
 		name:     "keep result",
 		requires: "keep dir",
@@ -90,7 +90,7 @@
 			integer(func(c *Config) *int { return &c.Idempotency.Store.MaxResultBytes }, minResultBytes, maxResultBytes),
 		},
 	},
-	// How long a result is kept.
+	// How long the store keeps a result.
 	{
 		name:     "keep lifetime",
 		requires: "keep dir",
@@ -100,12 +100,12 @@
 		check: func(c *Config) *conflict {
 			horizon := c.Idempotency.Store.RetryHorizon
 			if horizon > 0 && horizon < c.Idempotency.Store.ResultTTL {
-				return &conflict{"is past the horizon", `a span not over that of "keep horizon"`}
+				return &conflict{"is longer than the retry horizon", `a duration of at most that of "keep horizon"`}
 			}
 			return nil
 		},
 	},
-	// How long after it was first made a request may be retried.
+	// The retry horizon: how long after it was first made a request may be retried.
 	{
 		name:     "keep horizon",
 		requires: "keep dir",
@@ -113,8 +113,8 @@
 			duration(func(c *Config) *time.Duration { return &c.Idempotency.Store.RetryHorizon }, time.Second, 8760*time.Hour),
 		},
 	},
-	// The least time from one commit to the next, so that one write of the disk
-	// confirms more records.
+	// The minimum time between two commits. A longer time lets one disk write confirm
+	// more records.
 	{
 		name:     "keep gather",
 		requires: "keep dir",
@@ -124,10 +124,10 @@
 	},
 }
 
-// handlerKeys are handlers by name, and what the keys of their requests are made of.
+// handlerKeys maps the names of handlers to the parts of the keys of their requests.
 type handlerKeys = map[string][]backend.KeyPart
 
-// keyParts are the parts of keys by their names in a file.
+// keyParts maps the names of key parts in a file to key parts.
 var keyParts = map[string]backend.KeyPart{
 	"id":       backend.KeyPartID,
 	"customer": backend.KeyPartCustomer,
@@ -135,25 +135,25 @@
 	"body":     backend.KeyPartBody,
 }
 
-// handlerKey returns the arguments of a directive that names a handler and the
-// parts of its keys.
+// handlerKey returns the arguments of a directive that names a handler and the parts
+// of its keys.
 func handlerKey(field func(*Config) *handlerKeys) []argument {
 	return []argument{
 		{
 			name: "name",
-			kind: "a handler's name",
+			kind: "the name of a handler",
 			set:  func(c *Config, value string) error { return addHandler(field(c), value) },
 		},
 		keyword("by"),
 		{
 			name: "parts",
-			kind: "id, customer, field or body, joined by +, as customer+body",
+			kind: "id, customer, field or body, joined by +, such as customer+body",
 			set:  func(c *Config, value string) error { return setKeyParts(*field(c), value) },
 		},
 	}
 }
 
-// addHandler adds a handler without parts: they follow on the line.
+// addHandler adds a handler without parts, which follow on the same line.
 func addHandler(handlers *handlerKeys, name string) error {
 	if _, ok := (*handlers)[name]; ok {
 		return errDuplicate
@@ -165,13 +165,14 @@
 	return nil
 }
 
-// setKeyParts sets the parts of the handler that has none yet.
+// setKeyParts sets the parts of the handler that has none yet, which is the one that
+// the same line has added.
 func setKeyParts(handlers handlerKeys, text string) error {
 	var parts []backend.KeyPart
 	for name := range strings.SplitSeq(text, "+") {
 		part, ok := keyParts[name]
 		if !ok || slices.Contains(parts, part) {
-			return errors.New("not understood")
+			return errors.New("unknown or duplicate part")
 		}
 		parts = append(parts, part)
 	}
@@ -183,13 +184,14 @@
 	return nil
 }
 
-// checkKeyParts returns what the parts of a handler's keys need that is not there.
+// checkKeyParts returns a conflict if a handler's key parts require a directive that
+// the file lacks, or nil.
 func (c *Config) checkKeyParts(handler string, parts []backend.KeyPart) *conflict {
 	if slices.Contains(parts, backend.KeyPartField) && c.Idempotency.KeyField == "" {
-		return &conflict{handler + " by field: no field is named", `also "keep key-field"`}
+		return &conflict{handler + " by field: no header is configured for the key", `also "keep key-field"`}
 	}
 	if slices.Contains(parts, backend.KeyPartCustomer) && c.Accounting.CustomerField == "" {
-		return &conflict{handler + " by customer: only edge nodes are told apart", `also "figures customer-field"`}
+		return &conflict{handler + " by customer: no header is configured for the customer, only edge nodes are distinguished", `also "figures customer-field"`}
 	}
 	return nil
 }
--- a/internal/conffile/directives_upstream.go
+++ b/internal/conffile/directives_upstream.go
@@ -9,13 +9,13 @@
 const exampleAJPAddress = "127.0.0.1:8009"
 
 var upstreamDirectives = []directive{
-	// A server of the next tier that takes calls over AJP.
+	// A server of the next tier that accepts calls over AJP.
 	{
 		name:       "next-tier ajp",
 		repeatable: true,
 		args: []argument{{
 			name: "address",
-			kind: "an address and a port, as " + exampleAJPAddress,
+			kind: "an address and a port, such as " + exampleAJPAddress,
 			set:  (*Config).addUpstreamPeer,
 		}},
 		options: []argument{
@@ -24,7 +24,7 @@
 			integer(func(c *Config) *int { return &c.lastUpstreamPeer().MaxCalls }, 1, 10000).named("most"),
 		},
 	},
-	// What each call carries.
+	// The file with the secret that each call over AJP carries.
 	{
 		name:     "next-tier secret file",
 		requires: "next-tier ajp",
@@ -32,8 +32,8 @@
 			secretFile(func(c *Config) *string { return &c.AJPUpstream.Secret }),
 		},
 	},
-	// How many consecutive faults eject a peer, for how long at first, and for how
-	// long at most: the time doubles with each ejection.
+	// How many consecutive faults eject a peer, and how long the first ejection lasts.
+	// The time doubles with each ejection up to the last argument.
 	{
 		name:     "route eject",
 		requires: "next-tier ajp",
@@ -45,8 +45,8 @@
 			durationFrom(ejectionTime, func(c *Config) *time.Duration { return &c.AJPUpstream.Balancer.MaxEjectionTime }, time.Hour),
 		},
 	},
-	// The share of the calls that a returning peer gets, and how many of them must
-	// succeed.
+	// The share of the calls that a peer receives after an ejection, and how many of
+	// them must succeed before it is fully back in service.
 	{
 		name:     "route trial",
 		requires: "next-tier ajp",
@@ -56,7 +56,7 @@
 			integer(func(c *Config) *int { return &c.AJPUpstream.Balancer.TrialSuccesses }, 1, 1000),
 		},
 	},
-	// The share of the peers that stay in service whatever their faults.
+	// The share of the peers that stay in service regardless of their faults.
 	{
 		name:     "route floor",
 		requires: "next-tier ajp",
@@ -64,7 +64,7 @@
 			percentage(func(c *Config) *float64 { return &c.AJPUpstream.Balancer.MinHealthyShare }),
 		},
 	},
-	// Retries as a share of first attempts.
+	// The retry budget, as a share of the first attempts.
 	{
 		name:     "route budget",
 		requires: "next-tier ajp",
@@ -76,7 +76,7 @@
 
 func ejectionTime(c *Config) *time.Duration { return &c.AJPUpstream.Balancer.EjectionTime }
 
-// lastUpstreamPeer returns the peer that the options of a line belong to.
+// lastUpstreamPeer returns the peer that the current line has added.
 func (c *Config) lastUpstreamPeer() *loadbalance.Peer { return last(c.AJPUpstream.Balancer.Peers) }
 
 func (c *Config) addUpstreamPeer(address string) error {
--- a/internal/conffile/grammar.go
+++ b/internal/conffile/grammar.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The syntax tree: a file is lines of words.
+// The syntax tree: a file consists of lines, a line of words.
 type (
 	file struct {
 		Lines []*line `parser:"@@*"`
@@ -34,7 +34,7 @@
 	participle.Unquote("String"),
 )
 
-// splitLines returns the words of the lines of a file that hold any.
+// splitLines returns the words of each line of a file that is not empty.
 func splitLines(name, text string) ([][]*word, error) {
 	if text != "" && !strings.HasSuffix(text, "\n") {
 		text += "\n"
@@ -61,7 +61,7 @@
 		File:     name,
 		Line:     at.Position().Line,
 		Column:   at.Position().Column,
-		Problem:  "not understood: " + at.Message(),
+		Problem:  "syntax error: " + at.Message(),
 		Expected: "words, or text in double quotes that ends on its line",
 	}
 }
