--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,6 +1,6 @@
-// Package asynclog decouples logging from the writing of log lines: where the pipe
-// or disk behind the log is full, slow or gone, lines wait or are dropped, and
-// whoever logs does not wait.
+// Package asynclog decouples logging from the writing of log lines. If the pipe or disk
+// behind the log is full, slow or gone, lines are queued or dropped, and the goroutine
+// that logs is never blocked.
 package asynclog
 
 import (
@@ -13,30 +13,29 @@
 )
 
 const (
-	// maxQueued is how many lines may wait to be written: some hundred kilobytes.
+	// maxQueued is the capacity of the queue in lines, a few hundred kilobytes.
 	maxQueued = 1024
-	// flushPollInterval is the time between checks whether everything is written.
+	// flushPollInterval is the time between two checks of Flush.
 	flushPollInterval = 2 * time.Millisecond
 )
 
-// Writer queues lines and writes them on a goroutine of its own. A line that finds
-// no room or can't be written is dropped and counted; the next line that is written
-// reports how many were. Any goroutine may use it.
+// Writer queues lines and writes them on its own goroutine. It drops a line if the
+// queue is full or the write fails, and reports the number of dropped lines before the
+// next line that it writes. It is safe for concurrent use.
 type Writer struct {
 	out     io.Writer
 	queue   chan []byte
 	start   sync.Once
 	pending atomic.Int64 // lines queued or being written
-	dropped atomic.Int64 // lines dropped since the last that was written
+	dropped atomic.Int64 // lines dropped since the last report
 }
 
-// New returns a Writer in front of another writer, to which it writes from one
-// goroutine.
+// New returns a Writer that writes to out from a single goroutine.
 func New(out io.Writer) *Writer {
 	return &Writer{out: out, queue: make(chan []byte, maxQueued)}
 }
 
-// Write queues a copy of a line. It never blocks and never fails.
+// Write queues a copy of a line. It never blocks and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.start.Do(func() { go w.run() })
 	w.pending.Add(1)
@@ -52,7 +51,7 @@
 func (w *Writer) run() {
 	for line := range w.queue {
 		if n := w.dropped.Swap(0); n > 0 {
-			report := fmt.Appendf(nil, "log lines left out: %d\n", n)
+			report := fmt.Appendf(nil, "log lines dropped: %d\n", n)
 			line = append(report, line...)
 		}
 		if _, err := w.out.Write(line); err != nil {
@@ -62,7 +61,8 @@
 	}
 }
 
-// Flush waits until all lines are written or the timeout has passed.
+// Flush waits until all lines have been written or dropped, or until the timeout has
+// passed.
 func (w *Writer) Flush(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for w.pending.Load() > 0 && time.Now().Before(deadline) {
--- a/internal/faultinject/call.go
+++ b/internal/faultinject/call.go
@@ -3,7 +3,7 @@
 // Call is a kind of system call that can be made to fail.
 type Call uint8
 
-// The calls.
+// The system calls.
 const (
 	Accept Call = iota
 	Connect
--- a/internal/faultinject/enabled.go
+++ b/internal/faultinject/enabled.go
@@ -1,9 +1,8 @@
 //go:build faults || powerloss
 
-// Package faultinject makes system calls fail for tests. Only builds with the tag
-// faults or powerloss do so: they read from a file which calls fail now, and by how
-// much the time of day is wrong. In all other builds the package does nothing and
-// costs nothing.
+// Package faultinject makes system calls fail and shifts the clock, for tests. It does
+// so only in builds with the tag faults or powerloss, which poll a file that lists the
+// current faults. In all other builds the package does nothing and costs nothing.
 package faultinject
 
 import (
@@ -14,12 +13,12 @@
 	"time"
 )
 
-// The environment of a process under test.
+// The environment variables of a process under test.
 const (
-	// clockVariable holds by how much the time of day is wrong from the start.
+	// clockVariable holds the initial offset of the time of day, a duration.
 	clockVariable = "FROSTHUB_CLOCK"
-	// fileVariable names the faults file: a fault a line, as "write ENOBUFS" or
-	// "clock 2s".
+	// fileVariable holds the path of the faults file. Each line of the file is a
+	// fault, such as "write ENOBUFS" or "clock 2s".
 	fileVariable = "FROSTHUB_FAULTS"
 )
 
@@ -30,11 +29,11 @@
 const clockWord = "clock"
 
 var (
-	clockOffset atomic.Int64            // a time.Duration
-	callErrors  [callCount]atomic.Int64 // a syscall.Errno for each call, 0 for none
+	clockOffset atomic.Int64            // a time.Duration, in nanoseconds
+	callErrors  [callCount]atomic.Int64 // a syscall.Errno for each call; 0 if the call must not fail
 )
 
-// errnos are the errors that a faults file may name.
+// errnos maps the names of errors in the faults file to error numbers.
 var errnos = map[string]syscall.Errno{
 	"ENOBUFS": syscall.ENOBUFS,
 	"ENOMEM":  syscall.ENOMEM,
@@ -45,7 +44,7 @@
 }
 
 func init() {
-	initialOffset, _ := time.ParseDuration(os.Getenv(clockVariable)) // 0 if it is not set
+	initialOffset, _ := time.ParseDuration(os.Getenv(clockVariable)) // 0 if the variable is not set
 	clockOffset.Store(int64(initialOffset))
 	if path := os.Getenv(fileVariable); path != "" {
 		go pollFile(path, initialOffset)
@@ -55,16 +54,16 @@
 func pollFile(path string, initialOffset time.Duration) {
 	for ; ; time.Sleep(pollInterval) {
 		if text, err := os.ReadFile(path); err == nil {
-			set(initialOffset, string(text))
+			applyFaults(initialOffset, string(text))
 		}
 	}
 }
 
-// SetFaults makes the faults those of a text like that of the faults file, in place of
-// all others.
-func SetFaults(text string) { set(0, text) }
+// SetFaults replaces all faults by those in a text, which has the format of the faults
+// file.
+func SetFaults(text string) { applyFaults(0, text) }
 
-func set(initialOffset time.Duration, text string) {
+func applyFaults(initialOffset time.Duration, text string) {
 	offset := initialOffset
 	var errnosByCall [callCount]int64
 	for line := range strings.Lines(text) {
@@ -85,11 +84,11 @@
 	}
 }
 
-// ClockOffset returns by how much the time of day is wrong.
+// ClockOffset returns the offset that is added to the time of day.
 func ClockOffset() time.Duration { return time.Duration(clockOffset.Load()) }
 
-// Error returns the error with which a system call is to fail now, nil if it is to
-// be made.
+// Error returns the error with which a system call must fail now, or nil if the caller
+// must make the call.
 func Error(c Call) error {
 	if errno := callErrors[c].Load(); errno != 0 {
 		return syscall.Errno(errno)
--- a/internal/filelock/filelock.go
+++ b/internal/filelock/filelock.go
@@ -1,5 +1,5 @@
-// Package filelock locks a file for a process. The lock ends with the process, in
-// whatever way that ends.
+// Package filelock locks files between processes. The kernel releases a lock when the
+// process that holds it ends, even if it is killed.
 package filelock
 
 import (
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrBusy is the error of Acquire where another process holds the lock.
-var ErrBusy = errors.New("another process holds it")
+// ErrBusy is the error of Acquire if another process holds the lock.
+var ErrBusy = errors.New("another process holds the lock")
 
 const lockFileMode = 0o640
 
-// Acquire takes the lock of a file, which it creates if it is not there. The lock is
-// held until the returned file is closed. It returns ErrBusy, or the error of a
-// system call.
+// Acquire acquires the lock of a file, without waiting. It creates the file if it does
+// not exist. The lock is held until the returned file is closed. Acquire returns
+// ErrBusy if another process holds the lock, or the error of a system call.
 func Acquire(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, lockFileMode)
 	if err != nil {
@@ -34,8 +34,9 @@
 	return nil, err
 }
 
-// IsLocked reports whether a process holds the lock of a file. It does not take the
-// lock, not even for a moment: a process that starts meanwhile finds it free.
+// IsLocked reports whether a process holds the lock of a file. It never acquires the
+// lock itself, so a process that calls Acquire at the same time does not fail because
+// of it. IsLocked returns false if the file can't be opened.
 func IsLocked(path string) bool {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,8 @@
 
 package invariant
 
-// Debug reports whether this is a debug build. Expensive checks are made only there.
+// Debug reports whether this is a debug build, which has the tag debug. Callers make expensive checks only if it is
+// true.
 const Debug = false
 
 func fail(string) {}
--- a/internal/logthrottle/logthrottle.go
+++ b/internal/logthrottle/logthrottle.go
@@ -1,21 +1,21 @@
-// Package logthrottle limits how often log lines of one kind are written, so that a
-// flood stays readable.
+// Package logthrottle limits the rate of log lines of one kind, so that an event that
+// occurs often does not flood the log.
 package logthrottle
 
 import "time"
 
-// interval is the least time between two lines of one kind.
+// interval is the minimum time between two lines of one kind.
 const interval = time.Second
 
-// Limiter limits one kind of log line. The zero value allows the first one. It is
-// not safe for concurrent use.
+// Limiter limits the rate of one kind of log line. The zero value is ready to use and
+// allows the first line. A Limiter is not safe for concurrent use.
 type Limiter struct {
-	last       time.Time // when a line was last allowed
-	suppressed int       // lines since then
+	last       time.Time // time of the last line that was allowed
+	suppressed int       // number of lines suppressed since then
 }
 
-// Allow reports whether a line may be logged now, and if so how many were
-// suppressed since the last one.
+// Allow reports whether a line may be logged now. If ok, suppressed is the number of
+// lines suppressed since the last one that was allowed.
 func (l *Limiter) Allow() (suppressed int, ok bool) {
 	now := time.Now()
 	if now.Sub(l.last) < interval {
--- a/internal/prng/prng_test.go
+++ b/internal/prng/prng_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestSequence checks that a seed gives the numbers that it always gave: simulations that were recorded by their seed depend on it.
+// TestSequence checks that the numbers of a seed never change, because simulations recorded by their seed depend on them.
 func TestSequence(t *testing.T) {
 	tests := []struct {
 		seed uint64
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestDerived checks what is drawn from the sequence of one seed.
+// TestDerived checks the values that the other methods derive from the sequence of a seed.
 func TestDerived(t *testing.T) {
 	source := New(5)
 	for i, want := range []int{5, 1, 1, 7, 8, 0} {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the platform's JSON settings of a server into overload.Settings. The platform's names,
-// words and units end here. Nothing in the settings is an error: names that aren't known are skipped, and what is
-// missing or has another type keeps the default of its field.
+// Package settings decodes the platform's JSON settings of a server into overload.Settings. No other package uses the
+// platform's names, words and units. Decoding returns no errors: it skips unknown names, and a value that is missing or
+// has the wrong type leaves its field at the default.
 package settings
 
 import (
@@ -28,7 +28,8 @@
 	"runnable": overload.GaugeRunnable,
 }
 
-// cancellation decodes "halt". Each word but "off" says that runs can be stopped in some way.
+// cancellation decodes "halt". Every word except "off" means that runs can be stopped. All words except "off" and
+// "freeze" give CancelDrop, unknown words too.
 func cancellation(word string, found bool) overload.Cancellation {
 	switch {
 	case !found || word == "off":
@@ -39,7 +40,8 @@
 	return overload.CancelDrop
 }
 
-// signalMeaning decodes "signal". Each word but "off" asks for a signal, of the plain meaning if it isn't known.
+// signalMeaning decodes "signal". Every word except "off" requests a load signal. An unknown word gives SignalWeight, the
+// plain meaning.
 func signalMeaning(word string, found bool) overload.SignalMeaning {
 	switch {
 	case !found || word == "off":
@@ -52,12 +54,12 @@
 	return overload.SignalWeight
 }
 
-// Decode returns the settings that stand in a JSON value. A value that isn't an object, or nil, has none.
+// Decode returns the settings in a JSON object. For nil or another JSON value all settings have their defaults.
 func Decode(v *fastjson.Value) overload.Settings {
 	top := objectOf(v)
 	backend := objectOf(top["familyInfo"])
 	return overload.Settings{
-		BatchInterval: top.micros("tickUs").Value,
+		BatchInterval: top.duration("tickUs").Value,
 		Tier:          top.number("tier").Value,
 		Servers:       top.number("servers").Value,
 		Backend:       decodeBackend(backend),
@@ -75,13 +77,13 @@
 		RunMemoryFactor: o.number("runFactor").Value,
 		KeySizeKB:       o.number("keyKb").Value,
 		Cold:            o.bool("cold"),
-		Cancellation:    cancellation(o.word("halt")),
-		Signal:          signalMeaning(o.word("signal")),
+		Cancellation:    cancellation(o.lookupText("halt")),
+		Signal:          signalMeaning(o.lookupText("signal")),
 		Downstream:      downstreamWords[o.text("downstream")],
 		CallShare:       o.number("callsOut").Value,
-		CallShareWindow: o.micros("callsOverUs"),
-		CallLinger:      o.micros("lingerUs").Value,
-		ReuseFor:        o.micros("shareForUs").Value,
+		CallShareWindow: o.duration("callsOverUs"),
+		CallLinger:      o.duration("lingerUs").Value,
+		ReuseFor:        o.duration("shareForUs").Value,
 		EdgeNodes:       o.number("senders").Value,
 		Gauges:          decodeGauges(o.array("ownStats")),
 	}
@@ -91,31 +93,32 @@
 	return overload.PlatformRules{
 		CollapseFactor: o.number("fallMultiple"),
 		ColdCapacity:   o.number("coldFrom"),
-		WarmUpTime:     o.micros("coldUs").Value,
-		DrainGrace:     o.micros("drainGraceUs").Value,
+		WarmUpTime:     o.duration("coldUs").Value,
+		DrainGrace:     o.duration("drainGraceUs").Value,
 	}
 }
 
 func decodeLimits(o object) overload.RetryAfterLimits {
 	return overload.RetryAfterLimits{
 		RetryAfter:    o.bool("retryAfter"),
-		MaxRetryAfter: o.micros("maxRetryAfterUs"),
+		MaxRetryAfter: o.duration("maxRetryAfterUs"),
 	}
 }
 
-// decodeHandlers decodes the handlers, an entry for each item whatever it is, as requests name them by their index.
+// decodeHandlers decodes the handlers. It returns an entry for every item, even one of the wrong type, because requests
+// refer to handlers by index.
 func decodeHandlers(items, skipValues []*fastjson.Value) []overload.Handler {
 	var handlers []overload.Handler
 	for i, item := range items {
 		o := objectOf(item)
 		h := overload.Handler{
 			Name:           o.text("name"),
-			ClientTimeout:  o.micros("giveUpUs"),
-			ResponseTarget: o.micros("goalTimeUs"),
+			ClientTimeout:  o.duration("giveUpUs"),
+			ResponseTarget: o.duration("goalTimeUs"),
 			Value:          o.number("credit"),
 			LateValue:      o.number("lateShare").Value,
 			Idempotency:    idempotencyWords[o.text("idempotency")],
-			Window:         o.micros("windowUs").Value,
+			Window:         o.duration("windowUs").Value,
 		}
 		if i < len(skipValues) {
 			h.SkipValue = number(skipValues[i]).Value
@@ -146,10 +149,11 @@
 	return gauges
 }
 
-// object is a JSON object by the names of its members. Of members with the same name the last one counts.
+// object maps the names of the members of a JSON object to their values. If several members have the same name, it holds
+// the last one.
 type object map[string]*fastjson.Value
 
-// objectOf returns the members of a JSON object, none if v is something else or nil.
+// objectOf returns the members of a JSON object, or nil if v is nil or not an object.
 func objectOf(v *fastjson.Value) object {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil
@@ -161,8 +165,8 @@
 
 func (o object) number(name string) overload.Optional[float64] { return number(o[name]) }
 
-// micros is a time that is given in microseconds.
-func (o object) micros(name string) overload.Optional[time.Duration] {
+// micros returns a member that is a number of microseconds.
+func (o object) duration(name string) overload.Optional[time.Duration] {
 	n := number(o[name])
 	if !n.Set {
 		return overload.Optional[time.Duration]{}
@@ -175,7 +179,7 @@
 	return v != nil && v.Type() == fastjson.TypeTrue
 }
 
-func (o object) word(name string) (word string, found bool) { return text(o[name]) }
+func (o object) lookupText(name string) (word string, found bool) { return text(o[name]) }
 
 func (o object) text(name string) string {
 	word, _ := text(o[name])
@@ -198,7 +202,8 @@
 	return string(v.GetStringBytes()), true
 }
 
-// MicrosToDuration returns a number of microseconds as a duration. One too long for a duration is the longest.
+// MicrosToDuration converts a number of microseconds to a duration, rounded towards zero. A number that is too large
+// for a duration gives the longest duration.
 func MicrosToDuration(us float64) time.Duration {
 	if us >= math.MaxInt64/1000 {
 		return math.MaxInt64
