--- a/internal/faultinject/call.go
+++ b/internal/faultinject/call.go
@@ -8,8 +8,8 @@
 	Accept Call = iota
 	Connect
 	Write
-	Send     // of a datagram
-	ReadFile // of a configuration
+	Send     // sends a datagram
+	ReadFile // reads a configuration file
 	callCount
 )
 
