--- a/internal/faultinject/call.go
+++ b/internal/faultinject/call.go
@@ -3,13 +3,13 @@
 // Call is a kind of system call that can be made to fail.
 type Call uint8
 
-// The calls.
+// The system calls.
 const (
 	Accept Call = iota
 	Connect
 	Write
-	Send     // of a datagram
-	ReadFile // of a configuration
+	Send     // sends a datagram
+	ReadFile // reads a configuration file
 	callCount
 )
 
