--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -120,7 +120,7 @@
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		default:
-			http.Error(w, "too many concurrent requests", http.StatusServiceUnavailable)
+			http.Error(w, "two others are being answered", http.StatusServiceUnavailable)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -135,7 +135,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		operator := r.Header.Get(OperatorHeader)
 		if operator == "" {
-			http.Error(w, "the header that names the operator is missing", http.StatusForbidden)
+			http.Error(w, "said by nobody", http.StatusForbidden)
 			return
 		}
 		if err := decide(r); err != nil {
