--- a/lifecycle/decision.go
+++ b/lifecycle/decision.go
@@ -20,23 +20,23 @@
 	ClientGone                // no client waits for the result
 )
 
-// decisionNames are the texts of the decisions in log lines.
-var decisionNames = [...]string{
+// decisionTexts are the reasons that log lines give for the decisions.
+var decisionTexts = [...]string{
 	Allowed:          "allowed",
-	AfterGracePeriod: "read after the grace",
-	ProcessExiting:   "the process ends",
-	RequestOpen:      "a request is open",
-	PartiallyRead:    "a request is half read",
-	InputUnread:      "input is unread",
-	OutputUnsent:     "output is unsent",
-	MayHaveRun:       "it may have run",
-	AlreadyAnswered:  "it was answered",
-	WorkPending:      "work is left",
-	ClientGone:       "nobody waits",
+	AfterGracePeriod: "request was read after the grace period",
+	ProcessExiting:   "process is exiting",
+	RequestOpen:      "connection has a request without a response",
+	PartiallyRead:    "connection has a partially received request",
+	InputUnread:      "connection has unparsed input",
+	OutputUnsent:     "connection has unsent output",
+	MayHaveRun:       "operation may have run and must not run twice",
+	AlreadyAnswered:  "request has already been answered",
+	WorkPending:      "process has pending work",
+	ClientGone:       "no client waits for the result",
 }
 
-// String returns the text of the decision.
-func (d Decision) String() string { return decisionNames[d] }
+// String returns the reason for the decision, or "allowed".
+func (d Decision) String() string { return decisionTexts[d] }
 
 // CheckStart decides whether a request that was received completely at the given time may start a run:
 //
