--- a/overload/admission.go
+++ b/overload/admission.go
@@ -80,8 +80,8 @@
 		r.deadline = now + e.Remaining
 	}
 	r.target = min(r.arrivedAt+h.responseTarget, r.deadline)
-	if e.Remaining == 0 && c.patience.estimated() && h.replayable() {
-		r.target = min(r.target, r.arrivedAt+c.patience.waitTime(h))
+	if e.Remaining == 0 && c.clientWait.estimated() && h.replayable() {
+		r.target = min(r.target, r.arrivedAt+c.clientWait.waitTime(h))
 	}
 	r.deadline = min(r.deadline, c.drain.answerDeadline)
 	return r
--- a/overload/backpressure.go
+++ b/overload/backpressure.go
@@ -132,7 +132,7 @@
 	limits := c.trackerLimits()
 	var candidates []*request
 	for _, r := range c.requests.byArrival {
-		if !r.wantedState.admitted() || !r.needsAnswer() {
+		if !r.wantedState.startedOrEnded() || !r.needsAnswer() {
 			continue
 		}
 		r.trackerBreaches = limits.breaches(now, r, c.memory.usageOf(r, stateRunning))
@@ -156,7 +156,7 @@
 func (c *Controller) trackerLimits() trackerLimits {
 	totalKB := 0.0
 	for _, r := range c.requests.byArrival {
-		if r.wantedState.admitted() {
+		if r.wantedState.startedOrEnded() {
 			totalKB += c.memory.usageOf(r, r.wantedState)
 		}
 	}
--- a/overload/calls.go
+++ b/overload/calls.go
@@ -31,14 +31,14 @@
 	downstream  Downstream
 	share       float64       // concurrent calls from this server that a shared dependency can sustain
 	shareWindow time.Duration // time over which these calls are averaged
-	linger      time.Duration // how long the dependency continues to work on an abandoned call
+	linger      time.Duration // how long the dependency continues to work on an unsuccessful call
 
 	waiting      []*request // oldest first; requests that no longer wait are removed by placeCalls
 	limit        float64    // maximum number of calls in flight
 	meanTime     float64    // moving mean of the call time, in seconds
 	baselineTime float64    // lowest mean call time, in seconds; grows slowly
 
-	callSeconds  slidingWindow // time spent by calls in flight, including abandoned ones
+	callSeconds  slidingWindow // time that calls were in flight, plus linger for each unsuccessful one
 	accruedUntil time.Duration
 }
 
@@ -54,15 +54,16 @@
 	}
 }
 
-// accrue adds the time that the calls in flight have spent since the last call of accrue. Call it before every change
-// of their number.
+// accrue adds the time that the calls in flight have spent since the previous accrual. It must be called before
+// every change of their number.
 func (l *callLimiter) accrue(now time.Duration, calling int) {
 	l.callSeconds.add(now, float64(calling)*(now-l.accruedUntil).Seconds())
 	l.accruedUntil = now
 }
 
-// recordAbandonedCall adds the time for which the dependency continues to work on an abandoned call.
-func (l *callLimiter) recordAbandonedCall(now time.Duration) {
+// recordUnsuccessfulCall adds the time for which the dependency continues to work on a call that failed or was given
+// up.
+func (l *callLimiter) recordUnsuccessfulCall(now time.Duration) {
 	l.callSeconds.add(now, l.linger.Seconds())
 }
 
@@ -84,7 +85,7 @@
 }
 
 // timeBudget returns the maximum duration of one more call, 0 if none may start now. For a shared dependency the
-// budget is limited to the unused rest of this server's share of call-seconds, which includes abandoned calls. This
+// budget is limited to the unused rest of this server's share of call-seconds, which includes unsuccessful calls. This
 // protects a dependency that becomes slow while the maximum number of calls is in flight (incident i502e29). The
 // drawback is that, after many failed calls, further calls are delayed although the dependency has recovered.
 func (l *callLimiter) timeBudget(now time.Duration, calling int, collapseLimit float64) time.Duration {
@@ -136,7 +137,8 @@
 // mayRetryCall reports whether a call whose connection was lost is retried: only once, and only if the request is
 // replayable and an answer without the call has no value. The retry compensates for corrupt responses. It is no
 // remedy for a failing tier, which loses the connections of all calls. Rejected calls are not retried: the edge node
-// in front of the tier has already tried other servers, and each attempt costs the tier a read (incident i715a4f).
+// in front of the tier has already tried other servers, and each attempt makes the tier read the request again
+// (incident i715a4f).
 func (c *Controller) mayRetryCall(r *request) bool {
 	return r.handler.replayable() && r.handler.skipValue == 0 && !r.callRetried && r.needsAnswer()
 }
@@ -165,8 +167,8 @@
 	c.calls.waiting = undecided
 }
 
-// tryCall places, skips or abandons the call of a waiting request. It reports false if the request must continue to
-// wait.
+// tryCall lets a waiting request make its call, or skips the call or abandons the request if the call is no longer
+// worthwhile. It reports false if the request must continue to wait.
 func (c *Controller) tryCall(now time.Duration, r *request) bool {
 	timeBudget := c.calls.timeBudget(now, c.requests.calling(), c.concurrency.collapseLimit(now))
 	switch {
@@ -175,7 +177,7 @@
 	case timeBudget == 0:
 		return false
 	case now+fromSeconds(minRunShare*c.calls.meanTime) > r.deadline:
-		c.skipOrAbandon(now, r) // the answer would come too late, and the call would cost the dependency a read
+		c.skipOrAbandon(now, r) // the answer would come too late, and the dependency would read the call in vain
 	default:
 		c.placeCall(now, r, max(min(r.deadline-now, timeBudget), time.Millisecond))
 	}
--- a/overload/client_wait.go
+++ b/overload/client_wait.go
@@ -5,46 +5,48 @@
 	"time"
 )
 
-// patienceSmoothing is the weight of one abandoned attempt in the estimate of the clients' patience. The estimate
-// settles after about ten attempts.
-const patienceSmoothing = 0.1
+// clientWaitSmoothing is the weight of one attempt in the estimate of how long clients wait. The estimate settles
+// after about ten attempts.
+const clientWaitSmoothing = 0.1
 
-// clientPatience estimates the share of the client timeout for which clients wait for an answer. Clients that retry
-// give up an attempt long before the client timeout.
-type clientPatience struct {
+// clientWaitEstimate is the estimate of how long clients wait for an answer before they give up an attempt. Clients
+// that retry give up an attempt long before the client timeout.
+type clientWaitEstimate struct {
 	lowerTier    bool    // the clients are servers of the tier above
-	timeoutShare float64 // 0 while unknown
+	timeoutShare float64 // estimated wait as a share of the client timeout, 0 while unknown
 }
 
-func (p *clientPatience) estimated() bool { return p.timeoutShare > 0 }
+func (w *clientWaitEstimate) estimated() bool { return w.timeoutShare > 0 }
 
-// waitTime returns how long clients of a handler are estimated to wait.
-func (p *clientPatience) waitTime(h *handler) time.Duration {
-	return time.Duration(p.timeoutShare * float64(h.clientTimeout))
+// waitTime returns the estimated time that the clients of a handler wait before they give up an attempt.
+func (w *clientWaitEstimate) waitTime(h *handler) time.Duration {
+	return time.Duration(w.timeoutShare * float64(h.clientTimeout))
 }
 
-// recordAttempt updates the estimate with an attempt that was given up or answered. The tier above gives up its calls
-// at any time, together with the request that they belong to, so a call given up in a lower tier is no evidence.
-func (p *clientPatience) recordAttempt(now time.Duration, r *request, gaveUp bool) {
+// recordAttempt updates the estimate with an attempt that the client gave up, or that was answered after a longer wait
+// than estimated. In a lower tier, attempts that were given up don't count: the tier above gives up a call together
+// with the request that it belongs to, however long the call has waited.
+func (w *clientWaitEstimate) recordAttempt(now time.Duration, r *request, gaveUp bool) {
 	waited := (now - r.arrivedAt).Seconds() / r.handler.clientTimeout.Seconds()
-	if gaveUp && !p.lowerTier || p.estimated() && waited > p.timeoutShare {
-		share := cmp.Or(p.timeoutShare, waited)
-		p.timeoutShare = share + patienceSmoothing*(waited-share)
+	if gaveUp && !w.lowerTier || w.estimated() && waited > w.timeoutShare {
+		share := cmp.Or(w.timeoutShare, waited)
+		w.timeoutShare = share + clientWaitSmoothing*(waited-share)
 	}
 }
 
-// onClientGone ends a request without a run, and abandons any other unless repeats may be answered from it.
+// onClientGone ends a request that has no run. It has the run of any other request stopped, unless repeats may be
+// answered with its result.
 func (c *Controller) onClientGone(now time.Duration, r *request, outcome Outcome) {
 	r.clientGone = true
 	if r.answer == noAnswer && r.handler.replayable() && outcome != ConnectionLost {
-		c.patience.recordAttempt(now, r, true)
+		c.clientWait.recordAttempt(now, r, true)
 	}
 	switch {
 	case r.state == stateQueued, r.state == stateCoalesced:
 		c.endRequest(now, r)
-	case r.handler.idempotency == Deduplicated: // continues to run: its repeats are answered from it
+	case r.handler.idempotency == Deduplicated: // continues to run, because its repeats are answered with its result
 	default:
-		r.abandoned = true
+		r.stopWanted = true
 		c.requests.markDirty(r)
 	}
 }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -17,7 +17,7 @@
 	requests  requestTable
 	memory    memoryAccount
 	gauges    gauges
-	lastPass  float64 // pass of the queue that was served last
+	lastPass  float64 // handlerQueue.pass of the queue that was served last
 
 	backpressure backpressure
 	concurrency  concurrencyLimit
@@ -28,15 +28,15 @@
 
 	retryAdvice retryAdvice
 	rejections  rejectionRate
-	patience    clientPatience
+	clientWait  clientWaitEstimate
 	signal      loadSignal
 	edgeNodes   edgeNodeActivity
 	connections idleConnections
 
 	lastTick     time.Duration
-	timerPending bool // a SetTimer action is awaiting its Timer event
-	healthSent   bool
-	sentHealthy  bool
+	timerPending bool     // a SetTimer action is awaiting its Timer event
+	healthSent   bool     // a Health action was emitted
+	sentHealthy  bool     // value of the last Health action
 	actions      []Action // buffer that each call of Handle reuses
 }
 
@@ -61,7 +61,7 @@
 		drain:        newDrainState(settings.Rules.DrainGrace),
 		stall:        stallDetector{lastProgressAt: now},
 		retryAdvice:  newRetryAdvice(settings.Limits, seed),
-		patience:     clientPatience{lowerTier: settings.Tier != 0},
+		clientWait:   clientWaitEstimate{lowerTier: settings.Tier != 0},
 		signal:       newLoadSignal(backend.Signal),
 		edgeNodes:    newEdgeNodeActivity(backend.EdgeNodes),
 		lastTick:     now,
@@ -118,7 +118,7 @@
 
 // onEnded ends a request whose run, or wait for its original, is over.
 func (c *Controller) onEnded(now time.Duration, r *request, e *Event) {
-	if r.state.admitted() {
+	if r.state.startedOrEnded() {
 		c.stall.recordProgress(now)
 	}
 	if r.state == stateRunning {
@@ -131,10 +131,10 @@
 func (c *Controller) recordRunEnd(now time.Duration, r *request, outcome Outcome) {
 	if outcome == OK {
 		c.backpressure.recordCompletion(c.memory.usageOf(r, stateRunning))
-		c.patience.recordAttempt(now, r, false)
+		c.clientWait.recordAttempt(now, r, false)
 	}
-	// A cancelled run would have taken at least as long as it did. Dropping the long ones would bias the mean towards
-	// short runs.
+	// A cancelled run would have taken longer than it did. Runs that were cancelled after more than the expected time
+	// are counted with their shortened time, because leaving them out would bias the mean towards short runs.
 	longCancelled := outcome == Cancelled && now-r.startedAt > fromSeconds(r.handler.expectedTime(now, 1))
 	if outcome == OK || outcome == Failed || longCancelled {
 		r.handler.recordRun(now, r)
@@ -184,7 +184,7 @@
 // collectActions converts the differences between wanted and reported states to actions. Nothing else emits actions.
 func (c *Controller) collectActions(now time.Duration) []Action {
 	actions := c.actions[:0]
-	for i := 0; i < len(c.requests.dirty); i++ { // the end of one request may mark another as dirty
+	for i := 0; i < len(c.requests.dirty); i++ { // endRequest may append requests to the list
 		r := c.requests.dirty[i]
 		r.dirty = false
 		actions = c.appendAnswer(actions, now, r)
@@ -222,16 +222,16 @@
 		return append(actions, Action{Kind: Call, ID: r.id, Duration: r.callTimeout})
 	case r.state == stateAwaitingCall && r.wantedState == stateRunning:
 		return append(actions, Action{Kind: SkipCall, ID: r.id})
-	case r.state == stateAwaitingCall && r.abandoned && r.answer == noAnswer:
-		r.answer = Fail // the client has gone, but this action ends the run
+	case r.state == stateAwaitingCall && r.stopWanted && r.answer == noAnswer:
+		r.answer = Fail // no client receives this response, but Fail is how the adapter ends a waiting run
 		return append(actions, Action{Kind: Fail, ID: r.id})
 	}
 	return actions
 }
 
-// appendCancel appends the cancellation of an abandoned run.
+// appendCancel appends the cancellation of a run that should be stopped.
 func (c *Controller) appendCancel(actions []Action, now time.Duration, r *request) []Action {
-	if r.state != stateRunning || !r.abandoned || r.cancelledAt != 0 || !c.canCancel {
+	if r.state != stateRunning || !r.stopWanted || r.cancelledAt != 0 || !c.canCancel {
 		return actions
 	}
 	r.cancelledAt = now
--- a/overload/doc.go
+++ b/overload/doc.go
@@ -22,8 +22,9 @@
 //     request that is not expected to end well before its response target is rejected at once (admission.go).
 //   - Client advice. A rejection carries a delay before the next attempt and whether to try another server
 //     (rejection.go). Responses carry a load signal (signal.go); where the signal is an allowance, it is computed per
-//     edge node (edgenodes.go). Idle connections are closed early when there are too many (connections.go). The time
-//     that clients wait is estimated from the attempts that they give up before the client timeout (patience.go).
+//     edge node (edgenodes.go). Idle connections are closed early when there are too many (connections.go). How
+//     long clients wait for an answer is estimated from the attempts that they give up before the client timeout
+//     (client_wait.go).
 //   - Deadlines. Every request is answered by its deadline, and a run whose result has no value left is stopped when
 //     other requests need its core (deadline.go).
 //   - Idempotency. Requests that must run only once, and reads whose results may be shared, get an entry in the
--- a/overload/drain.go
+++ b/overload/drain.go
@@ -7,7 +7,8 @@
 
 const (
 	// drainAcceptShare is the share of the grace period during which the server still reports itself as healthy.
-	// There may be few other servers, and for some seconds a successor is cold and unknown to the edge nodes.
+	// There may be few other servers, and the server that replaces this one is cold and unknown to the edge nodes for
+	// its first seconds.
 	drainAcceptShare = 0.8
 	// stallTimeout is the time without progress after which running work counts as stalled.
 	stallTimeout = 2 * time.Second
@@ -42,7 +43,7 @@
 	c.drain.answerDeadline = now + remaining - c.answerMargin()
 	for _, r := range c.requests.byArrival {
 		r.deadline = min(r.deadline, c.drain.answerDeadline)
-		if r.wantedState == stateQueued && r.needsAnswer() && c.drain.afterGracePeriod(r) { // the notice came late
+		if r.wantedState == stateQueued && r.needsAnswer() && c.drain.afterGracePeriod(r) { // the notice was delayed
 			c.reject(r, c.retryAdvice.maxDelay)
 		}
 		c.checkDeadline(now, r)
@@ -75,7 +76,7 @@
 }
 
 // stallDetector detects that running work has stalled. Nothing is started during a stall, because further requests
-// would stall as well. Legitimate runs that occupy all cores for longer than stallTimeout look the same.
+// would stall as well. Normal runs that occupy all cores for longer than stallTimeout are mistaken for a stall.
 type stallDetector struct {
 	lastProgressAt time.Duration // when a run or call last made progress
 	stalled        bool
--- a/overload/edgenodes.go
+++ b/overload/edgenodes.go
@@ -4,7 +4,7 @@
 
 const (
 	arrivalDecay       = 0.98 // factor per tick for arrival counts, so that they cover about 5 s
-	decayWindowTicks   = 50.0 // number of ticks that counts with this factor cover
+	decayWindowTicks   = 50.0 // number of ticks that a count with this factor covers, 1/(1-arrivalDecay)
 	minTrackedArrivals = 0.01 // decayed count below which an edge node is removed
 	edgeNodeSmoothing  = 0.1  // weight of one tick in the effective number of edge nodes
 	minRateTicks       = 1    // minimum number of ticks over which a rate is computed
@@ -22,7 +22,7 @@
 	configured float64 // number of edge nodes in the settings
 	effective  float64
 	byNumber   map[int]edgeNode
-	total      edgeNode // of all edge nodes
+	total      edgeNode // sum over all edge nodes
 }
 
 func newEdgeNodeActivity(configured float64) edgeNodeActivity {
--- a/overload/handler.go
+++ b/overload/handler.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// baselineGrowth is the growth factor of a baseline per tick, 30% per minute. A baseline that has become too low
-	// is corrected in time, but a temporary disturbance does not change it much.
+	// baselineGrowth is the growth factor of a baseline per tick, 30% per minute. The growth corrects a baseline that
+	// has become too low, and is slow enough that a temporary slowdown hardly changes the baseline.
 	baselineGrowth = 1.0005
 	// minHandlerValue is the lower bound of a handler's value, so that each queue gets some turns.
 	minHandlerValue = 0.01
@@ -29,16 +29,16 @@
 
 	runTimes        slidingWindow // in seconds, without calls
 	totalTimes      slidingWindow // in seconds, with calls
-	arrivals        slidingWindow // 1 per request
-	costHints       slidingWindow // in seconds, from the requests
+	arrivals        slidingWindow // the value 1 for each request
+	costHints       slidingWindow // in seconds, the hints that requests carry
 	baselineRunTime float64       // lowest mean of runTimes in seconds, 0 while unknown; grows slowly
 }
 
 func newHandler(s *Handler, tier float64) *handler {
 	clientTimeout := s.ClientTimeout.Or(DefaultClientTimeout)
 	target := min(s.ResponseTarget.Or(clientTimeout), clientTimeout)
-	// The caller of a lower tier needs the target for its own work and its calls, so an answer just before the target
-	// is late.
+	// A server of the tier above needs part of the time for its own work and its other calls, so an answer that a
+	// lower tier sends just before the target is late for the client.
 	target = time.Duration(float64(target) / (1 + math.Max(0, tier)))
 	return &handler{
 		clientTimeout:  clientTimeout,
--- a/overload/rejection.go
+++ b/overload/rejection.go
@@ -6,8 +6,8 @@
 const (
 	minRetryAfter        = 100 * time.Millisecond // shortest advice
 	defaultMaxRetryAfter = time.Second            // longest advice if the settings have none
-	noRetryLoadThreshold = 0.97                   // wanted load below which a retry elsewhere probably costs only a read
-	rejectionSmoothing   = 0.02                   // weight of one request in the rejected share, which covers about fifty
+	noRetryLoadThreshold = 0.97                   // wanted load below which other servers probably reject retries too
+	rejectionSmoothing   = 0.02                   // weight of one request; the rejected share covers about fifty
 )
 
 // retryAdvice computes the delays after which rejected clients should retry.
@@ -41,9 +41,9 @@
 func (r *rejectionRate) recordStart()     { r.share -= rejectionSmoothing * r.share }
 func (r *rejectionRate) recordRejection() { r.share += rejectionSmoothing * (1 - r.share) }
 
-// reject sheds a request that never ran, and advises the client when to retry. While the wanted load is reduced, a
-// retry on another server probably only costs that server a read, so the advice is not to try one. This prevents
-// retry storms; the drawback is that retries are lost that would have succeeded where only this server is slow.
+// reject sheds a request that never ran, and advises the client when to retry. While the wanted load is reduced,
+// another server would probably have to read a retry only to reject it too, so the advice is not to try one. This
+// prevents retry storms; the drawback is that, if only this server is slow, retries that would succeed are not made.
 func (c *Controller) reject(r *request, retryAfter time.Duration) {
 	r.retryAfter = c.retryAdvice.delay(retryAfter)
 	c.rejections.recordRejection()
--- a/overload/repeats.go
+++ b/overload/repeats.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// neverRanRetention is how long it remains on record that an original never ran. It is longer than any batch.
+// neverRanRetention is how long the controller keeps the record that an original never ran. It is longer than any
+// Settings.BatchInterval, for repeats that wait in a batch while the adapter removes the entry of the original.
 const neverRanRetention = 2 * time.Second
 
 // repeatTable is the controller's view of the idempotency table, which the adapter maintains according to StoreEntry
-// and RemoveEntry actions. A deduplicated request has an entry from its arrival until its window has passed. A read
-// whose result may be shared has one too, as long as memory allows.
+// and RemoveEntry actions. A deduplicated request has an entry from its arrival until Handler.Window has
+// passed. A read whose result may be shared has one too, as long as memory allows.
 type repeatTable struct {
 	reuseFor  time.Duration            // how long after its end the result of a read may be shared; 0 forbids it
 	withEntry []*request               // requests with an entry
-	neverRan  map[uint64]time.Duration // when originals ended without a run, by ID: their repeats must run themselves
+	neverRan  map[uint64]time.Duration // end times of originals that never ran, by ID; their repeats must run themselves
 }
 
 func newRepeatTable(reuseFor time.Duration) repeatTable {
@@ -33,7 +34,7 @@
 	if r.original != nil {
 		r.original.pendingRepeats++
 	}
-	r.mayHaveRun = r.original == nil // an unknown original may have run, so repeats of this request must not
+	r.mayHaveRun = r.original == nil // an unknown original may have run, so repeats of this request must not run
 	c.coalesce(now, r)
 	return true
 }
@@ -91,7 +92,7 @@
 	c.requests.markDirty(r)
 }
 
-// expireEntries removes expired entries, once per tick.
+// expireEntries removes the entries and records whose time has passed, once per tick.
 func (c *Controller) expireEntries(now time.Duration) {
 	c.repeats.withEntry = slices.DeleteFunc(c.repeats.withEntry, func(r *request) bool {
 		if r.entryExpiresAt > 0 && r.entryExpiresAt <= now {
@@ -108,7 +109,7 @@
 	}
 }
 
-// appendEntryChange appends the action that updates a request's entry in the adapter's table.
+// appendEntryChange appends the action that stores, extends or removes a request's entry in the adapter's table.
 func (c *Controller) appendEntryChange(actions []Action, now time.Duration, r *request) []Action {
 	switch {
 	case r.entryWantedUntil > r.entryExpiresAt && r.state != stateEnded:
--- a/overload/request.go
+++ b/overload/request.go
@@ -9,7 +9,8 @@
 //
 // Each request has two: state is the one that events have reported, wantedState the one that later decisions have
 // set. They differ only during a call of Handle, the end of which converts the differences to actions. The methods of
-// Controller in this file are the transitions; nothing else changes a state:
+// Controller in this file are the transitions. Nothing else changes a state, except that the end of Handle sets state
+// to wantedState:
 //
 //	from          to            transition   cause
 //	-             queued        enqueue      event Arrived
@@ -40,8 +41,8 @@
 	numStates
 )
 
-// admitted reports whether the request has been started; it is also true for every ended request.
-func (s requestState) admitted() bool { return s >= stateRunning }
+// startedOrEnded reports whether the request has been started or has ended, with or without a run.
+func (s requestState) startedOrEnded() bool { return s >= stateRunning }
 
 // request is a request from its arrival to its end, or longer while it has an idempotency entry or repeats.
 type request struct {
@@ -59,16 +60,16 @@
 	dirty           bool         // listed in requestTable.dirty
 	mayHaveRun      bool         // started, or repeats an unknown original that may have run
 	startedAt       time.Duration
-	cpuTime         time.Duration // estimate
-	trackerBreaches int           // resource trackers breached at the last observation
+	cpuTime         time.Duration // estimated CPU time of the run
+	trackerBreaches int           // number of resource trackers breached at the last observation
 
-	answer           ActionKind // final answer sent: Reject, Fail or noAnswer
-	wantedAnswer     ActionKind
+	answer           ActionKind    // final answer sent: Reject, Fail or noAnswer
+	wantedAnswer     ActionKind    // final answer decided, noAnswer if none
 	retryAfter       time.Duration // delay that a Reject carries
-	noRetry          bool
-	clientGone       bool
-	abandoned        bool // the rest of its run should be stopped
-	cancelledAt      time.Duration
+	noRetry          bool          // a Reject advises against a retry on another server
+	clientGone       bool          // the client no longer waits
+	stopWanted       bool          // the run, if there is one, should be stopped
+	cancelledAt      time.Duration // time of the last Cancel action, 0 if there is none or it may be repeated
 	entryWantedUntil time.Duration // wanted expiry of its idempotency entry, 0 for no entry
 	entryExpiresAt   time.Duration // expiry of the existing entry, 0 if there is none
 
@@ -76,12 +77,13 @@
 	pendingRepeats int      // number of repeats that wait for this request
 
 	callRequestedAt time.Duration // start of the latest wait for a call
-	callTimeout     time.Duration
+	callTimeout     time.Duration // timeout of the latest call
 	callTime        time.Duration // total time spent waiting for calls and making them
-	callRetried     bool
+	callRetried     bool          // the call has been retried; a second retry is not made
 }
 
-// needsAnswer reports whether the final answer is still undecided and a client waits for it.
+// needsAnswer reports whether a final answer may still be decided: the request has not ended, its client waits, and
+// neither Reject nor Fail has been decided.
 func (r *request) needsAnswer() bool {
 	return r.state != stateEnded && r.answer == noAnswer && r.wantedAnswer == noAnswer && !r.clientGone
 }
@@ -112,7 +114,7 @@
 	t.byArrival = slices.DeleteFunc(t.byArrival, func(r *request) bool { return r.state == stateEnded })
 }
 
-// markDirty lists a request for reconciliation at the end of Handle.
+// markDirty adds a request to those for which the end of Handle compares the wanted with the reported state.
 func (t *requestTable) markDirty(r *request) {
 	if !r.dirty {
 		r.dirty = true
@@ -170,7 +172,8 @@
 	c.setReportedState(now, r, stateAwaitingCall)
 }
 
-// endRequest removes a request from the table, and drops idempotency entries that have become useless.
+// endRequest removes a request from the table, and requests the removal of idempotency entries that have become
+// useless.
 func (c *Controller) endRequest(now time.Duration, r *request) {
 	c.setReportedState(now, r, stateEnded)
 	delete(c.requests.byID, r.id)
@@ -194,7 +197,7 @@
 		c.calls.accrue(now, c.requests.calling())
 	}
 	if from == stateCalling && to != stateRunning {
-		c.calls.recordAbandonedCall(now)
+		c.calls.recordUnsuccessfulCall(now)
 	}
 	if from == stateQueued {
 		r.handler.queued--
--- a/overload/settings.go
+++ b/overload/settings.go
@@ -26,7 +26,7 @@
 // lifetime of the Controller. The zero value is valid and describes a server with one core and no known limits.
 type Settings struct {
 	// BatchInterval is the maximum time that events wait before the adapter passes them to the controller. Decisions
-	// that have to take effect by a certain time are made earlier accordingly.
+	// that have to take effect by a certain time are made earlier to allow for this delay.
 	BatchInterval time.Duration
 	// Tier is the number of tiers in front of this server's tier, 0 for the one that clients call.
 	Tier float64
@@ -75,8 +75,8 @@
 
 // PlatformRules describe the properties of the platform that decisions depend on.
 type PlatformRules struct {
-	// CollapseFactor is the number of requests in progress per core at which the server collapses. If absent, there
-	// is no such limit.
+	// CollapseFactor is the number of requests in progress per core at which the server collapses under the load.
+	// If absent, there is no such limit.
 	CollapseFactor Optional[float64]
 	// ColdCapacity is the share of its full capacity that a cold server starts with, 1 if absent.
 	ColdCapacity Optional[float64]
@@ -98,7 +98,7 @@
 type Handler struct {
 	// Name identifies the handler in requests. The controller only uses the index.
 	Name string
-	// ClientTimeout is how long clients wait for an answer, DefaultClientTimeout if absent.
+	// ClientTimeout is the longest time that clients wait for an answer, DefaultClientTimeout if absent.
 	ClientTimeout Optional[time.Duration]
 	// ResponseTarget is the latency objective: an answer within this time has its full value. The client timeout is
 	// its upper limit, and its default if absent.
@@ -128,7 +128,7 @@
 type Idempotency uint8
 
 // The kinds of idempotency. The controller treats requests of unknown idempotency as replayable, because none of them
-// has a key. Other packages should not rely on that.
+// has a key. Other packages should not make this assumption.
 const (
 	IdempotencyUnknown Idempotency = iota
 	Replayable                     // may run any number of times
--- a/overload/window.go
+++ b/overload/window.go
@@ -13,7 +13,7 @@
 
 // slidingWindow sums values over the last five seconds, in buckets of fixed duration.
 type slidingWindow struct {
-	bucketNumbers [windowBuckets]int64 // number of the bucket that an element holds, counted from 1
+	bucketNumbers [windowBuckets]int64 // number of the bucket that each element holds, counted from 1; 0 if unused
 	sums          [windowBuckets]float64
 	counts        [windowBuckets]float64
 }
