--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -8,30 +8,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// lingerTimeout is how long a connection waits for the peer's close after its
-// sending side is shut down: many round trips.
+// lingerTimeout is how long a connection waits for the peer to close after its
+// sending side is shut down. It covers many round trips.
 const lingerTimeout = 200 * time.Millisecond
 
-// closeState is how far a connection is on its way to its end. The states are
-// ordered; each transition is one method:
+// closeState is the stage that a connection has reached in closing. The states
+// are ordered, and each transition is made by one method:
 //
 //	from                     to         by
 //	open                     draining   CloseGracefully, CloseAfterSend
-//	draining                 lingering  closeSend: nothing is pending any more
-//	open/draining/lingering  aborted    Abort, rejectOverflow
-//	any                      closed     reportClosed: the descriptor is closed
+//	draining                 lingering  closeSend, once nothing is pending
+//	open/draining/lingering  aborted    Abort, markOverflowed
+//	any                      closed     reportClosed, once the descriptor is closed
 type closeState uint8
 
 const (
 	stateOpen      closeState = iota
-	stateDraining             // to be closed as soon as nothing is pending
-	stateLingering            // the sending side is shut down, input is discarded
-	stateAborted              // closed by this side; OnClosed is still due
+	stateDraining             // closes as soon as nothing is pending
+	stateLingering            // the sending side is shut down and input is discarded
+	stateAborted              // closed by this side; OnClosed was not called yet
 	stateClosed               // OnClosed was called
 )
 
-// CloseGracefully closes the connection in the orderly way, as soon as no
-// response is pending and no received byte is undelivered. OnClosed follows. It
+// CloseGracefully closes the connection as soon as no response is pending and
+// every received byte was delivered. It passes reason to OnClosed afterwards. It
 // has no effect on a connection that is already closing.
 func (c *Conn) CloseGracefully(reason error) {
 	if c.state != stateOpen {
@@ -42,27 +42,27 @@
 	c.loop.draining = append(c.loop.draining, c)
 }
 
-// CloseAfterSend closes a connection whose peer expects nothing: input is
-// discarded from now on, and what was written is sent first.
+// CloseAfterSend closes a connection whose peer expects no response. It discards
+// further input and sends all queued output before closing.
 func (c *Conn) CloseAfterSend(reason error) {
 	c.DiscardInput()
 	c.CloseGracefully(reason)
 }
 
-// Abort closes the connection at once, with everything that was not sent.
-// OnClosed follows.
+// Abort closes the connection at once and drops its unsent output. It passes
+// reason to OnClosed afterwards.
 func (c *Conn) Abort(reason error) {
 	if c.state >= stateAborted {
 		return
 	}
 	c.state = stateAborted
 	c.closeReason = reason
-	_ = c.netConn.Close() // its callback marks the connection and queues it
+	_ = c.netConn.Close() // calls onClose, which marks the connection and queues it
 }
 
-// rejectOverflow takes note that netpoll's side has closed the connection since
-// too much input waited.
-func (c *Conn) rejectOverflow() {
+// markOverflowed records that receive closed the connection because its
+// undelivered input exceeded a limit.
+func (c *Conn) markOverflowed() {
 	if c.state >= stateAborted {
 		return
 	}
@@ -79,7 +79,7 @@
 	c.OnClosed(c.closeReason)
 }
 
-// DiscardInput has everything that arrives from now on dropped unread.
+// DiscardInput drops all further input without delivering it.
 func (c *Conn) DiscardInput() {
 	c.mu.Lock()
 	c.discardInput = true
@@ -92,23 +92,24 @@
 	return c.discardInput
 }
 
-// Closing reports whether the connection was closed here, or its end reported.
+// Closing reports whether this side began to close the connection, or OnClosed
+// was called.
 func (c *Conn) Closing() bool { return c.state != stateOpen }
 
-// SendClosed reports whether the sending side was shut down in the course of a
-// graceful close. It stays true after the connection has ended.
+// SendClosed reports whether a graceful close has shut down the sending side. It
+// remains true after the connection has ended.
 func (c *Conn) SendClosed() bool { return !c.lingerUntil.IsZero() }
 
-// Unread reports whether received bytes were not delivered yet: in the ring,
-// with netpoll or in the system's buffer.
+// Unread reports whether received bytes wait for delivery, in the ring, in
+// netpoll's buffer or in the receive buffer of the kernel.
 func (c *Conn) Unread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fdClosed {
 		return false
 	}
-	// The system's buffer comes first: what is read from it meanwhile is found
-	// in the buffers checked below.
+	// The kernel's buffer is checked first: bytes that netpoll reads from it
+	// meanwhile are found in the buffers checked below.
 	if readable(c.fd) {
 		return true
 	}
@@ -122,7 +123,8 @@
 	return err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0
 }
 
-// drained reports whether nothing stands against shutting down the sending side.
+// drained reports whether the sending side can be shut down: all output is sent,
+// no response is pending, and no input is undelivered or it is discarded.
 func (c *Conn) drained() bool {
 	if c.output.Len() > 0 {
 		return false
@@ -137,11 +139,12 @@
 	return c.ResponsePending != nil && c.ResponsePending()
 }
 
-// closeSend shuts down the sending side and has the connection linger.
+// closeSend shuts down the sending side and moves the connection to
+// stateLingering.
 func (c *Conn) closeSend(now time.Time) {
 	c.mu.Lock()
 	if !c.fdClosed {
-		// Where this fails the peer has gone, and OnClosed follows.
+		// An error means that the peer has disconnected; onClose reports that.
 		_ = syscall.Shutdown(c.fd, syscall.SHUT_WR)
 	}
 	c.discardInput = true
@@ -152,8 +155,8 @@
 }
 
 // closeDrained shuts down the sending side of the draining connections that
-// have nothing pending. It reports whether one of the others waits for
-// something that only polling can tell.
+// have nothing pending. It reports whether one of the others must be polled,
+// because no event announces the end of its wait.
 func (l *Loop) closeDrained(now time.Time) (poll bool) {
 	stillDraining := l.draining[:0]
 	for _, c := range l.draining {
@@ -172,8 +175,9 @@
 	return poll
 }
 
-// closeLingering closes the connections that have lingered for long enough, and
-// the oldest of too many. It returns the time until the next is due, 0 for none.
+// closeLingering closes the connections that have lingered for lingerTimeout,
+// and the oldest ones beyond MaxLingering. It returns the time until the next
+// one expires, or 0 if none is left.
 func (l *Loop) closeLingering(now time.Time) time.Duration {
 	l.removeClosedLingering()
 	expired := 0
@@ -192,7 +196,8 @@
 	return max(time.Millisecond, l.lingering[0].lingerUntil.Sub(now))
 }
 
-// removeClosedLingering forgets lingering connections that the peer has closed.
+// removeClosedLingering removes connections that the peer has closed from the
+// list of lingering ones.
 func (l *Loop) removeClosedLingering() {
 	open := l.lingering[:0]
 	for _, c := range l.lingering {
@@ -208,5 +213,5 @@
 }
 
 // Lingering returns the number of connections whose sending side is shut down
-// and that wait for the peer's close.
+// and that wait for the peer to close.
 func (l *Loop) Lingering() int { return len(l.lingering) }
--- a/internal/conn/close_test.go
+++ b/internal/conn/close_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestClosed checks that an error of OnData closes a connection, that the peer's
-// close is reported, that both make room, that without room a connection is
-// closed at once, and that a refused dial is reported.
+// TestClosed checks that an error returned by OnData closes the connection, that
+// a close by the peer is reported, that both free a place, that a connection
+// beyond the limit is closed at once, and that a refused dial is reported.
 func TestClosed(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 2)
@@ -21,7 +21,7 @@
 	}
 	rejected := connect(t, server.address)
 	if _, err := rejected.Read(make([]byte, 1)); err == nil || len(server.rejected) != 1 {
-		t.Error("a connection without room is kept")
+		t.Error("a connection beyond the limit is kept open")
 	}
 	_, _ = invalid.Write([]byte("bad"))
 	if !runLoop(l, func() bool { return len(server.closeErrors) == 1 }) ||
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestClosedAfterAccept checks that OnClosed is called for a peer that accepts and
-// closes, however early it does.
+// TestClosedAfterAccept checks that OnClosed is called for a peer that closes
+// right after it accepted, even before the connection has callbacks.
 func TestClosedAfterAccept(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestCloseGracefully checks that what had arrived at the close is delivered and
-// may be answered, and that the close waits while a response is pending; that
-// what a peer sends after the sending side is shut down does not destroy the last
-// response, and is not delivered; and that the descriptor is closed when the peer
-// closes, and after a time limit where it does not.
+// TestCloseGracefully checks the stages of a graceful close. Input received
+// before the close is delivered and can be answered, and the close waits while a
+// response is pending. Input sent after the sending side is shut down is not
+// delivered and does not destroy the last response. The descriptor is closed when
+// the peer closes, or after a time limit.
 func TestCloseGracefully(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 100)
@@ -92,14 +92,14 @@
 	c.ResponsePending = func() bool { return pending }
 	c.OnData = func(p []byte) error {
 		if c.SendClosed() {
-			t.Error("delivered after the close")
+			t.Error("input is delivered after the sending side is shut down")
 		}
 		delivered += string(p)
 		c.Write([]byte("answer"))
 		return nil
 	}
 	size := len("answer")
-	for c.Unsent() == 0 { // as much as the system buffers: the peer has not read it at the close
+	for c.Unsent() == 0 { // fill the kernel's buffers, so that the peer has unread output at the close
 		c.Write(make([]byte, 64<<10))
 		size += 64 << 10
 		l.Flush(time.Now())
@@ -117,12 +117,12 @@
 		<-sentLate
 		rest, err := io.ReadAll(peer)
 		if err != nil {
-			t.Error("the response is cut:", err)
+			t.Error("the response is truncated:", err)
 		}
 		got <- int(n) + len(rest)
 	}()
 	if !runLoop(l, func() bool { return delivered == received && c.Unsent() == 0 }) {
-		t.Fatalf("%q is delivered, %d bytes are unsent", delivered, c.Unsent())
+		t.Fatalf("delivered %q; %d bytes are unsent", delivered, c.Unsent())
 	}
 	if l.Flush(time.Now()); l.Lingering() != 0 {
 		t.Fatal("the sending side is shut down while a response is pending")
@@ -132,7 +132,7 @@
 		t.Fatal("the sending side is not shut down")
 	}
 	c.Write([]byte("not sent"))
-	_, _ = peer.Write(make([]byte, 1000)) // had the descriptor been closed, the system would reset the connection now
+	_, _ = peer.Write(make([]byte, 1000)) // with a closed descriptor the kernel would reset the connection here
 	close(sentLate)
 	if n := <-got; n != size {
 		t.Error(n, "bytes of", size)
@@ -146,7 +146,7 @@
 	_ = runLoop(l, func() bool { return len(server.conns) == 2 })
 	server.conns[1].CloseGracefully(ErrClosedLocally)
 	if !runLoop(l, func() bool { return len(server.closeErrors) == 2 }) || l.Lingering() != 0 {
-		t.Error("the loop waits for a peer that never closes")
+		t.Error("the loop keeps waiting for a peer that never closes")
 	}
 	_ = silentPeer.Close()
 }
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -9,7 +9,7 @@
 )
 
 // runLoop runs the loop as its owner until the condition holds, and reports
-// whether it did in time.
+// whether that happened within 5 s.
 func runLoop(l *Loop, until func() bool) bool {
 	retry := time.NewTimer(time.Hour)
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); {
@@ -30,7 +30,8 @@
 }
 
 // echoServer sends back what it reads, and aborts a connection that sends
-// "bad". Its fields but rejected belong to the goroutine that runs the loop.
+// "bad". Only the goroutine that runs the loop uses its fields, except for
+// rejected.
 type echoServer struct {
 	address     string
 	conns       []*Conn
@@ -62,7 +63,7 @@
 	c.OnClosed = func(err error) { s.closeErrors = append(s.closeErrors, err) }
 }
 
-// connect returns a plain connection to the address, closed when the test ends.
+// connect dials the address and closes the connection when the test ends.
 func connect(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -8,12 +8,14 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// dialTimeout is far longer than a peer on the same machine or network takes.
+// dialTimeout is far longer than a peer on the same machine or network needs to
+// accept a connection.
 const dialTimeout = 500 * time.Millisecond
 
-// Dial connects in the background and then calls done on the owner's goroutine,
-// with a connection or an error: ErrDialTimeout if the peer neither accepted
-// nor refused in time. Any goroutine may call it.
+// Dial connects to a TCP address in the background and then calls done on the
+// owner's goroutine with a connection or an error, which is ErrDialTimeout if
+// the peer neither accepted nor refused the connection in time. Any goroutine
+// may call Dial.
 func (l *Loop) Dial(address string, done func(*Conn, error)) {
 	go func() {
 		netConn, err := dial(address)
@@ -25,7 +27,7 @@
 		_ = netConn.AddCloseCallback(c.onClose)
 		l.Post(func() {
 			done(c, nil)
-			c.deliver() // it may have been closed before it had callbacks
+			c.deliver() // the peer may have closed it before it had callbacks
 		})
 		_ = netConn.SetOnRequest(c.onReadable)
 		if !netConn.IsActive() { // closed before netpoll had the callbacks
@@ -36,15 +38,15 @@
 
 func dial(address string) (netpoll.Connection, error) {
 	start := time.Now()
-	netConn, err := dialOrFail(address)
+	netConn, err := dialWithFaults(address)
 	if err != nil && time.Since(start) >= dialTimeout {
 		return nil, ErrDialTimeout
 	}
 	return netConn, err
 }
 
-// dialOrFail connects unless a fault is injected.
-func dialOrFail(address string) (netpoll.Connection, error) {
+// dialWithFaults dials the address, unless a test injects a fault.
+func dialWithFaults(address string) (netpoll.Connection, error) {
 	if err := faultinject.Error(faultinject.Connect); err != nil {
 		return nil, err
 	}
--- a/internal/conn/flush.go
+++ b/internal/conn/flush.go
@@ -9,17 +9,18 @@
 	"frosthub/internal/faultinject"
 )
 
-// Times of sending to a peer that does not read.
+// Times that apply to a peer that does not read.
 const (
-	// retryInterval is how long until such a peer is tried again.
+	// retryInterval is the time between attempts to send to such a peer.
 	retryInterval = 5 * time.Millisecond
-	// stallTimeout is how long it may read nothing: its requests have timed out by then.
+	// stallTimeout is how long the peer may read nothing before the connection is
+	// aborted. Its requests have timed out by then.
 	stallTimeout = 15 * time.Second
 )
 
-// Flush sends what was written since the last call, as far as the peers take
-// it, and advances the connections that are closing. It returns how long until
-// it should be called again, 0 if there is no need.
+// Flush sends the output written since the last call, as far as the peers accept
+// it, and advances the connections that are closing. It returns the time until
+// it must be called again, or 0 if the next event is soon enough.
 func (l *Loop) Flush(now time.Time) time.Duration {
 	l.sendDirty(now)
 	l.enforceMaxUnsent()
@@ -36,8 +37,8 @@
 	return next
 }
 
-// sendDirty sends on the connections that stalled before and then on those with
-// new output, and lists anew which of them are stalled.
+// sendDirty sends on the connections that were stalled and then on those with
+// new output, and updates the list of stalled ones.
 func (l *Loop) sendDirty(now time.Time) {
 	dirty := l.dirty
 	l.dirty = l.dirty[:0]
@@ -48,7 +49,7 @@
 		}
 	}
 	for _, c := range dirty {
-		alreadySent := !c.dirty // it was among the stalled ones
+		alreadySent := !c.dirty // it was one of the stalled connections
 		if !alreadySent && c.flush(now) {
 			stalled = append(stalled, c)
 		}
@@ -57,8 +58,8 @@
 	l.stalled = stalled
 }
 
-// enforceMaxUnsent aborts the connection with the most unsent bytes if there
-// are too many over all stalled connections.
+// enforceMaxUnsent aborts the connection with the most unsent bytes if the
+// unsent bytes of all stalled connections exceed MaxUnsent.
 func (l *Loop) enforceMaxUnsent() {
 	total := 0
 	var worst *Conn
@@ -73,11 +74,12 @@
 	}
 }
 
-// Stalled returns the number of connections whose peers did not take all that
-// was sent.
+// Stalled returns the number of connections whose peers did not accept all
+// output.
 func (l *Loop) Stalled() int { return len(l.stalled) }
 
-// flush sends what is queued, and reports whether the peer left some of it.
+// flush sends queued output, and reports whether the peer did not accept all of
+// it.
 func (c *Conn) flush(now time.Time) (stalled bool) {
 	before := c.sentTotal
 	stalled = c.send(now)
@@ -102,17 +104,18 @@
 		case isFatal(err):
 			c.Abort(err)
 			return false
-		default: // the peer does not read, or the system is short of buffers
-			return c.stall(now)
+		default: // the peer does not read, or the kernel is short of buffers
+			return c.recordStall(now)
 		}
 	}
 	return false
 }
 
-// errFdClosed is returned by writeOnce for a descriptor that may be closed.
+// errFdClosed is the error of writeOnce for a descriptor that may be closed.
 var errFdClosed = errors.New("descriptor closed")
 
-// writeOnce makes one system call to write the first stretch of the output.
+// writeOnce makes one system call to write the first contiguous part of the
+// output.
 func (c *Conn) writeOnce() (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,10 +128,10 @@
 	return syscall.Write(c.fd, c.output.Peek())
 }
 
-// stall notes that the peer takes nothing now, and aborts the connection where
-// it has done so for too long or too much waits. It reports whether the
-// connection stays.
-func (c *Conn) stall(now time.Time) bool {
+// recordStall records that the peer accepts no bytes, and aborts the connection
+// if this has lasted for stallTimeout or the unsent bytes exceed MaxUnsent. It
+// reports whether the connection remains open.
+func (c *Conn) recordStall(now time.Time) bool {
 	if c.stalledSince.IsZero() {
 		c.stalledSince = now
 	}
@@ -143,9 +146,9 @@
 	return true
 }
 
-// fatalErrors are the errors of a write after which a connection can't go on.
-// Others may pass: no response is lost because the system is out of buffers or
-// memory for a moment.
+// fatalErrors are the write errors after which a connection is unusable. Other
+// errors may be temporary and are retried, so that no response is lost when the
+// kernel is briefly out of buffers or memory.
 var fatalErrors = []error{
 	syscall.EPIPE,
 	syscall.ECONNRESET,
--- a/internal/conn/flush_test.go
+++ b/internal/conn/flush_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestStalledPeer checks that a peer that stops reading holds up nobody, receives
-// everything once it reads again, and is closed beyond its limit.
+// TestStalledPeer checks that a peer that stops reading delays no other peer,
+// receives everything once it reads again, and is disconnected if its unsent
+// bytes exceed the limit.
 func TestStalledPeer(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 100)
@@ -26,10 +27,10 @@
 	stalled.Write(make([]byte, size))
 	start := time.Now()
 	if l.Flush(start) == 0 || stalled.Unsent() == 0 {
-		t.Fatal("the peer took everything: the test shows nothing")
+		t.Fatal("the peer accepted everything, so the test proves nothing")
 	}
 	if spent := time.Since(start); spent > time.Second {
-		t.Error("the owner waited for the peer", spent)
+		t.Error("Flush waited for the peer:", spent)
 	}
 	_, _ = otherPeer.Write([]byte("hello"))
 	echoed := make(chan string, 1)
@@ -39,7 +40,7 @@
 		echoed <- string(got)
 	}()
 	if !runLoop(l, func() bool { return len(echoed) == 1 }) || <-echoed != "hello" {
-		t.Error("the other peer is held up")
+		t.Error("the other peer is delayed")
 	}
 	read := make(chan int64, 1)
 	go func() {
@@ -52,12 +53,12 @@
 	stalled.MaxUnsent = 1 << 10
 	stalled.Write(make([]byte, size))
 	if !runLoop(l, func() bool { return len(server.closeErrors) == 1 }) || !errors.Is(server.closeErrors[0], ErrUnsentLimit) {
-		t.Error("a stalled peer is not closed beyond its limit", server.closeErrors)
+		t.Error("a stalled peer beyond its limit is not disconnected; close errors:", server.closeErrors)
 	}
 }
 
-// TestTotalUnsentLimit checks that the unsent bytes of all connections have a
-// limit too, beyond which not all are closed.
+// TestTotalUnsentLimit checks that the total of unsent bytes over all
+// connections is limited, and that exceeding it does not close all of them.
 func TestTotalUnsentLimit(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 100)
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// roomTimeout is how long an accepted connection waits for the owner to
-	// close idle ones, where the owner has not yet seen all that was accepted:
-	// one iteration of its loop.
-	roomTimeout      = 50 * time.Millisecond
-	roomPollInterval = roomTimeout / 500
-
-	// acceptPause follows a failed accept, for instance without descriptors.
-	// Netpoll's goroutine pauses, so input of other connections waits as long.
-	acceptPause = 5 * time.Millisecond
-
-	// pollDelay is how long after netpoll asks for the listening descriptor it
-	// surely polls it: usually some microseconds.
-	pollDelay             = 20 * time.Millisecond
-	pollDelayPollInterval = pollDelay / 10
+	// capacityTimeout is how long an accepted connection waits for the owner to
+	// close idle ones, if the owner has not yet handled all accepted connections.
+	// It covers one iteration of the owner's loop.
+	capacityTimeout      = 50 * time.Millisecond
+	capacityPollInterval = capacityTimeout / 500
+
+	// acceptRetryDelay follows a failed accept, for instance when descriptors run
+	// out. Netpoll's goroutine sleeps, so input of other connections is delayed too.
+	acceptRetryDelay = 5 * time.Millisecond
+
+	// pollStartDelay is an upper bound of the time between netpoll's call of Fd
+	// and the moment it polls the descriptor, which is usually some microseconds.
+	pollStartDelay         = 20 * time.Millisecond
+	pollStartCheckInterval = pollStartDelay / 10
 )
 
 // Listener accepts connections for a Loop. It replaces netpoll's listener, whose
-// Close closes the number of the descriptor twice: in between another connection
-// may have been given that number. Its methods may be called from any goroutine.
+// Close closes the same descriptor number twice: in between, another connection
+// may have been assigned that number. Any goroutine may call its methods.
 type Listener struct {
 	loop     *Loop
 	addr     net.Addr
 	maxOpen  int64
-	rejected func(err error)
+	onReject func(err error)
 
 	mu          sync.Mutex
 	file        *os.File // nil once the listener is closed
 	fd          int
-	fdRequested time.Time // when netpoll last asked for the descriptor
-	closing     bool      // to be closed as soon as the accept queue is empty
+	fdRequested time.Time // time of netpoll's last call of Fd
+	closing     bool      // closes as soon as the accept queue is empty
 	handingOver int       // connections accepted and not yet posted to the owner
 }
 
@@ -52,12 +52,11 @@
 type connKey struct{}
 
 // Listen accepts TCP connections at the address. It calls accept on the owner's
-// goroutine for each, before the first OnData. At most maxOpen connections of
-// the loop are open at a time, dialed ones included: one without room is closed
-// at once. For each of these rejected is called with nil, and for each time
-// that the system failed to give a connection with the error. It is called from
-// any goroutine.
-func (l *Loop) Listen(address string, maxOpen int, accept func(*Conn), rejected func(err error)) (*Listener, error) {
+// goroutine for each of them, before its first OnData. At most maxOpen
+// connections of the loop are open at a time, including dialed ones; a
+// connection beyond that is closed at once. Listen calls onReject with nil for
+// each of these, and with the error for each failed accept, from any goroutine.
+func (l *Loop) Listen(address string, maxOpen int, accept func(*Conn), onReject func(err error)) (*Listener, error) {
 	file, addr, err := listenSocket(address)
 	if err != nil {
 		return nil, err
@@ -66,12 +65,12 @@
 		loop:     l,
 		addr:     addr,
 		maxOpen:  int64(maxOpen),
-		rejected: rejected,
+		onReject: onReject,
 		file:     file,
 		fd:       int(file.Fd()),
 	}
-	// Accepted connections inherit the size. Without it the system would buffer
-	// megabytes at a time from a peer that sends them.
+	// Accepted connections inherit the size. Without it the kernel would buffer
+	// megabytes from a peer that sends a lot.
 	_ = syscall.SetsockoptInt(ln.fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferSize)
 	if err := syscall.SetNonblock(ln.fd, true); err != nil {
 		ln.closeFile()
@@ -86,7 +85,7 @@
 	return ln, nil
 }
 
-// listenSocket returns a listening descriptor that the runtime does not poll.
+// listenSocket returns a listening descriptor that the Go runtime does not poll.
 func listenSocket(address string) (*os.File, net.Addr, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -97,8 +96,8 @@
 	return file, ln.Addr(), err
 }
 
-// onAccepted returns the callback that makes a Conn of an accepted connection
-// and hands it to the owner.
+// onAccepted returns the netpoll callback that creates a Conn for an accepted
+// connection and posts it to the owner.
 func (ln *Listener) onAccepted(accept func(*Conn)) netpoll.OnPrepare {
 	l := ln.loop
 	return func(netConn netpoll.Connection) context.Context {
@@ -118,16 +117,16 @@
 	return ctx.Value(connKey{}).(*Conn).onReadable(ctx, netConn)
 }
 
-// serve has netpoll accept connections, and starts over where the system fails
-// to poll the descriptor.
+// serve runs netpoll's event loop on the listener, and restarts it if the kernel
+// fails to poll the descriptor.
 func (ln *Listener) serve(eventLoop netpoll.EventLoop) {
 	for {
 		err := eventLoop.Serve(ln)
 		if err == nil || ln.stopped() {
 			return
 		}
-		ln.rejected(err)
-		time.Sleep(acceptPause)
+		ln.onReject(err)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
@@ -138,10 +137,11 @@
 	return ln.closing || ln.file == nil
 }
 
-// Addr returns the address it listens at.
+// Addr returns the address of the listening socket.
 func (ln *Listener) Addr() net.Addr { return ln.addr }
 
-// Fd returns the descriptor, for netpoll, which polls it from then on.
+// Fd returns the listening descriptor. It is called by netpoll, which polls the
+// descriptor afterwards.
 func (ln *Listener) Fd() int {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -149,50 +149,51 @@
 	return ln.fd
 }
 
-// Accept takes a connection, for netpoll. It closes the connection at once where
-// there is no room, so that the system's accept queue never stands still. The
-// result is nil if there is none.
+// Accept returns the next connection, or nil if there is none. It is called by
+// netpoll. A connection beyond the limit is accepted and closed at once, so that
+// the accept queue of the kernel never fills up.
 func (ln *Listener) Accept() (net.Conn, error) {
 	fd, peer, err := ln.acceptSocket()
 	if err != nil {
-		// An error returned to netpoll is handled there only once per listener;
-		// then it would accept again without a pause.
-		ln.rejected(err)
-		time.Sleep(acceptPause)
+		// Netpoll handles an error only once per listener; after that it would
+		// accept again without a delay.
+		ln.onReject(err)
+		time.Sleep(acceptRetryDelay)
 		return nil, nil
 	}
 	if fd == noSocket {
 		return nil, nil
 	}
-	ln.waitForRoom()
+	ln.waitForCapacity()
 	if ln.full() {
-		ln.rejected(nil)
+		ln.onReject(nil)
 		_ = syscall.Close(fd)
 		ln.handedOver()
 		return nil, nil
 	}
-	// Small writes must not be held back by the system: a close could lose them.
+	// The kernel must not delay small writes, since a close could lose them.
 	_ = syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	return &socket{fd: fd, local: ln.addr, peer: peer}, nil
 }
 
 func (ln *Listener) full() bool { return ln.loop.Open.Load() >= ln.maxOpen }
 
-// waitForRoom waits for a short while for the owner to close idle connections,
-// which it does as it sees new ones. Many that arrive between two iterations
-// would take all places before that, and the next one would find none.
-func (ln *Listener) waitForRoom() {
-	deadline := time.Now().Add(roomTimeout)
+// waitForCapacity waits up to capacityTimeout for the owner to close idle
+// connections, which the owner does when it handles new ones. Without the wait,
+// a burst of connections between two iterations of the owner would use up the
+// limit, and the next connection would be rejected although idle ones exist.
+func (ln *Listener) waitForCapacity() {
+	deadline := time.Now().Add(capacityTimeout)
 	for ln.full() && ln.loop.newConns.Load() > 0 && time.Now().Before(deadline) {
-		time.Sleep(roomPollInterval)
+		time.Sleep(capacityPollInterval)
 	}
 }
 
-// noSocket is the descriptor that acceptSocket returns if there is none.
+// noSocket is the result of acceptSocket if no connection is available.
 const noSocket = -1
 
-// acceptSocket takes the next connection off the system's queue, noSocket if
-// the queue is empty.
+// acceptSocket removes the next connection from the kernel's accept queue and
+// returns its descriptor, or noSocket if the queue is empty.
 func (ln *Listener) acceptSocket() (int, net.Addr, error) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -216,14 +217,16 @@
 	return fd, tcpAddr(sockaddr), nil
 }
 
-// handedOver notes that an accepted connection was posted to the owner or closed.
+// handedOver records that an accepted connection was posted to the owner or
+// closed.
 func (ln *Listener) handedOver() {
 	ln.mu.Lock()
 	ln.handingOver--
 	ln.mu.Unlock()
 }
 
-// closeFile closes the descriptor. The caller holds ln.mu, or is alone.
+// closeFile closes the descriptor. The caller holds ln.mu, or no other goroutine
+// has access to the listener yet.
 func (ln *Listener) closeFile() {
 	if ln.file != nil {
 		_ = ln.file.Close()
@@ -231,16 +234,17 @@
 	}
 }
 
-// Close ends listening. Connections in the system's accept queue are taken
-// first, since their peers may have sent a complete request. It blocks until
-// netpoll surely polls the descriptor, of which there is no notice: otherwise
-// netpoll would poll whatever is given its number next.
+// Close stops listening, after the connections in the kernel's accept queue were
+// accepted: their peers may already have sent a complete request. Close blocks
+// until netpoll polls the descriptor. Netpoll has no notification for that, so
+// Close waits for pollStartDelay. Otherwise netpoll could poll a different file
+// that the same descriptor number is assigned to.
 func (ln *Listener) Close() error {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
-	for ln.fdRequested.IsZero() || time.Since(ln.fdRequested) < pollDelay {
+	for ln.fdRequested.IsZero() || time.Since(ln.fdRequested) < pollStartDelay {
 		ln.mu.Unlock()
-		time.Sleep(pollDelayPollInterval)
+		time.Sleep(pollStartCheckInterval)
 		ln.mu.Lock()
 	}
 	ln.closing = true
@@ -250,16 +254,16 @@
 	return nil
 }
 
-// Closed reports whether nothing is accepted any more and everything that was
-// is posted to the owner.
+// Closed reports whether the listener is closed and all accepted connections
+// were posted to the owner.
 func (ln *Listener) Closed() bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.file == nil && ln.handingOver == 0
 }
 
-// socket is an accepted descriptor on its way to netpoll, which uses nothing
-// but these methods of it.
+// socket passes an accepted descriptor to netpoll, which calls only the methods
+// defined here.
 type socket struct {
 	net.Conn
 
--- a/internal/conn/listener_test.go
+++ b/internal/conn/listener_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TestListenerDrainsQueue checks that a closing listener takes what the system
-// had accepted before, and then nothing more.
+// TestListenerDrainsQueue checks that a closing listener accepts the connections
+// in the kernel's accept queue, and none after that.
 func TestListenerDrainsQueue(t *testing.T) {
 	l := NewLoop()
 	ln, err := l.Listen("127.0.0.1:0", 100, func(*Conn) {}, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.mu.Lock() // the poller waits: connections stay in the system's queue
+	ln.mu.Lock() // blocks the poller, so that connections remain in the accept queue
 	var peers []net.Conn
 	for range 3 {
 		peers = append(peers, connect(t, ln.Addr().String()))
@@ -29,7 +29,7 @@
 	}
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		_ = c.Close()
-		t.Error("it still listens")
+		t.Error("the listener still accepts connections")
 	}
 	for _, peer := range peers {
 		_ = peer.Close()
@@ -37,6 +37,6 @@
 	idle, _ := l.Listen("127.0.0.1:0", 100, func(*Conn) {}, func(error) {})
 	_ = idle.Close()
 	if !idle.Closed() {
-		t.Error("the listener waits for an empty queue")
+		t.Error("the listener is not closed although the accept queue is empty")
 	}
 }
--- a/internal/conn/loop.go
+++ b/internal/conn/loop.go
@@ -6,44 +6,46 @@
 	"sync/atomic"
 )
 
-// Loop is the event queue of an owner: connections with news, and calls posted
-// from other goroutines. Post, Idle and the atomic counters may be used from
-// any goroutine, everything else only from the owner's.
+// Loop is the event queue of an owner. It holds connections with events, and
+// functions posted from other goroutines. Any goroutine may use Post, Idle and
+// the atomic counters, but only the owner's goroutine may use the rest.
 type Loop struct {
 	// Wake holds a token while something is queued.
 	Wake chan struct{}
 	// Open counts the connections that hold a descriptor.
 	Open atomic.Int64
-	// Discarded counts received bytes that were dropped unread, over all connections.
+	// Discarded counts received bytes that were dropped without being delivered,
+	// over all connections.
 	Discarded atomic.Int64
 
-	// MaxUnsent bounds the bytes that wait for all peers that do not read;
-	// beyond it the connection with the most is aborted.
+	// MaxUnsent bounds the unsent bytes of all stalled connections. Beyond it the
+	// connection with the most unsent bytes is aborted.
 	MaxUnsent int
 	// MaxUndelivered bounds the received bytes of all connections that wait for the
-	// owner; beyond it peers that send a lot are disconnected.
+	// owner. Beyond it peers that send a lot are disconnected.
 	MaxUndelivered int64
-	// MaxLingering bounds the connections that linger; beyond it the oldest is closed.
+	// MaxLingering bounds the connections that linger. Beyond it the oldest is closed.
 	MaxLingering int
 
-	undelivered atomic.Int64 // received bytes that wait for the owner, of all connections
+	undelivered atomic.Int64 // received bytes that wait for the owner, over all connections
 
-	// Accepted connections that no iteration of the owner has handled to its
-	// end, and how many of them the present iteration has seen.
+	// newConns counts accepted connections until the owner has completed the
+	// iteration in which it handled them; newConnsSeen counts those handled in
+	// the current iteration.
 	newConns     atomic.Int64
 	newConnsSeen int64
 
 	mu    sync.Mutex // guards queue
 	queue []any      // *Conn or func()
-	spare []any      // the backing array for the next queue
+	spare []any      // backing array for the next queue
 
-	dirty     []*Conn // with output since the last Flush
-	stalled   []*Conn // whose peers did not take all of their output
+	dirty     []*Conn // have new output since the last Flush
+	stalled   []*Conn // their peers did not accept all of their output
 	draining  []*Conn // in stateDraining
 	lingering []*Conn // in stateLingering, oldest first
 }
 
-// NewLoop returns an empty event queue without limits.
+// NewLoop returns an empty event queue whose limits are not set.
 func NewLoop() *Loop {
 	return &Loop{
 		Wake:           make(chan struct{}, 1),
@@ -53,7 +55,7 @@
 	}
 }
 
-// Post has f called by Dispatch. Any goroutine may call it.
+// Post queues f to be called by Dispatch. Any goroutine may call Post.
 func (l *Loop) Post(f func()) { l.push(f) }
 
 func (l *Loop) push(item any) {
@@ -66,15 +68,15 @@
 	}
 }
 
-// Idle reports whether nothing is queued.
+// Idle reports whether the queue is empty.
 func (l *Loop) Idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue) == 0
 }
 
-// Dispatch makes the posted calls and delivers the input of connections, in the
-// order in which they were queued. What is queued meanwhile waits for the next
+// Dispatch calls the posted functions and delivers the input of connections, in
+// the order in which they were queued. Events queued meanwhile wait for the next
 // call.
 func (l *Loop) Dispatch() {
 	l.mu.Lock()
@@ -93,19 +95,19 @@
 	l.spare = items
 }
 
-// deliver calls back with the input that waits, and with the end of the
-// connection once there is no more.
+// deliver passes the waiting input to OnData, and reports the end of the
+// connection once all input is delivered.
 func (c *Conn) deliver() {
 	for {
 		c.mu.Lock()
 		p := c.input.Peek()
 		if c.overflowed {
-			c.rejectOverflow()
+			c.markOverflowed()
 		}
 		if len(p) == 0 {
 			c.queued = false
-			// A connection without callbacks was not handed to the owner yet; it
-			// is delivered again then.
+			// A connection without callbacks was not passed to the owner yet. Its
+			// end is reported by another call, after it has callbacks.
 			ended := c.fdClosed && !c.closeReported && c.OnClosed != nil
 			c.closeReported = c.closeReported || ended
 			c.mu.Unlock()
--- a/internal/conn/netpoll.go
+++ b/internal/conn/netpoll.go
@@ -13,27 +13,27 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Starting netpoll's poller, which fails while the system has no descriptor: a
-// node has 30 s to become ready.
+// Limits of the attempts to start netpoll's poller, which fail while no file
+// descriptor is available. A node has 30 s to become ready.
 const (
 	pollerTimeout       = 10 * time.Second
 	pollerRetryInterval = 20 * time.Millisecond
 )
 
-// receiveBufferSize is what the system's receive buffer of an accepted
-// connection takes, in bytes: all requests that may be open on one.
+// receiveBufferSize is the size of the kernel's receive buffer of an accepted
+// connection, in bytes. It holds all requests that may be open on a connection.
 const receiveBufferSize = 64 << 10
 
-// Prepare sets netpoll up for the whole process. It must be called before any
+// Prepare configures netpoll for the whole process. It must be called before any
 // connection is made, and blocks until the poller has started or a time limit
 // passes. Netpoll's own log lines, for instance when descriptors run out, are
 // logged at most once a second.
 //
-// Netpoll's poller never waits while bytes keep coming: where one thread runs
-// everything it would keep reading for milliseconds before any other goroutine
-// runs. So it yields whenever it hands something over.
+// Netpoll's poller does not block while it receives bytes: on a single thread it
+// would read for milliseconds before any other goroutine runs. The runner set
+// here therefore yields after it starts a callback.
 func Prepare(log *slog.Logger) {
-	_ = netpoll.Configure(netpoll.Config{ // it fails only on settings that aren't made here
+	_ = netpoll.Configure(netpoll.Config{ // fails only for settings that are not used here
 		LoggerOutput: &logWriter{log: log},
 		Runner: func(_ context.Context, f func()) {
 			go f()
@@ -46,14 +46,14 @@
 	}
 }
 
-// startPollers has netpoll create its poller now, and reports whether it did.
-// On its own netpoll would create it with the first connection, and where the
-// system has no descriptor at that moment the process would panic on a nil
-// pointer, then or at any later connection.
+// startPollers makes netpoll create its poller, and reports whether that
+// succeeded. By default netpoll creates it with the first connection; if no file
+// descriptor is available at that moment, the process panics on a nil pointer,
+// either then or at a later connection.
 func startPollers() (started bool) {
 	defer func() {
 		started = recover() == nil
-		if !started { // netpoll has dropped its load balancer: set it up again
+		if !started { // netpoll has dropped its load balancer, so configure it again
 			_ = netpoll.Configure(netpoll.Config{PollerNum: 1, LoadBalance: netpoll.RoundRobin})
 		}
 	}()
@@ -61,7 +61,8 @@
 	return true
 }
 
-// logWriter logs what netpoll prints. Any goroutine may write to it.
+// logWriter forwards netpoll's log lines to a logger. Any goroutine may write to
+// it.
 type logWriter struct {
 	log *slog.Logger
 
@@ -78,9 +79,9 @@
 	return len(p), nil
 }
 
-// onReadable copies what netpoll has read into the ring. It never waits for the
-// owner, since netpoll would keep reading meanwhile and buffer everything: a
-// peer that sends more than may wait is disconnected.
+// onReadable copies the bytes that netpoll has read into the ring. It never
+// waits for the owner, because netpoll would meanwhile read on and buffer without
+// a limit. Instead it disconnects a peer that exceeds the input limit.
 func (c *Conn) onReadable(_ context.Context, netConn netpoll.Connection) error {
 	for n := netConn.Reader().Len(); n > 0; n = netConn.Reader().Len() {
 		if err := c.receive(netConn, n); err != nil {
@@ -90,13 +91,13 @@
 	return nil
 }
 
-// receive takes n bytes from netpoll and queues the connection for its owner,
-// or closes it where too much waits already. An error ends the reading.
+// receive reads up to n bytes from netpoll and queues the connection for its
+// owner, or closes it if the input limit is exceeded. An error ends the reading.
 func (c *Conn) receive(netConn netpoll.Connection, n int) error {
 	c.mu.Lock()
 	if c.discardInput {
 		c.mu.Unlock()
-		return c.skip(netConn, n)
+		return c.discard(netConn, n)
 	}
 	if c.exceedsInputLimit(n) {
 		c.overflowed = true
@@ -111,8 +112,8 @@
 	return err
 }
 
-// skip drops n bytes that netpoll has read.
-func (c *Conn) skip(netConn netpoll.Connection, n int) error {
+// discard drops n bytes that netpoll has read.
+func (c *Conn) discard(netConn netpoll.Connection, n int) error {
 	c.countDiscarded(n)
 	if err := netConn.Reader().Skip(n); err != nil {
 		return err
@@ -121,9 +122,10 @@
 	return nil
 }
 
-// exceedsInputLimit reports whether n more bytes may not wait for the owner. The
-// limit over all connections ends only those that have more waiting than the
-// system would buffer. The caller holds c.mu.
+// exceedsInputLimit reports whether n more bytes would exceed the limit of the
+// connection or that of all connections. The latter applies only to connections
+// with more undelivered bytes than the kernel would buffer. The caller holds
+// c.mu.
 func (c *Conn) exceedsInputLimit(n int) bool {
 	undelivered := c.input.Len() + n
 	if undelivered > c.maxUndelivered {
@@ -143,8 +145,8 @@
 	}
 }
 
-// onClose runs before netpoll closes the descriptor; nothing writes to it
-// afterwards.
+// onClose is netpoll's callback before it closes the descriptor. It prevents
+// further writes to the descriptor and queues the connection for its owner.
 func (c *Conn) onClose(netpoll.Connection) error {
 	c.mu.Lock()
 	first := !c.fdClosed
--- a/internal/conn/netpoll_test.go
+++ b/internal/conn/netpoll_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestInputLimit checks that a peer that sends more than may wait is
-// disconnected, by the limit of a connection and by the limit over all, and that
-// its bytes are no longer counted afterwards.
+// TestInputLimit checks that a peer whose undelivered bytes exceed the limit of
+// a connection, or the limit over all connections, is disconnected, and that its
+// bytes are no longer counted afterwards.
 func TestInputLimit(t *testing.T) {
 	for name, limit := range map[string]int64{"connection": 1 << 40, "total": 256 << 10} {
 		t.Run(name, func(t *testing.T) {
@@ -24,13 +24,13 @@
 			small, large := connect(t, server.address), connect(t, server.address)
 			_, _ = small.Write([]byte("hello"))
 			var err error
-			for sent := 0; err == nil && sent < 64<<20; { // the owner does not run
+			for sent := 0; err == nil && sent < 64<<20; { // the loop does not run meanwhile
 				var n int
 				n, err = large.Write(make([]byte, 64<<10))
 				sent += n
 			}
 			if err == nil {
-				t.Error("everything was accepted")
+				t.Error("all bytes were accepted")
 			}
 			if !runLoop(l, func() bool { return len(server.closeErrors) == 1 }) ||
 				!errors.Is(server.closeErrors[0], ErrInputLimit) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestStartWithoutDescriptors checks that a process without descriptors at its
-// start waits for some, and then serves.
+// TestStartWithoutDescriptors checks that a process that has no file descriptors
+// available at its start waits until it has some, and then accepts connections.
 func TestStartWithoutDescriptors(t *testing.T) {
 	const childName = "CONN_TEST_CHILD"
 	if os.Getenv(childName) == "" {
@@ -59,14 +59,14 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
 	}
-	if l, err := net.Listen("tcp", "127.0.0.1:0"); err != nil || l.Close() != nil { // the runtime has a poller of its own
+	if l, err := net.Listen("tcp", "127.0.0.1:0"); err != nil || l.Close() != nil { // starts the Go runtime's own poller
 		t.Fatal(err)
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 0, Max: before.Max}); err != nil {
 		t.Fatal(err)
 	}
 	if startPollers() {
-		t.Error("there was a descriptor: the test shows nothing")
+		t.Error("a descriptor was available, so the test proves nothing")
 	}
 	restored := make(chan error, 1)
 	go func() {
@@ -94,12 +94,12 @@
 			return false
 		}
 	}) {
-		t.Error("it does not serve")
+		t.Error("the server does not answer")
 	}
 }
 
-// TestNoDelay checks that the system sends small writes at once, on accepted and
-// on dialed connections: what it held back would be lost in a reset.
+// TestNoDelay checks that the kernel does not delay small writes on accepted and
+// on dialed connections. A reset would lose delayed bytes.
 func TestNoDelay(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 100)
--- a/internal/conn/passing_errors_test.go
+++ b/internal/conn/passing_errors_test.go
@@ -9,8 +9,8 @@
 	"frosthub/internal/faultinject"
 )
 
-// TestPassingErrors checks that a write that fails for a moment loses no response,
-// and an accept no connection.
+// TestPassingErrors checks that a temporary write error loses no response, and
+// that a temporary accept error loses no connection.
 func TestPassingErrors(t *testing.T) {
 	for _, fault := range []string{"write ENOBUFS", "write ENOMEM", "accept EMFILE", "accept ENOMEM"} {
 		t.Run(fault, func(t *testing.T) {
@@ -25,7 +25,7 @@
 				_, err := io.ReadFull(peer, make([]byte, 5))
 				echoed <- err
 			}()
-			runLoop(l, func() bool { // until a call has failed
+			runLoop(l, func() bool { // runs until a system call has failed
 				return len(server.rejected) > 0 || l.Stalled() > 0 || len(server.closeErrors) > 0
 			})
 			faultinject.SetFaults("")
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestPassingDialError checks that a dial that fails for a moment is reported, and
-// that the next one succeeds.
+// TestPassingDialError checks that a temporary dial error is reported, and that
+// the next dial succeeds.
 func TestPassingDialError(t *testing.T) {
 	l := NewLoop()
 	server := serveEcho(t, l, 10)
@@ -59,7 +59,7 @@
 		return <-result
 	}
 	if err := dialOnce(); err == nil {
-		t.Error("the dial did not fail: the test shows nothing")
+		t.Error("the dial did not fail, so the test proves nothing")
 	}
 	faultinject.SetFaults("")
 	if err := dialOnce(); err != nil {
--- a/internal/conn/ring.go
+++ b/internal/conn/ring.go
@@ -2,13 +2,13 @@
 
 // Sizes of a ring, in bytes.
 const (
-	minRingSize     = 4 << 10  // of a new ring: a request or response of common size
-	maxIdleRingSize = 32 << 10 // that an empty ring keeps: above it the memory of a burst is freed
+	minRingSize     = 4 << 10  // size of a new ring, which fits a common request or response
+	maxIdleRingSize = 32 << 10 // largest buffer that an empty ring keeps, so that the memory of a burst is freed
 )
 
-// Ring is a first-in, first-out queue of bytes in one buffer that is reused. It
-// grows as needed; whoever writes to it enforces a limit. The zero value is
-// empty and ready for use. A Ring is not safe for concurrent use.
+// Ring is a first-in, first-out queue of bytes in one reusable buffer. It grows
+// as needed; its writers must enforce a limit. The zero value is an empty ring. A
+// Ring is not safe for concurrent use.
 type Ring struct {
 	buf    []byte
 	head   int // index of the first byte in the queue
@@ -18,8 +18,8 @@
 // Len returns the number of bytes in the ring.
 func (r *Ring) Len() int { return r.length }
 
-// Space returns a free stretch of at least one byte, growing the ring by want
-// bytes if it is full. Commit adds what was written to it.
+// Space returns free space of at least one byte, and grows the ring by want
+// bytes if it is full. Commit adds the bytes that were written to the space.
 func (r *Ring) Space(want int) []byte {
 	if r.length == len(r.buf) {
 		r.grow(r.length + max(1, want))
@@ -31,10 +31,10 @@
 	return r.buf[tail:]
 }
 
-// Commit adds the first n bytes of the last Space.
+// Commit adds the first n bytes of the result of the last Space to the queue.
 func (r *Ring) Commit(n int) { r.length += n }
 
-// Write appends p.
+// Write copies p to the end of the queue.
 func (r *Ring) Write(p []byte) {
 	if r.length+len(p) > len(r.buf) {
 		r.grow(r.length + len(p))
@@ -46,8 +46,8 @@
 	}
 }
 
-// Peek returns the first contiguous stretch of the queue, which is empty only
-// if the ring is. It stays valid until the ring is written to again after a Skip.
+// Peek returns the first contiguous part of the queue, which is empty only if
+// the ring is. It remains valid until the ring is written to again after a Skip.
 func (r *Ring) Peek() []byte {
 	if r.length == 0 {
 		return nil
@@ -55,7 +55,7 @@
 	return r.buf[r.head:min(r.head+r.length, len(r.buf))]
 }
 
-// Skip drops the first n bytes.
+// Skip removes the first n bytes from the queue.
 func (r *Ring) Skip(n int) {
 	r.length -= n
 	if r.length > 0 {
--- a/internal/conn/ring_test.go
+++ b/internal/conn/ring_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzRing writes and skips stretches, and compares with a plain slice.
+// FuzzRing writes to a ring and skips bytes, and compares the ring with a plain
+// slice.
 func FuzzRing(f *testing.F) {
 	f.Add([]byte{200, 100, 255, 255, 3, 250, 9, 90})
 	f.Fuzz(func(t *testing.T, steps []byte) {
