--- a/internal/peerproto/batch.go
+++ b/internal/peerproto/batch.go
@@ -8,29 +8,29 @@
 	"frosthub/recovery"
 )
 
-// maxLists bounds the digests of a Hello that are kept; two are in use.
-const maxLists = 8
+// maxRosterDigests bounds the digests that are kept of a received Hello. Two are in use.
+const maxRosterDigests = 8
 
-// Hello says who sends.
+// Hello identifies the sending node and reports its state.
 type Hello struct {
-	Cluster       string
-	From          string
-	Incarnation   uint64
-	RosterDigests []uint64 // digests of the member lists that the node has adopted
-	Seq           uint64   // its last durable record
-	Mark          uint64   // random number of its process
-	QueryState    bool     // it asks what the receiver remembers of it
-	Features      uint64   // feature level of its program: see recovery.FeatureFences
+	Cluster       string   // name of the cluster
+	From          string   // name of the node
+	Incarnation   uint64   // incarnation of the node
+	RosterDigests []uint64 // digests of the rosters that the node has adopted
+	Seq           uint64   // sequence number of the node's last durable record
+	Mark          uint64   // random number of the node's process
+	QueryState    bool     // requests the peer state that the receiver keeps of the node
+	Features      uint64   // feature level of the node's program, see recovery.FeatureFences
 }
 
-// Batch is what one frame carries: what a node has to say to another at a time.
+// Batch is the content of one frame: all messages that a node sends to another at a time.
 type Batch struct {
 	Hello       *Hello
 	Members     []membership.Message
 	Claims      []failover.Message
-	PeerState   *recovery.Answer      // answers a Hello with QueryState
-	PageRequest *failover.PageRequest // asks for a page of a refill
-	Page        *failover.Page        // answers a PageRequest
+	PeerState   *recovery.Answer      // reply to a Hello with QueryState
+	PageRequest *failover.PageRequest // requests a page of a refill
+	Page        *failover.Page        // reply to a PageRequest
 }
 
 // appendBatch appends the encoding of a batch.
@@ -57,7 +57,7 @@
 	return b
 }
 
-// Parse decodes a batch, without the length of its frame. The result shares no memory with b. Errors wrap ErrMalformed.
+// Parse decodes a batch from a frame without its length. The result shares no memory with b. Errors wrap ErrMalformed.
 func Parse(b []byte) (*Batch, error) {
 	batch := &Batch{}
 	err := forEachField(b, func(f field) error { return batch.parseField(f) })
@@ -73,33 +73,33 @@
 	case batchHello:
 		hello, err := parseHello(f.bytes)
 		batch.Hello = &hello
-		return describe("hello", err)
+		return wrapPart("hello", err)
 	case batchMember:
 		message, err := parseMember(f.bytes)
 		batch.Members = append(batch.Members, message)
-		return describe("member", err)
+		return wrapPart("member", err)
 	case batchClaim:
 		message, err := parseClaim(f.bytes)
 		batch.Claims = append(batch.Claims, message)
-		return describe("claim", err)
+		return wrapPart("claim", err)
 	case batchPeerState:
 		answer, err := parsePeerState(f.bytes)
 		batch.PeerState = &answer
-		return describe("peer state", err)
+		return wrapPart("peer state", err)
 	case batchPageRequest:
 		request, err := parsePageRequest(f.bytes)
 		batch.PageRequest = &request
-		return describe("page request", err)
+		return wrapPart("page request", err)
 	case batchPage:
 		page, err := parsePage(f.bytes)
 		batch.Page = &page
-		return describe("page", err)
+		return wrapPart("page", err)
 	}
 	return nil
 }
 
-// describe says in an error, if there is one, which part of a batch it was found in.
-func describe(part string, err error) error {
+// wrapPart adds to an error the name of the part of a batch in which it occurred. It returns nil for a nil error.
+func wrapPart(part string, err error) error {
 	if err != nil {
 		return fmt.Errorf("%s: %w", part, err)
 	}
@@ -131,7 +131,7 @@
 		case helloIncarnation:
 			hello.Incarnation = f.uint
 		case helloList:
-			if len(hello.RosterDigests) < maxLists {
+			if len(hello.RosterDigests) < maxRosterDigests {
 				hello.RosterDigests = append(hello.RosterDigests, f.uint)
 			}
 		case helloSeq:
--- a/internal/peerproto/claim.go
+++ b/internal/peerproto/claim.go
@@ -71,7 +71,7 @@
 	return m, err
 }
 
-// parseKey decodes a key, which has a fixed length.
+// parseKey decodes a key, whose length is fixed.
 func parseKey(b []byte) (idempotency.Key, error) {
 	var key idempotency.Key
 	if len(b) != len(key) {
--- a/internal/peerproto/doc.go
+++ b/internal/peerproto/doc.go
@@ -1,11 +1,11 @@
-// Package peerproto is the wire format of the connections between the nodes of a cluster.
+// Package peerproto implements the wire format of the connections between the nodes of a cluster.
 //
-// A connection carries one direction. It is a sequence of frames: a length of four bytes, big-endian, and a Batch of that many bytes in the
-// encoding of Protocol Buffers, by the schema in peer.proto. The first batch of a connection has a Hello. The numbers of the schema's fields
-// are named in fields.go.
+// Each connection carries messages in one direction, as a sequence of frames. A frame is a big-endian length of four bytes, followed by a Batch
+// of that many bytes in the Protocol Buffers encoding of the schema in peer.proto. The first batch of a connection has a Hello. The file
+// fields.go names the field numbers of the schema.
 //
-// The encoding is written by hand with protowire, so that the state machines' own types are what is encoded. As in proto3, a field with its
-// zero value is left out, and one that is unknown is skipped: older and newer programs understand each other.
+// The encoder and decoder are written by hand with protowire, so that they work on the types of the state machines directly. As in proto3,
+// fields with a zero value are omitted and unknown fields are skipped, so older and newer programs are compatible.
 //
 // Append and Parse may be called concurrently. A Parser is not safe for concurrent use.
 package peerproto
--- a/internal/peerproto/expired.go
+++ b/internal/peerproto/expired.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxFilterHashes bounds the hash functions of a Bloom filter that is accepted; those of this program have 17.
+	// maxFilterHashes bounds the number of hash functions of a received Bloom filter. Filters of this program have 17.
 	maxFilterHashes = 64
 
 	wordBytes = 8
@@ -32,8 +32,8 @@
 	return b
 }
 
-// parseExpired decodes a Bloom filter. The sizes that it names must fit the words that were sent, so that no more memory is taken than was
-// received.
+// parseExpired decodes a Bloom filter of expired keys. The encoded sizes must match the received words, so that decoding allocates no more
+// memory than was received.
 func parseExpired(b []byte) (idempotency.ExpiredKeys, error) {
 	var expired idempotency.ExpiredKeys
 	var bits, hashes uint64
@@ -67,7 +67,7 @@
 	return expired, nil
 }
 
-// validFilterSize reports whether a filter of so many bits fits into so many bytes of words, with none to spare.
+// validFilterSize reports whether a filter of the given number of bits takes exactly the given number of bytes, in whole words.
 func validFilterSize(bits, hashes, bytes uint64) bool {
 	if bytes%wordBytes != 0 {
 		return false
--- a/internal/peerproto/frame.go
+++ b/internal/peerproto/frame.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// MaxFrameBytes is the length of the longest frame that a Parser accepts.
+	// MaxFrameBytes is the length of the longest frame that a Parser accepts, in bytes, without its header.
 	MaxFrameBytes = 8 << 20
 
-	frameHeaderBytes = 4 // length of the frame
+	frameHeaderBytes = 4 // size of the length that precedes a frame
 )
 
-// Errors of what a peer sends. They may be wrapped.
+// Errors for invalid input of a peer. They may be wrapped.
 var (
-	ErrMalformed = errors.New("a frame that can't be read")
-	ErrTooLarge  = errors.New("a frame that is too large")
+	ErrMalformed = errors.New("malformed frame")
+	ErrTooLarge  = errors.New("frame exceeds the size limit")
 )
 
 // Append appends a batch to b as one frame, and returns the extended buffer.
@@ -28,20 +28,20 @@
 	return b
 }
 
-// Parser cuts the bytes that are read from a connection into frames. Make it with NewParser. It is not safe for concurrent use.
+// Parser splits the input of a connection into frames and decodes them. Use NewParser to create one. It is not safe for concurrent use.
 type Parser struct {
 	buffer []byte
 	handle func(*Batch) error
 }
 
-// NewParser returns a Parser that passes each batch to handle. Its error ends the parsing, and Feed returns it.
+// NewParser returns a Parser that passes each batch to handle. An error of handle ends the parsing, and Feed returns it.
 func NewParser(handle func(*Batch) error) *Parser { return &Parser{handle: handle} }
 
-// Buffered returns the number of bytes of the last frame, which is not complete yet.
+// Buffered returns the number of bytes kept of a frame that is not complete yet.
 func (p *Parser) Buffered() int { return len(p.buffer) }
 
-// Feed takes the next bytes of the connection, which it copies, and handles the frames that are complete. It returns ErrTooLarge, an error that
-// wraps ErrMalformed, or the error of the function that handles the batches; no more bytes may be fed then.
+// Feed copies the next input of the connection and handles all complete frames. It returns ErrTooLarge, an error that wraps ErrMalformed, or an
+// error of the function that handles the batches. Feed must not be called again after an error.
 func (p *Parser) Feed(b []byte) error {
 	p.buffer = append(p.buffer, b...)
 	for len(p.buffer) >= frameHeaderBytes {
@@ -63,7 +63,7 @@
 		p.buffer = p.buffer[end:]
 	}
 	if len(p.buffer) == 0 {
-		p.buffer = nil // its memory is not kept while the connection is idle
+		p.buffer = nil // frees the memory while the connection is idle
 	}
 	return nil
 }
--- a/internal/peerproto/grpc_compare_test.go
+++ b/internal/peerproto/grpc_compare_test.go
@@ -17,12 +17,12 @@
 	"google.golang.org/grpc/mem"
 )
 
-var compareBatches = flag.Int("wires", 0, "batches sent and answered over connections of the core and over gRPC, to compare what they cost")
+var compareBatches = flag.Int("wires", 0, "number of batches to exchange over package conn and over gRPC, to compare their costs; 0 skips the test")
 
-// claimsPerBatch is the number of claims that ask in a batch, and of those that answer.
+// claimsPerBatch is the number of claims in a batch of requests, and of replies in the batch that answers it.
 const claimsPerBatch = 32
 
-// claimRequests returns a batch that asks.
+// claimRequests returns a batch of claim requests.
 func claimRequests() *Batch {
 	batch := &Batch{}
 	for i := range claimsPerBatch {
@@ -36,7 +36,7 @@
 	return batch
 }
 
-// claimReplies returns the batch that answers another.
+// claimReplies returns a batch with a reply to each claim of another batch.
 func claimReplies(requests *Batch) *Batch {
 	batch := &Batch{}
 	for _, request := range requests.Claims {
@@ -50,8 +50,8 @@
 	return batch
 }
 
-// processorTime returns the time that this process has spent on processors.
-func processorTime(t *testing.T) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -60,7 +60,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// runLoop serves an event loop until done is closed.
+// runLoop runs an event loop until done is closed.
 func runLoop(loop *conn.Loop, done chan struct{}) {
 	for {
 		select {
@@ -73,7 +73,7 @@
 	}
 }
 
-// overConn sends batches over the connections of this program, with an event loop at each end as nodes have.
+// overConn exchanges batches over a connection of package conn, with an event loop at each end as in a node.
 func overConn(t *testing.T, batches int) {
 	t.Helper()
 	client, server := conn.NewLoop(), conn.NewLoop()
@@ -117,7 +117,7 @@
 	_ = listener.Close()
 }
 
-// rawCodec is a codec of gRPC that leaves bytes as they are: the schema is the same in both.
+// rawCodec is a gRPC codec that passes bytes through unchanged, so that both sides of the comparison use the same encoding.
 type rawCodec struct{}
 
 func (rawCodec) Name() string { return "proto" }
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// streamDescription describes a stream in both directions.
+// streamDescription describes a bidirectional stream.
 var streamDescription = grpc.StreamDesc{StreamName: "batches", ClientStreams: true, ServerStreams: true, Handler: answerStream}
 
 // answerStream answers each batch of a stream.
@@ -151,7 +151,7 @@
 	}
 }
 
-// overGRPC sends batches over a stream of gRPC.
+// overGRPC exchanges batches over a gRPC stream.
 func overGRPC(t *testing.T, batches int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -186,34 +186,34 @@
 	}
 }
 
-// cost is what a batch and its answer took.
+// cost is the elapsed time and the CPU time of a batch and its reply.
 type cost struct {
-	elapsed   time.Duration
-	processor time.Duration
+	elapsed time.Duration
+	cpu     time.Duration
 }
 
-// measure returns the cost of one batch, as the mean of many.
+// measure returns the mean cost of a batch and its reply.
 func measure(t *testing.T, send func(*testing.T, int), batches int) cost {
 	t.Helper()
-	processorBefore := processorTime(t)
+	cpuBefore := cpuTime(t)
 	start := time.Now()
 	send(t, batches)
 	return cost{
-		elapsed:   time.Since(start) / time.Duration(batches),
-		processor: (processorTime(t) - processorBefore) / time.Duration(batches),
+		elapsed: time.Since(start) / time.Duration(batches),
+		cpu:     (cpuTime(t) - cpuBefore) / time.Duration(batches),
 	}
 }
 
-// TestCompareGRPC compares, batch for batch and one at a time, the connections of this program with a stream of gRPC.
+// TestCompareGRPC compares the cost of a connection of package conn with that of a gRPC stream. Each exchanges one batch at a time.
 func TestCompareGRPC(t *testing.T) {
 	if *compareBatches == 0 {
-		t.Skip("asked for by -wires")
+		t.Skip("runs only with the flag -wires")
 	}
 	for range 3 {
-		own := measure(t, overConn, *compareBatches)
+		viaConn := measure(t, overConn, *compareBatches)
 		viaGRPC := measure(t, overGRPC, *compareBatches)
-		t.Logf("a batch of %d and its answer: own %s, %s of processors; gRPC %s, %s of processors: %.2f and %.2f of own", claimsPerBatch,
-			own.elapsed, own.processor, viaGRPC.elapsed, viaGRPC.processor,
-			float64(viaGRPC.elapsed)/float64(own.elapsed), float64(viaGRPC.processor)/float64(own.processor))
+		t.Logf("a batch of %d and its reply: conn %s, %s of CPU time; gRPC %s, %s of CPU time: %.2f and %.2f of conn", claimsPerBatch,
+			viaConn.elapsed, viaConn.cpu, viaGRPC.elapsed, viaGRPC.cpu,
+			float64(viaGRPC.elapsed)/float64(viaConn.elapsed), float64(viaGRPC.cpu)/float64(viaConn.cpu))
 	}
 }
--- a/internal/peerproto/page.go
+++ b/internal/peerproto/page.go
@@ -132,7 +132,7 @@
 	return record, err
 }
 
-// parseRecordKind accepts the kinds that say how a run ended, and 0 for an unknown outcome.
+// parseRecordKind accepts the kinds that stand for the outcome of a run, and 0 for an unknown outcome.
 func parseRecordKind(v uint64) (idempotency.EntryKind, error) {
 	kind := idempotency.EntryKind(v)
 	switch kind {
--- a/internal/peerproto/peerproto_test.go
+++ b/internal/peerproto/peerproto_test.go
@@ -18,8 +18,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// complete has a value in each field.
-var complete = Batch{
+// completeBatch has a value in each field.
+var completeBatch = Batch{
 	Hello: &Hello{
 		Cluster:       "north",
 		From:          "n1",
@@ -95,22 +95,22 @@
 	return x.Cap() == y.Cap() && x.K() == y.K() && slices.Equal(x.BitSet().Words(), y.BitSet().Words())
 })
 
-// TestRoundTrip checks that what is written is read, wherever the bytes are cut.
+// TestRoundTrip checks that the parser decodes the batches that were encoded, wherever the input is split.
 func TestRoundTrip(t *testing.T) {
-	text := append(Append(nil, &complete), Append(nil, &Batch{})...)
-	for cut := range len(text) {
+	frames := append(Append(nil, &completeBatch), Append(nil, &Batch{})...)
+	for cut := range len(frames) {
 		var got []*Batch
 		p := NewParser(func(batch *Batch) error {
 			got = append(got, batch)
 			return nil
 		})
-		if err := p.Feed(text[:cut]); err != nil {
+		if err := p.Feed(frames[:cut]); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Feed(text[cut:]); err != nil || p.Buffered() != 0 || len(got) != 2 {
+		if err := p.Feed(frames[cut:]); err != nil || p.Buffered() != 0 || len(got) != 2 {
 			t.Fatal(cut, err, len(got))
 		}
-		if diff := cmp.Diff(&complete, got[0], sameFilter); diff != "" {
+		if diff := cmp.Diff(&completeBatch, got[0], sameFilter); diff != "" {
 			t.Fatal(diff)
 		}
 	}
@@ -119,19 +119,19 @@
 	}
 }
 
-// TestWireFormat checks that the bytes of each field stay as they are in nodes that run today.
+// TestWireFormat checks that the encoding of each field remains compatible with deployed nodes.
 func TestWireFormat(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "complete_frame.hex"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := strings.ReplaceAll(string(text), "\n", "")
-	if diff := cmp.Diff(want, hex.EncodeToString(Append(nil, &complete))); diff != "" {
+	if diff := cmp.Diff(want, hex.EncodeToString(Append(nil, &completeBatch))); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestMalformed checks that what can't be read is refused with ErrMalformed.
+// TestMalformed checks that invalid input is rejected with ErrMalformed.
 func TestMalformed(t *testing.T) {
 	element := func(number fieldNumber, message []byte) []byte { return appendElement(nil, number, message) }
 	tests := []struct {
@@ -143,7 +143,7 @@
 		{"short key of a claim", element(batchClaim, element(claimKey, []byte("short")))},
 		{"short key of a record", element(batchPage, element(pageRecord, element(recordKey, []byte("short"))))},
 		{"unknown step", element(batchPageRequest, element(pageRequestFrom, appendUint(nil, cursorStep, 4)))},
-		{"kind that is not of an end", element(batchPage, element(pageRecord, appendUint(nil, recordKind, uint64(idempotency.EntryIntent))))},
+		{"kind that is not an outcome", element(batchPage, element(pageRecord, appendUint(nil, recordKind, uint64(idempotency.EntryIntent))))},
 		{"filter without bits", element(batchPage, element(pageExpired, nil))},
 	}
 	for _, test := range tests {
@@ -155,9 +155,9 @@
 	}
 }
 
-// FuzzParser checks that whatever comes is read or refused, and that what was read is written as the same.
+// FuzzParser checks that any input is either decoded or rejected, and that a decoded batch survives another round trip.
 func FuzzParser(f *testing.F) {
-	f.Add(Append(nil, &complete)[frameHeaderBytes:])
+	f.Add(Append(nil, &completeBatch)[frameHeaderBytes:])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		batch, err := Parse(b)
 		if err != nil {
@@ -168,7 +168,7 @@
 			t.Fatal(err)
 		}
 		if len(reparsed.Claims) != len(batch.Claims) || len(reparsed.Members) != len(batch.Members) {
-			t.Error("another batch")
+			t.Error("the batch changed in a round trip")
 		}
 	})
 }
--- a/internal/peerproto/wire.go
+++ b/internal/peerproto/wire.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// appendUint appends a varint field, unless it is 0. Signed numbers are passed as their two's complement.
+// appendUint appends a varint field unless it is 0. Signed numbers are passed in two's complement.
 func appendUint(b []byte, number fieldNumber, v uint64) []byte {
 	if v == 0 {
 		return b
@@ -14,7 +14,7 @@
 	return protowire.AppendVarint(protowire.AppendTag(b, number, protowire.VarintType), v)
 }
 
-// appendBool appends a bool field, unless it is false.
+// appendBool appends a bool field unless it is false.
 func appendBool(b []byte, number fieldNumber, v bool) []byte {
 	if !v {
 		return b
@@ -22,7 +22,7 @@
 	return appendUint(b, number, 1)
 }
 
-// appendFixed appends a field of eight bytes, unless it is 0.
+// appendFixed appends a fixed64 field unless it is 0.
 func appendFixed(b []byte, number fieldNumber, v uint64) []byte {
 	if v == 0 {
 		return b
@@ -30,17 +30,17 @@
 	return appendFixedElement(b, number, v)
 }
 
-// appendFixedElement appends an element of a repeated field of eight bytes, also if it is 0.
+// appendFixedElement appends an element of a repeated fixed64 field, even if it is 0.
 func appendFixedElement(b []byte, number fieldNumber, v uint64) []byte {
 	return protowire.AppendFixed64(protowire.AppendTag(b, number, protowire.Fixed64Type), v)
 }
 
-// appendDouble appends a floating-point field, unless it is 0.
+// appendDouble appends a double field unless it is 0.
 func appendDouble(b []byte, number fieldNumber, v float64) []byte {
 	return appendFixed(b, number, math.Float64bits(v))
 }
 
-// appendBytes appends a field of bytes, unless it is empty.
+// appendBytes appends a string, bytes or message field unless it is empty.
 func appendBytes[T ~string | ~[]byte](b []byte, number fieldNumber, v T) []byte {
 	if len(v) == 0 {
 		return b
@@ -48,18 +48,19 @@
 	return appendElement(b, number, v)
 }
 
-// appendElement appends an element of a repeated field of bytes, or a message whose presence has a meaning, also if it is empty.
+// appendElement appends a length-delimited field even if it is empty. It is for elements of repeated fields and for messages whose presence
+// has a meaning.
 func appendElement[T ~string | ~[]byte](b []byte, number fieldNumber, v T) []byte {
 	b = protowire.AppendTag(b, number, protowire.BytesType)
 	b = protowire.AppendVarint(b, uint64(len(v)))
 	return append(b, v...)
 }
 
-// field is one field of a message that is parsed. Which of its values is set depends on its wire type; the others are zero.
+// field is one decoded field of a message. Its wire type determines which of the values is set; the other is zero.
 type field struct {
 	number fieldNumber
-	uint   uint64 // of a varint or fixed64
-	bytes  []byte // of a length-delimited field; part of the input
+	uint   uint64 // value of a varint or fixed64 field
+	bytes  []byte // value of a length-delimited field, which shares memory with the input
 }
 
 // bool returns the value of a bool field.
@@ -74,7 +75,7 @@
 // copy returns a copy of the value of a bytes field, nil if it is empty.
 func (f field) copy() []byte { return append([]byte(nil), f.bytes...) }
 
-// forEachField calls visit for each field of a message, until it returns an error. Fields of other wire types come without a value.
+// forEachField calls visit for each field of a message, until visit returns an error. It passes fields of other wire types without a value.
 func forEachField(message []byte, visit func(field) error) error {
 	for len(message) > 0 {
 		number, wireType, size := protowire.ConsumeTag(message)
