--- a/internal/ajp/ajp.go
+++ b/internal/ajp/ajp.go
@@ -1,40 +1,41 @@
-// Package ajp reads and writes the packets of AJP/1.3 (AJPv13): as a server that
-// front ends send requests to, and as a client that sends them on. It turns bytes
-// into messages and back, and knows no sockets.
+// Package ajp implements the packets of AJP/1.3 (AJPv13), for a server that
+// receives requests of front ends and for a client that forwards requests. It
+// decodes and encodes messages and performs no I/O.
 package ajp
 
 import "errors"
 
 // Sizes, in bytes.
 const (
-	DefaultPacketSize = 8 << 10  // of a packet with its header, where nothing else is agreed
-	MaxPacketSize     = 64 << 10 // of a packet with its header
-	MaxBodySize       = 2 << 10  // of a request body, by the protocol of the deployment
-	MaxResultSize     = 64 << 10 // of a response body that a client takes
+	DefaultPacketSize = 8 << 10  // default limit of a packet with its header
+	MaxPacketSize     = 64 << 10 // highest limit of a packet with its header
+	MaxBodySize       = 2 << 10  // limit of a request body, set by the protocol of the deployment
+	MaxResultSize     = 64 << 10 // limit of a response body that a client accepts
 )
 
-// maxHeaders bounds the headers of a message: those known have a dozen.
+// maxHeaders bounds the number of headers of a message. Known messages have a
+// dozen.
 const maxHeaders = 128
 
-// Errors of a stream that can't be followed any further.
+// Errors of Feed, after which a stream can't be decoded any further.
 var (
 	ErrMagic            = errors.New("no packet of AJP")
 	ErrPacketTooLong    = errors.New("a packet that is longer than agreed")
 	ErrUnexpectedPacket = errors.New("a packet of a kind that does not belong here")
 	ErrPipelined        = errors.New("a packet before the last req is answered")
-	ErrHeaders          = errors.New("headers or attributes that can't be read")
-	ErrBody             = errors.New("a body that is not as it was announced")
+	ErrInvalidHeaders   = errors.New("headers or attributes that can't be read")
+	ErrInvalidBody      = errors.New("a body that is not as it was announced")
 	ErrOutOfOrder       = errors.New("an answer whose parts do not follow each other")
 )
 
-// The first two bytes of each packet, by where it goes.
+// The first two bytes of each packet, by its direction.
 var (
 	magicToServer = [2]byte{0x12, 0x34}
 	magicToClient = [2]byte{'A', 'B'}
 )
 
-// Codes of packets, the first byte of their content. Body chunks to a server have
-// none.
+// Packet codes, the first byte of the content of a packet. Body chunks to a server
+// have no code.
 const (
 	codeForwardRequest = 2
 	codeSendBodyChunk  = 3
@@ -47,21 +48,21 @@
 	codeCPing          = 10
 )
 
-// Codes of the attributes of a request. Those up to maxStringAttribute that are not
-// named here hold a string.
+// Codes of the attributes of a request. The codes up to maxStringAttribute that
+// have no constant here stand for attributes with one string.
 const (
 	attributeQuery        = 5
 	attributeRoute        = 6
-	attributeNamed        = 10 // a name and a value
-	attributeKeySize      = 11 // a number
+	attributeNamed        = 10 // two strings, a name and a value
+	attributeKeySize      = 11 // a 16-bit number
 	attributeSecret       = 12
 	attributeStoredMethod = 13
 	maxStringAttribute    = 13
 	attributesDone        = 0xff
 )
 
-// Methods that are coded as a number, from 1. Others are storedMethod, and their
-// name is an attribute.
+// methods are the methods that have a numeric code, indexed by the code. Other
+// methods are sent as storedMethod, with their name in attributeStoredMethod.
 var methods = [...]string{
 	1: "OPTIONS", "GET", "HEAD", "POST", "PUT", "DELETE", "TRACE", "PROPFIND", "PROPPATCH", "MKCOL", "COPY",
 	"MOVE", "LOCK", "UNLOCK", "ACL", "REPORT", "VERSION-CONTROL", "CHECKIN", "CHECKOUT", "UNCHECKOUT", "SEARCH", "MKWORKSPACE",
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -13,7 +13,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The kinds of messages as they stand in traces.
+// The words for the kinds of messages in the traces.
 var (
 	kindNames = map[Kind]string{
 		Request:       "request",
@@ -29,9 +29,10 @@
 	}
 )
 
-// open follows a stream to a server or from one, as its first byte says. Requests
-// are answered at once, except for those whose path ends in "/stays".
-func open(print func(string, ...any)) func([]byte) error {
+// openStream returns a function that feeds a server or a client, depending on the
+// magic number of the first packet, and prints the messages. It marks requests as
+// answered at once, except for those whose path ends in "/stays".
+func openStream(print func(string, ...any)) func([]byte) error {
 	server := NewServer(DefaultPacketSize)
 	client := NewClient(DefaultPacketSize)
 	client.AwaitingResponse = true
@@ -59,12 +60,12 @@
 	}
 }
 
-func TestParser(t *testing.T) { golden.Parser(t, open) }
+func TestParser(t *testing.T) { golden.Parser(t, openStream) }
 
-func FuzzParser(f *testing.F) { golden.Fuzz(f, open) }
+func FuzzParser(f *testing.F) { golden.Fuzz(f, openStream) }
 
-// TestRoundTrip checks that each side reads what the other writes, whatever the
-// sizes of packets and bodies.
+// TestRoundTrip checks that each side decodes the messages of the other, for
+// various sizes of packets and bodies.
 func TestRoundTrip(t *testing.T) {
 	for _, packetSize := range []int{1 << 10, DefaultPacketSize, MaxPacketSize - 1} {
 		for _, bodySize := range []int{0, 1, 100, 1010, 1018, 1019, MaxBodySize - 1, MaxBodySize} {
@@ -133,7 +134,7 @@
 	}
 }
 
-// TestServerInput checks that a server reads CPing, and refuses another protocol.
+// TestServerInput checks that a server accepts CPing and rejects other protocols.
 func TestServerInput(t *testing.T) {
 	server := NewServer(DefaultPacketSize)
 	err := server.Feed(AppendCPing(nil), func(m Message) {
@@ -149,7 +150,8 @@
 	}
 }
 
-// TestNoAllocations checks that a request without a body is read without allocating.
+// TestNoAllocations checks that decoding a request without a body allocates no
+// memory.
 func TestNoAllocations(t *testing.T) {
 	server := NewServer(DefaultPacketSize)
 	input := AppendForward(nil, &ForwardRequest{
@@ -166,11 +168,11 @@
 	}
 }
 
-// TestWriteSeeds writes the inputs of the trace. Their outputs are made by -update,
-// and read before they are committed.
+// TestWriteSeeds writes the inputs of the trace. The flag -update generates their
+// outputs, which must be reviewed before they are committed.
 func TestWriteSeeds(t *testing.T) {
 	if os.Getenv("AJP_SEEDS") == "" {
-		t.Skip("writes testdata")
+		t.Skip("overwrites testdata; runs only with AJP_SEEDS set")
 	}
 	var out strings.Builder
 	line := func(comment string, input []byte) { fmt.Fprintf(&out, "%q # %s\n", input, comment) }
--- a/internal/ajp/client.go
+++ b/internal/ajp/client.go
@@ -2,49 +2,50 @@
 
 import "strconv"
 
-// ReplyKind is what a Reply is.
+// ReplyKind is the kind of a Reply.
 type ReplyKind uint8
 
-// The messages of a server.
+// The kinds of replies of a server.
 const (
 	Response     ReplyKind = iota + 1 // a complete response
-	GetBodyChunk                      // the server asks for the next part of the body: AppendBodyChunk is due
-	CPong                             // the answer to AppendCPing
+	GetBodyChunk                      // the server requests the next part of the body; send it with AppendBodyChunk
+	CPong                             // the reply to AppendCPing
 )
 
-// Reply is something that a server has sent. Its bytes are valid during the call
-// only.
+// Reply is a message from a server. Its bytes are valid only during the call of
+// the handler.
 type Reply struct {
 	Kind      ReplyKind
-	Status    int     // Response
+	Status    int     // Response: the HTTP status code
 	Headers   Headers // Response
 	Body      []byte  // Response
-	Reuse     bool    // Response: the connection may be used again
-	MaxLength int     // GetBodyChunk: bytes that the server takes
+	Reuse     bool    // Response: the connection may be used for another request
+	MaxLength int     // GetBodyChunk: the number of bytes that the server accepts
 }
 
-// Client follows a connection to a server. It is not safe for concurrent use.
+// Client decodes the input of a connection to a server. It is not safe for
+// concurrent use.
 type Client struct {
-	// AwaitingResponse is set by the user once a request is sent, and reset with
-	// its response.
+	// AwaitingResponse must be set to true when a request is sent. Feed resets it
+	// when the response is complete.
 	AwaitingResponse bool
 
 	packets packetReader
 	status  int
-	headers []byte // the packet of the headers, empty before it
+	headers []byte // content of the headers packet, empty until it is received
 	body    []byte
 }
 
-// NewClient returns a client that reads packets of at most maxPacketSize bytes.
+// NewClient returns a client that accepts packets of at most maxPacketSize bytes.
 func NewClient(maxPacketSize int) *Client {
 	return &Client{packets: packetReader{magic: magicToClient, maxSize: maxPacketSize}}
 }
 
-// Buffered returns the bytes kept of a response that is not complete.
+// Buffered returns the number of bytes kept of a response that is not complete.
 func (c *Client) Buffered() int { return c.packets.buffered() + len(c.headers) + len(c.body) }
 
-// Feed takes the next bytes and passes each message to handle. After an error the
-// stream can't be followed.
+// Feed decodes the next bytes of the stream and passes each message to handle. It
+// must not be called again after an error.
 func (c *Client) Feed(b []byte, handle func(Reply)) error {
 	return c.packets.feed(b, func(content []byte) error { return c.handlePacket(content, handle) })
 }
@@ -60,7 +61,7 @@
 	d := decoder{data: content[1:]}
 	switch code {
 	case codeCPong:
-		if c.AwaitingResponse || !d.empty() {
+		if c.AwaitingResponse || !d.complete() {
 			return ErrOutOfOrder
 		}
 		handle(Reply{Kind: CPong})
@@ -71,8 +72,8 @@
 		return c.onBodyChunk(&d)
 	case codeGetBodyChunk:
 		maxLength := d.uint16()
-		if !d.empty() {
-			return ErrBody
+		if !d.complete() {
+			return ErrInvalidBody
 		}
 		handle(Reply{Kind: GetBodyChunk, MaxLength: maxLength})
 		return nil
@@ -85,10 +86,10 @@
 func (c *Client) onHeaders(content []byte) error {
 	d := decoder{data: content[1:]}
 	status := d.uint16()
-	d.string() // the reason
+	d.string() // reason phrase
 	d.headers(responseHeaderNames)
-	if !d.empty() {
-		return ErrHeaders
+	if !d.complete() {
+		return ErrInvalidHeaders
 	}
 	if c.hasHeaders() {
 		return ErrOutOfOrder
@@ -104,18 +105,18 @@
 func (c *Client) onBodyChunk(d *decoder) error {
 	n := d.uint16()
 	if d.failed || len(d.data) < n {
-		return ErrBody
+		return ErrInvalidBody
 	}
 	chunk, rest := d.data[:n], d.data[n:]
 	terminated := len(rest) == 1 && rest[0] == 0
-	if len(rest) > 0 && !terminated { // the zero at the end is optional
-		return ErrBody
+	if len(rest) > 0 && !terminated { // the terminating zero is optional
+		return ErrInvalidBody
 	}
 	if !c.hasHeaders() {
 		return ErrOutOfOrder
 	}
 	if len(c.body)+n > MaxResultSize {
-		return ErrBody
+		return ErrInvalidBody
 	}
 	c.body = append(c.body, chunk...)
 	return nil
@@ -123,12 +124,12 @@
 
 func (c *Client) onEnd(d *decoder, handle func(Reply)) error {
 	reuse := d.byte()
-	if !d.empty() || !c.hasHeaders() {
+	if !d.complete() || !c.hasHeaders() {
 		return ErrOutOfOrder
 	}
 	headers := decoder{data: c.headers[1:]}
-	headers.uint16() // the status
-	headers.string() // the reason
+	headers.uint16() // status
+	headers.string() // reason phrase
 	reply := Reply{
 		Kind:    Response,
 		Status:  c.status,
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// ForwardRequest is a POST request as a client sends it.
+// ForwardRequest is a POST request that a client sends.
 type ForwardRequest struct {
 	Path    string
 	Query   string // empty for none
@@ -151,13 +152,14 @@
 	Secret  string // empty for none
 	Headers []Header
 	Body    []byte
-	// UnknownLength leaves the length of the body out: the server asks for its
-	// parts until it ends.
+	// UnknownLength omits the length of the body, so that the server requests each
+	// part of the body until it receives an empty one.
 	UnknownLength bool
 }
 
-// AppendForward appends a request: its packet, and the first part of its body where
-// the server does not ask for that. Packets have at most maxPacketSize bytes.
+// AppendForward appends the packet of a request and, if the length of the body is
+// sent, the packet of the first part of the body. Body packets have at most
+// maxPacketSize bytes.
 func AppendForward(b []byte, r *ForwardRequest, maxPacketSize int) []byte {
 	b = appendPacket(b, magicToServer, r.appendTo)
 	if len(r.Body) > 0 && !r.UnknownLength {
@@ -174,9 +176,9 @@
 	b = append(b, codeForwardRequest, methodPost)
 	b = appendString(b, "HTTP/1.1")
 	b = appendString(b, r.Path)
-	b = appendString(b, "127.0.0.1") // the client's address
-	b = appendString(b, "localhost") // the client's host
-	b = appendString(b, "localhost") // the server's name
+	b = appendString(b, "127.0.0.1") // client address
+	b = appendString(b, "localhost") // client host
+	b = appendString(b, "localhost") // server name
 	b = appendUint16(b, port)
 	b = append(b, noTLS)
 	count := len(r.Headers)
@@ -207,9 +209,9 @@
 	return appendString(b, value)
 }
 
-// AppendBodyChunk appends the next part of a request body, in a packet of at most
-// maxPacketSize bytes, and returns the rest of the body. For an empty body it
-// appends the packet that ends one.
+// AppendBodyChunk appends a packet of at most maxPacketSize bytes with the next
+// part of a request body, and returns the rest of the body. For an empty body it
+// appends the empty packet that ends a body.
 func AppendBodyChunk(b, body []byte, maxPacketSize int) (out, rest []byte) {
 	n := min(len(body), MaxBodyChunk(maxPacketSize))
 	out = appendPacket(b, magicToServer, func(b []byte) []byte {
@@ -222,15 +224,15 @@
 	return out, body[n:]
 }
 
-// AppendCPing checks the connection.
+// AppendCPing appends a CPing packet, which checks that the server responds.
 func AppendCPing(b []byte) []byte {
 	return appendPacket(b, magicToServer, func(b []byte) []byte { return append(b, codeCPing) })
 }
 
-// BodyChunkOverhead is the size of a packet with a part of a request body, without
-// that part, in bytes.
+// BodyChunkOverhead is the number of bytes that a body packet needs in addition to
+// the part of the body.
 const BodyChunkOverhead = packetHeaderSize + 2
 
-// MaxBodyChunk returns how many bytes of a request body fit into a packet of
-// maxPacketSize bytes.
+// MaxBodyChunk returns the number of bytes of a request body that fit into a
+// packet of maxPacketSize bytes.
 func MaxBodyChunk(maxPacketSize int) int { return maxPacketSize - BodyChunkOverhead }
--- a/internal/ajp/headers.go
+++ b/internal/ajp/headers.go
@@ -6,19 +6,19 @@
 	"strconv"
 )
 
-// Header is a header of a message that is written.
+// Header is a header of an outgoing message.
 type Header struct{ Name, Value string }
 
-// Headers are the headers of a message that was read. They are valid as long as the
+// Headers are the headers of a received message. They are valid as long as the
 // message.
 type Headers struct {
 	encoded []byte
 	count   int
-	names   [][]byte // of coded headers, by code
+	names   [][]byte // names of coded headers, indexed by code
 }
 
 // Each calls f for each header in order. The names of coded headers are in lower
-// case, others as they were received.
+// case; other names are passed as they were received.
 func (h Headers) Each(f func(name, value []byte)) {
 	d := decoder{data: h.encoded}
 	for range h.count {
@@ -27,7 +27,7 @@
 	}
 }
 
-// headers reads headers. Whether they are well formed is in d.failed.
+// headers reads the headers of a message. It sets d.failed if they are malformed.
 func (d *decoder) headers(names [][]byte) Headers {
 	h := Headers{count: d.uint16(), names: names}
 	start := d.data
@@ -44,7 +44,7 @@
 	return h
 }
 
-// headerName reads the name of a header, which is a string or a code.
+// headerName reads the name of a header, which is encoded as a string or a code.
 func (d *decoder) headerName(names [][]byte) []byte {
 	if len(d.data) >= 2 && d.data[0] == codedName {
 		code := int(d.data[1])
@@ -62,21 +62,21 @@
 	return name
 }
 
-// codedName is the high byte of a header name that is a code.
+// codedName is the high byte of a header name that is encoded as a code.
 const codedName = 0xa0
 
-// codeContentLength is the code of a request's content length.
+// codeContentLength is the code of the content-length header of requests.
 const codeContentLength = 8
 
-// requestHeaderNames are the names of coded headers of requests, by code.
+// requestHeaderNames are the names of coded request headers, indexed by code.
 var requestHeaderNames = namesByCode("accept", "accept-charset", "accept-encoding", "accept-language", "authorization",
 	"connection", "content-type", "content-length", "cookie", "cookie2", "host", "pragma", "referer", "user-agent")
 
-// responseHeaderNames are the names of coded headers of responses, by code.
+// responseHeaderNames are the names of coded response headers, indexed by code.
 var responseHeaderNames = namesByCode("content-type", "content-language", "content-length", "date", "last-modified",
 	"location", "set-cookie", "set-cookie2", "servlet-engine", "status", "www-authenticate")
 
-// namesByCode returns the names for the codes from 1.
+// namesByCode returns a slice in which the names have the indexes from 1.
 func namesByCode(names ...string) [][]byte {
 	byCode := [][]byte{nil}
 	for _, name := range names {
@@ -90,11 +90,13 @@
 	transferEncodingName = []byte("transfer-encoding")
 )
 
-// unknownLength is the length of a body that is asked for until it ends.
+// unknownLength stands for the length of a body that has no content-length header
+// and ends with an empty part.
 const unknownLength = -1
 
-// bodyLength returns what the headers of a request announce, which may be
-// unknownLength. Lengths past any limit are cut.
+// bodyLength returns the length of the body according to the headers of a request,
+// which may be unknownLength. Lengths above MaxInt32 are reduced to it, which is
+// far above the limit.
 func bodyLength(h Headers) (int, error) {
 	length := unknownLength
 	chunked := false
@@ -111,7 +113,7 @@
 	})
 	switch {
 	case invalid, chunked && length >= 0:
-		return 0, ErrBody
+		return 0, ErrInvalidBody
 	case chunked:
 		return unknownLength, nil
 	}
--- a/internal/ajp/packet.go
+++ b/internal/ajp/packet.go
@@ -2,21 +2,22 @@
 
 import "encoding/binary"
 
-// packetHeaderSize is the size of what stands before the content of a packet: two
-// magic bytes and the length of the content.
+// packetHeaderSize is the size of the header of a packet in bytes: two magic bytes
+// and the length of the content.
 const packetHeaderSize = 4
 
 // packetReader splits a stream into packets.
 type packetReader struct {
 	magic         [2]byte
-	maxSize       int // of a packet with its header
+	maxSize       int // limit of a packet with its header, in bytes
 	header        [packetHeaderSize]byte
-	headerRead    int // bytes of header received
+	headerRead    int // number of received bytes of header
 	contentLength int
-	partial       []byte // what was received of a content that is not complete
+	partial       []byte // received part of a content that is not complete
 }
 
-// feed passes the content of each packet to handle, valid during the call only.
+// feed passes the content of each packet to handle. The content is valid only
+// during the call.
 func (p *packetReader) feed(b []byte, handle func(content []byte) error) error {
 	for len(b) > 0 {
 		b = p.readHeader(b)
@@ -40,14 +41,15 @@
 	return nil
 }
 
-// readHeader takes what is missing of the header, and returns the rest.
+// readHeader copies the missing bytes of the header, and returns the bytes that
+// follow it.
 func (p *packetReader) readHeader(b []byte) []byte {
 	n := copy(p.header[p.headerRead:], b)
 	p.headerRead += n
 	return b[n:]
 }
 
-// checkHeader checks what is there of the header.
+// checkHeader checks the received part of the header.
 func (p *packetReader) checkHeader() error {
 	for i := range min(p.headerRead, len(p.magic)) {
 		if p.header[i] != p.magic[i] {
@@ -64,8 +66,8 @@
 	return nil
 }
 
-// readContent returns the content of a packet and what follows it. Where the
-// content is not complete it keeps what is there.
+// readContent returns the content of a packet and the bytes that follow it. It
+// keeps the received part of a content that is not complete.
 func (p *packetReader) readContent(b []byte) (content, rest []byte, complete bool) {
 	n := min(p.contentLength-len(p.partial), len(b))
 	if len(p.partial) == 0 && n == p.contentLength {
@@ -75,16 +77,16 @@
 	return p.partial, b[n:], len(p.partial) == p.contentLength
 }
 
-// buffered returns the bytes kept of a packet that is not complete.
+// buffered returns the number of bytes kept of a packet that is not complete.
 func (p *packetReader) buffered() int { return len(p.partial) }
 
 // midPacket reports whether part of a packet was received.
 func (p *packetReader) midPacket() bool { return p.headerRead > 0 }
 
-// decoder reads values from the content of a packet. After one that is not there,
-// or malformed, failed is set.
+// decoder reads values from the content of a packet. A missing or malformed value
+// sets failed.
 type decoder struct {
-	data   []byte // what was not read yet
+	data   []byte // unread part of the content
 	failed bool
 }
 
@@ -108,10 +110,11 @@
 	return int(value)
 }
 
-// nullString is the length of a string that is null.
+// nullString is the encoded length of a null string.
 const nullString = 0xffff
 
-// string reads a string, whose bytes end in a zero. One that is null is nil.
+// string reads a zero-terminated string with a length prefix. It returns nil for a
+// null string.
 func (d *decoder) string() []byte {
 	n := d.uint16()
 	if n == nullString || d.failed {
@@ -126,10 +129,10 @@
 	return value
 }
 
-// empty reports whether everything was read and well formed.
-func (d *decoder) empty() bool { return !d.failed && len(d.data) == 0 }
+// complete reports whether all values were well formed and nothing is left unread.
+func (d *decoder) complete() bool { return !d.failed && len(d.data) == 0 }
 
-// appendPacket appends a packet whose content is appended by a function.
+// appendPacket appends a packet with the content that appendContent appends.
 func appendPacket(b []byte, magic [2]byte, appendContent func(b []byte) []byte) []byte {
 	start := len(b)
 	b = append(b, magic[0], magic[1], 0, 0)
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -2,38 +2,38 @@
 
 import "errors"
 
-// Kind is what a Message is.
+// Kind is the kind of a Message.
 type Kind uint8
 
-// The messages of a front end.
+// The kinds of messages to the user of a Server.
 const (
 	Request       Kind = iota + 1 // a complete request
-	TooLarge                      // a request past a limit, of which nothing more is read: a response is due
-	NeedBodyChunk                 // the next part of the body must be asked for, by AppendGetBodyChunk
-	CPing                         // the front end checks the connection: AppendCPong is due
-	Shutdown                      // the front end asks the server to end
+	TooLarge                      // a request that exceeds a limit; it needs a response, and its remaining input is ignored
+	NeedBodyChunk                 // the next part of the body must be requested with AppendGetBodyChunk
+	CPing                         // the front end checks the connection; reply with AppendCPong
+	Shutdown                      // the front end requests that the server shut down
 )
 
-// Message is something that a front end has sent. Its bytes are valid during the
-// call only, except for those of Body.
+// Message is an event in the input from a front end. Its bytes are valid only
+// during the call of the handler, except for those of Body.
 type Message struct {
 	Kind    Kind
-	Method  string // empty for an unknown one
+	Method  string // empty if the method code is unknown
 	Path    []byte
 	Query   []byte
-	Route   []byte // the name of the worker of a sticky session
+	Route   []byte // name of the worker of a sticky session
 	Secret  []byte
 	Headers Headers
 	Body    []byte // owned by the receiver
 }
 
-// serverState is where a Server stands in the exchange of a request. The
-// transitions:
+// serverState is the state of a Server in the exchange of a request. The
+// transitions are:
 //
 //	from           to             by
-//	idle           answering      onForwardRequest: without a body
-//	idle           receivingBody  onForwardRequest: with a body
-//	receivingBody  answering      onBodyChunk: the body is complete
+//	idle           answering      onForwardRequest, for a request without a body
+//	idle           receivingBody  onForwardRequest, for a request with a body
+//	receivingBody  answering      onBodyChunk, once the body is complete
 //	any            rejected       Reject
 //	answering      idle           Done
 //	rejected       closing        Done
@@ -41,45 +41,46 @@
 
 const (
 	stateIdle          serverState = iota
-	stateReceivingBody             // parts of a body follow
-	stateAnswering                 // a request is complete, and its response is due
-	stateRejected                  // a response is due, and no more input is read
-	stateClosing                   // the connection is to end, and no more input is read
+	stateReceivingBody             // more parts of a body are expected
+	stateAnswering                 // a request is complete and waits for its response
+	stateRejected                  // a request waits for its response; further input is ignored
+	stateClosing                   // the connection is about to end; further input is ignored
 )
 
-// Server follows a connection of a front end. It is not safe for concurrent use.
+// Server decodes the input of a connection from a front end. It is not safe for
+// concurrent use.
 type Server struct {
 	packets   packetReader
 	state     serverState
-	remaining int // bytes of the body that are still to come, or unknownLength
+	remaining int // missing bytes of the body, or unknownLength
 	body      []byte
 	request   []byte // the encoded request, while its body is received
 
-	handle   func(Message)              // the callback of the present Feed
-	onPacket func(content []byte) error // handlePacket; kept so that Feed allocates nothing
+	handle   func(Message)              // callback of the current Feed
+	onPacket func(content []byte) error // handlePacket, stored so that Feed allocates no memory
 }
 
-// NewServer returns a server that reads packets of at most maxPacketSize bytes.
+// NewServer returns a server that accepts packets of at most maxPacketSize bytes.
 func NewServer(maxPacketSize int) *Server {
 	s := &Server{packets: packetReader{magic: magicToServer, maxSize: maxPacketSize}}
 	s.onPacket = s.handlePacket
 	return s
 }
 
-// Buffered returns the bytes kept of a request that is not complete.
+// Buffered returns the number of bytes kept of a request that is not complete.
 func (s *Server) Buffered() int { return s.packets.buffered() + len(s.body) + len(s.request) }
 
-// Receiving reports whether part of a request was received.
+// Receiving reports whether a request was received only in part.
 func (s *Server) Receiving() bool {
 	return s.state == stateReceivingBody || s.state == stateIdle && s.packets.midPacket()
 }
 
-// InProgress reports whether a request is being received, or was and has no
-// response yet.
+// InProgress reports whether the body of a request is being received, or a request
+// has no response yet.
 func (s *Server) InProgress() bool { return s.state != stateIdle && s.state != stateClosing }
 
-// Reject stops reading: the request that is being received is answered early, and
-// the connection ends with the response.
+// Reject drops the request that is being received and ignores further input. The
+// request gets an early response, and the connection must be closed after it.
 func (s *Server) Reject() {
 	s.state = stateRejected
 	s.body = nil
@@ -87,7 +88,8 @@
 	s.packets.partial = nil
 }
 
-// Done ends the exchange of a request, whose response is written.
+// Done ends the exchange of a request. It must be called once the response is
+// written.
 func (s *Server) Done() {
 	switch s.state {
 	case stateAnswering:
@@ -97,11 +99,11 @@
 	}
 }
 
-// Feed takes the next bytes and passes each message to handle. After an error the
-// stream can't be followed.
+// Feed decodes the next bytes of the stream and passes each message to handle. It
+// must not be called again after an error.
 func (s *Server) Feed(b []byte, handle func(Message)) error {
 	if s.state >= stateRejected {
-		return nil // the connection ends with the response
+		return nil // the connection is closed after the response
 	}
 	s.handle = handle
 	err := s.packets.feed(b, s.onPacket)
@@ -111,12 +113,12 @@
 	return err
 }
 
-// errInputIgnored stops the reading of a stream whose rest does not matter.
+// errInputIgnored stops the decoding of a stream whose remaining input is ignored.
 var errInputIgnored = errors.New("input ignored")
 
 func (s *Server) handlePacket(content []byte) error {
 	switch s.state {
-	case stateRejected, stateClosing: // since the packet before
+	case stateRejected, stateClosing: // the handler of the previous packet called Reject or Done
 		return errInputIgnored
 	case stateAnswering:
 		return ErrPipelined
@@ -131,7 +133,7 @@
 		return s.onForwardRequest(content[1:])
 	case codeCPing:
 		s.handle(Message{Kind: CPing})
-	case codePing: // the front end expects no answer
+	case codePing: // the front end expects no reply
 	case codeShutdown:
 		s.handle(Message{Kind: Shutdown})
 	default:
@@ -156,12 +158,12 @@
 	}
 	s.state = stateReceivingBody
 	s.remaining = length
-	s.request = append(s.request[:0], encoded...) // the packet is gone once the body is there
+	s.request = append(s.request[:0], encoded...) // the packet is no longer valid when the body is complete
 	if length > MaxBodySize {
 		return s.rejectTooLarge()
 	}
 	if length == unknownLength {
-		s.handle(Message{Kind: NeedBodyChunk}) // otherwise the first part comes unasked
+		s.handle(Message{Kind: NeedBodyChunk}) // the first part of a body of known length is sent without a request
 	}
 	return nil
 }
@@ -172,8 +174,8 @@
 	return errInputIgnored
 }
 
-// onBodyChunk takes a part of the body: a length and as many bytes, or nothing at
-// the end of a body of unknown length.
+// onBodyChunk adds a part of the body. The packet has the length of the part and
+// its bytes; an empty packet ends a body of unknown length.
 func (s *Server) onBodyChunk(content []byte) error {
 	chunk, err := decodeBodyChunk(content)
 	if err != nil {
@@ -182,7 +184,7 @@
 	knownLength := s.remaining != unknownLength
 	switch {
 	case knownLength && len(chunk) == 0, knownLength && len(chunk) > s.remaining:
-		return ErrBody
+		return ErrInvalidBody
 	case len(s.body)+len(chunk) > MaxBodySize:
 		return s.rejectTooLarge()
 	}
@@ -205,7 +207,7 @@
 	}
 	d := decoder{data: content}
 	if n := d.uint16(); d.failed || n != len(d.data) {
-		return nil, ErrBody
+		return nil, ErrInvalidBody
 	}
 	return d.data, nil
 }
@@ -223,21 +225,22 @@
 	return nil
 }
 
-// decode reads the values of a request from its packet, without the code.
+// decode sets the values of a request from the content of its packet without the
+// code.
 func (m *Message) decode(encoded []byte) error {
 	d := decoder{data: encoded}
 	method := d.byte()
-	d.string() // the protocol
+	d.string() // protocol
 	m.Path = d.string()
-	d.string() // the client's address
-	d.string() // the client's host
-	d.string() // the server's name
-	d.uint16() // the server's port
-	d.byte()   // whether the front end was reached by TLS
+	d.string() // client address
+	d.string() // client host
+	d.string() // server name
+	d.uint16() // server port
+	d.byte()   // whether the client used TLS
 	m.Headers = d.headers(requestHeaderNames)
 	stored := m.decodeAttributes(&d)
-	if !d.empty() {
-		return ErrHeaders
+	if !d.complete() {
+		return ErrInvalidHeaders
 	}
 	switch {
 	case method == storedMethod:
@@ -248,8 +251,8 @@
 	return nil
 }
 
-// decodeAttributes reads the attributes up to their end, and returns the stored
-// method.
+// decodeAttributes sets the values of the attributes, and returns the method of
+// attributeStoredMethod.
 func (m *Message) decodeAttributes(d *decoder) (method []byte) {
 	for !d.failed {
 		switch code := d.byte(); code {
@@ -279,7 +282,7 @@
 	return nil
 }
 
-// AppendHeaders begins a response.
+// AppendHeaders appends the packet that begins a response.
 func AppendHeaders(b []byte, status int, reason string, headers []Header) []byte {
 	return appendPacket(b, magicToClient, func(b []byte) []byte {
 		b = append(b, codeSendHeaders)
@@ -293,7 +296,7 @@
 // AppendResponseBody appends the body of a response, in packets of at most
 // maxPacketSize bytes.
 func AppendResponseBody(b []byte, maxPacketSize int, body []byte) []byte {
-	const overhead = packetHeaderSize + 4 // the code, the length and a zero at the end
+	const overhead = packetHeaderSize + 4 // code, length and terminating zero
 	for len(body) > 0 {
 		n := min(len(body), maxPacketSize-overhead)
 		b = appendPacket(b, magicToClient, func(b []byte) []byte {
@@ -307,7 +310,8 @@
 	return b
 }
 
-// AppendEnd ends a response, and says whether the connection may be used again.
+// AppendEnd appends the packet that ends a response. With reuse the front end may
+// send another request on the connection.
 func AppendEnd(b []byte, reuse bool) []byte {
 	return appendPacket(b, magicToClient, func(b []byte) []byte {
 		if reuse {
@@ -317,16 +321,16 @@
 	})
 }
 
-// AppendGetBodyChunk asks for the next part of a request body, in a packet of at
-// most maxPacketSize bytes.
+// AppendGetBodyChunk appends a request for the next part of a request body, which
+// must fit into a packet of maxPacketSize bytes.
 func AppendGetBodyChunk(b []byte, maxPacketSize int) []byte {
 	return appendPacket(b, magicToClient, func(b []byte) []byte {
 		b = append(b, codeGetBodyChunk)
-		return appendUint16(b, min(MaxBodyChunk(maxPacketSize), MaxBodySize+1)) // more than the limit shows what exceeds it
+		return appendUint16(b, min(MaxBodyChunk(maxPacketSize), MaxBodySize+1)) // one byte more than the limit, to detect a body that exceeds it
 	})
 }
 
-// AppendCPong answers a CPing.
+// AppendCPong appends the reply to a CPing.
 func AppendCPong(b []byte) []byte {
 	return appendPacket(b, magicToClient, func(b []byte) []byte { return append(b, codeCPong) })
 }
