--- a/internal/fastcgi/fastcgi.go
+++ b/internal/fastcgi/fastcgi.go
@@ -1,5 +1,5 @@
-// Package fastcgi reads and writes the records of FastCGI 1.0 as an application in
-// the Responder role. It turns bytes into messages and back, and knows no sockets.
+// Package fastcgi implements the records of FastCGI 1.0 for an application in the
+// Responder role. It decodes and encodes messages and performs no I/O.
 package fastcgi
 
 import "errors"
@@ -7,7 +7,7 @@
 const protocolVersion = 1
 
 // headerSize is the size of the header of a record, in bytes. The content of a
-// begin record is as long.
+// begin record has the same size.
 const headerSize = 8
 
 // Types of records.
@@ -24,7 +24,7 @@
 	typeUnknownType     = 11
 )
 
-// Content of a begin record.
+// Values in the content of a begin record.
 const (
 	roleResponder = 1
 	flagKeepConn  = 1
@@ -34,29 +34,29 @@
 const (
 	StatusComplete    = 0 // the request has a response
 	StatusOverloaded  = 2 // the request was rejected and never ran
-	StatusUnknownRole = 3
+	StatusUnknownRole = 3 // the request has a role other than Responder
 )
 
 // Limits that the protocol of the deployment sets.
 const (
-	MaxBodySize     = 2 << 10 // bytes of a request body
-	MaxOpenRequests = 32      // requests open on a connection
+	MaxBodySize     = 2 << 10 // limit of a request body, in bytes
+	MaxOpenRequests = 32      // limit of the requests open on a connection
 )
 
 // Limits of this package, in bytes.
 const (
-	maxContentSize = 65535   // of a record
-	maxParamsSize  = 4 << 10 // of the parameters of a request: those known have some hundred
-	maxValuesSize  = 1 << 10 // of a query for values: the three known ones have 50
-	// maxSkippedSize bounds what is sent of refused or unknown requests: all that
-	// may be open on a connection.
+	maxContentSize = 65535   // content of a record
+	maxParamsSize  = 4 << 10 // parameters of a request; known requests have some hundred bytes
+	maxValuesSize  = 1 << 10 // query for values; a query for the three known values has 50 bytes
+	// maxSkippedSize bounds the input for rejected or unknown requests. It equals
+	// the body size of all requests that may be open on a connection.
 	maxSkippedSize = 64 << 10
 )
 
-// Errors of a stream that can't be followed any further.
+// Errors of Parser.Feed, after which a stream can't be decoded any further.
 var (
 	ErrVersion        = errors.New("a record of another version")
 	ErrRequestID      = errors.New("a request id out of range or in use")
 	ErrBeginLength    = errors.New("a begin record of the wrong length")
-	ErrTooMuchSkipped = errors.New("it goes on sending what is refused")
+	ErrTooMuchSkipped = errors.New("too much input for rejected or unknown requests")
 )
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -8,7 +8,7 @@
 	"frosthub/internal/golden"
 )
 
-// kindNames are the kinds of messages as they stand in traces.
+// kindNames are the words for the kinds of messages in the traces.
 var kindNames = map[Kind]string{
 	Request:  "request",
 	Invalid:  "bad",
@@ -17,9 +17,9 @@
 	Reply:    "reply",
 }
 
-// open has a parser print its messages. Requests with an even id are answered at
-// once, others stay open.
-func open(print func(string, ...any)) func([]byte) error {
+// openStream returns a function that feeds a parser and prints its messages. It
+// marks requests with an even id as answered at once; others remain open.
+func openStream(print func(string, ...any)) func([]byte) error {
 	var p Parser
 	return func(b []byte) error {
 		return p.Feed(b, func(m Message) {
@@ -35,9 +35,9 @@
 	}
 }
 
-func TestParser(t *testing.T) { golden.Parser(t, open) }
+func TestParser(t *testing.T) { golden.Parser(t, openStream) }
 
-func FuzzParser(f *testing.F) { golden.Fuzz(f, open) }
+func FuzzParser(f *testing.F) { golden.Fuzz(f, openStream) }
 
 // TestResponse checks the records of a response.
 func TestResponse(t *testing.T) {
@@ -48,12 +48,12 @@
 		t.Errorf("got %q", got)
 	}
 	if got := len(AppendStdout(nil, 1, make([]byte, maxContentSize+1))); got != maxContentSize+1+2*headerSize {
-		t.Error("a long response takes two records, not of length", got)
+		t.Error("a long response does not take two records: its length is", got)
 	}
 }
 
-// TestBodyTooLarge checks that a body past its limit is refused at once, and that it
-// is an error to go on sending it.
+// TestBodyTooLarge checks that a request is rejected as soon as its body exceeds the
+// limit, and that a client that keeps sending the body gets an error.
 func TestBodyTooLarge(t *testing.T) {
 	var p Parser
 	invalid := 0
@@ -70,7 +70,7 @@
 	sent := 0
 	for ; err == nil && sent < 1000; sent++ {
 		if err = feed(piece); sent == 2 && (invalid != 1 || p.Buffered() != 0 || p.OpenRequests() != 0) {
-			t.Error("not refused at once")
+			t.Error("the request is not rejected at once")
 		}
 	}
 	if !errors.Is(err, ErrTooMuchSkipped) || invalid != 1 || sent > 80 {
--- a/internal/fastcgi/params.go
+++ b/internal/fastcgi/params.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// EachParam calls f for each name-value pair in encoded parameters, in order. It
-// returns false where they end in the middle of a pair.
+// EachParam calls f for each name-value pair of encoded parameters, in order. It
+// returns false if they end in the middle of a pair.
 func EachParam(encoded []byte, f func(name, value []byte)) bool {
 	rest := encoded
 	for len(rest) > 0 {
@@ -25,8 +25,8 @@
 	return true
 }
 
-// cutLength reads the length of a name or value: one byte, or four whose highest
-// bit is set.
+// cutLength reads the length of a name or value, which is encoded in one byte or,
+// if the highest bit is set, in four bytes. It returns the bytes that follow.
 func cutLength(b []byte) (length int, rest []byte, ok bool) {
 	const (
 		longSize = 4
--- a/internal/fastcgi/parser.go
+++ b/internal/fastcgi/parser.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Kind is what a Message is.
+// Kind is the kind of a Message.
 type Kind uint8
 
-// The messages.
+// The kinds of messages.
 const (
 	Request  Kind = iota + 1 // a complete request
-	Invalid                  // a request past a limit, before its end, or a complete one without parameters
-	Abort                    // the client no longer waits; the request stays open until its response
-	Rejected                 // a request that the protocol rejects: AppendEnd with Status is due
-	Reply                    // Body is to be sent back as it is
+	Invalid                  // a request that exceeds a limit before its end, or a complete one without parameters
+	Abort                    // the client no longer waits; the request remains open until its response
+	Rejected                 // a request that the protocol rejects; reply with AppendEnd and Status
+	Reply                    // Body must be sent back unchanged
 )
 
-// Message is something that was read. Its bytes are valid during the call only,
-// except for those of a Request.
+// Message is an event in the input of a connection. Its bytes are valid only during
+// the call of the handler, except for those of a Request.
 type Message struct {
 	Kind      Kind
 	RequestID uint16
-	KeepConn  bool   // Request, Invalid, Abort, Rejected: the connection is to stay open
-	Status    byte   // Rejected
-	Params    []byte // Request: name-value pairs, for EachParam
-	Body      []byte // Request: its body; Reply
+	KeepConn  bool   // Request, Invalid, Abort, Rejected: the connection must remain open
+	Status    byte   // Rejected: the protocol status
+	Params    []byte // Request: encoded name-value pairs, see EachParam
+	Body      []byte // Request: the request body; Reply: the records to send
 }
 
-// request is one that is open on a connection.
+// request is a request that is open on a connection.
 type request struct {
 	keepConn       bool
 	paramsComplete bool
@@ -38,15 +38,16 @@
 	body           []byte
 }
 
-// Parser follows one connection. The zero value is at its start. It is not safe for
-// concurrent use.
+// Parser decodes the input of one connection. The zero value is ready for use. It is
+// not safe for concurrent use.
 type Parser struct {
-	// Now is the time at which what is fed was received. Requests begin at it.
+	// Now is the time at which the input of the next Feed was received. It is the
+	// begin time of requests that the input begins.
 	Now time.Duration
 
 	// The record that is being read.
 	header           [headerSize]byte
-	headerRead       int // bytes of header received
+	headerRead       int // number of received bytes of header
 	recordType       byte
 	requestID        uint16
 	contentRemaining int
@@ -54,19 +55,19 @@
 	control          []byte // content of a begin record or a query for values
 
 	open     map[uint16]*request
-	buffered int // bytes of the open requests that are not complete
-	skipped  int // bytes since the last complete request that belonged to none
+	buffered int // bytes kept of open requests that are not complete
+	skipped  int // bytes for rejected or unknown requests since the last complete request
 }
 
 // OpenRequests returns the number of requests that are being received or have no
 // response yet.
 func (p *Parser) OpenRequests() int { return len(p.open) }
 
-// Buffered returns the bytes kept of requests that are not complete.
+// Buffered returns the number of bytes kept of requests that are not complete.
 func (p *Parser) Buffered() int { return p.buffered }
 
-// MidRequest reports whether part of a record was received that may begin a
-// request, or belongs to one that is not complete.
+// MidRequest reports whether a record was received in part that may begin a request
+// or that belongs to an incomplete request.
 func (p *Parser) MidRequest() bool {
 	if p.headerRead == 0 {
 		return false
@@ -78,7 +79,7 @@
 	return r != nil && !r.complete
 }
 
-// Done closes a request, whose response is written.
+// Done closes a request. It must be called once the response is written.
 func (p *Parser) Done(requestID uint16) {
 	if r := p.open[requestID]; r != nil {
 		p.buffered -= len(r.params) + len(r.body)
@@ -86,20 +87,20 @@
 	}
 }
 
-// DropIncomplete forgets the requests that are not complete.
+// DropIncomplete removes the requests that are not complete.
 func (p *Parser) DropIncomplete() {
-	for requestID, r := range p.open { // only removal: the order does not matter
+	for requestID, r := range p.open { // the order of removal does not matter
 		if !r.complete {
 			p.Done(requestID)
 		}
 	}
 }
 
-// OldestIncomplete returns the request that has been incomplete for longest, if it
-// began at the given time or before. The id is 0 if there is none.
+// OldestIncomplete returns the incomplete request that began first, if it began at
+// the given time or before. The id is 0 if there is none.
 func (p *Parser) OldestIncomplete(begunBy time.Duration) (requestID uint16, keepConn bool) {
 	oldest := begunBy
-	for id, r := range p.open { // a minimum: among equals any will do
+	for id, r := range p.open { // any of several requests with the same begin time is a valid result
 		if !r.complete && r.begun <= oldest {
 			requestID = id
 			keepConn = r.keepConn
@@ -109,8 +110,8 @@
 	return requestID, keepConn
 }
 
-// Feed takes the next bytes and passes each message to handle. After an error the
-// stream can't be followed.
+// Feed decodes the next bytes of the stream and passes each message to handle. It
+// must not be called again after an error.
 func (p *Parser) Feed(b []byte, handle func(Message)) error {
 	for len(b) > 0 {
 		var err error
@@ -134,7 +135,8 @@
 	return nil
 }
 
-// readHeader takes what is missing of the header, and returns the rest.
+// readHeader copies the missing bytes of the header, and returns the bytes that
+// follow it.
 func (p *Parser) readHeader(b []byte, handle func(Message)) (rest []byte, err error) {
 	n := copy(p.header[p.headerRead:], b)
 	p.headerRead += n
@@ -144,7 +146,7 @@
 	return b[n:], err
 }
 
-// beginRecord follows a complete header.
+// beginRecord handles a complete header.
 func (p *Parser) beginRecord(handle func(Message)) error {
 	if p.header[0] != protocolVersion {
 		return ErrVersion
@@ -173,13 +175,14 @@
 	return nil
 }
 
-// contentLength returns the length of the whole content of the record.
+// contentLength returns the length of the content of the record in bytes.
 func (p *Parser) contentLength() int { return int(binary.BigEndian.Uint16(p.header[4:])) }
 
-// readContent takes content of the record, and returns what follows it.
+// readContent handles the content of the record, and returns the bytes that follow
+// it.
 func (p *Parser) readContent(b []byte, handle func(Message)) (rest []byte, err error) {
 	n := min(p.contentRemaining, len(b))
-	if err := p.takeContent(b[:n], handle); err != nil {
+	if err := p.handleContent(b[:n], handle); err != nil {
 		return nil, err
 	}
 	p.contentRemaining -= n
@@ -189,9 +192,10 @@
 	return b[n:], nil
 }
 
-// takeContent adds content to what it belongs to. A request that exceeds a limit is
-// invalid at once, and the rest of it is skipped.
-func (p *Parser) takeContent(content []byte, handle func(Message)) error {
+// handleContent adds content to its request, or to control for records that belong
+// to no open request. It reports a request that exceeds a limit as invalid at once
+// and skips the rest of it.
+func (p *Parser) handleContent(content []byte, handle func(Message)) error {
 	if p.recordType == typeBeginRequest || p.recordType == typeGetValues {
 		if len(p.control)+len(content) <= maxValuesSize {
 			p.control = append(p.control, content...)
@@ -200,12 +204,12 @@
 	}
 	r := p.open[p.requestID]
 	if r != nil && !r.complete {
-		if r.take(p.recordType, content) {
+		if r.add(p.recordType, content) {
 			p.buffered += len(content)
 			return nil
 		}
 		if p.recordType == typeParams || p.recordType == typeStdin {
-			p.complete(r)
+			p.markComplete(r)
 			handle(Message{Kind: Invalid, RequestID: p.requestID, KeepConn: r.keepConn})
 		}
 	}
@@ -216,8 +220,9 @@
 	return nil
 }
 
-// take adds content to a request, and reports whether there was room for it.
-func (r *request) take(recordType byte, content []byte) bool {
+// add adds content to a request, and reports whether the request accepts it within
+// its limits.
+func (r *request) add(recordType byte, content []byte) bool {
 	switch recordType {
 	case typeParams:
 		if r.paramsComplete || len(r.params)+len(content) > maxParamsSize {
@@ -235,15 +240,15 @@
 	return false
 }
 
-// complete takes no more content for a request, and lets go of what there is.
-func (p *Parser) complete(r *request) {
+// markComplete frees the content of a request and prevents that more is added.
+func (p *Parser) markComplete(r *request) {
 	p.buffered -= len(r.params) + len(r.body)
 	r.complete = true
 	r.params = nil
 	r.body = nil
 }
 
-// endRecord follows the content of a record.
+// endRecord handles the end of the content of a record.
 func (p *Parser) endRecord(handle func(Message)) {
 	r := p.open[p.requestID]
 	switch p.recordType {
@@ -261,7 +266,7 @@
 		if r != nil {
 			handle(Message{Kind: Abort, RequestID: p.requestID, KeepConn: r.keepConn})
 		}
-	case typeData: // of another role
+	case typeData: // used only by the Filter role
 	case typeGetValues:
 		handle(Message{Kind: Reply, Body: appendValuesResult(nil, p.control)})
 	default:
@@ -293,6 +298,6 @@
 		m.Body = r.body
 	}
 	p.skipped = 0
-	p.complete(r)
+	p.markComplete(r)
 	handle(m)
 }
--- a/internal/fastcgi/response.go
+++ b/internal/fastcgi/response.go
@@ -1,13 +1,13 @@
 package fastcgi
 
-// knownValues are the answers to queries for values.
+// knownValues are the replies to queries for values, by name.
 var knownValues = map[string]string{
 	"FCGI_MAX_CONNS":  "512",
-	"FCGI_MAX_REQS":   "16384", // 32 on each of 512 connections
+	"FCGI_MAX_REQS":   "16384", // 32 requests on each of 512 connections
 	"FCGI_MPXS_CONNS": "1",     // requests are multiplexed
 }
 
-// AppendStdout appends a response, or a part of one, in as many records as needed.
+// AppendStdout appends a response, or part of one, in as many records as needed.
 func AppendStdout(b []byte, requestID uint16, content []byte) []byte {
 	for len(content) > 0 {
 		n := min(len(content), maxContentSize)
@@ -18,17 +18,18 @@
 	return b
 }
 
-// AppendEnd ends a response with one of the protocol's statuses.
+// AppendEnd appends the records that end a response with a protocol status.
 func AppendEnd(b []byte, requestID uint16, status byte) []byte {
 	if status == StatusComplete {
-		b = appendHeader(b, typeStdout, requestID, 0) // the end of the stream
+		b = appendHeader(b, typeStdout, requestID, 0) // end of the stream
 	}
 	b = appendHeader(b, typeEndRequest, requestID, headerSize)
-	b = append(b, 0, 0, 0, 0) // the application's status
+	b = append(b, 0, 0, 0, 0) // application status
 	return append(b, status, 0, 0, 0)
 }
 
-// appendValuesResult answers a query for values. Each known name is answered once.
+// appendValuesResult appends the reply to a query for values. It has each known name
+// once.
 func appendValuesResult(b, query []byte) []byte {
 	var content []byte
 	answered := map[string]bool{}
@@ -46,7 +47,7 @@
 	return append(b, content...)
 }
 
-// appendUnknownType answers a record of a type that is not known.
+// appendUnknownType appends the reply to a record of an unknown type.
 func appendUnknownType(b []byte, recordType byte) []byte {
 	content := []byte{recordType, 0, 0, 0, 0, 0, 0, 0}
 	b = appendHeader(b, typeUnknownType, 0, len(content))
