--- a/internal/simproto/action.go
+++ b/internal/simproto/action.go
@@ -6,7 +6,7 @@
 	"frosthub/overload"
 )
 
-// actionWords are the protocol's words for actions.
+// actionWords are the words of the protocol for the kinds of actions.
 var actionWords = [...]string{
 	overload.Start:       "admit",
 	overload.Cancel:      "yank",
@@ -24,11 +24,11 @@
 }
 
 const (
-	timerHandle     = 1 // the only timer that an instance asks for
-	signalPrecision = 4 // digits after the point
+	timerHandle     = 1 // handle of the only timer that an instance sets
+	signalPrecision = 4 // number of decimals
 )
 
-// appendAction appends the line of an action of an instance.
+// appendAction appends the line for an action of an instance.
 func appendAction(b []byte, instance uint64, action overload.Action) []byte {
 	b = append(b, `{"kind":"`...)
 	b = append(b, actionWords[action.Kind]...)
@@ -53,7 +53,7 @@
 	return append(b, "}\n"...)
 }
 
-// appendRequestFields appends what only some of the actions on requests have.
+// appendRequestFields appends the fields that only some of the actions on requests have.
 func appendRequestFields(b []byte, action overload.Action) []byte {
 	switch action.Kind {
 	case overload.Reject:
--- a/internal/simproto/event.go
+++ b/internal/simproto/event.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// outcomes are the protocol's words for how a run or a call ended.
+// outcomes are the outcomes of runs and calls by their words in the protocol.
 var outcomes = map[string]overload.Outcome{
 	"Ok":           overload.OK,
 	"Failed":       overload.Failed,
@@ -21,19 +21,19 @@
 	"Ignored":      overload.NeverRan,
 }
 
-// The bits of "attrs".
+// Bits of the member "attrs".
 const (
 	attrHintValid = 1
 	attrRetry     = 2
 	attrWrite     = 4
 )
 
-// micros returns a member that is a number of microseconds, 0 if it is missing.
+// micros returns a member in microseconds as a duration, or 0 if it is missing.
 func micros(v *fastjson.Value, name string) time.Duration {
 	return settings.MicrosToDuration(v.GetFloat64(name))
 }
 
-// decodeEvent returns an event of the protocol, and whether its kind is known.
+// decodeEvent decodes an event of the protocol, and reports whether its kind is known.
 func decodeEvent(kind string, v *fastjson.Value) (event overload.Event, known bool) {
 	id := v.GetUint64("txn")
 	switch kind {
--- a/internal/simproto/server.go
+++ b/internal/simproto/server.go
@@ -1,8 +1,9 @@
-// Package simproto speaks the simulator's protocol: lines of JSON, batches of events in, one reply per batch out.
-// The protocol's names and units end here; all decisions are in package overload.
+// Package simproto implements the protocol of the simulator, which sends batches of events as lines of JSON and
+// receives one reply per batch. The package converts the names and units of the protocol; package overload makes all
+// decisions.
 //
 // A batch is a "clock" line with the simulated time, events of any number of instances, and a "commit" line. The
-// reply has the actions of each instance that had events, in the order of the first ones, and an "eor" line.
+// reply has the actions of each instance with events, ordered by the first event of each instance, and an "eor" line.
 package simproto
 
 import (
@@ -25,20 +26,20 @@
 	maxLine           = 64 << 20 // bytes; a longer line is an error
 )
 
-// The errors of an input that can't be understood. Serve wraps them with the number of the batch.
+// Errors for invalid input. Serve wraps them with the number of the batch.
 var (
-	ErrNotJSON         = errors.New("a line is not JSON")
-	ErrNotObject       = errors.New("a line is not an object")
-	ErrNestedBatch     = errors.New("a new batch begins before its end")
-	ErrNoClock         = errors.New("clock or number missing")
-	ErrEndOutside      = errors.New("an end without a beginning")
-	ErrEventOutside    = errors.New("an event outside a batch")
-	ErrUnknownInstance = errors.New("event for an unknown instance")
-	ErrTruncated       = errors.New("the input ends before the batch does")
+	ErrNotJSON            = errors.New("line is not JSON")
+	ErrNotObject          = errors.New("line is not a JSON object")
+	ErrNestedBatch        = errors.New("clock line inside an open batch")
+	ErrIncompleteClock    = errors.New("clock line without a batch number or a time")
+	ErrCommitOutsideBatch = errors.New("commit line outside a batch")
+	ErrEventOutsideBatch  = errors.New("event outside a batch")
+	ErrUnknownInstance    = errors.New("event for an unknown instance")
+	ErrTruncated          = errors.New("input ends inside a batch")
 )
 
-// Serve answers the batches that it reads from r on w, until the input ends. It returns an error for input that can't
-// be understood: it never guesses.
+// Serve reads batches from r and writes the replies to w, until the input ends. It returns an error for invalid input
+// and does not try to continue after it.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{instances: map[uint64]*instance{}, out: w}
 	lines := bufio.NewScanner(r)
@@ -52,10 +53,10 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return s.inBatch(err)
+		return s.batchError(err)
 	}
 	if s.batchOpen {
-		return s.inBatch(ErrTruncated)
+		return s.batchError(ErrTruncated)
 	}
 	return nil
 }
@@ -64,38 +65,40 @@
 type instance struct {
 	id         uint64
 	controller *overload.Controller
-	events     []overload.Event // of the batch
+	events     []overload.Event // events of the current batch
 	queued     bool             // listed in server.pending
-	failed     bool             // its controller panicked: it decides nothing any more
+	failed     bool             // the controller panicked, so it handles no more events
 }
 
-// server holds the state between lines.
+// server is the state of Serve between lines.
 type server struct {
 	parser    fastjson.Parser
 	instances map[uint64]*instance
 	out       io.Writer
 
 	batchOpen bool
-	batch     uint64        // number of the batch, the last one if none is open
+	batch     uint64        // number of the open batch, or of the last one if none is open
 	now       time.Duration // simulated time of the batch
-	pending   []*instance   // those with events in the batch, in the order of their first ones
+	pending   []*instance   // instances with events in the batch, ordered by their first event
 	reply     []byte
 }
 
-// inBatch says in which batch an error occurred.
-func (s *server) inBatch(err error) error { return fmt.Errorf("batch %d: %w", s.batch, err) }
+// batchError adds the number of the current batch to an error.
+func (s *server) batchError(err error) error { return fmt.Errorf("batch %d: %w", s.batch, err) }
 
-// afterBatch says after which batch an error occurred.
-func (s *server) afterBatch(err error) error { return fmt.Errorf("batch after %d: %w", s.batch, err) }
+// afterBatchError adds the number of the previous batch to an error that occurred outside a batch.
+func (s *server) afterBatchError(err error) error {
+	return fmt.Errorf("after batch %d: %w", s.batch, err)
+}
 
 // handleLine handles one line of the input.
 func (s *server) handleLine(line []byte) error {
 	v, err := s.parser.ParseBytes(line)
 	if err != nil {
-		return s.inBatch(fmt.Errorf("%w: %w", ErrNotJSON, err))
+		return s.batchError(fmt.Errorf("%w: %w", ErrNotJSON, err))
 	}
 	if v.Type() != fastjson.TypeObject {
-		return s.inBatch(ErrNotObject)
+		return s.batchError(ErrNotObject)
 	}
 	switch kind := string(v.GetStringBytes("kind")); kind {
 	case "clock":
@@ -104,10 +107,10 @@
 		return s.commitBatch()
 	default:
 		if !s.batchOpen {
-			return s.afterBatch(ErrEventOutside)
+			return s.afterBatchError(ErrEventOutsideBatch)
 		}
 		if err := s.handleEvent(kind, v); err != nil {
-			return s.inBatch(err)
+			return s.batchError(err)
 		}
 		return nil
 	}
@@ -116,10 +119,10 @@
 // beginBatch opens a batch.
 func (s *server) beginBatch(v *fastjson.Value) error {
 	if s.batchOpen {
-		return s.inBatch(ErrNestedBatch)
+		return s.batchError(ErrNestedBatch)
 	}
 	if v.Get("seq") == nil || v.Get("simTimeUs") == nil {
-		return s.afterBatch(ErrNoClock)
+		return s.afterBatchError(ErrIncompleteClock)
 	}
 	s.batchOpen = true
 	s.batch = v.GetUint64("seq")
@@ -129,43 +132,43 @@
 	return nil
 }
 
-// commitBatch lets every instance with events decide, and writes the reply.
+// commitBatch runs the controllers of all instances with events, and writes the reply.
 func (s *server) commitBatch() error {
 	if !s.batchOpen {
-		return s.afterBatch(ErrEndOutside)
+		return s.afterBatchError(ErrCommitOutsideBatch)
 	}
 	s.batchOpen = false
-	for _, in := range s.pending {
-		in.queued = false
-		if s.instances[in.id] == in && !in.failed {
-			s.decide(in)
+	for _, inst := range s.pending {
+		inst.queued = false
+		if s.instances[inst.id] == inst && !inst.failed {
+			s.runController(inst)
 		}
-		in.events = in.events[:0]
+		inst.events = inst.events[:0]
 	}
 	s.reply = append(s.reply, `{"kind":"eor","seq":`...)
 	s.reply = strconv.AppendUint(s.reply, s.batch, 10)
 	s.reply = append(s.reply, "}\n"...)
 	if _, err := s.out.Write(s.reply); err != nil {
-		return s.inBatch(err)
+		return s.batchError(err)
 	}
 	return nil
 }
 
-// decide appends the actions of an instance to the reply.
-func (s *server) decide(in *instance) {
-	s.guard(in, func() {
-		for _, action := range in.controller.Handle(s.now, in.events) {
-			s.reply = appendAction(s.reply, in.id, action)
+// runController appends the actions of an instance to the reply.
+func (s *server) runController(inst *instance) {
+	s.recoverPanic(inst, func() {
+		for _, action := range inst.controller.Handle(s.now, inst.events) {
+			s.reply = appendAction(s.reply, inst.id, action)
 		}
 	})
 }
 
-// handleEvent takes up one event. Kinds that aren't known are skipped.
+// handleEvent handles one event. It ignores events of unknown kinds.
 func (s *server) handleEvent(kind string, v *fastjson.Value) error {
 	id := v.GetUint64("who")
 	switch kind {
 	case "up":
-		s.start(id, v)
+		s.startInstance(id, v)
 		return nil
 	case "killed":
 		if s.instances[id] == nil {
@@ -178,41 +181,41 @@
 	if !known {
 		return nil
 	}
-	in := s.instances[id]
-	if in == nil {
+	inst := s.instances[id]
+	if inst == nil {
 		return fmt.Errorf("%w: %d", ErrUnknownInstance, id)
 	}
-	in.events = append(in.events, event)
-	s.markPending(in)
+	inst.events = append(inst.events, event)
+	s.markPending(inst)
 	return nil
 }
 
-// start makes a new instance, in place of an earlier one of the same number.
-func (s *server) start(id uint64, v *fastjson.Value) {
-	in := &instance{id: id}
-	s.instances[id] = in
+// startInstance creates an instance, which replaces an earlier one with the same number.
+func (s *server) startInstance(id uint64, v *fastjson.Value) {
+	inst := &instance{id: id}
+	s.instances[id] = inst
 	seed := v.GetUint64("rngSeed")
 	decoded := settings.Decode(v.Get("env"))
-	s.guard(in, func() { in.controller = overload.New(seed, decoded, s.now) })
-	s.markPending(in)
+	s.recoverPanic(inst, func() { inst.controller = overload.New(seed, decoded, s.now) })
+	s.markPending(inst)
 }
 
-func (s *server) markPending(in *instance) {
-	if !in.queued {
-		in.queued = true
-		s.pending = append(s.pending, in)
+func (s *server) markPending(inst *instance) {
+	if !inst.queued {
+		inst.queued = true
+		s.pending = append(s.pending, inst)
 	}
 }
 
-// guard calls f, and reports a panic as an internal error of the instance.
-func (s *server) guard(in *instance, f func()) {
+// recoverPanic calls f, and reports a panic as an internal error of the instance.
+func (s *server) recoverPanic(inst *instance, f func()) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			in.failed = true
+			inst.failed = true
 			s.reply = append(s.reply, `{"kind":"internalError","who":`...)
-			s.reply = strconv.AppendUint(s.reply, in.id, 10)
+			s.reply = strconv.AppendUint(s.reply, inst.id, 10)
 			s.reply = append(s.reply, `,"what":`...)
-			what, _ := json.Marshal(fmt.Sprint(reason)) // a string always has a JSON form
+			what, _ := json.Marshal(fmt.Sprint(reason)) // encoding a string never fails
 			s.reply = append(s.reply, what...)
 			s.reply = append(s.reply, "}\n"...)
 		}
--- a/internal/simproto/server_test.go
+++ b/internal/simproto/server_test.go
@@ -8,12 +8,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const up = `{"kind":"up","who":3,"rngSeed":7,"env":{"familyInfo":{"cores":1,"memoryKb":100,"later":{"x":null}},` +
+const upLine = `{"kind":"up","who":3,"rngSeed":7,"env":{"familyInfo":{"cores":1,"memoryKb":100,"later":{"x":null}},` +
 	`"classes":[{"idempotency":"retryable","giveUpUs":1000000,"goalTimeUs":500000}],"limits":{"retryAfter":true}}}` + "\n"
 
-const clock = `{"kind":"clock","simTimeUs":1000,"seq":5}` + "\n"
+const clockLine = `{"kind":"clock","simTimeUs":1000,"seq":5}` + "\n"
 
-func batch(events string) string { return clock + events + `{"kind":"commit"}` + "\n" }
+func batch(events string) string { return clockLine + events + `{"kind":"commit"}` + "\n" }
 
 func TestServe(t *testing.T) {
 	const (
@@ -30,32 +30,32 @@
 	}{
 		{name: "empty input"},
 		{name: "empty batch", in: batch(""), out: end},
-		{name: "an instance", in: batch(up + query), out: started + first + end},
+		{name: "an instance", in: batch(upLine + query), out: started + first + end},
 		{
 			name: "unknown kinds and fields are skipped",
-			in:   batch(up + `{"kind":"novel","who":9}` + "\n" + strings.Replace(query, `"txn"`, `"new":[1],"txn"`, 1)),
+			in:   batch(upLine + `{"kind":"novel","who":9}` + "\n" + strings.Replace(query, `"txn"`, `"new":[1],"txn"`, 1)),
 			out:  started + first + end,
 		},
 		{
 			name: "killed and up again in one batch",
-			in:   batch(up + query + `{"kind":"killed","who":3}` + "\n" + up),
+			in:   batch(upLine + query + `{"kind":"killed","who":3}` + "\n" + upLine),
 			out:  first + end,
 		},
 		{
 			name: "connections",
-			in: batch(strings.Replace(up, `"cores":1`, `"cores":1,"senders":100`, 1)) +
+			in: batch(strings.Replace(upLine, `"cores":1`, `"cores":1,"senders":100`, 1)) +
 				strings.Replace(batch(`{"kind":"tickDue","who":3,"handle":1}`+"\n"), "1000", "101000", 1),
 			out: first + end + `{"kind":"closeIdle","who":3,"keepForUs":200000}` + "\n" +
 				`{"kind":"sleep","who":3,"whenUs":126000,"handle":1}` + "\n" + end,
 		},
 		{
 			name: "event of a request that isn't known",
-			in:   batch(up + `{"kind":"result","who":3,"txn":8,"verdict":"Ignored"}` + "\n"),
+			in:   batch(upLine + `{"kind":"result","who":3,"txn":8,"verdict":"Ignored"}` + "\n"),
 			out:  first + end,
 		},
 		{name: "without settings", in: batch(`{"kind":"up","who":3}` + "\n"), out: first + end},
-		{name: "not JSON", in: batch("admit\n"), err: ErrNotJSON, message: "batch 5: a line is not JSON"},
-		{name: "not an object", in: batch("[1]\n"), err: ErrNotObject, message: "batch 5: a line is not an object"},
+		{name: "not JSON", in: batch("admit\n"), err: ErrNotJSON, message: "batch 5: line is not JSON"},
+		{name: "not an object", in: batch("[1]\n"), err: ErrNotObject, message: "batch 5: line is not a JSON object"},
 		{
 			name: "unknown instance", in: batch(query),
 			err: ErrUnknownInstance, message: "batch 5: event for an unknown instance: 3",
@@ -64,11 +64,11 @@
 			name: "unknown instance killed", in: batch(`{"kind":"killed","who":4}` + "\n"),
 			err: ErrUnknownInstance, message: "batch 5: event for an unknown instance: 4",
 		},
-		{name: "no end", in: clock, err: ErrTruncated, message: "batch 5: the input ends before"},
-		{name: "no end before the next", in: clock + clock, err: ErrNestedBatch, message: "batch 5: a new batch"},
-		{name: "event outside", in: up, err: ErrEventOutside, message: "an event outside a batch"},
-		{name: "end outside", in: `{"kind":"commit"}` + "\n", err: ErrEndOutside, message: "an end without a beginning"},
-		{name: "no time", in: `{"kind":"clock","seq":5}` + "\n", err: ErrNoClock, message: "clock or number missing"},
+		{name: "no end", in: clockLine, err: ErrTruncated, message: "batch 5: input ends inside a batch"},
+		{name: "no end before the next", in: clockLine + clockLine, err: ErrNestedBatch, message: "batch 5: clock line inside an open batch"},
+		{name: "event outside", in: upLine, err: ErrEventOutsideBatch, message: "event outside a batch"},
+		{name: "end outside", in: `{"kind":"commit"}` + "\n", err: ErrCommitOutsideBatch, message: "commit line outside a batch"},
+		{name: "no time", in: `{"kind":"clock","seq":5}` + "\n", err: ErrIncompleteClock, message: "clock line without a batch number or a time"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var out strings.Builder
@@ -88,7 +88,7 @@
 
 func TestPanicIsReported(t *testing.T) {
 	s := &server{}
-	s.guard(&instance{id: 3}, func() { panic("no \"such\" thing") })
+	s.recoverPanic(&instance{id: 3}, func() { panic("no \"such\" thing") })
 	want := `{"kind":"internalError","who":3,"what":"no \"such\" thing"}` + "\n"
 	if diff := cmp.Diff(want, string(s.reply)); diff != "" {
 		t.Error(diff)
