--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -118,7 +118,7 @@
 
 func (s *Server) handlePacket(content []byte) error {
 	switch s.state {
-	case stateRejected, stateClosing: // the handler of the previous packet called Reject or Done
+	case stateRejected, stateClosing: // the handler of an earlier packet of this input called Reject
 		return errInputIgnored
 	case stateAnswering:
 		return ErrPipelined
@@ -326,7 +326,8 @@
 func AppendGetBodyChunk(b []byte, maxPacketSize int) []byte {
 	return appendPacket(b, magicToClient, func(b []byte) []byte {
 		b = append(b, codeGetBodyChunk)
-		return appendUint16(b, min(MaxBodyChunk(maxPacketSize), MaxBodySize+1)) // one byte more than the limit, to detect a body that exceeds it
+		// One byte more than the limit detects a body that exceeds it.
+		return appendUint16(b, min(MaxBodyChunk(maxPacketSize), MaxBodySize+1))
 	})
 }
 
--- a/internal/conn/close.go
+++ b/internal/conn/close.go
@@ -31,8 +31,9 @@
 )
 
 // CloseGracefully closes the connection as soon as no response is pending and
-// every received byte was delivered. It passes reason to OnClosed afterwards. It
-// has no effect on a connection that is already closing.
+// every received byte was delivered. OnClosed is called afterwards with reason, or
+// with ErrPeerClosed if the peer closes before the sending side is shut down.
+// CloseGracefully has no effect on a connection that is already closing.
 func (c *Conn) CloseGracefully(reason error) {
 	if c.state != stateOpen {
 		return
@@ -49,8 +50,8 @@
 	c.CloseGracefully(reason)
 }
 
-// Abort closes the connection at once and drops its unsent output. It passes
-// reason to OnClosed afterwards.
+// Abort closes the connection at once and drops its unsent output. OnClosed is
+// called afterwards with reason.
 func (c *Conn) Abort(reason error) {
 	if c.state >= stateAborted {
 		return
@@ -124,7 +125,7 @@
 }
 
 // drained reports whether the sending side can be shut down: all output is sent,
-// no response is pending, and no input is undelivered or it is discarded.
+// no response is pending, and all input is delivered or discarded.
 func (c *Conn) drained() bool {
 	if c.output.Len() > 0 {
 		return false
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -15,7 +15,7 @@
 // until no response is pending and no received byte is undelivered. Then it
 // shuts down the sending side and lingers: it discards input, which crossed the
 // shutdown on the wire, until the peer closes as well or a time limit passes.
-// Only then it closes the descriptor. Closing a descriptor that has unread bytes
+// Only then does it close the descriptor. Closing a descriptor with unread bytes
 // would reset the connection and destroy responses that the peer has not read.
 //
 // [Conn.CloseAfterSend] ends a connection that was dialed by this process and
@@ -32,7 +32,8 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Errors that are passed to OnClosed. Dial returns ErrDialTimeout.
+// Errors that are passed to OnClosed, and ErrDialTimeout, which Dial passes to its
+// callback.
 var (
 	ErrPeerClosed    = errors.New("connection closed by the peer")
 	ErrPeerStalled   = errors.New("peer accepted no bytes for too long")
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -29,7 +29,7 @@
 	return false
 }
 
-// echoServer sends back what it reads, and aborts a connection that sends
+// echoServer sends its input back, and aborts a connection that sends
 // "bad". Only the goroutine that runs the loop uses its fields, except for
 // rejected.
 type echoServer struct {
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -234,11 +234,12 @@
 	}
 }
 
-// Close stops listening, after the connections in the kernel's accept queue were
-// accepted: their peers may already have sent a complete request. Close blocks
-// until netpoll polls the descriptor. Netpoll has no notification for that, so
-// Close waits for pollStartDelay. Otherwise netpoll could poll a different file
-// that the same descriptor number is assigned to.
+// Close ends listening. The listener first accepts the connections in the
+// kernel's accept queue, since their peers may have sent a complete request, and
+// Closed reports when it is done. Close itself blocks until netpoll polls the
+// descriptor. Netpoll does not report that, so Close waits for pollStartDelay.
+// Otherwise netpoll could poll another file that the descriptor number is
+// assigned to next.
 func (ln *Listener) Close() error {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
--- a/internal/fastcgi/parser.go
+++ b/internal/fastcgi/parser.go
@@ -41,8 +41,8 @@
 // Parser decodes the input of one connection. The zero value is ready for use. It is
 // not safe for concurrent use.
 type Parser struct {
-	// Now is the time at which the input of the next Feed was received. It is the
-	// begin time of requests that the input begins.
+	// Now is the time at which the input of the next Feed was received. Requests that
+	// begin in this input get it as their begin time.
 	Now time.Duration
 
 	// The record that is being read.
@@ -192,9 +192,9 @@
 	return b[n:], nil
 }
 
-// handleContent adds content to its request, or to control for records that belong
-// to no open request. It reports a request that exceeds a limit as invalid at once
-// and skips the rest of it.
+// handleContent adds content to the request that it belongs to, or to control for a
+// begin record or a query for values. It reports a request that exceeds a limit as
+// invalid at once, and skips the rest of it.
 func (p *Parser) handleContent(content []byte, handle func(Message)) error {
 	if p.recordType == typeBeginRequest || p.recordType == typeGetValues {
 		if len(p.control)+len(content) <= maxValuesSize {
@@ -240,7 +240,7 @@
 	return false
 }
 
-// markComplete frees the content of a request and prevents that more is added.
+// markComplete frees the content of a request, to which no more is added then.
 func (p *Parser) markComplete(r *request) {
 	p.buffered -= len(r.params) + len(r.body)
 	r.complete = true
