--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -12,54 +12,54 @@
 	"frosthub/overload"
 )
 
-// clientConn is one connection of a client. It belongs to the owner goroutine.
+// clientConn is one client connection. It is owned by the owner goroutine.
 type clientConn struct {
 	conn              *conn.Conn
-	number            int // for log lines
+	number            int // sequence number for log lines
 	protocol          protocol
-	requests          map[uint16]*request  // without their answer, by slot
+	requests          map[uint16]*request  // unanswered requests, by slot
 	deepChecks        map[uint16]deepCheck // health checks that wait for the processor, by slot
 	acceptedAt        time.Duration
-	lastUsed          time.Duration  // when it last carried a complete request or a response
-	malformedRequests int            // malformed requests since the last one that was run
-	hasSentRequest    bool           // it has sent a complete request
-	verified          bool           // one of its requests was known to the processor
-	buffersReleased   bool           // it is idle and keeps no buffers
-	readStopped       bool           // nothing more is read of it; it ends once what is open is answered
-	partialBytes      int            // its part of frontend.partialBytes
-	undelivered       []sentResponse // final answers that are not yet handed to the system, in order
+	lastUsed          time.Duration  // when the last message was received or the last response written
+	malformedRequests int            // malformed requests since the last successful one
+	hasSentRequest    bool           // a complete message was received
+	verified          bool           // the processor confirmed one of its requests
+	buffersReleased   bool           // its buffers were released while it is idle
+	readStopped       bool           // its input is discarded; it closes when the open requests are answered
+	partialBytes      int            // its share of frontend.partialBytes
+	undelivered       []sentResponse // final responses not yet passed to the operating system, in order
 }
 
-// exchange is one slot of a connection, on which a request is read and answered.
+// exchange identifies the slot of a connection on which a request was read and is answered.
 type exchange struct {
 	client   *clientConn
 	slot     uint16
-	keepOpen bool // the connection stays open after the answer
+	keepOpen bool // the connection stays open after the response
 }
 
-// exchange returns where a request is answered.
+// exchange returns the connection and the slot on which a request is answered.
 func (r *request) exchange() exchange {
 	return exchange{client: r.client, slot: r.slot, keepOpen: r.keepOpen}
 }
 
-// sentResponse is a final answer that was written and may not have left yet.
+// sentResponse is a final response that was written and may still be buffered.
 type sentResponse struct {
-	endOffset int // bytes of the connection that have left when its last byte has
+	endOffset int // offset of its end in the output of the connection, in bytes
 	ticket    accounting.Ticket
 	id        uint64
 }
 
-// pendingResponses returns how many answers the client waits for.
+// pendingResponses returns the number of responses that the client waits for.
 func (c *clientConn) pendingResponses() int { return len(c.requests) + len(c.deepChecks) }
 
-// busy reports whether the client waits for an answer.
+// busy reports whether the client waits for a response.
 func (c *clientConn) busy() bool { return c.pendingResponses() > 0 }
 
-// idle reports whether nothing is open and nothing waits to be sent.
+// idle reports whether no slot is in use and no output is buffered.
 func (c *clientConn) idle() bool { return c.protocol.openSlots() == 0 && c.conn.Unsent() == 0 }
 
-// lifecycleState returns what the end of the connection has to wait for. What was received and not yet read is checked
-// by the connection itself.
+// lifecycleState returns the state that determines when the connection may close. The connection itself checks for
+// received bytes that are not handled yet.
 func (c *clientConn) lifecycleState() lifecycle.Connection {
 	return lifecycle.Connection{
 		OpenRequests: c.pendingResponses(),
@@ -68,7 +68,7 @@
 	}
 }
 
-// addConnection takes a connection that was accepted.
+// addConnection registers an accepted connection.
 func (f *frontend) addConnection(accepted *conn.Conn, newProtocol func(*clientConn) protocol) {
 	b := f.backend
 	f.acceptedCount++
@@ -95,7 +95,7 @@
 	}
 }
 
-// handleInput takes input of a connection.
+// handleInput parses the input of a connection.
 func (f *frontend) handleInput(client *clientConn, input []byte) {
 	if client.readStopped {
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-// connectionClosed gives up what is open on a connection that has ended.
+// connectionClosed releases all state of a closed connection: its open requests and its undelivered responses.
 func (f *frontend) connectionClosed(client *clientConn, reason error) {
 	b := f.backend
 	delete(f.clients, client)
@@ -118,51 +118,51 @@
 	client.protocol.discardPartial()
 	f.updatePartialBytes(client)
 	b.stats.ConnsClosed++
-	for _, slot := range slices.Sorted(maps.Keys(client.requests)) { // in order: the same bytes lead to the same decisions
+	for _, slot := range slices.Sorted(maps.Keys(client.requests)) { // in order, so that the same input leads to the same decisions
 		r := client.requests[slot]
 		if r.state != stateUnverified {
 			f.recordUnanswered(r.id, reason)
 		}
 		if client.conn.SendClosed() && !client.readStopped {
-			b.recordViolation("end a connection", r, lifecycle.RequestOpen)
+			b.recordViolation("close connection", r, lifecycle.RequestOpen)
 		}
 		b.clientGone(r, overload.ConnectionLost)
 	}
-	for _, answer := range client.undelivered {
-		f.recordUnanswered(answer.id, reason)
-		b.ledger.Close(b.wallTime, answer.ticket, accounting.Undelivered)
+	for _, sent := range client.undelivered {
+		f.recordUnanswered(sent.id, reason)
+		b.ledger.Close(b.wallTime, sent.ticket, accounting.Undelivered)
 	}
 	client.undelivered = nil
 }
 
-// logConnectionEnd logs how a connection ended, where that may be asked for later: while the process ends, and where
-// something was left.
+// logConnectionEnd logs the end of a connection during shutdown, and at any time if requests, responses or input bytes
+// were lost with it.
 func (f *frontend) logConnectionEnd(client *clientConn, reason error) {
 	phase := f.backend.process.Phase()
 	dropped := client.conn.Discarded()
 	if phase == lifecycle.Serving && dropped == 0 && !client.busy() && len(client.undelivered) == 0 {
 		return
 	}
-	f.backend.log.Info("connection closed", "connection", client.number, "reason", reason, "phase", phase, "open", len(client.requests),
+	f.backend.log.Info("client connection closed", "connection", client.number, "reason", reason, "phase", phase, "open", len(client.requests),
 		"half_read", client.protocol.openSlots()-client.pendingResponses(), "unsent_answers", len(client.undelivered),
 		"dropped_bytes", dropped)
 }
 
-// recordUnanswered counts and logs a request that leaves without its answer.
+// recordUnanswered counts and logs a request whose client did not get its response.
 func (f *frontend) recordUnanswered(id uint64, reason error) {
 	f.backend.stats.Unanswered++
 	f.backend.log.Warn("request unanswered", "id", fmt.Sprintf("%016x", id), "reason", reason)
 }
 
-// trackDelivery has the account of a request follow the answer that was just written.
+// trackDelivery records that the response was written, and keeps the account open until the response is delivered.
 func (f *frontend) trackDelivery(client *clientConn, ticket accounting.Ticket, id uint64, reason accounting.Reason) {
 	if f.backend.ledger.ResponseWritten(f.backend.wallTime, ticket, reason) {
-		answer := sentResponse{endOffset: client.conn.QueuedTotal(), ticket: ticket, id: id}
-		client.undelivered = append(client.undelivered, answer)
+		sent := sentResponse{endOffset: client.conn.QueuedTotal(), ticket: ticket, id: id}
+		client.undelivered = append(client.undelivered, sent)
 	}
 }
 
-// confirmDelivered closes the accounts of the answers whose last byte was handed to the system.
+// confirmDelivered closes the accounts of the responses whose last byte was passed to the operating system.
 func (f *frontend) confirmDelivered(client *clientConn) {
 	n := 0
 	for n < len(client.undelivered) && client.undelivered[n].endOffset <= client.conn.SentTotal() {
--- a/backend/client_socket_test.go
+++ b/backend/client_socket_test.go
@@ -17,7 +17,7 @@
 	"frosthub/internal/fake"
 )
 
-// defaultFields returns the fields of a good request, with others over them.
+// defaultFields returns the fields of a valid request, overridden by the given fields.
 func defaultFields(slot uint16, fields map[string]string) map[string]string {
 	all := map[string]string{
 		"REQUEST_METHOD":       "POST",
@@ -33,10 +33,10 @@
 	return all
 }
 
-// fastcgiRequest returns the records of a request. Fields overwrite the default ones; "-" leaves one out.
+// fastcgiRequest returns the records of a request. The given fields override the default ones; "-" omits a field.
 func fastcgiRequest(slot uint16, fields map[string]string) string {
 	all := defaultFields(slot, fields)
-	delete(all, "secret") // of AJP
+	delete(all, "secret") // used only over AJP
 	body := all["body"]
 	delete(all, "body")
 	var params strings.Builder
@@ -48,7 +48,7 @@
 	return fake.FastCGIRequest(slot, params.String(), body)
 }
 
-// ajpRequest returns the packets of the same request over AJP.
+// ajpRequest returns the AJP packets of the request that fastcgiRequest encodes.
 func ajpRequest(slot uint16, fields map[string]string) string {
 	all := defaultFields(slot, fields)
 	forward := ajp.ForwardRequest{
@@ -66,12 +66,12 @@
 	return string(ajp.AppendForward(nil, &forward, ajp.DefaultPacketSize))
 }
 
-// clientSocket is one connection of a client.
+// clientSocket is a client connection whose responses are printed.
 type clientSocket struct {
-	conn net.Conn // nil if it was refused
+	conn net.Conn // nil if the connection was refused
 }
 
-// client returns the connection of that name; over AJP there is one for each slot.
+// client returns the connection with the given name, and dials it on first use. Over AJP each slot has its own connection.
 func (bed *testbed) client(name string, slot uint16) *clientSocket {
 	key, address := name, bed.listenAddress
 	if bed.useAJP {
@@ -95,7 +95,7 @@
 	return client
 }
 
-// readFastCGI prints each answer, its fields in order, and the end of the connection.
+// readFastCGI prints each response with its headers in order, and the end of the connection.
 func (bed *testbed) readFastCGI(name string, conn net.Conn) {
 	stdout := map[uint16]string{}
 	print := bed.printer("edge " + name)
@@ -116,7 +116,7 @@
 			headers, body, _ := strings.Cut(stdout[slot], "\r\n\r\n")
 			delete(stdout, slot)
 			words := strings.Split(headers, "\r\n")
-			for i, word := range words { // their values change from run to run
+			for i, word := range words { // these values differ between runs
 				if header, _, _ := strings.Cut(word, ": "); header == "Retry-After-Ms" || header == "X-Load-Signal" {
 					words[i] = header
 				}
@@ -128,10 +128,10 @@
 	}
 }
 
-// cpong is the packet that answers a CPing.
+// cpong is the packet that answers a CPing packet.
 const cpong = "AB\x00\x01\x09"
 
-// readAJP prints each answer like those over FastCGI.
+// readAJP prints each response in the format of readFastCGI.
 func (bed *testbed) readAJP(name string, slot uint16, conn net.Conn) {
 	parser := ajp.NewClient(ajp.DefaultPacketSize)
 	buf := make([]byte, 4<<10)
@@ -157,7 +157,7 @@
 	}
 }
 
-// ajpHeaders returns the status and the headers of a reply as FastCGI has them.
+// ajpHeaders returns the status and the headers of a reply in the format of readFastCGI.
 func ajpHeaders(reply ajp.Reply) string {
 	words := []string{fmt.Sprintf("Status: %d %s", reply.Status, statusText[reply.Status])}
 	reply.Headers.Each(func(name, value []byte) {
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -13,13 +13,14 @@
 	"frosthub/overload"
 )
 
-// TestBrokenStream: who breaks the protocol gets the answers of what was read whole of it, and then the end.
+// TestBrokenStream checks that a client that violates the protocol gets the responses to its complete requests before its
+// connection is closed.
 func TestBrokenStream(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
 	bed.startRun(client, 1)
-	client.send(fastcgiRequest(2, nil)[:30] + strings.Repeat("?", 40)) // half a request, and what is no record
+	client.send(fastcgiRequest(2, nil)[:30] + strings.Repeat("?", 40)) // half a request, followed by invalid bytes
 	client.send(fastcgiRequest(3, nil))
 	bed.await(func() bool { return bed.backend.stats.BadConns == 1 })
 	bed.completeRun(1)
@@ -28,18 +29,19 @@
 	bed.await(func() bool { return len(bed.backend.frontend.clients) == 0 && bed.backend.frontend.partialBytes == 0 })
 }
 
-// TestPartialsReleased: what is held of requests that never come whole is released with their answers, however they end.
+// TestPartialsReleased checks that the buffered bytes of requests that stay incomplete are released when the requests are
+// rejected.
 func TestPartialsReleased(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
 	client := bed.dialClient()
 	bed.serveRequest(client, 20)
-	const parts = 4
-	for slot := range uint16(parts) {
+	const partials = 4
+	for slot := range uint16(partials) {
 		client.send(beginText(slot+1) + fake.FastCGIRecord(paramsRecord, slot+1, strings.Repeat("x", 1000)))
 	}
-	bed.await(func() bool { return bed.backend.frontend.partialBytes == parts*1000 })
-	for range parts {
+	bed.await(func() bool { return bed.backend.frontend.partialBytes == partials*1000 })
+	for range partials {
 		bed.runInTurn(func() {
 			bed.backend.now += partialTimeout
 			bed.backend.frontend.sweep()
@@ -51,10 +53,11 @@
 	bed.await(func() bool { return bed.backend.frontend.partialBytes == 0 })
 }
 
-// TestSilentFlood: clients that take all places and say nothing, or half a word, leave one for another client, at once, and those for calls.
+// TestSilentFlood checks that many clients that connect and send nothing, or only part of a message, neither keep another
+// client from being served at once nor use the descriptors reserved for upstream calls.
 func TestSilentFlood(t *testing.T) {
 	t.Parallel()
-	for _, says := range []string{"", "\x01"} {
+	for _, input := range []string{"", "\x01"} {
 		bed := newReadyTestbed(t, map[string]string{"sockets": "64"})
 		for range 200 {
 			c, err := net.Dial("tcp", bed.listenAddress)
@@ -62,9 +65,9 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = c.Close() })
-			_, _ = io.WriteString(c, says)
+			_, _ = io.WriteString(c, input)
 		}
-		bed.await(func() bool { return bed.backend.stats.Accepted > 100 }) // those that came between two turns found no room
+		bed.await(func() bool { return bed.backend.stats.Accepted > 100 }) // connections that arrived between two turns were not accepted
 		client := bed.dialClient()
 		bed.serveRequest(client, 1)
 		bed.await(func() bool {
@@ -73,7 +76,8 @@
 	}
 }
 
-// TestResetInAnswer: a connection that ends while an answer is on its way leaves nothing behind, and is logged.
+// TestResetInAnswer checks that a connection that is reset while a response is in its buffer leaves no state behind, and
+// that the undelivered response is counted.
 func TestResetInAnswer(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -81,40 +85,40 @@
 	bed.startRun(client, 1)
 	bed.runInTurn(func() {
 		r := bed.backend.requests[1]
-		e := r.client
-		bed.backend.runEnded(r, overload.OK, accounting.Completed, 0, []byte("done")) // written, and not sent before the turn is over
-		e.conn.Abort(syscall.ECONNRESET)
+		connection := r.client
+		bed.backend.runEnded(r, overload.OK, accounting.Completed, 0, []byte("done")) // the response is written here and sent at the end of the turn
+		connection.conn.Abort(syscall.ECONNRESET)
 	})
 	bed.await(func() bool {
 		return len(bed.backend.frontend.clients) == 0 && bed.backend.stats.Unanswered == 1 && len(bed.backend.requests) == 0
 	})
 }
 
-// TestControlSilent: nobody at the control plane's address, from the start and later, changes nothing; once somebody is
-// there again the next report comes.
+// TestControlSilent checks that the backend serves requests while nothing listens on the control plane's address, and that
+// reports arrive again when the control plane is back.
 func TestControlSilent(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
 	address := bed.control.LocalAddr().String()
 	_ = bed.control.Close()
 	sent := bed.backend.Counters().Reports
-	bed.await(func() bool { return bed.backend.stats.Reports >= sent+2 }) // at least one of them met the refusal of another
+	bed.await(func() bool { return bed.backend.stats.Reports >= sent+2 }) // at least one of them got the refusal that an earlier one caused
 	client := bed.dialClient()
 	bed.serveRequest(client, 1)
-	back, err := net.ListenPacket("udp", address)
+	restored, err := net.ListenPacket("udp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = back.Close() }()
-	_ = back.SetReadDeadline(time.Now().Add(eventTimeout))
+	defer func() { _ = restored.Close() }()
+	_ = restored.SetReadDeadline(time.Now().Add(eventTimeout))
 	buf := make([]byte, 100)
-	if n, _, err := back.ReadFrom(buf); err != nil || string(buf[:n]) != "lease n3 Ready" {
-		t.Errorf("%q, %v", buf[:n], err)
+	if n, _, err := restored.ReadFrom(buf); err != nil || string(buf[:n]) != "lease n3 Ready" {
+		t.Errorf("got %q, %v", buf[:n], err)
 	}
 }
 
-// TestHalfClose: a peer that closes its sending side with a request open has given it up: its run is stopped, and the connection
-// ends with nothing left of either.
+// TestHalfClose checks that a client that closes its sending side while a request is open aborts the request: the run is
+// interrupted, the connection is closed, and no state of either is left.
 func TestHalfClose(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -129,8 +133,8 @@
 	client.expect("end")
 }
 
-// TestUnverifiedRepeat: a remembered result is given to nobody of whom the processor, silent at that moment, did not say that it
-// knows the request; not on a known connection either.
+// TestUnverifiedRepeat checks that a request that the processor has not verified, because it does not answer, is not
+// answered from the result cache, even on a verified connection.
 func TestUnverifiedRepeat(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, map[string]string{"claim": "dedup"})
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -10,80 +10,79 @@
 	"frosthub/internal/conn"
 )
 
-// How many connections of clients there may be.
+// Limits on the number of client connections.
 const (
-	reservedDescriptors = 16  // for the processor, reports, files and the runtime
-	evictionShare       = 0.8 // of the connections; beyond it the longest idle ones are closed early
+	reservedDescriptors = 16  // for the processor link, reports, files and the Go runtime
+	evictionShare       = 0.8 // of the connection limit; above it the longest idle connections are closed early
 )
 
-// What the connections of clients may hold.
+// Memory limits of client connections.
 const (
-	maxUnsentPerClient = 192 << 10 // bytes of answers that one client may leave: 32 of the longest are 140 KB
-	partialShare       = 0.15      // of the memory limit, for incomplete requests
-	maxUndeliveredKept = 32        // answers of one connection in flight; a longer list is let go once it is empty
+	maxUnsentPerClient = 192 << 10 // bytes of responses that a client has not read; 32 of the longest are 140 KB
+	partialShare       = 0.15      // of the memory limit, for incomplete requests of all clients
+	maxUndeliveredKept = 32        // capacity up to which a connection keeps its empty list of undelivered responses
 )
 
-// How long connections of clients may stay.
+// Timeouts of client connections.
 const (
-	// partialTimeout is how long a connection may take until its first request, and a request from its begin, until it
-	// is complete. Clients may take 3 s.
+	// partialTimeout limits the time from the accept of a connection to its first complete message, and the time from the
+	// beginning of a request to its completion. Clients may take 3 s.
 	partialTimeout = 2500 * time.Millisecond
 
-	maxIdle            = 3 * time.Second        // between requests: some clients never close an idle connection
-	bufferReleaseDelay = 300 * time.Millisecond // after that an idle connection keeps no buffers
-	deepCheckTimeout   = time.Second            // for the processor's answer: clients wait no longer for a health check
+	maxIdle            = 3 * time.Second        // between requests; some clients never close an idle connection
+	bufferReleaseDelay = 300 * time.Millisecond // idle time after which a connection releases its buffers
+	deepCheckTimeout   = time.Second            // for the processor's answer; clients wait no longer than this for a health check
 )
 
-// Malformed requests of a connection since the last good one that was run.
+// Limits on malformed requests of a connection since the last successful one.
 const (
-	maxMalformed    = 8                // then the connection is closed once nothing is open there
-	malformedCutoff = 2 * maxMalformed // then nothing more is read of it: it does not let itself be closed
+	maxMalformed    = 8                // at this number the connection is closed when no request is open on it
+	malformedCutoff = 2 * maxMalformed // at this number input is discarded, since the client keeps sending on a closing connection
 )
 
-// Why connections of clients are closed here.
+// Reasons for which this node closes client connections.
 var (
-	errEvicted          = errors.New("idle while connections run short")
-	errIdle             = errors.New("idle")
-	errNotKeptAlive     = errors.New("not kept open")
-	errShuttingDown     = errors.New("the process ends")
+	errEvicted          = errors.New("idle connection evicted near the connection limit")
+	errIdle             = errors.New("idle timeout")
+	errNotKeptAlive     = errors.New("connection is not kept open")
+	errShuttingDown     = errors.New("process is shutting down")
 	errMalformed        = errors.New("too many malformed requests")
-	errIncomplete       = errors.New("a request stays incomplete")
-	errPartialsTooLarge = errors.New("too many bytes of incomplete requests")
+	errIncomplete       = errors.New("request not completed in time")
+	errPartialsTooLarge = errors.New("too many buffered bytes of incomplete requests")
 )
 
-// frontend is the side of the clients, whatever protocol they speak: it takes requests that were read, answers each one
-// once, and decides which connections are closed. It belongs to the owner goroutine.
+// frontend serves the clients of all protocols. It handles parsed requests, answers each request once, and decides which
+// connections to close. It is owned by the owner goroutine.
 type frontend struct {
 	backend       *Backend
 	clients       map[*clientConn]struct{}
-	partialBytes  int // bytes of incomplete requests, of all clients
-	acceptedCount int // connections accepted so far; they are numbered
+	partialBytes  int // buffered bytes of incomplete requests, over all clients
+	acceptedCount int // connections accepted so far; numbers the connections
 
-	// The meanings of header fields, by their names as CGI parameters and in lower case.
+	// Request fields by header name, in the form of a CGI parameter and in lower case.
 	cgiFields  map[string][]requestField
 	httpFields map[string][]requestField
 }
 
-// protocol is what differs between the protocols of clients: the parser, the slots of a connection and the encoding of
-// responses. There is one for each connection.
+// protocol implements a client protocol for one connection: its parser, its slots and the encoding of its responses.
 type protocol interface {
 	kind() accounting.Frontend
 
-	// feed parses input. It calls back the front end with each message that is complete.
+	// feed parses input and passes each complete message to the front end.
 	feed(input []byte) error
 
-	partialBytes() int // held of incomplete requests
-	midMessage() bool  // part of a message was read
-	openSlots() int    // in use: requests being read and requests without their answer
-	discardPartial()   // forgets what was read of incomplete requests
+	partialBytes() int // buffered bytes of incomplete requests
+	midMessage() bool  // part of a message was received
+	openSlots() int    // slots in use, by requests being received and by unanswered requests
+	discardPartial()   // drops the buffered part of incomplete requests
 
-	// overdue returns a request that began by that time and is still incomplete, if there is one.
+	// overdue returns an incomplete request that began at the given time or earlier, if there is one.
 	overdue(by time.Duration) (partial exchange, found bool)
 
 	appendResponse(buf []byte, slot uint16, keepOpen bool, r *response) []byte
 }
 
-// headerField is a header and its meaning.
+// headerField maps the name of a header to a request field.
 type headerField struct {
 	name  string
 	field requestField
@@ -109,26 +108,26 @@
 	}
 }
 
-// connectionLimit returns how many connections there may be in all when one more of a client is accepted. It leaves
-// room for those that calls need.
+// connectionLimit returns the number of open connections of all kinds up to which a client connection is accepted. It
+// excludes the descriptors that are reserved for upstream calls and for internal use.
 func (f *frontend) connectionLimit() int {
 	return f.backend.cfg.Limits.Sockets - reservedDescriptors - f.backend.upstream.connectionLimit()
 }
 
-// acceptFunc returns the function that takes the connections of clients which speak a protocol.
+// acceptFunc returns the function that registers accepted connections of clients with the given protocol.
 func (f *frontend) acceptFunc(newProtocol func(*clientConn) protocol) func(*conn.Conn) {
 	return func(c *conn.Conn) { f.addConnection(c, newProtocol) }
 }
 
-// updatePartialBytes follows a change in what a connection holds of incomplete requests.
+// updatePartialBytes updates the number of buffered bytes of incomplete requests after a change on one connection.
 func (f *frontend) updatePartialBytes(client *clientConn) {
 	held := client.protocol.partialBytes()
 	f.partialBytes += held - client.partialBytes
 	client.partialBytes = held
 }
 
-// terminateConnection reads no more of a connection that does not keep to its protocol. Complete requests that were read are still answered;
-// with nothing to answer the connection is aborted at once.
+// terminateConnection stops reading from a connection whose client violates its protocol or a limit. Requests that were
+// completely read are still answered. Without pending responses the connection is aborted at once.
 func (f *frontend) terminateConnection(client *clientConn, reason error) {
 	f.backend.stats.BadConns++
 	f.backend.logLimited("client protocol error", "from", "edge node", "reason", reason)
@@ -140,7 +139,7 @@
 	client.conn.CloseGracefully(reason)
 }
 
-// terminateLargestPartial cuts the connection that holds most of incomplete requests.
+// terminateLargestPartial terminates the connection with the most buffered bytes of incomplete requests.
 func (f *frontend) terminateLargestPartial() {
 	var largest *clientConn
 	for client := range f.clients {
@@ -151,7 +150,7 @@
 	f.terminateConnection(largest, errPartialsTooLarge)
 }
 
-// stopReading has nothing more be read of a connection.
+// stopReading discards the buffered and all further input of a connection.
 func (f *frontend) stopReading(client *clientConn) {
 	client.readStopped = true
 	client.conn.DiscardInput()
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -10,11 +10,11 @@
 	"frosthub/internal/ajp"
 )
 
-// AJPConfig says how clients that speak AJP/1.3 are served. The zero value serves none.
+// AJPConfig configures the front end for clients that speak AJP/1.3. The zero value disables it.
 type AJPConfig struct {
-	Listen    string // the address where they connect; empty for none
-	Secret    string // that each request must bring; empty for none
-	MaxPacket int    // bytes of a packet at most, with its header; 0 for ajp.DefaultPacketSize
+	Listen    string // address of the listener; empty to disable AJP
+	Secret    string // secret that each request must carry; empty for none
+	MaxPacket int    // maximum size of a packet in bytes, including its header; 0 for ajp.DefaultPacketSize
 }
 
 func (c AJPConfig) packet() int {
@@ -24,20 +24,21 @@
 	return c.MaxPacket
 }
 
-// errShutdownRequested is why a connection is cut whose client asks this backend to end: clients have no say in that.
-var errShutdownRequested = errors.New("it wants this backend to end")
+// errShutdownRequested is the reason for terminating a connection whose client sent a shutdown packet. Clients are not
+// allowed to shut down this backend.
+var errShutdownRequested = errors.New("client requested a shutdown of the backend")
 
-// ajpSlot is the one slot of an AJP connection.
+// ajpSlot is the only slot of an AJP connection.
 const ajpSlot = 1
 
-// ajpProtocol is a connection of a client that speaks AJP: one request at a time, and no abort but the end of the
+// ajpProtocol implements protocol for AJP. A connection carries one request at a time; a client aborts it by closing the
 // connection.
 type ajpProtocol struct {
 	frontend  *frontend
 	client    *clientConn
 	server    *ajp.Server
-	inPartial bool          // part of a request was read
-	begunAt   time.Duration // when that request began
+	inPartial bool          // part of a request was received
+	begunAt   time.Duration // when the first byte of that request was received
 }
 
 func (f *frontend) newAJPProtocol(client *clientConn) protocol {
@@ -82,7 +83,7 @@
 	return err
 }
 
-// onMessage takes one message of the parser.
+// onMessage handles one message of the parser.
 func (p *ajpProtocol) onMessage(message ajp.Message) {
 	f, client := p.frontend, p.client
 	b := f.backend
@@ -101,38 +102,38 @@
 	case ajp.Shutdown:
 		f.terminateConnection(client, errShutdownRequested)
 	case ajp.TooLarge:
-		p.reject(accounting.BadFields, "the body is too large")
+		p.reject(accounting.BadFields, "request body is too large")
 	case ajp.Request:
 		p.onRequest(message)
 	}
 }
 
-// onRequest takes a request.
+// onRequest checks the secret of a request and parses its fields.
 func (p *ajpProtocol) onRequest(message ajp.Message) {
 	f := p.frontend
 	secret := f.backend.cfg.AJP.Secret
 	if secret != "" && subtle.ConstantTimeCompare([]byte(secret), message.Secret) != 1 {
-		p.reject(accounting.BadSecret, "the secret is wrong or missing")
+		p.reject(accounting.BadSecret, "secret is wrong or missing")
 		return
 	}
 	parsed := f.newParsedRequest(exchange{client: p.client, slot: ajpSlot, keepOpen: true}, message.Body)
 	parsed.request.stickyRoute = string(message.Route)
 	parsed.set(pathField, message.Path)
 	parsed.set(queryField, message.Query)
-	var room [32]byte
+	var nameBuf [32]byte
 	message.Headers.Each(func(name, value []byte) {
-		parsed.setAll(f.httpFields[string(appendLower(room[:0], name))], value)
+		parsed.setAll(f.httpFields[string(appendLower(nameBuf[:0], name))], value)
 	})
 	f.handleRequest(parsed, true)
 }
 
-// reject answers a request that can't be taken, and closes the connection.
+// reject rejects an invalid request and closes the connection.
 func (p *ajpProtocol) reject(reason accounting.Reason, problem string) {
 	from := exchange{client: p.client, slot: ajpSlot}
 	p.frontend.rejectMalformed(from, p.frontend.openAccountWithoutID(p.client), 0, reason, problem)
 }
 
-// appendLower appends a name in lower case.
+// appendLower appends the lower-case form of an ASCII name to buf.
 func appendLower(buf, name []byte) []byte {
 	for _, c := range name {
 		if 'A' <= c && c <= 'Z' {
@@ -144,14 +145,14 @@
 }
 
 func (p *ajpProtocol) appendResponse(buf []byte, _ uint16, keepOpen bool, r *response) []byte {
-	var room [5]ajp.Header
-	fields := room[:0]
+	var headerBuf [5]ajp.Header
+	fields := headerBuf[:0]
 	if len(r.signal) > 0 {
 		fields = append(fields, ajp.Header{Name: "X-Load-Signal", Value: string(r.signal)})
 	}
 	if r.retryAfter > 0 {
 		millis := retryAfterMillis(r)
-		seconds := (millis + 999) / 1000 // rounded up: never earlier
+		seconds := (millis + 999) / 1000 // rounded up, so that no client retries too early
 		fields = append(fields,
 			ajp.Header{Name: "Retry-After-Ms", Value: strconv.FormatInt(millis, 10)},
 			ajp.Header{Name: "Retry-After", Value: strconv.FormatInt(seconds, 10)})
--- a/backend/frontend_fastcgi.go
+++ b/backend/frontend_fastcgi.go
@@ -8,7 +8,7 @@
 	"frosthub/internal/fastcgi"
 )
 
-// fastcgiProtocol is a connection of a client that speaks FastCGI: many slots, each with an abort.
+// fastcgiProtocol implements protocol for FastCGI. A connection has many slots, and each request can be aborted.
 type fastcgiProtocol struct {
 	frontend *frontend
 	client   *clientConn
@@ -39,7 +39,7 @@
 	return p.parser.Feed(input, p.onMessage)
 }
 
-// onMessage takes one message of the parser.
+// onMessage handles one message of the parser.
 func (p *fastcgiProtocol) onMessage(message fastcgi.Message) {
 	f, client := p.frontend, p.client
 	if client.readStopped {
@@ -55,22 +55,22 @@
 		f.handleRequest(parsed, complete)
 	case fastcgi.Invalid:
 		from.keepOpen = false
-		f.rejectMalformed(from, f.openAccountWithoutID(client), 0, accounting.BadFields, "too large, or without its parameters")
+		f.rejectMalformed(from, f.openAccountWithoutID(client), 0, accounting.BadFields, "request is too large or has no parameters")
 	case fastcgi.Abort:
 		f.abortRequest(client, message.RequestID)
 		p.endSlot(from, fastcgi.StatusComplete)
 	case fastcgi.Rejected:
-		p.refuse(from, message.Status)
+		p.rejectSlot(from, message.Status)
 	case fastcgi.Reply:
 		client.conn.Write(message.Body)
 	}
 }
 
-// refuse ends a slot on which the parser takes no request: its role is not that of a responder, or too many are open.
-func (p *fastcgiProtocol) refuse(from exchange, status byte) {
+// rejectSlot ends a slot whose request the parser rejected: its role is not responder, or too many requests are open.
+func (p *fastcgiProtocol) rejectSlot(from exchange, status byte) {
 	f := p.frontend
 	f.backend.stats.BadRequests++
-	f.backend.logLimited("bad request", "reason", "role, or too many open requests", "status", status)
+	f.backend.logLimited("request rejected as malformed", "reason", "role is not responder or too many requests are open", "status", status)
 	ticket := f.openAccountWithoutID(p.client)
 	reason := accounting.UnsupportedRole
 	if status == fastcgi.StatusOverloaded {
@@ -80,7 +80,7 @@
 	f.trackDelivery(p.client, ticket, 0, reason)
 }
 
-// endSlot ends a slot without an answer.
+// endSlot ends a slot with a status and without a response.
 func (p *fastcgiProtocol) endSlot(at exchange, status byte) {
 	b := p.frontend.backend
 	b.scratch = fastcgi.AppendEnd(b.scratch[:0], at.slot, status)
@@ -89,8 +89,8 @@
 }
 
 func (p *fastcgiProtocol) appendResponse(buf []byte, slot uint16, _ bool, r *response) []byte {
-	var room [256]byte
-	content := append(room[:0], "Status: "...)
+	var contentBuf [256]byte
+	content := append(contentBuf[:0], "Status: "...)
 	content = strconv.AppendInt(content, int64(r.status), 10)
 	content = append(content, ' ')
 	content = append(content, statusText[r.status]...)
@@ -116,5 +116,5 @@
 	return buf
 }
 
-// retryAfterMillis returns when to come back in whole milliseconds, at least one.
+// retryAfterMillis returns the retry-after time in whole milliseconds, at least 1.
 func retryAfterMillis(r *response) int64 { return max(1, r.retryAfter.Milliseconds()) }
--- a/backend/health_check.go
+++ b/backend/health_check.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// deepCheck is a health check that waits for the processor.
+// deepCheck is a health check that waits for the processor's answer.
 type deepCheck struct {
-	tag      uint64        // of the trial at the processor
-	deadline time.Duration // it is answered by then
+	tag      uint64        // tag of the query to the processor
+	deadline time.Duration // when the check is answered as unhealthy
 	keepOpen bool
 }
 
-// handleHealthCheck answers a health check. Deep checks ask the processor for a trial, unless the overload controller wants
-// them cheap or takes the node for unhealthy anyway.
+// handleHealthCheck answers a health check. A deep check queries the processor, unless the overload controller has made
+// deep checks shallow or considers the node unhealthy.
 func (f *frontend) handleHealthCheck(from exchange, query string) {
 	b := f.backend
 	b.stats.Checks++
@@ -33,7 +33,7 @@
 	}
 }
 
-// finishDeepCheck answers the deep check that waits for a trial.
+// finishDeepCheck answers the deep check that waits for the query with the given tag.
 func (f *frontend) finishDeepCheck(tag uint64, healthy bool) {
 	for client := range f.clients {
 		for slot, check := range client.deepChecks {
@@ -44,7 +44,7 @@
 	}
 }
 
-// expireDeepChecks answers the deep checks of a connection whose deadline has passed by then as unhealthy.
+// expireDeepChecks answers the deep checks of a connection whose deadline is at or before the given time as unhealthy.
 func (f *frontend) expireDeepChecks(client *clientConn, by time.Duration) {
 	for slot, check := range client.deepChecks {
 		if by >= check.deadline {
--- a/backend/listen.go
+++ b/backend/listen.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	listenTimeout       = 5 * time.Second       // at the start, since an earlier process may still be ending
-	listenRetryInterval = 50 * time.Millisecond // between tries
+	listenTimeout       = 5 * time.Second       // at startup: an earlier process may still be shutting down
+	listenRetryInterval = 50 * time.Millisecond // between attempts
 )
 
-// transientErrors are those of the system that may pass by themselves.
+// transientErrors are the system errors that may resolve without intervention.
 var transientErrors = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -26,7 +26,7 @@
 	syscall.EADDRINUSE,
 }
 
-// isTransient reports whether an error of the system may pass by itself.
+// isTransient reports whether err is one of transientErrors.
 func isTransient(err error) bool {
 	for _, transient := range transientErrors {
 		if errors.Is(err, transient) {
@@ -36,7 +36,7 @@
 	return false
 }
 
-// listenAll listens for the other nodes of the cluster and for the clients of each protocol.
+// listenAll opens the listeners for the other nodes of the cluster and for the clients of each protocol.
 func (b *Backend) listenAll(ctx context.Context) error {
 	if b.cluster.enabled() {
 		if err := b.listen(ctx, b.cfg.Cluster.Listen, b.cluster.accept); err != nil {
@@ -56,25 +56,25 @@
 	return nil
 }
 
-// listen accepts connections at an address. It retries for a while, since the system may have no descriptor to give or
-// an earlier process may still hold the address.
+// listen opens a listener on an address. It retries transient errors for listenTimeout, since the system may be out of
+// descriptors or an earlier process may still hold the address.
 func (b *Backend) listen(ctx context.Context, address string, accept func(*conn.Conn)) error {
-	for end := time.Now().Add(listenTimeout); ; {
+	for deadline := time.Now().Add(listenTimeout); ; {
 		listener, err := b.loop.Listen(address, b.frontend.connectionLimit(), accept, b.recordNotAccepted)
 		if err == nil {
 			b.listeners = append(b.listeners, listener)
 			return nil
 		}
-		if !isTransient(err) || ctx.Err() != nil || time.Now().After(end) {
+		if !isTransient(err) || ctx.Err() != nil || time.Now().After(deadline) {
 			return err
 		}
-		b.logLimited("listen failed", "listen", address, "reason", err)
+		b.logLimited("listen failed, retrying", "listen", address, "reason", err)
 		time.Sleep(listenRetryInterval)
 	}
 }
 
-// recordNotAccepted counts a connection for which there was no room (a nil error), or that the system could not give. It is
-// called by the accepting goroutine.
+// recordNotAccepted counts a connection that was not accepted, either because the connection limit was reached (a nil
+// error) or because accept failed. It is called by the accepting goroutine.
 func (b *Backend) recordNotAccepted(err error) {
 	b.connsRejected.Add(1)
 	if err != nil {
@@ -82,14 +82,14 @@
 	}
 }
 
-// closeListeners stops listening. Connections that the system has accepted already are still handed over.
+// closeListeners closes all listeners. Connections in the system's accept queue are still accepted.
 func (b *Backend) closeListeners() {
 	for _, listener := range b.listeners {
 		_ = listener.Close()
 	}
 }
 
-// listenersClosed reports whether no connection can come any more.
+// listenersClosed reports whether all listeners are closed, so that no new connection can arrive.
 func (b *Backend) listenersClosed() bool {
 	for _, listener := range b.listeners {
 		if !listener.Closed() {
--- a/backend/processor_commands.go
+++ b/backend/processor_commands.go
@@ -4,7 +4,7 @@
 
 func (l *processorLink) write(command []byte) { l.conn.Write(command) }
 
-// requestGauges queries the gauges and reports whether there is anybody to ask.
+// requestGauges sends a query for the gauges. It reports whether the link is up far enough to send it.
 func (l *processorLink) requestGauges() bool {
 	if !l.helloReceived {
 		return false
@@ -15,8 +15,8 @@
 	return true
 }
 
-// startDeepCheck asks for the work of a deep health check and returns the tag of the query. Where the link is down the
-// processor is asked once the link stands.
+// startDeepCheck sends the query of a deep health check and returns its tag. If the link is down, the query is sent when
+// the link is up.
 func (l *processorLink) startDeepCheck() uint64 {
 	l.lastTag++
 	l.pendingChecks = append(l.pendingChecks, l.lastTag)
@@ -26,7 +26,7 @@
 	return l.lastTag
 }
 
-// start has the processor run r. If the link isn't ready the resynchronization sends the command.
+// start sends the begin command for r. If the link isn't ready, the resynchronization sends it later.
 func (l *processorLink) start(r *request) {
 	if !l.ready() {
 		return
@@ -38,7 +38,7 @@
 	l.write(b.scratch)
 }
 
-// cancel has the processor stop the run of r.
+// cancel sends an interrupt for the run of r, now or after the resynchronization.
 func (l *processorLink) cancel(r *request) {
 	r.cancelRequested = true
 	if l.helloReceived {
@@ -51,14 +51,14 @@
 	l.write(l.backend.scratch)
 }
 
-// replyToCall gives the run of r the reply to its call. The reply is kept until the next notice of the run.
+// replyToCall sends the run of r the reply to its call. The reply is kept until the next notice about the run.
 func (l *processorLink) replyToCall(r *request, body []byte) {
 	r.callReply = append(r.callReply[:0], body...)
 	r.callReplied = true
 	l.sendCallReply(r)
 }
 
-// sendCallReply sends the reply kept for r. If the link isn't ready the resynchronization does.
+// sendCallReply sends the reply that is kept for r. If the link isn't ready, the resynchronization sends it later.
 func (l *processorLink) sendCallReply(r *request) {
 	r.tagBeforeCommand = l.lastTag
 	if !l.ready() {
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -8,31 +8,31 @@
 	"frosthub/internal/processor"
 )
 
-// Times and limits of the link to the processor.
+// Timeouts and limits of the link to the processor.
 const (
-	// firstRedialWait is the wait before the first retry to reach the processor.
+	// firstRedialWait is the delay before the first retry to connect to the processor.
 	firstRedialWait = 2 * time.Millisecond
-	// maxRedialWait bounds the wait between later ones: the processor may come up long after this backend.
+	// maxRedialWait bounds the delay between later retries. The processor may start long after this backend.
 	maxRedialWait = 500 * time.Millisecond
-	// quiesceTimeout is how long the last answer on a connection that is to be replaced is waited for.
+	// quiesceTimeout limits the wait for the last answer on a connection that is to be replaced.
 	quiesceTimeout = 50 * time.Millisecond
-	// oldAddressGrace is how long what is in flight may go on at an address that was replaced: there the connections
-	// are closed after 1.5 s.
+	// oldAddressGrace is how long runs in flight may continue at an address that was replaced. The processor at that
+	// address closes its connections after 1.5 s.
 	oldAddressGrace = 1400 * time.Millisecond
-	// linkMemoryShare is the part of the memory limit for commands that wait to be written, and as much again for notices.
+	// linkMemoryShare is the part of the memory limit for buffered commands, and again for buffered notices.
 	linkMemoryShare = 0.25
 )
 
-// linkState is how far the link to the processor is.
+// linkState is the state of the link to the processor.
 type linkState uint8
 
 // The states of the link. See processorLink for the transitions.
 const (
 	linkDown      linkState = iota // no connection
 	linkGreeting                   // hello was sent on a new connection
-	linkResyncing                  // the processor's hello was read; its notices of before the break follow
+	linkResyncing                  // the processor's hello was received; its notices from before the connection loss follow
 	linkReady                      // commands may be sent
-	linkQuiescing                  // no new commands: a replacement waits for the proof that those sent before have arrived
+	linkQuiescing                  // no new commands; a replacement waits for the proof that earlier commands have arrived
 )
 
 var linkStateNames = [...]string{
@@ -46,21 +46,21 @@
 // String returns the name of the state.
 func (s linkState) String() string { return linkStateNames[s] }
 
-// processorLink is the link to the processor. It may break; a command that was sent before may or may not have arrived
-// then. The processor numbers and keeps its notices and takes commands in order. So an answered query for gauges proves
-// that all commands before it have arrived, and that all notices before the answer were read.
+// processorLink is the link to the processor. When its connection is lost, the last commands may or may not have arrived.
+// The processor numbers and retains its notices and handles commands in order. An answered query for gauges therefore
+// proves that all commands before it have arrived, and that all notices before the answer were received.
 //
-// The state of the link follows from the connection and the queries that are open. These are the transitions:
+// The state of the link is derived from the connection and the open queries. These are the transitions:
 //
-//	down       → greeting    a connection was dialed (open)
-//	greeting   → resyncing   the processor's hello was read (onHello)
+//	down       → greeting    a connection was dialed (useConn)
+//	greeting   → resyncing   the processor's hello was received (onHello)
 //	resyncing  → ready       the query sent on hello was answered; commands that may be lost are retried (resync)
-//	ready      → quiescing   a connection to replace this one was dialed (quiesce)
+//	ready      → quiescing   a replacement connection was dialed (quiesce)
 //	quiescing  → ready       the replacement was closed (cancelReplacement)
-//	quiescing  → greeting    the last query was answered, or maxQuiesce has passed (replace)
-//	greeting   → greeting    a replacement was dialed before the link was ready (replace)
-//	resyncing  → greeting    the same
-//	any        → greeting    the connection was lost and a replacement is there (onClosed)
+//	quiescing  → greeting    the last query was answered, or quiesceTimeout has passed (switchToReplacement)
+//	greeting   → greeting    a replacement was dialed before the link was ready (switchToReplacement)
+//	resyncing  → greeting    a replacement was dialed before the link was ready (switchToReplacement)
+//	any        → greeting    the connection was lost and a replacement exists (onClosed)
 //	any        → down        the connection was lost (onClosed)
 //
 // All methods are called by the goroutine that owns the backend.
@@ -68,28 +68,28 @@
 	backend *Backend
 	address string
 
-	// The connection and what follows it.
-	conn            *conn.Conn    // nil while there is none
-	helloReceived   bool          // the processor's hello was read on conn
-	addressReplaced bool          // conn leads to an address that was replaced
-	oldConnDeadline time.Duration // when conn is closed then
-	replacement     *conn.Conn    // takes the place of conn; nil none
-	quiesceTag      uint64        // query whose answer proves that all sent on conn has arrived; 0 not quiescing
+	// The connection and its replacement.
+	conn            *conn.Conn    // nil if there is none
+	helloReceived   bool          // the processor's hello was received on conn
+	addressReplaced bool          // conn uses an address that was replaced since
+	oldConnDeadline time.Duration // when conn is closed if addressReplaced is set
+	replacement     *conn.Conn    // connection that will replace conn; nil for none
+	quiesceTag      uint64        // query whose answer proves that all commands on conn have arrived; 0 if not quiescing
 	quiesceDeadline time.Duration // when conn is replaced without that proof
 	dialing         bool
 	redialAt        time.Duration
 	redialWait      time.Duration
-	processorAge    time.Duration // as its last hello said
+	processorAge    time.Duration // stated in its last hello
 
 	// Queries and notices.
-	lastNotice    uint64   // the last notice read
-	lastTag       uint64   // of the last query: for gauges, or for the work of a deep health check
-	ackedTag      uint64   // of the last query for gauges that was answered
-	resyncTag     uint64   // of the query whose answer ends the resynchronization; 0 it has ended
-	pendingChecks []uint64 // tags of deep health checks not answered yet
-
-	unverified []*request // the processor is asked whether it knows these, in order
-	probeCount int        // requests whose start may be lost and is being probed
+	lastNotice    uint64   // number of the last notice received
+	lastTag       uint64   // tag of the last query, for gauges or for a deep health check
+	ackedTag      uint64   // tag of the last answered query for gauges
+	resyncTag     uint64   // tag of the query whose answer ends the resynchronization; 0 if it has ended
+	pendingChecks []uint64 // tags of unanswered deep health checks
+
+	unverified []*request // requests whose verification by the processor is pending, in order
+	probeCount int        // number of requests whose start may be lost and is being probed
 }
 
 func (l *processorLink) init(b *Backend) {
@@ -98,7 +98,7 @@
 	l.redialWait = firstRedialWait
 }
 
-// state returns how far the link is.
+// state returns the state of the link.
 func (l *processorLink) state() linkState {
 	switch {
 	case l.conn == nil:
@@ -113,14 +113,14 @@
 	return linkReady
 }
 
-// ready reports whether commands may be sent. What is not sent now is sent by the resynchronization.
+// ready reports whether commands may be sent. The resynchronization sends those that could not be sent before.
 func (l *processorLink) ready() bool { return l.state() == linkReady }
 
 func (l *processorLink) onTimer() {
 	b := l.backend
 	if l.addressReplaced && l.conn != nil {
 		if b.now >= l.oldConnDeadline {
-			l.conn.Abort(conn.ErrClosedLocally) // the outcome of what is in flight there is unknown from now on
+			l.conn.Abort(conn.ErrClosedLocally) // the outcome of runs in flight there is unknown from now on
 			return
 		}
 		b.wakeBy(l.oldConnDeadline)
@@ -136,7 +136,7 @@
 	l.dialIfNeeded()
 }
 
-// dialIfNeeded dials once it is time to, if there is no connection to the present address.
+// dialIfNeeded dials the present address if there is no connection to it and the redial delay has passed.
 func (l *processorLink) dialIfNeeded() {
 	b := l.backend
 	connected := l.conn != nil && !l.addressReplaced
@@ -155,7 +155,7 @@
 func (l *processorLink) dialed(address string, c *conn.Conn, err error) {
 	l.dialing = false
 	switch {
-	case address != l.address: // replaced meanwhile
+	case address != l.address: // the address was replaced during the dial
 		if err == nil {
 			c.CloseAfterSend(conn.ErrClosedLocally)
 		}
@@ -170,13 +170,13 @@
 	}
 }
 
-// scheduleRedial puts the next dial off, each time for longer, until the processor says hello.
+// scheduleRedial delays the next dial, with exponential backoff that is reset by the processor's hello.
 func (l *processorLink) scheduleRedial() {
 	l.redialAt = l.backend.now + l.redialWait
 	l.redialWait = min(2*l.redialWait, maxRedialWait)
 }
 
-// quiesce prepares the change from a connection that works to another: no outcome is left unknown by it.
+// quiesce prepares the switch from a ready connection to its replacement, such that no run's outcome becomes unknown.
 func (l *processorLink) quiesce(replacement *conn.Conn) {
 	l.replacement = replacement
 	replacement.OnClosed = func(error) { l.cancelReplacement() }
@@ -186,28 +186,28 @@
 	l.backend.wakeBy(l.quiesceDeadline)
 }
 
-// cancelReplacement lets the present connection go on.
+// cancelReplacement drops a closed replacement and continues with the present connection.
 func (l *processorLink) cancelReplacement() {
 	l.replacement = nil
 	l.quiesceTag = 0
 	l.scheduleRedial()
 }
 
-// switchToReplacement lets the replacement take the place of the present connection.
+// switchToReplacement makes the replacement the connection of the link and closes the previous one.
 func (l *processorLink) switchToReplacement() {
 	old := l.conn
-	opened := l.replacement
+	next := l.replacement
 	l.replacement = nil
 	l.quiesceTag = 0
 	l.addressReplaced = false
 	l.admitAllUnverified()
-	l.useConn(opened)
+	l.useConn(next)
 	if old != nil {
 		old.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
-// reconfigure has the link lead to another address. The old connection is used until the new one stands.
+// reconfigure changes the processor's address. The old connection is used until one to the new address is established.
 func (l *processorLink) reconfigure(address string) {
 	if address == l.address {
 		return
@@ -220,7 +220,7 @@
 		l.oldConnDeadline = l.backend.now + oldAddressGrace
 	}
 	if l.replacement != nil {
-		l.replacement.CloseAfterSend(conn.ErrClosedLocally) // its end lets the old connection go on
+		l.replacement.CloseAfterSend(conn.ErrClosedLocally) // when it closes, the link continues with the old connection
 	}
 }
 
@@ -238,14 +238,14 @@
 
 func (l *processorLink) onClosed(c *conn.Conn, err error) {
 	if l.conn != c {
-		return // replaced
+		return // already replaced
 	}
 	l.backend.stats.LinksLost++
 	l.backend.logLimited("processor link lost", "reason", err)
 	l.conn = nil
 	l.helloReceived = false
 	l.addressReplaced = false
-	l.admitAllUnverified() // nobody can tell now
+	l.admitAllUnverified() // the processor can't verify them now
 	l.scheduleRedial()
 	if l.replacement != nil {
 		l.switchToReplacement()
--- a/backend/processor_link_test.go
+++ b/backend/processor_link_test.go
@@ -6,7 +6,7 @@
 	"frosthub/internal/conn"
 )
 
-// TestLinkState checks which state of the link follows from its connection and open queries.
+// TestLinkState checks that the state of the link is derived correctly from its connection and open queries.
 func TestLinkState(t *testing.T) {
 	for _, test := range []struct {
 		link processorLink
@@ -15,7 +15,7 @@
 		{processorLink{}, linkDown},
 		{processorLink{replacement: &conn.Conn{}}, linkDown},
 		{processorLink{conn: &conn.Conn{}}, linkGreeting},
-		{processorLink{conn: &conn.Conn{}, resyncTag: 3}, linkGreeting}, // of the connection before
+		{processorLink{conn: &conn.Conn{}, resyncTag: 3}, linkGreeting}, // resyncTag is left over from the previous connection
 		{processorLink{conn: &conn.Conn{}, helloReceived: true, resyncTag: 3}, linkResyncing},
 		{processorLink{conn: &conn.Conn{}, helloReceived: true}, linkReady},
 		{processorLink{conn: &conn.Conn{}, helloReceived: true, addressReplaced: true}, linkReady},
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// acceptNotice follows the numbers of the notices that have one, and reports whether a notice is new. Where some are
-// missing the outcomes of all runs are unknown.
+// acceptNotice checks the number of a numbered notice, and reports whether the notice is new. A gap in the numbers makes
+// the outcomes of all runs unknown.
 func (l *processorLink) acceptNotice(n *processor.Notice) bool {
 	switch n.Kind {
 	case processor.Complete, processor.CallRequest, processor.Remark:
@@ -46,7 +46,7 @@
 		return true // not numbered
 	}
 	if n.Number <= l.lastNotice {
-		return false // read before the link broke
+		return false // received before the connection was lost
 	}
 	if n.Number != l.lastNotice+1 {
 		l.backend.logLimited("processor notices lost", "after", l.lastNotice, "got", n.Number)
@@ -63,7 +63,7 @@
 	l.redialWait = firstRedialWait
 	if b.controller == nil {
 		b.startController(n.WarmingUp, b.now-min(n.Elapsed, b.now))
-	} else if n.Elapsed < l.processorAge { // one that went on would be older, however long the notice lay unread
+	} else if n.Elapsed < l.processorAge { // the same process would be older, however late the notice is read
 		b.logLimited("processor restarted", "age", n.Elapsed)
 		l.onNoticesLost()
 		l.lastNotice = 0
@@ -76,7 +76,7 @@
 	l.resyncTag = l.lastTag
 }
 
-// onCallRequest handles the notice that a run needs a call.
+// onCallRequest handles the notice that a run requests an upstream call.
 func (l *processorLink) onCallRequest(r *request, body []byte) {
 	b := l.backend
 	r.runNoticeReceived = true
@@ -91,7 +91,7 @@
 	b.events = append(b.events, overload.Event{Kind: overload.NeedsCall, ID: r.id})
 }
 
-// onGauges handles the answer to a query for gauges, and what it proves.
+// onGauges handles the answer to a query for gauges, and acts on the proof that earlier commands have arrived.
 func (l *processorLink) onGauges(n *processor.Notice) {
 	b := l.backend
 	previouslyAcked := l.ackedTag
@@ -116,7 +116,7 @@
 	}
 }
 
-// onReject handles the rejection of a command: the processor knows no such request, so nothing was run.
+// onReject handles the rejection of a command. The processor does not know the request, so nothing was run.
 func (l *processorLink) onReject(n *processor.Notice) {
 	b := l.backend
 	b.stats.Rejects++
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -11,32 +11,32 @@
 	"frosthub/overload"
 )
 
-// runProbeTimeout is how long a notice of a run that may never have been started is waited for, and then one of its
-// interrupt: twenty ticks of the processor.
+// runProbeTimeout limits the wait for a notice about a run whose start may be lost, and then the wait for a notice that
+// follows its interrupt. It is twenty ticks of the processor.
 const runProbeTimeout = 100 * time.Millisecond
 
-// sortedRequests returns all requests in an order that is the same in each run of the program.
+// sortedRequests returns all requests ordered by id, so that iteration is deterministic.
 func (b *Backend) sortedRequests() []*request {
 	return slices.SortedFunc(maps.Values(b.requests), func(x, y *request) int { return cmp.Compare(x.id, y.id) })
 }
 
-// resync retries the commands that a break of the link may have lost; acked is the tag of the last query that was
-// answered before the break. All notices that the processor kept are read by now.
+// resync retries the commands that may have been lost with the previous connection; ackedTag is the tag of the last query
+// that was answered on it. All notices that the processor retained have been received by now.
 //
-// A start that is not proved to have arrived is retried at once where the request may run again. Elsewhere a notice of
-// the run is waited for: a start could meet a run that is just ending. Without a notice the run is interrupted, and
-// counts as never started if no notice follows that either. See probe.
-func (l *processorLink) resync(acked uint64) {
+// A start that is not proved to have arrived is retried at once if the request is replayable. Otherwise the link waits
+// for a notice about the run, since a retried start could cross with the end of the run. Without a notice the run is
+// interrupted, and counts as never started if no notice follows that either. See probe.
+func (l *processorLink) resync(ackedTag uint64) {
 	for _, r := range l.backend.sortedRequests() {
 		if r.state.runInProgress() {
-			l.resyncRun(r, acked)
+			l.resyncRun(r, ackedTag)
 		}
 	}
 }
 
-func (l *processorLink) resyncRun(r *request, acked uint64) {
+func (l *processorLink) resyncRun(r *request, ackedTag uint64) {
 	b := l.backend
-	maybeLost := r.tagBeforeCommand >= acked
+	maybeLost := r.tagBeforeCommand >= ackedTag
 	command := l.startCommand(r)
 	switch {
 	case !r.startSent && !b.isWanted(r):
@@ -44,44 +44,44 @@
 	case !r.startSent:
 		l.start(r)
 	case maybeLost && !r.runNoticeReceived && !r.cancelRequested && lifecycle.CheckRetry(command) == lifecycle.Allowed:
-		l.retryStart(r, command, "it may run again")
+		l.retryStart(r, command, "the request is replayable")
 	case maybeLost && !r.runNoticeReceived:
 		l.beginProbe(r)
 	case r.cancelRequested:
 		l.cancel(r)
 	case r.callReplied && maybeLost:
-		l.logRetry(r, "answer", "nothing was heard of the run since")
+		l.logRetry(r, "answer", "no notice about the run has followed")
 		l.sendCallReply(r)
 	}
 }
 
-// beginProbe has a run whose start may be lost watched by probe.
+// beginProbe starts the probe of a run whose start may be lost. See probe.
 func (l *processorLink) beginProbe(r *request) {
 	if r.cancelRequested {
 		l.cancel(r)
 	}
-	if r.probeDeadline == 0 { // else the link broke again during the probe
+	if r.probeDeadline == 0 { // otherwise the connection was lost again during the probe
 		l.probeCount++
 	}
 	r.probeTag = 0
 	r.probeDeadline = l.backend.now + runProbeTimeout
 }
 
-// probe takes the next step of finding out whether a run was ever started; acked is the tag of the query that was just
-// answered. First a notice of the run is waited for, then one that follows its interrupt. If a query sent after that is
-// answered and there was still no notice, the start was lost.
-func (l *processorLink) probe(r *request, acked uint64) {
+// probe takes the next step in determining whether a run was ever started; ackedTag is the tag of the query that was
+// just answered. The probe waits for a notice about the run, then for one that follows its interrupt. If a query sent after
+// that is answered and still no notice was received, the start was lost.
+func (l *processorLink) probe(r *request, ackedTag uint64) {
 	now := l.backend.now
 	switch {
 	case r.probeDeadline == 0 || now < r.probeDeadline:
-	case r.runNoticeReceived: // it runs, or its end follows
+	case r.runNoticeReceived: // the run is in progress, or the notice of its end follows
 		l.endProbe(r)
 	case !r.cancelRequested:
 		l.cancel(r)
 		r.probeDeadline = now + runProbeTimeout
 	case r.probeTag == 0:
 		r.probeTag = l.lastTag + 1 // the next query
-	case acked >= r.probeTag:
+	case ackedTag >= r.probeTag:
 		l.onStartLost(r)
 	}
 }
@@ -92,7 +92,7 @@
 	r.probeDeadline = 0
 }
 
-// onStartLost follows the proof that a start was lost.
+// onStartLost retries a start that is proved lost, or ends the request if no client waits for it.
 func (l *processorLink) onStartLost(r *request) {
 	l.endProbe(r)
 	r.cancelRequested = false
@@ -102,11 +102,11 @@
 		l.backend.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 		return
 	}
-	l.retryStart(r, command, "it is proved never to have run")
+	l.retryStart(r, command, "the request is proved never to have run")
 }
 
-// onNoticesLost follows the loss of notices: the outcomes of the runs are unknown for good. None is retried; those that
-// still run are interrupted.
+// onNoticesLost handles the loss of notices. The outcomes of the runs stay unknown, so the runs are interrupted and fail
+// without a retry.
 func (l *processorLink) onNoticesLost() {
 	for _, r := range l.backend.sortedRequests() {
 		if r.state.runInProgress() && r.startSent {
@@ -116,7 +116,7 @@
 	}
 }
 
-// startCommand describes the start of r for the decision whether it may be retried.
+// startCommand describes the start of r for lifecycle.CheckRetry.
 func (l *processorLink) startCommand(r *request) lifecycle.Command {
 	return lifecycle.Command{
 		Idempotent: l.backend.handlers[r.handler].replayable,
@@ -124,17 +124,17 @@
 	}
 }
 
-// retryStart sends a start again if that is allowed.
+// retryStart resends a start if lifecycle.CheckRetry allows it.
 func (l *processorLink) retryStart(r *request, command lifecycle.Command, reason string) {
 	if verdict := lifecycle.CheckRetry(command); verdict != lifecycle.Allowed {
-		l.backend.recordViolation("begin again", r, verdict)
+		l.backend.recordViolation("retry start", r, verdict)
 		return
 	}
 	l.logRetry(r, "begin", reason)
 	l.start(r)
 }
 
-// logRetry counts and logs a command that is sent again after a break.
+// logRetry counts and logs a command that is resent after a connection loss.
 func (l *processorLink) logRetry(r *request, command, reason string) {
 	l.backend.stats.Repeated++
 	handler := l.backend.handlers[r.handler].name
--- a/backend/processor_verify.go
+++ b/backend/processor_verify.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// verifyTimeout is how long the processor's answer whether it knows a request is waited for: far past any pause of it.
+// verifyTimeout limits the wait for the verification of a request. It is far longer than any pause of the processor.
 const verifyTimeout = 500 * time.Millisecond
 
-// verify asks whether the processor knows r, and reports whether there is anybody to ask. It is called for the first
-// request of a client connection, and for each that would be answered from the cache, since the processor is not asked
-// to run that one. An interrupt finds no run and does nothing, but is rejected where no such request came to this
-// machine. This keeps clients that are no edge nodes from distorting what the overload controller measures. It costs
-// the first request of a connection one round trip to the processor.
+// verify queries the processor whether it knows r, and reports whether the query could be sent. It is called for the
+// first request of a client connection, and for each request that would be answered from the cache and therefore never
+// reaches the processor. The query is an interrupt: it has no effect since no such run exists, but the processor rejects
+// it if no such request came to this machine. Verification keeps clients that are no edge nodes from distorting the
+// measurements of the overload controller. It costs the first request of a connection one round trip to the processor.
 func (l *processorLink) verify(r *request) bool {
 	if !l.ready() || !l.backend.canCancel {
-		return false // nobody to ask, or all interrupts are rejected
+		return false // the link is not ready, or the processor rejects all interrupts
 	}
 	l.sendInterrupt(r)
-	r.verifyTag = l.lastTag + 1 // of the query that askUnverified sends at the end of the turn
+	r.verifyTag = l.lastTag + 1 // tag of the query that queryUnverified sends at the end of the turn
 	l.unverified = append(l.unverified, r)
 	return true
 }
 
-// queryUnverified sends the query whose answer ends the wait of the requests that became unverified in this turn.
+// queryUnverified sends the query whose answer admits the requests that became unverified in this turn.
 func (l *processorLink) queryUnverified() {
 	if n := len(l.unverified); n > 0 && l.unverified[n-1].verifyTag > l.lastTag {
 		l.requestGauges()
 	}
 }
 
-// expireUnverified ends the wait where the processor doesn't answer: the overload controller decides, and knows when an
-// answer is due.
+// expireUnverified admits the unverified requests if the processor doesn't answer in time. The overload controller then
+// decides on them, and takes into account when their response is due.
 func (l *processorLink) expireUnverified() {
 	if len(l.unverified) == 0 {
 		return
@@ -44,8 +44,8 @@
 	}
 }
 
-// admitUnverified takes the unverified requests up to a query's tag as known: they were not rejected before that query was
-// answered.
+// admitUnverified admits the unverified requests up to the tag of an answered query. The processor knows them, since it
+// did not reject them before it answered the query.
 func (l *processorLink) admitUnverified(tag uint64) {
 	for len(l.unverified) > 0 && l.unverified[0].verifyTag <= tag {
 		r := l.unverified[0]
@@ -58,5 +58,6 @@
 	}
 }
 
-// admitAllUnverified admits all unverified requests without a proof: nobody can tell, or there is no time to wait for it.
+// admitAllUnverified admits all unverified requests without a verification, because the processor can't be queried or
+// there is no time to wait for its answer.
 func (l *processorLink) admitAllUnverified() { l.admitUnverified(math.MaxUint64) }
--- a/backend/request.go
+++ b/backend/request.go
@@ -7,74 +7,74 @@
 	"frosthub/overload"
 )
 
-// request is one request from the moment it was read until it is answered and its run has ended. It belongs to the
-// owner goroutine.
+// request is the state of one request, from the time it is read until it is answered and its run has ended. It is owned
+// by the owner goroutine.
 type request struct {
 	id          uint64
-	wireID      string // the id as it was received
+	wireID      string // the id in its received form
 	handler     int    // index in Backend.handlers
-	stickyRoute string // the worker that its calls stick to; empty for any
+	stickyRoute string // upstream worker that its calls are routed to; empty for any worker
 	body        []byte
 	state       requestState
 
-	// Its client.
+	// Client.
 	ticket   accounting.Ticket
-	client   *clientConn // who waits for the answer; nil once it is given or nobody waits
-	slot     uint16      // of the client's connection
-	keepOpen bool        // the connection stays open after the answer
-
-	// Its run.
-	startSent         bool          // the begin command is written
-	runNoticeReceived bool          // something was heard of the run
-	tagBeforeCommand  uint64        // the last gauge query before the last command: an answer to a later one proves that it arrived
-	cancelRequested   bool          // the run is to end
-	probeDeadline     time.Duration // after an interrupt: if nothing is heard until then, the run may be proved never to have been
-	probeTag          uint64        // the gauge query after that, whose answer proves it; 0 before
-
-	// The call of its run.
-	callBody           []byte // what the run asks of the upstream tier
-	callReply          []byte // the reply, until more is heard of the run
-	callReplied        bool
-	call               *upstreamCall // in flight; nil for none
-	callFailed         bool          // the last one failed
-	callOutcomeUnknown bool          // it may have had its effect all the same
-
-	// Its arrival.
-	arrival   overload.Event // what the controller hears of it
-	readAt    time.Duration  // when it was read completely
-	arrivedAt time.Duration  // when it came to the machine
-	verified  bool           // the processor knows it
-	verifyTag uint64         // the gauge query whose answer proves that it is known, unless it is rejected before
-
-	guard         *guardState // nil where it may run twice
-	failedOver    bool        // from another node of the cluster: no client of this node waits for it
-	accountClosed bool        // it was taken over, and its account is closed
-
-	clientTimeout time.Duration // how long its client waits from its arrival on, as stated; 0 if not stated
+	client   *clientConn // connection of the waiting client; nil after the response or if no client waits
+	slot     uint16      // slot on the client's connection
+	keepOpen bool        // the connection stays open after the response
+
+	// Run.
+	startSent         bool          // the begin command was written
+	runNoticeReceived bool          // the processor has sent a notice about the run
+	tagBeforeCommand  uint64        // last query before the last command; the answer to a later gauge query proves that the command arrived
+	cancelRequested   bool          // the run is to be cancelled
+	probeDeadline     time.Duration // end of the present step of a probe for a lost start command; 0 for no probe
+	probeTag          uint64        // gauge query after probeDeadline whose answer proves that the run never started; 0 before that
+
+	// Upstream call of the run.
+	callBody           []byte        // body of the call that the run requested
+	callReply          []byte        // reply to the call, kept until the next notice about the run
+	callReplied        bool          // callReply is valid
+	call               *upstreamCall // call in flight; nil for none
+	callFailed         bool          // the last call failed
+	callOutcomeUnknown bool          // the last call may have taken effect all the same
+
+	// Arrival.
+	arrival   overload.Event // event that reports the request to the overload controller
+	readAt    time.Duration  // when the request was completely read
+	arrivedAt time.Duration  // when the request reached this machine
+	verified  bool           // the processor confirmed that it knows the request
+	verifyTag uint64         // gauge query whose answer confirms the request unless the processor rejects it first
+
+	guard         *guardState // state in the idempotency guard; nil for a request that is not guarded
+	failedOver    bool        // taken over from another node of the cluster; no client of this node waits for it
+	accountClosed bool        // the account of a request that was taken over is closed
+
+	clientTimeout time.Duration // client timeout from arrival on, as stated by the client; 0 if not stated
 	cacheKey      cacheKey
-	originalID    uint64     // the remembered request that it repeats; 0 for none
-	followers     []*request // those that wait for its result
+	originalID    uint64     // id of the request that this one repeats; 0 for none
+	followers     []*request // repeats that wait for the result of this request
 }
 
-// requestTable holds all requests that are not answered or still run. It is not safe for concurrent use.
+// requestTable holds the requests that are not answered or whose run has not ended. It is not safe for concurrent use.
 type requestTable struct {
 	requests   map[uint64]*request // by id
-	unanswered int                 // those that a client waits for
+	unanswered int                 // number of requests that a client waits for
 }
 
-// releaseClient counts that a client no longer waits for a request: it has its answer, or has gone.
+// releaseClient detaches the client from a request, after its response or when the client has disconnected.
 func (t *requestTable) releaseClient(r *request) {
 	t.unanswered--
 	r.client = nil
 }
 
-// hasClient reports whether a client of this node waits for the answer.
+// hasClient reports whether a client of this node waits for the response.
 func (b *Backend) hasClient(r *request) bool { return r.client != nil }
 
-// isWanted reports whether anybody waits for a request, here or at another node.
+// isWanted reports whether a client waits for a request, at this node or at another one.
 func (b *Backend) isWanted(r *request) bool { return b.hasClient(r) || r.failedOver }
 
-// admit hands a request to the controller, unless it can be answered without.
+// admit submits a request to the overload controller unless the guard or the result cache settles it first.
 func (b *Backend) admit(r *request) {
 	r.hold()
 	r.arrival.QueueDelay += b.now - r.readAt
@@ -96,7 +96,7 @@
 	}
 }
 
-// submitArrival adds the event by which the controller hears of a request.
+// submitArrival queues the event that reports the arrival of a request to the overload controller.
 func (b *Backend) submitArrival(r *request) {
 	if r.clientTimeout > 0 {
 		r.arrival.Remaining = max(time.Millisecond, r.clientTimeout-r.arrival.QueueDelay)
@@ -104,20 +104,20 @@
 	b.events = append(b.events, r.arrival)
 }
 
-// startRun has the processor run a request whose start nothing holds back any more.
+// startRun starts the run of a request on the processor, after every precondition of the start is met.
 func (b *Backend) startRun(r *request) {
 	r.run()
 	b.stats.Started++
 	b.processor.start(r)
 }
 
-// finishAnswered follows the final answer of a request. Its run may go on.
+// finishAnswered releases the client of a request after its final response. A run in progress may continue.
 func (b *Backend) finishAnswered(r *request) {
 	b.releaseClient(r)
 	b.releaseUnstarted(r)
 }
 
-// clientGone follows the client's abort, or with overload.BrokenOff the end of its connection.
+// clientGone handles a client's abort of a request or, with overload.ConnectionLost, the loss of its connection.
 func (b *Backend) clientGone(r *request, outcome overload.Outcome) {
 	reason := accounting.Aborted
 	if outcome == overload.ConnectionLost {
@@ -131,7 +131,7 @@
 	b.releaseUnstarted(r)
 }
 
-// releaseUnstarted lets go of a request that never ran, and cancels a run that waits for a call, as the simulator does.
+// releaseUnstarted withdraws a request that never ran, and cancels a run that waits for a call, as the simulator does.
 func (b *Backend) releaseUnstarted(r *request) {
 	switch r.state {
 	case stateUnverified, stateHeld, stateJoined:
@@ -141,14 +141,14 @@
 	}
 }
 
-// cancelRun gives up the call of a run and interrupts the run.
+// cancelRun cancels the call of a run and then the run itself.
 func (b *Backend) cancelRun(r *request) {
 	b.upstream.cancel(r)
 	b.processor.cancel(r)
 }
 
-// runEnded follows the end of a run: outcome is how it ended, reason how it is accounted for, took how long it ran.
-// The answer of a guarded request waits until its result is durable.
+// runEnded handles the end of a run with its outcome, the reason by which it is accounted for, its duration and its
+// result. The response to a guarded request is delayed until the result is durable.
 func (b *Backend) runEnded(r *request, outcome overload.Outcome, reason accounting.Reason, took time.Duration, result []byte) {
 	if r.state.runInProgress() {
 		b.stats.Ended++
@@ -174,7 +174,7 @@
 	b.endRequest(r, requestEnd{outcome: outcome, reason: reason, mayHaveRun: ran, result: result})
 }
 
-// reasonForOutcome returns how the end of a run is accounted for.
+// reasonForOutcome returns the accounting reason for the outcome of a run.
 func reasonForOutcome(outcome overload.Outcome) accounting.Reason {
 	switch outcome {
 	case overload.OK:
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -10,16 +10,16 @@
 	"frosthub/overload"
 )
 
-// Bounds of what requests may say of themselves.
+// Bounds of request fields.
 const (
-	maxMemoryKB        = 2000.0                  // kilobytes booked for a request, by the protocol
-	maxCostFactor      = 10                      // client timeouts that a stated cost may be: nothing could come of a longer run
+	maxMemoryKB        = 2000.0                  // kilobytes; the protocol's limit for the memory of a request
+	maxCostFactor      = 10                      // of the client timeout, for a stated cost; a longer run could not finish in time
 	maxStartMillis     = math.MaxInt64 / 2 / 1e6 // milliseconds since 1970 that fit a time.Duration
-	maxTimestampMillis = math.MaxInt64 / 2       // of any time in milliseconds
-	maxDurationMillis  = 1e9                     // milliseconds of a cost or a timeout
+	maxTimestampMillis = math.MaxInt64 / 2       // milliseconds since 1970, for any timestamp field
+	maxDurationMillis  = 1e9                     // milliseconds, for a cost or a timeout
 )
 
-// requestField is a field that a request may have, whatever its protocol calls it.
+// requestField identifies a request field independently of its name in a protocol.
 type requestField uint8
 
 const (
@@ -32,16 +32,16 @@
 	memoryField
 	rankField
 	objectField
-	customerField // the customer by which requests are accounted for
-	guardKeyField // what names a request that must not run twice
-	createdField  // when the request was first made
+	customerField // customer that the request is accounted to
+	guardKeyField // idempotency key of a guarded request
+	createdField  // time of the first attempt
 	idempotencyKeyField
-	tenantField // the customer whose quota the request counts against
+	tenantField // customer whose quota the request counts against
 	timeoutField
 )
 
-// headerFields are the fields with the headers that the deployment defines. Operators name others for customerField,
-// keyField and createdField.
+// headerFields maps the headers that the deployment defines to fields. The headers for customerField, guardKeyField and
+// createdField are set in the operator's configuration.
 var headerFields = []headerField{
 	{"X-Request-Id", idField},
 	{"X-Request-Start", startField},
@@ -55,25 +55,25 @@
 	{"X-Timeout-Ms", timeoutField},
 }
 
-// parsedRequest is a request whose fields are being read.
+// parsedRequest collects the fields of a request while they are parsed.
 type parsedRequest struct {
 	backend        *Backend
 	request        *request
-	arrival        overload.Event // what the controller is to hear of it
+	arrival        overload.Event // event for the overload controller
 	path           string
 	query          string
-	start          float64 // Unix milliseconds
+	start          float64 // in Unix milliseconds
 	hasStart       bool
 	customer       accounting.CustomerName
 	tenant         string
-	idempotencyKey string // its idempotency key
-	problem        string // what is wrong with a field; empty for nothing
+	idempotencyKey string // value of the Idempotency-Key header, for the result cache
+	problem        string // describes an invalid field; empty if all are valid
 
-	// Both are read only where something must not run twice.
-	customerID []byte // the customer's name in full
-	guardKey   []byte // the field that names what must not run twice
+	// Both are read only if the idempotency guard is enabled.
+	customerID []byte // full name of the customer
+	guardKey   []byte // idempotency key of a guarded request
 
-	createdAt float64 // when it was first made, in Unix milliseconds; 0 if not stated
+	createdAt float64 // time of the first attempt in Unix milliseconds; 0 if not stated
 }
 
 func (f *frontend) newParsedRequest(from exchange, body []byte) *parsedRequest {
@@ -84,14 +84,14 @@
 	}
 }
 
-// setAll takes a field in each of its meanings.
+// setAll sets each of the given fields to value. A header may be configured for several fields.
 func (p *parsedRequest) setAll(fields []requestField, value []byte) {
 	for _, field := range fields {
 		p.set(field, value)
 	}
 }
 
-// set takes a field. What is wrong with it is noted in problem.
+// set parses the value of a field. If it is invalid, set records that in p.problem.
 func (p *parsedRequest) set(field requestField, value []byte) {
 	switch field {
 	case pathField:
@@ -129,9 +129,9 @@
 	}
 }
 
-const notANumber = "a field is not a number in its range"
+const notANumber = "a numeric field is malformed or out of range"
 
-// number reads a number from 0 to limit.
+// number parses a number from 0 to limit.
 func (p *parsedRequest) number(value []byte, limit float64) float64 {
 	n, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(n >= 0 && n <= limit) {
@@ -144,7 +144,7 @@
 	return time.Duration(p.number(value, maxDurationMillis) * float64(time.Millisecond))
 }
 
-// setCaller takes the number of the calling front end, which is the customer too where no header names one.
+// setCaller sets the number of the calling edge node, which is also the customer if no customer header is configured.
 func (p *parsedRequest) setCaller(value []byte) {
 	n := p.number(value, math.MaxInt32)
 	p.arrival.EdgeNode = int(n)
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -9,13 +9,13 @@
 	"frosthub/lifecycle"
 )
 
-// Paths that clients ask for.
+// Request paths.
 const (
 	healthPath   = "/_health"
 	invokePrefix = "/invoke/" // followed by the name of a handler
 )
 
-// handleRequest takes a request whose fields were read: all of them if complete, else its parameters were cut short.
+// handleRequest validates a parsed request and admits or rejects it. If complete is false, its parameters were truncated.
 func (f *frontend) handleRequest(parsed *parsedRequest, complete bool) {
 	b, r := f.backend, parsed.request
 	client := r.client
@@ -57,36 +57,37 @@
 	}
 }
 
-// validate checks the fields of a request. It returns an empty problem if they are good. The first problem found
-// counts; the order of the checks decides how the request is accounted for.
+// validate checks the fields of a request and returns the first problem, which is empty if all are valid. The order of
+// the checks determines the reason by which a rejection is accounted for.
 func (f *frontend) validate(parsed *parsedRequest, complete, known bool) (reason accounting.Reason, problem string) {
 	b, r, arrival := f.backend, parsed.request, &parsed.arrival
 	reason = accounting.BadFields
 	switch {
 	case !complete:
-		problem = "parameters cut short"
+		problem = "parameters are truncated"
 	case !known:
 		reason = accounting.UnknownHandler
 		problem = "unknown handler"
 	case parsed.problem != "":
 		problem = parsed.problem
 	case r.id == 0:
-		problem = "no id of 16 hex digits"
+		problem = "request id is not 16 hex digits"
 	case !parsed.hasStart || arrival.SizeKB == 0:
-		problem = "start or memory is missing"
+		problem = "request start time or memory size is missing"
 	case !b.guard.hasRequiredKeyField(parsed):
-		problem = "no key for a request that must not run twice"
+		problem = "idempotency key of a guarded request is missing"
 	case arrival.ValueRank == 1 || arrival.SizeKB == maxMemoryKB || parsed.start > maxStartMillis ||
 		arrival.Hint > maxCostFactor*b.handlers[r.handler].clientTimeout:
-		problem = "a field is out of its range"
+		problem = "a field is out of range"
 	case b.requests[r.id] != nil:
-		problem = "the id is in use"
+		problem = "request id is already in use"
 	}
 	return reason, problem
 }
 
-// rejectionReason returns why a good request is rejected without the overload controller, accounting.None if it is not. One that
-// has waited for longer than its client does would tell the controller of a stall that is none.
+// rejectionReason returns why a valid request is rejected without the overload controller, accounting.NoReason if it is
+// not. A request whose client timeout has passed on arrival is rejected here, since its queue delay would indicate a
+// stall of this node to the controller.
 func (f *frontend) rejectionReason(r *request, queueDelay time.Duration) accounting.Reason {
 	b := f.backend
 	switch {
@@ -100,11 +101,11 @@
 	return accounting.NoReason
 }
 
-// rejectMalformed answers a request that can't be taken. A client that goes on with such requests has its connection
-// closed.
+// rejectMalformed rejects a malformed or unknown request. The connection is closed after maxMalformed such requests,
+// and no longer read after malformedCutoff.
 func (f *frontend) rejectMalformed(from exchange, ticket accounting.Ticket, id uint64, reason accounting.Reason, problem string) {
 	f.backend.stats.BadRequests++
-	f.backend.logLimited("bad request", "reason", problem)
+	f.backend.logLimited("request rejected as malformed", "reason", problem)
 	client := from.client
 	client.malformedRequests++
 	status := 400
@@ -122,7 +123,7 @@
 	}
 }
 
-// rejectPartial answers a request that is partly read: nothing of it will run.
+// rejectPartial rejects a partly read request during shutdown. It will not run.
 func (f *frontend) rejectPartial(partial exchange) {
 	ticket := f.openAccountWithoutID(partial.client)
 	f.writeResponse(partial, f.rejectionResponse())
@@ -130,12 +131,12 @@
 	f.updatePartialBytes(partial.client)
 }
 
-// openAccountWithoutID opens the account of a request of which neither id nor handler is known.
+// openAccountWithoutID opens the account of a request whose id and handler are unknown.
 func (f *frontend) openAccountWithoutID(client *clientConn) accounting.Ticket {
 	return f.backend.ledger.Open(f.backend.wallTime, 0, 0, client.protocol.kind(), accounting.CustomerName{})
 }
 
-// abortRequest follows a client's message that it no longer waits for what it sent on a slot.
+// abortRequest handles a client's abort of the request or health check on a slot.
 func (f *frontend) abortRequest(client *clientConn, slot uint16) {
 	if r := client.requests[slot]; r != nil {
 		delete(client.requests, slot)
@@ -144,12 +145,12 @@
 	delete(client.deepChecks, slot)
 }
 
-// rejectUnknown answers a request that the processor does not know. The processor knows each
-// request of the deployment's clients, so this client is none of them.
+// rejectUnknown rejects a request that the processor does not know, and closes the connection. The processor knows each
+// request of the deployment's clients, so this client does not belong to the deployment.
 func (f *frontend) rejectUnknown(r *request) {
 	delete(r.client.requests, r.slot)
 	from := r.exchange()
 	from.keepOpen = false
-	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "not a request of this machine")
+	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "processor does not know the request")
 	f.backend.finishAnswered(r)
 }
--- a/backend/request_observer.go
+++ b/backend/request_observer.go
@@ -5,32 +5,32 @@
 	"frosthub/overload"
 )
 
-// requestObserver is a part of the backend that keeps state of its own for requests. The core notifies each observer when
-// it lets go of a request, in the order of Backend.observers: one of the two methods is called once, when r is no longer
-// in the table of requests. Requests whose answer waited for the disk are the exception: the guard lets go of them.
+// requestObserver is a component of the backend that keeps per-request state. When a request is removed from the request
+// table, exactly one of the two methods is called on each observer, in the order of Backend.observers. Requests whose
+// response waited for a durable result are the exception: the idempotency guard removes them without a notification.
 type requestObserver interface {
-	// requestWithdrawn follows a request that never ran: it was answered without, or its client has gone.
+	// requestWithdrawn is called for a request that never ran: it was answered without a run, or its client disconnected.
 	requestWithdrawn(r *request)
 
-	// requestEnded follows a request whose run has ended, after its answer.
+	// requestEnded is called for a request whose run has ended, after its response.
 	requestEnded(r *request, end requestEnd)
 }
 
-// requestEnd is how a request ended.
+// requestEnd describes the end of a request.
 type requestEnd struct {
-	outcome    overload.Outcome  // of its run
-	reason     accounting.Reason // by which it is accounted for
-	mayHaveRun bool              // it may have run, in whole or in part
-	result     []byte            // valid until the observer returns
+	outcome    overload.Outcome  // outcome of the run
+	reason     accounting.Reason // accounting reason
+	mayHaveRun bool              // the request may have run, in whole or in part
+	result     []byte            // result of the run; valid until the observer returns
 }
 
-// registerObservers lists the parts that are notified of the ends of requests. Their order is part of the behaviour: the
-// last one answers the repeats that have joined a request.
+// registerObservers sets the order in which observers are notified. The result cache comes last because it answers the
+// repeats that have joined a request.
 func (b *Backend) registerObservers() {
 	b.observers = [...]requestObserver{&b.guard, &b.cluster, &b.results}
 }
 
-// withdrawRequest lets go of a request that never ran.
+// withdrawRequest removes a request that never ran and notifies the observers.
 func (b *Backend) withdrawRequest(r *request) {
 	delete(b.requests, r.id)
 	for _, observer := range b.observers {
@@ -38,7 +38,7 @@
 	}
 }
 
-// endRequest lets go of a request whose run has ended and whose answer is given.
+// endRequest removes a request that was answered and whose run has ended, and notifies the observers.
 func (b *Backend) endRequest(r *request, end requestEnd) {
 	delete(b.requests, r.id)
 	for _, observer := range b.observers {
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -1,39 +1,39 @@
 package backend
 
-// requestState is how far a request has come.
+// requestState is the state of a request in its life cycle.
 //
-// The allowed transitions, and what makes them:
+// The allowed transitions and their causes:
 //
-//	from              to                when
-//	(new)             unverified        it was read, and its fields are good
-//	(new)             held              it is taken over from another node of the cluster
-//	unverified        held              the processor knows it, or nobody can tell; its group has answered
-//	held              unverified        it must not run twice, and its group in the cluster is asked first
-//	held              joined            the controller answers it from another request
-//	held              awaiting intent   the controller starts it, and it must not run twice
-//	held              awaiting result   another node of the cluster takes it over from one that leaves
-//	held              running           the controller starts it
-//	awaiting intent   running           the intent to run it is durable
-//	running           awaiting call     the run asks for a call
-//	awaiting call     calling           the controller lets the call be made
+//	from              to                cause
+//	(new)             unverified        the request was read and its fields are valid
+//	(new)             held              the request is taken over from another node of the cluster
+//	unverified        held              the processor confirmed it or can't be queried; the cluster answered its claim
+//	held              unverified        the request is guarded, and its key is claimed in the cluster first
+//	held              joined            the controller coalesces the request with another one
+//	held              awaiting intent   the controller starts a guarded request
+//	held              awaiting result   this node is shutting down, and another node of the cluster takes the request over
+//	held              running           the controller starts the request
+//	awaiting intent   running           the intent to run the request is durable
+//	running           awaiting call     the run requested a call
+//	awaiting call     calling           the controller allowed the call
 //	calling           awaiting call     the call has ended
-//	awaiting call     running           the call has succeeded, and the run has its reply
-//	running           awaiting result   the run of a guarded request has ended well
-//	any               (gone)            it is answered or given up, and nothing of it runs
+//	awaiting call     running           the call succeeded, and its reply was sent to the run
+//	running           awaiting result   the run of a guarded request succeeded
+//	any               (removed)         the request was answered or abandoned, and no run is in progress
 //
-// The order of the constants matters: a run is in progress from stateRunning on, and what comes before
+// The order of the constants matters: a run is in progress from stateRunning on, and a request in a state before
 // stateAwaitingIntent never ran.
 type requestState uint8
 
 const (
-	stateUnverified     requestState = iota // the processor or its group is asked about it; the controller has not heard of it
-	stateHeld                               // the controller has heard of it and has not started it
-	stateJoined                             // it waits for the result of another request
-	stateAwaitingIntent                     // it waits until the intent to run it is durable, or for another request with its key
-	stateAwaitingResult                     // its run has ended, and it waits until the result is durable
-	stateRunning                            // its run is started, or will be once the link to the processor is up
-	stateAwaitingCall                       // its run waits for a call that is not being made
-	stateCalling                            // its run waits for a call in flight
+	stateUnverified     requestState = iota // the processor or the cluster is queried; the request is not submitted to the controller yet
+	stateHeld                               // submitted to the controller and not started
+	stateJoined                             // waits for the result of another request
+	stateAwaitingIntent                     // waits for its intent to become durable, or for another request with the same key
+	stateAwaitingResult                     // the run has ended, and its result is not durable yet
+	stateRunning                            // the run was started, or will be when the link to the processor is up
+	stateAwaitingCall                       // the run waits for a call that is not in flight
+	stateCalling                            // the run waits for a call in flight
 )
 
 var requestStateNames = [...]string{
@@ -55,16 +55,16 @@
 	return "unknown state"
 }
 
-// runInProgress reports whether the run has been started and its end has not been heard of.
+// runInProgress reports whether the run was started and its end was not reported yet.
 func (s requestState) runInProgress() bool { return s >= stateRunning }
 
-// hold makes the transition to held: the controller is about to hear of the request.
+// hold makes the transition to held; the caller then submits the request to the controller.
 func (r *request) hold() { r.state = stateHeld }
 
 // run makes the transition to running, from held or from awaiting intent.
 func (r *request) run() { r.state = stateRunning }
 
-// unverify makes the transition to unverified, from held: the request's group in the cluster is asked first.
+// unverify makes the transition to unverified, from held; the caller then claims the request's key in the cluster.
 func (r *request) unverify() { r.state = stateUnverified }
 
 // joinOriginal makes the transition to joined, from held.
--- a/backend/request_state_test.go
+++ b/backend/request_state_test.go
@@ -2,21 +2,22 @@
 
 import "testing"
 
-// TestRequestStates: each state has a name of its own, and the order of the states says which of them have a run.
+// TestRequestStates checks that each state has a unique name, and that exactly the last three states have a run in
+// progress.
 func TestRequestStates(t *testing.T) {
 	names := map[string]requestState{}
 	for state := stateUnverified; state <= stateCalling; state++ {
 		name := state.String()
 		if other, taken := names[name]; taken || name == "" {
-			t.Errorf("states %d and %d are both called %q", state, other, name)
+			t.Errorf("states %d and %d have the same name %q", state, other, name)
 		}
 		names[name] = state
 		running := state == stateRunning || state == stateAwaitingCall || state == stateCalling
 		if state.runInProgress() != running {
-			t.Errorf("%v: started is %v", state, state.runInProgress())
+			t.Errorf("%v: runInProgress returns %v", state, state.runInProgress())
 		}
 	}
 	if name := (stateCalling + 1).String(); name != "unknown state" {
-		t.Errorf("a state that is none is called %q", name)
+		t.Errorf("an invalid state has the name %q", name)
 	}
 }
--- a/backend/response.go
+++ b/backend/response.go
@@ -7,7 +7,7 @@
 	"frosthub/lifecycle"
 )
 
-// statusText has the reason phrase of each status that is answered.
+// statusText has the reason phrase of each status code in use.
 var statusText = map[int]string{
 	200: "OK",
 	400: "Bad Request",
@@ -17,12 +17,12 @@
 	503: "Service Unavailable",
 }
 
-// response is an answer, the same for all protocols.
+// response is a response to a client, independent of its protocol.
 type response struct {
 	status     int
-	signal     []byte        // the load signal as it is written; empty before the first
-	retryAfter time.Duration // of a rejection: when to come back; 0 if nothing is said
-	dontRetry  bool          // of a rejection: not elsewhere either
+	signal     []byte        // formatted load signal; empty before the first
+	retryAfter time.Duration // earliest time of a retry after a rejection; 0 if not stated
+	dontRetry  bool          // the rejected request must not be retried at another node either
 	body       []byte
 }
 
@@ -32,13 +32,13 @@
 	f.sendFinalResponse(r, reason, &response{status: 200, body: result})
 }
 
-// respondFailure answers a request whose run failed or whose result can't be given.
+// respondFailure answers a request whose run failed or whose result is not available.
 func (f *frontend) respondFailure(r *request, reason accounting.Reason) {
 	f.sendFinalResponse(r, reason, &response{status: 500})
 }
 
-// respondWithoutResult answers a request without a result where the overload controller has nothing, or nothing any more, to
-// decide. Whether that is a rejection or a failure follows from the reason.
+// respondWithoutResult answers a request that has no result and that the overload controller no longer decides on. The
+// category of the reason determines whether the response is a rejection or a failure.
 func (f *frontend) respondWithoutResult(r *request, reason accounting.Reason) {
 	if reason.Category() == accounting.Rejected {
 		f.sendFinalResponse(r, reason, &response{status: 503, retryAfter: f.backend.drain.retryAfter})
@@ -47,18 +47,18 @@
 	f.respondFailure(r, reason)
 }
 
-// respondShed answers a request that the overload controller rejects.
+// respondShed answers a request that the overload controller rejected.
 func (f *frontend) respondShed(r *request, retryAfter time.Duration, dontRetry bool) {
 	f.sendFinalResponse(r, accounting.Shed, &response{status: 503, retryAfter: retryAfter, dontRetry: dontRetry})
 }
 
-// rejectNotReady answers a request that was not started before the process exits.
+// rejectNotReady rejects a request that was not started before the process exits.
 func (f *frontend) rejectNotReady(r *request) {
 	f.sendFinalResponse(r, accounting.NotReady, f.rejectionResponse())
 }
 
-// rejectionResponse returns the response to a request that the overload controller does not hear of. A process that ends says
-// how long to stay away from its address.
+// rejectionResponse returns the response to a request that is rejected without the overload controller. It has a
+// retry-after time while the process is shutting down.
 func (f *frontend) rejectionResponse() *response {
 	rejection := &response{status: 503}
 	if f.backend.process.CheckAccept() != lifecycle.Allowed {
@@ -67,28 +67,28 @@
 	return rejection
 }
 
-// sendFinalResponse sends the one final answer of a request.
-func (f *frontend) sendFinalResponse(r *request, reason accounting.Reason, answer *response) {
-	waits := r.client != nil
-	answered := waits && r.client.requests[r.slot] != r
-	if verdict := lifecycle.CheckAnswer(answered, waits); verdict != lifecycle.Allowed {
+// sendFinalResponse sends the only final response to a request.
+func (f *frontend) sendFinalResponse(r *request, reason accounting.Reason, resp *response) {
+	clientWaits := r.client != nil
+	answered := clientWaits && r.client.requests[r.slot] != r
+	if verdict := lifecycle.CheckAnswer(answered, clientWaits); verdict != lifecycle.Allowed {
 		f.backend.recordViolation("answer", r, verdict)
 		return
 	}
 	delete(r.client.requests, r.slot)
-	f.writeResponse(r.exchange(), answer)
+	f.writeResponse(r.exchange(), resp)
 	f.trackDelivery(r.client, r.ticket, r.id, reason)
 }
 
-// writeResponse writes a response, with the load signal.
-func (f *frontend) writeResponse(to exchange, answer *response) {
-	answer.signal = f.backend.advice.loadSignal
-	f.backend.scratch = to.client.protocol.appendResponse(f.backend.scratch[:0], to.slot, to.keepOpen, answer)
+// writeResponse writes a response with the current load signal.
+func (f *frontend) writeResponse(to exchange, resp *response) {
+	resp.signal = f.backend.advice.loadSignal
+	f.backend.scratch = to.client.protocol.appendResponse(f.backend.scratch[:0], to.slot, to.keepOpen, resp)
 	f.writeScratch(to)
 }
 
-// writeScratch sends what is in the scratch buffer, and closes a connection that is not to stay once nothing is open
-// there.
+// writeScratch sends the contents of the scratch buffer. If the connection is not kept open, it is closed as soon as no
+// request is open on it.
 func (f *frontend) writeScratch(to exchange) {
 	to.client.lastUsed = f.backend.now
 	to.client.conn.Write(f.backend.scratch)
--- a/backend/serve.go
+++ b/backend/serve.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	sweepInterval = 100 * time.Millisecond // between two searches for what is idle or has expired
+	sweepInterval = 100 * time.Millisecond // between two sweeps for idle and expired items
 
 	// Shares of the memory limit.
-	unsentShare = 0.2   // for answers that clients do not take
-	unreadShare = 0.125 // for what was received and is not handled yet, over all connections
+	unsentShare = 0.2   // for responses that clients have not read
+	unreadShare = 0.125 // for received input that is not handled yet, over all connections
 
-	// lingerShare is the share of the client connections that may linger: they were ended here, and wait for the peer's
-	// close.
+	// lingerShare is the part of the connection limit for connections that linger: this node has closed its side, and
+	// waits for the peer to close.
 	lingerShare = 0.0625
 )
 
 // Serve runs the backend until ctx is done and every request that was read is answered, or until the process is about
-// to be killed. It returns an error if it can't listen or can't keep its accounts. It must be called once.
+// to be killed. It returns an error if it can't open its listeners, its ledger or its reports to the control plane. It
+// must be called at most once.
 func (b *Backend) Serve(ctx context.Context) error {
 	defer close(b.done)
 	b.setLoopLimits()
-	if ctx.Err() != nil { // notified before anything could be read
+	if ctx.Err() != nil { // shut down before any request could be read
 		return nil
 	}
 	if err := b.openLedger(); err != nil {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// setLoopLimits bounds what the connections may hold.
+// setLoopLimits sets the limits on buffered bytes and on lingering connections.
 func (b *Backend) setLoopLimits() {
 	if b.cfg.Limits.MemoryMB > 0 {
 		b.loop.MaxUnsent = int(b.memoryShare(unsentShare))
@@ -53,17 +54,17 @@
 	b.loop.MaxLingering = max(1, int(lingerShare*float64(b.frontend.connectionLimit())))
 }
 
-// run is the owner's loop: it waits for news, for its one timer, for the notice to leave or for a call from another
-// goroutine, and takes a turn. It returns when the process may exit.
+// run is the loop of the owner goroutine. It waits for input, for its timer, for the shutdown notice or for a call from
+// another goroutine, and then executes a turn. It returns when the process may exit.
 func (b *Backend) run(ctx context.Context) {
-	leave := ctx.Done()
+	shutdownNotice := ctx.Done()
 	timer := time.NewTimer(0)
 	for {
 		select {
 		case <-b.loop.Wake:
 		case <-timer.C:
-		case <-leave:
-			leave = nil
+		case <-shutdownNotice:
+			shutdownNotice = nil
 			b.readClocks()
 			b.startDrain()
 		case f := <-b.ownerCalls:
@@ -76,10 +77,10 @@
 	}
 }
 
-// turn handles all that has happened, and reports whether it was the last turn. Its order matters: what the connections
-// bring comes before what is due, all of that before the controller's decisions, and the results of those are sent last.
+// turn handles all pending events, and reports whether it was the last turn. The order matters: input from connections is
+// handled before timers, both before the controller's decisions, and the output is sent last.
 func (b *Backend) turn() (last bool) {
-	at := b.readClocks()
+	turnStart := b.readClocks()
 	b.wakeAt = b.now + maxTurnInterval
 	b.loop.Dispatch()
 	b.processor.queryUnverified()
@@ -92,18 +93,18 @@
 	b.guard.flushEntries()
 	b.reporter.report(b)
 	if b.advanceShutdown() {
-		b.flush(at)
+		b.flush(turnStart)
 		b.closeAccounts()
 		return true
 	}
-	if retryAfter := b.flush(at); retryAfter > 0 {
+	if retryAfter := b.flush(turnStart); retryAfter > 0 {
 		b.wakeBy(b.now + retryAfter)
 	}
 	b.arrivalDelay.ExpectTurn(b.wakeAt)
 	return false
 }
 
-// onTimer does what is due in each part, and has the owner wake for the rest.
+// onTimer runs the due timers of each component, and sets the wake-up time of the owner for the others.
 func (b *Backend) onTimer() {
 	b.onControllerTimer()
 	b.processor.onTimer()
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -10,17 +10,17 @@
 	"frosthub/overload"
 )
 
-// closingCheckInterval is how often a process that ends checks what may be closed.
+// closingCheckInterval is the interval at which a closing process checks which connections it can close.
 const closingCheckInterval = 10 * time.Millisecond
 
-// drainState is what the end of the process needs beside lifecycle.Process.
+// drainState is the state of the shutdown that lifecycle.Process does not hold.
 type drainState struct {
-	eventPending bool          // the notice came, and the overload controller has not heard of it
-	grace        time.Duration // after the notice, in which a request that is read may still start
-	retryAfter   time.Duration // the retry-after of requests that are rejected at the end; 0 for none
+	eventPending bool          // the shutdown notice was received and is not reported to the overload controller yet
+	grace        time.Duration // time after the notice in which a request that is read may still start
+	retryAfter   time.Duration // retry-after time of requests that are rejected during shutdown; 0 for none
 }
 
-// startDrain follows the notice to leave. A second one changes nothing.
+// startDrain starts the shutdown on its notice. A second notice has no effect.
 func (b *Backend) startDrain() {
 	if !b.process.BeginDrain(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
 		return
@@ -31,8 +31,8 @@
 	b.drain.eventPending = true
 }
 
-// drainEvent returns the event by which the overload controller hears of the notice: first in its batch, and dated by
-// the time of that batch.
+// drainEvent returns the event that reports the shutdown notice to the overload controller. It comes first in its batch,
+// and its durations are relative to the time of that batch.
 func (b *Backend) drainEvent() overload.Event {
 	return overload.Event{
 		Kind:       overload.Drain,
@@ -41,13 +41,13 @@
 	}
 }
 
-// logPhase logs how far the end of the process has come.
+// logPhase logs the present phase of the shutdown.
 func (b *Backend) logPhase() {
-	b.log.Info("shutdown phase", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.unanswered,
+	b.log.Info("shutdown phase changed", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.unanswered,
 		"connections", len(b.frontend.clients), "half_read_bytes", b.frontend.partialBytes)
 }
 
-// pendingWork returns what the end of the process has to wait for.
+// pendingWork returns the work that the exit of the process has to wait for.
 func (b *Backend) pendingWork() lifecycle.PendingWork {
 	return lifecycle.PendingWork{
 		Unanswered:  b.unanswered,
@@ -58,7 +58,7 @@
 	}
 }
 
-// advanceShutdown takes the end of the process as far as the time allows, and reports whether it may exit.
+// advanceShutdown advances the shutdown as far as time and pending work allow, and reports whether the process may exit.
 func (b *Backend) advanceShutdown() (exit bool) {
 	for b.process.Advance(b.now, b.pendingWork()) {
 		b.logPhase()
@@ -84,7 +84,8 @@
 	return false
 }
 
-// beginClosing accepts no more connections, and waits no longer for what others may say.
+// beginClosing closes the listeners, and stops waiting for the processor: it admits the unverified requests and answers
+// the deep health checks.
 func (b *Backend) beginClosing() {
 	b.closeListeners()
 	b.processor.admitAllUnverified()
@@ -94,7 +95,8 @@
 	b.runController()
 }
 
-// failUnanswered answers what is still unanswered, so that nothing which was read goes without a final answer.
+// failUnanswered answers the requests that are still unanswered, so that each request that was read gets a final
+// response.
 func (b *Backend) failUnanswered() {
 	for _, r := range b.sortedRequests() {
 		if !b.hasClient(r) {
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -9,12 +9,12 @@
 	"frosthub/lifecycle"
 )
 
-// The tests of crossings force the moments in which two events cross: the owner is held at a gate while the other event
-// happens, or the event is posted to it, so that nothing depends on how fast a machine is. docs/notes/crossings.md lists
-// the crossings.
+// The crossing tests force two events to occur at the same moment: the owner goroutine is blocked at a gate while the other
+// event happens, or the event is posted to its queue. The tests therefore don't depend on the speed of the machine.
+// docs/notes/crossings.md lists the crossings.
 
-// beginClosing has the process be so near its stop that it closes now. Then the stop is far again: only a test that wants it
-// comes to the phases after.
+// beginClosing moves the kill time so near that the closing phase begins now, and then moves it a minute ahead, so that
+// later phases begin only if the test sets another kill time.
 func (bed *testbed) beginClosing() { bed.runInTurn(bed.beginClosingNow) }
 
 func (bed *testbed) beginClosingNow() {
@@ -23,12 +23,12 @@
 	bed.backend.loop.Post(func() { bed.backend.process.SetKillTime(bed.backend.now + time.Minute) })
 }
 
-// shutdownCrossings are plays of SIGTERM and the closing that follows it, with a request in each place.
+// shutdownCrossings are cases of SIGTERM and the closing that follows it, with a request in each stage of processing.
 var shutdownCrossings = []struct {
 	name string
 	play func(bed *testbed)
 }{
-	{"at rest: ended in order, a request that crosses it is not run", func(bed *testbed) {
+	{"idle connection: closed in order, a request that crosses the close is not run", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.serveRequest(client, 1)
 		bed.beginClosing()
@@ -37,7 +37,7 @@
 		bed.expectExit()
 		bed.expectNone("processor: begin 0000000000000002")
 	}},
-	{"in the ring when the closing begins: rejected, and never run", func(bed *testbed) {
+	{"request in the input queue when the closing begins: rejected and never run", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.serveRequest(client, 1)
 		release := bed.holdOwner(bed.beginClosingNow)
@@ -48,7 +48,7 @@
 		bed.expectExit()
 		bed.expectNone("processor: begin 0000000000000002")
 	}},
-	{"several, beside a run: each is rejected, the connection ends after the run", func(bed *testbed) {
+	{"several requests during a run: each is rejected, the connection closes after the run", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		bed.beginClosing()
@@ -61,7 +61,7 @@
 		bed.expectExit()
 		bed.expectNone("processor: begin 0000000000000003")
 	}},
-	{"one that asks for the end of its connection, beside a run: what follows is answered", func(bed *testbed) {
+	{"request without keep-connection during a run: later requests are answered", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		client.send(strings.Replace(fastcgiRequest(2, map[string]string{"HTTP_X_RANK": "soon"}), "\x00\x01\x01", "\x00\x01\x00", 1))
@@ -74,7 +74,7 @@
 		bed.beginClosing()
 		bed.expectExit()
 	}},
-	{"half read: its rest comes in the closing and is rejected", func(bed *testbed) {
+	{"partly read request completed in the closing: rejected", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.serveRequest(client, 1)
 		complete := fastcgiRequest(2, nil)
@@ -86,7 +86,7 @@
 		bed.expectExit()
 		bed.expectNone("processor: begin 0000000000000002")
 	}},
-	{"half read for good: rejected, and the connection ends", func(bed *testbed) {
+	{"partly read request never completed: rejected, and the connection closes", func(bed *testbed) {
 		client := bed.dialClient()
 		client.send(fastcgiRequest(2, nil)[:30])
 		bed.awaitPartialRequests(1)
@@ -95,7 +95,7 @@
 		client.expect("2"+rejectedLine, "end")
 		bed.expectExit()
 	}},
-	{"complete and not handled, in the same batch as the notice: taken on, within the grace", func(bed *testbed) {
+	{"complete request in the same turn as the notice: started within the grace", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.serveRequest(client, 1)
 		release := bed.holdOwner()
@@ -109,18 +109,18 @@
 		client.expect("end")
 		bed.expectExit()
 	}},
-	{"in the accept queue: taken, and rejected", func(bed *testbed) {
+	{"connection in the accept queue: accepted, and its request rejected", func(bed *testbed) {
 		release := bed.holdOwner(bed.beginClosingNow)
 		client := bed.dialClient()
 		client.send(fastcgiRequest(2, nil))
 		release()
-		if got := client.readAnswer(); got != "2"+rejectedLine && got != "end" { // the latter if its bytes came after it was ended
+		if got := client.readAnswer(); got != "2"+rejectedLine && got != "end" { // "end" if its bytes arrived after the connection was closed
 			bed.t.Error(got)
 		}
 		bed.expectExit()
 		bed.expectNone("processor: begin 0000000000000002")
 	}},
-	{"running: its end in the closing is answered, then its connection ends", func(bed *testbed) {
+	{"run that ends in the closing: answered, then its connection closes", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		bed.beginClosing()
@@ -128,7 +128,7 @@
 		client.expect("1"+succeededLine, "end")
 		bed.expectExit()
 	}},
-	{"running for good: answered before the stop", func(bed *testbed) {
+	{"run that never ends: answered before the kill time", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		bed.beginClosing()
@@ -136,7 +136,7 @@
 		client.expect("1" + failedLine)
 		bed.expectExit()
 	}},
-	{"unverified, and the processor says nothing: not waited for in the closing", func(bed *testbed) {
+	{"unverified request and a silent processor: the closing does not wait", func(bed *testbed) {
 		bed.step([]string{"processor", "mute"})
 		client := bed.dialClient()
 		client.send(fastcgiRequest(1, nil))
@@ -147,7 +147,7 @@
 		client.expect("1"+succeededLine, "end")
 		bed.expectExit()
 	}},
-	{"a deep check at the processor: answered in the closing", func(bed *testbed) {
+	{"pending deep check: answered in the closing", func(bed *testbed) {
 		bed.runInTurn(func() { bed.backend.advice.shallowChecks = false })
 		client := bed.dialClient()
 		client.send(fastcgiRequest(1, map[string]string{"SCRIPT_NAME": "/_health", "QUERY_STRING": "deep=1"}))
@@ -156,7 +156,7 @@
 		client.expect("1"+rejectedLine, "end")
 		bed.expectExit()
 	}},
-	{"a second notice changes nothing", func(bed *testbed) {
+	{"a second notice has no effect", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		bed.beginClosing()
@@ -168,13 +168,13 @@
 			after = bed.backend.process.KillTime()
 		})
 		if before != after {
-			bed.t.Error("the stop moved by", after-before)
+			bed.t.Error("second notice moved the kill time by", after-before)
 		}
 		bed.completeRun(1)
 		client.expect("1"+succeededLine, "end")
 		bed.expectExit()
 	}},
-	{"SIGHUP in the drain and in the closing: what runs goes on", func(bed *testbed) {
+	{"SIGHUP in the drain and in the closing: the run continues", func(bed *testbed) {
 		client := bed.dialClient()
 		bed.startRun(client, 1)
 		bed.runInTurn(bed.backend.startDrain)
@@ -191,7 +191,8 @@
 	}},
 }
 
-// TestShutdownCrossings: each request is answered or its connection is ended in order, and the process exits.
+// TestShutdownCrossings checks that during a shutdown each request is answered or its connection is closed in order, and
+// that the process exits.
 func TestShutdownCrossings(t *testing.T) {
 	options := map[string]string{"stop_ms": "60000"}
 	for _, test := range shutdownCrossings {
@@ -200,7 +201,7 @@
 			test.play(newReadyTestbed(t, options))
 		})
 	}
-	t.Run("before the processor is up: rejected, and the process ends", func(t *testing.T) {
+	t.Run("before the processor is up: rejected, and the process exits", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t)
 		bed.start(withLongTimeouts(options))
@@ -214,38 +215,38 @@
 	})
 }
 
-// TestGrace: what is read after the grace does not start a run, whatever it says of when it came; and the grace runs from the notice, also
-// where that is heard of late or before the processor is up.
+// TestGrace checks that a request that is read after the drain grace does not start a run, whatever start time it states,
+// and that the grace begins with the notice, even if the notice is handled late or before the processor is up.
 func TestGrace(t *testing.T) {
 	t.Parallel()
-	const past = 300 * time.Millisecond // the grace of these testbeds
-	options := map[string]string{"stop_ms": "60000", "grace": fmt.Sprint(past.Microseconds())}
+	const grace = 300 * time.Millisecond // the drain grace of these testbeds
+	options := map[string]string{"stop_ms": "60000", "grace": fmt.Sprint(grace.Microseconds())}
 	longAgo := map[string]string{"HTTP_X_REQUEST_START": fmt.Sprint(time.Now().Add(-2 * time.Second).UnixMilli())}
 	for _, test := range []struct {
 		name string
 		play func(bed *testbed, client *testClient)
 	}{
-		{"stamped before the notice", func(bed *testbed, client *testClient) {
-			bed.runInTurn(func() { bed.noticeAgo(past + time.Millisecond) })
+		{"start time before the notice", func(bed *testbed, client *testClient) {
+			bed.runInTurn(func() { bed.startDrainAgo(grace + time.Millisecond) })
 			client.send(fastcgiRequest(2, longAgo))
 			client.expect("2" + rejectedLine)
 		}},
-		{"the notice is heard of late", func(bed *testbed, client *testClient) {
+		{"the notice is handled late", func(bed *testbed, client *testClient) {
 			bed.runInTurn(func() {
 				bed.backend.heartbeat = lifecycle.EventTimeBound{}
-				bed.backend.heartbeat.Record(bed.backend.now - past - time.Millisecond) // it last ran then
+				bed.backend.heartbeat.Record(bed.backend.now - grace - time.Millisecond) // the owner last ran then
 				bed.backend.startDrain()
 			})
 			client.send(fastcgiRequest(2, nil))
 			client.expect("2" + rejectedLine)
 		}},
-		{"it waits for the processor's word when the grace ends", func(bed *testbed, _ *testClient) {
+		{"the request is unverified when the grace ends", func(bed *testbed, _ *testClient) {
 			bed.step([]string{"processor", "mute"})
-			other := bed.dialClient() // the processor does not know it yet
+			other := bed.dialClient() // not verified yet
 			other.send(fastcgiRequest(2, nil))
 			bed.awaitUnverified(1)
 			bed.runInTurn(func() {
-				bed.noticeAgo(past + time.Millisecond)
+				bed.startDrainAgo(grace + time.Millisecond)
 				bed.backend.processor.admitAllUnverified()
 			})
 			other.expect("2" + rejectedLine)
@@ -257,47 +258,47 @@
 			client := bed.dialClient()
 			bed.serveRequest(client, 1)
 			test.play(bed, client)
-			bed.expectRejected()
+			bed.expectNotStarted()
 		})
 	}
-	t.Run("the notice comes before the processor is up", func(t *testing.T) {
+	t.Run("the notice arrives before the processor is up", func(t *testing.T) {
 		t.Parallel()
 		bed := newTestbed(t)
 		bed.start(withLongTimeouts(options))
 		bed.expect("processor: hello 0")
-		bed.runInTurn(func() { bed.noticeAgo(past + time.Millisecond) })
+		bed.runInTurn(func() { bed.startDrainAgo(grace + time.Millisecond) })
 		bed.step([]string{"processor", "says", "hi warm 500000"})
 		bed.await(func() bool { return bed.backend.processor.ready() })
 		client := bed.dialClient()
 		client.send(fastcgiRequest(2, nil))
 		client.expect("2" + rejectedLine)
-		bed.expectRejected()
+		bed.expectNotStarted()
 	})
 }
 
-// expectRejected checks that the second request never ran, and that the overload controller itself knew that it may not.
-func (bed *testbed) expectRejected() {
+// expectNotStarted checks that the second request never ran, and that the overload controller itself did not start it.
+func (bed *testbed) expectNotStarted() {
 	bed.t.Helper()
 	bed.expectNone("processor: begin 0000000000000002")
 	if n := bed.backend.Counters().Violations; n != 0 {
-		bed.t.Error("forbidden at the last moment:", n)
+		bed.t.Error("starts by the overload controller that a rule forbade:", n)
 	}
 }
 
-// noticeAgo has the notice to leave have come so long ago.
-func (bed *testbed) noticeAgo(ago time.Duration) {
+// startDrainAgo starts the drain with a notice that arrived the given time ago.
+func (bed *testbed) startDrainAgo(ago time.Duration) {
 	bed.backend.heartbeat = lifecycle.EventTimeBound{}
 	bed.backend.heartbeat.Record(bed.backend.now - ago)
 	bed.backend.startDrain()
 }
 
-// TestClockSteps: after a step of the time of day requests are served as before, whether it is the node's clock alone that stepped or that of
-// all that runs on its machine.
+// TestClockSteps checks that requests are served as before after a step of the wall clock, whether only the node's clock
+// stepped or also that of the clients.
 func TestClockSteps(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{-time.Hour, -time.Second, time.Second, time.Hour} {
 		bed := newReadyTestbed(t, nil)
-		bed.runInTurn(func() { bed.backend.arrivalDelay.BeginTurn(bed.backend.now, bed.backend.wallTime-step) }) // the next turn sees it step
+		bed.runInTurn(func() { bed.backend.arrivalDelay.BeginTurn(bed.backend.now, bed.backend.wallTime-step) }) // the next turn detects the step
 		client := bed.dialClient()
 		bed.serveRequest(client, 1)
 		stamped := time.Now().Add(-step)
@@ -306,7 +307,7 @@
 		bed.completeRun(2)
 		client.expect("2" + succeededLine)
 		if bed.backend.Counters().ClockSteps == 0 {
-			t.Error("the step is not counted")
+			t.Error("clock step was not counted")
 		}
 	}
 }
