--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -139,13 +139,13 @@
 // were lost with it.
 func (f *frontend) logConnectionEnd(client *clientConn, reason error) {
 	phase := f.backend.process.Phase()
-	dropped := client.conn.Discarded()
-	if phase == lifecycle.Serving && dropped == 0 && !client.busy() && len(client.undelivered) == 0 {
+	discarded := client.conn.Discarded()
+	if phase == lifecycle.Serving && discarded == 0 && !client.busy() && len(client.undelivered) == 0 {
 		return
 	}
 	f.backend.log.Info("client connection closed", "connection", client.number, "reason", reason, "phase", phase, "open", len(client.requests),
 		"half_read", client.protocol.openSlots()-client.pendingResponses(), "unsent_answers", len(client.undelivered),
-		"dropped_bytes", dropped)
+		"dropped_bytes", discarded)
 }
 
 // recordUnanswered counts and logs a request whose client did not get its response.
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -43,7 +43,7 @@
 // Reasons for which this node closes client connections.
 var (
 	errEvicted          = errors.New("idle connection evicted near the connection limit")
-	errIdle             = errors.New("idle timeout")
+	errIdle             = errors.New("idle")
 	errNotKeptAlive     = errors.New("connection is not kept open")
 	errShuttingDown     = errors.New("process is shutting down")
 	errMalformed        = errors.New("too many malformed requests")
@@ -121,9 +121,9 @@
 
 // updatePartialBytes updates the number of buffered bytes of incomplete requests after a change on one connection.
 func (f *frontend) updatePartialBytes(client *clientConn) {
-	held := client.protocol.partialBytes()
-	f.partialBytes += held - client.partialBytes
-	client.partialBytes = held
+	buffered := client.protocol.partialBytes()
+	f.partialBytes += buffered - client.partialBytes
+	client.partialBytes = buffered
 }
 
 // terminateConnection stops reading from a connection whose client violates its protocol or a limit. Requests that were
--- a/backend/health_check.go
+++ b/backend/health_check.go
@@ -14,7 +14,7 @@
 }
 
 // handleHealthCheck answers a health check. A deep check queries the processor, unless the overload controller has made
-// deep checks shallow or considers the node unhealthy.
+// deep checks shallow or reports the node as unhealthy.
 func (f *frontend) handleHealthCheck(from exchange, query string) {
 	b := f.backend
 	b.stats.Checks++
--- a/backend/processor_commands.go
+++ b/backend/processor_commands.go
@@ -4,7 +4,7 @@
 
 func (l *processorLink) write(command []byte) { l.conn.Write(command) }
 
-// requestGauges sends a query for the gauges. It reports whether the link is up far enough to send it.
+// requestGauges sends a query for the gauges. It returns false and sends nothing until the processor's hello is received.
 func (l *processorLink) requestGauges() bool {
 	if !l.helloReceived {
 		return false
@@ -15,8 +15,8 @@
 	return true
 }
 
-// startDeepCheck sends the query of a deep health check and returns its tag. If the link is down, the query is sent when
-// the link is up.
+// startDeepCheck sends the query of a deep health check and returns its tag. Until the processor's hello is received, the
+// query is only added to pendingChecks, and onHello sends it.
 func (l *processorLink) startDeepCheck() uint64 {
 	l.lastTag++
 	l.pendingChecks = append(l.pendingChecks, l.lastTag)
@@ -38,7 +38,8 @@
 	l.write(b.scratch)
 }
 
-// cancel sends an interrupt for the run of r, now or after the resynchronization.
+// cancel sends an interrupt for the run of r. Until the processor's hello is received, the request is only marked, and the
+// resynchronization sends the interrupt.
 func (l *processorLink) cancel(r *request) {
 	r.cancelRequested = true
 	if l.helloReceived {
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -94,7 +94,7 @@
 // onGauges handles the answer to a query for gauges, and acts on the proof that earlier commands have arrived.
 func (l *processorLink) onGauges(n *processor.Notice) {
 	b := l.backend
-	previouslyAcked := l.ackedTag
+	previousAckedTag := l.ackedTag
 	l.ackedTag = max(l.ackedTag, n.Tag)
 	l.admitUnverified(n.Tag)
 	b.gauges = append(b.gauges[:0], n.Gauges...)
@@ -107,7 +107,7 @@
 	}
 	if l.resyncTag > 0 && n.Tag >= l.resyncTag {
 		l.resyncTag = 0
-		l.resync(previouslyAcked)
+		l.resync(previousAckedTag)
 	}
 	if l.probeCount > 0 {
 		for _, r := range b.sortedRequests() {
@@ -116,7 +116,7 @@
 	}
 }
 
-// onReject handles the rejection of a command. The processor does not know the request, so nothing was run.
+// onReject handles the rejection of a command. The processor does not recognize the request, so nothing was run.
 func (l *processorLink) onReject(n *processor.Notice) {
 	b := l.backend
 	b.stats.Rejects++
--- a/backend/processor_verify.go
+++ b/backend/processor_verify.go
@@ -8,11 +8,12 @@
 // verifyTimeout limits the wait for the verification of a request. It is far longer than any pause of the processor.
 const verifyTimeout = 500 * time.Millisecond
 
-// verify queries the processor whether it knows r, and reports whether the query could be sent. It is called for the
-// first request of a client connection, and for each request that would be answered from the cache and therefore never
-// reaches the processor. The query is an interrupt: it has no effect since no such run exists, but the processor rejects
-// it if no such request came to this machine. Verification keeps clients that are no edge nodes from distorting the
-// measurements of the overload controller. It costs the first request of a connection one round trip to the processor.
+// verify sends a query whose answer shows whether the processor recognizes r, and reports whether the query could be
+// sent. It is called for the first request of a client connection, and for each request that would be answered from the
+// cache and therefore never reaches the processor. The query is an interrupt: it has no effect since no such run exists,
+// but the processor rejects it if no such request came to this machine. Verification keeps clients that are no edge nodes
+// from distorting the measurements of the overload controller. It costs the first request of a connection one round trip
+// to the processor.
 func (l *processorLink) verify(r *request) bool {
 	if !l.ready() || !l.backend.canCancel {
 		return false // the link is not ready, or the processor rejects all interrupts
@@ -44,8 +45,8 @@
 	}
 }
 
-// admitUnverified admits the unverified requests up to the tag of an answered query. The processor knows them, since it
-// did not reject them before it answered the query.
+// admitUnverified admits the unverified requests up to the tag of an answered query. The processor recognizes them, since
+// it did not reject them before it answered the query.
 func (l *processorLink) admitUnverified(tag uint64) {
 	for len(l.unverified) > 0 && l.unverified[0].verifyTag <= tag {
 		r := l.unverified[0]
--- a/backend/request.go
+++ b/backend/request.go
@@ -43,7 +43,7 @@
 	arrival   overload.Event // event that reports the request to the overload controller
 	readAt    time.Duration  // when the request was completely read
 	arrivedAt time.Duration  // when the request reached this machine
-	verified  bool           // the processor confirmed that it knows the request
+	verified  bool           // the processor confirmed that it recognizes the request
 	verifyTag uint64         // gauge query whose answer confirms the request unless the processor rejects it first
 
 	guard         *guardState // state in the idempotency guard; nil for a request that is not guarded
@@ -74,7 +74,7 @@
 // isWanted reports whether a client waits for a request, at this node or at another one.
 func (b *Backend) isWanted(r *request) bool { return b.hasClient(r) || r.failedOver }
 
-// admit submits a request to the overload controller unless the guard or the result cache settles it first.
+// admit submits a request to the overload controller unless the idempotency guard or the result cache answers or defers it.
 func (b *Backend) admit(r *request) {
 	r.hold()
 	r.arrival.QueueDelay += b.now - r.readAt
@@ -170,8 +170,8 @@
 		}
 		b.releaseClient(r)
 	}
-	ran := r.startSent && reason != accounting.NeverRan
-	b.endRequest(r, requestEnd{outcome: outcome, reason: reason, mayHaveRun: ran, result: result})
+	mayHaveRun := r.startSent && reason != accounting.NeverRan
+	b.endRequest(r, requestEnd{outcome: outcome, reason: reason, mayHaveRun: mayHaveRun, result: result})
 }
 
 // reasonForOutcome returns the accounting reason for the outcome of a run.
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -102,16 +102,16 @@
 		p.request.wireID = string(value)
 		p.request.id, _ = lineproto.ParseID(value)
 	case startField:
-		p.start = p.number(value, maxTimestampMillis)
+		p.start = p.parseNumber(value, maxTimestampMillis)
 		p.hasStart = true
 	case callerField:
 		p.setCaller(value)
 	case costField:
-		p.arrival.Hint = p.milliseconds(value)
+		p.arrival.Hint = p.parseMilliseconds(value)
 	case memoryField:
-		p.arrival.SizeKB = p.number(value, maxMemoryKB)
+		p.arrival.SizeKB = p.parseNumber(value, maxMemoryKB)
 	case rankField:
-		p.arrival.ValueRank = p.number(value, 1)
+		p.arrival.ValueRank = p.parseNumber(value, 1)
 	case objectField:
 		p.arrival.Resource = string(value)
 	case customerField:
@@ -119,20 +119,20 @@
 	case guardKeyField:
 		p.guardKey = append(p.guardKey[:0], value...)
 	case createdField:
-		p.createdAt = p.number(value, maxTimestampMillis)
+		p.createdAt = p.parseNumber(value, maxTimestampMillis)
 	case idempotencyKeyField:
 		p.idempotencyKey = string(value)
 	case tenantField:
 		p.tenant = string(value)
 	case timeoutField:
-		p.request.clientTimeout = p.milliseconds(value)
+		p.request.clientTimeout = p.parseMilliseconds(value)
 	}
 }
 
 const notANumber = "a numeric field is malformed or out of range"
 
 // number parses a number from 0 to limit.
-func (p *parsedRequest) number(value []byte, limit float64) float64 {
+func (p *parsedRequest) parseNumber(value []byte, limit float64) float64 {
 	n, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(n >= 0 && n <= limit) {
 		p.problem = notANumber
@@ -140,13 +140,13 @@
 	return n
 }
 
-func (p *parsedRequest) milliseconds(value []byte) time.Duration {
-	return time.Duration(p.number(value, maxDurationMillis) * float64(time.Millisecond))
+func (p *parsedRequest) parseMilliseconds(value []byte) time.Duration {
+	return time.Duration(p.parseNumber(value, maxDurationMillis) * float64(time.Millisecond))
 }
 
 // setCaller sets the number of the calling edge node, which is also the customer if no customer header is configured.
 func (p *parsedRequest) setCaller(value []byte) {
-	n := p.number(value, math.MaxInt32)
+	n := p.parseNumber(value, math.MaxInt32)
 	p.arrival.EdgeNode = int(n)
 	if float64(p.arrival.EdgeNode) != n {
 		p.problem = notANumber
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -25,8 +25,8 @@
 	}
 	name, isInvoke := strings.CutPrefix(parsed.path, invokePrefix)
 	r.handler = b.handlerIndex(name)
-	known := isInvoke && r.handler >= 0
-	reason, problem := f.validate(parsed, complete, known)
+	handlerKnown := isInvoke && r.handler >= 0
+	reason, problem := f.validate(parsed, complete, handlerKnown)
 	r.ticket = b.ledger.Open(b.wallTime, r.id, b.ledgerRow(r.handler), client.protocol.kind(), parsed.customer)
 	if problem != "" {
 		f.rejectMalformed(r.exchange(), r.ticket, r.id, reason, problem)
@@ -59,13 +59,13 @@
 
 // validate checks the fields of a request and returns the first problem, which is empty if all are valid. The order of
 // the checks determines the reason by which a rejection is accounted for.
-func (f *frontend) validate(parsed *parsedRequest, complete, known bool) (reason accounting.Reason, problem string) {
+func (f *frontend) validate(parsed *parsedRequest, complete, handlerKnown bool) (reason accounting.Reason, problem string) {
 	b, r, arrival := f.backend, parsed.request, &parsed.arrival
 	reason = accounting.BadFields
 	switch {
 	case !complete:
 		problem = "parameters are truncated"
-	case !known:
+	case !handlerKnown:
 		reason = accounting.UnknownHandler
 		problem = "unknown handler"
 	case parsed.problem != "":
@@ -145,12 +145,12 @@
 	delete(client.deepChecks, slot)
 }
 
-// rejectUnknown rejects a request that the processor does not know, and closes the connection. The processor knows each
-// request of the deployment's clients, so this client does not belong to the deployment.
+// rejectUnknown rejects a request that the processor does not recognize, and closes the connection. The processor
+// recognizes each request of the deployment's clients, so this client does not belong to the deployment.
 func (f *frontend) rejectUnknown(r *request) {
 	delete(r.client.requests, r.slot)
 	from := r.exchange()
 	from.keepOpen = false
-	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "processor does not know the request")
+	f.rejectMalformed(from, r.ticket, r.id, accounting.UnknownRequest, "processor does not recognize the request")
 	f.backend.finishAnswered(r)
 }
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -30,7 +30,7 @@
 	stateHeld                               // submitted to the controller and not started
 	stateJoined                             // waits for the result of another request
 	stateAwaitingIntent                     // waits for its intent to become durable, or for another request with the same key
-	stateAwaitingResult                     // the run has ended, and its result is not durable yet
+	stateAwaitingResult                     // the run has ended and its result is not durable yet, or another node takes the request over
 	stateRunning                            // the run was started, or will be when the link to the processor is up
 	stateAwaitingCall                       // the run waits for a call that is not in flight
 	stateCalling                            // the run waits for a call in flight
--- a/backend/response.go
+++ b/backend/response.go
@@ -21,7 +21,7 @@
 type response struct {
 	status     int
 	signal     []byte        // formatted load signal; empty before the first
-	retryAfter time.Duration // earliest time of a retry after a rejection; 0 if not stated
+	retryAfter time.Duration // minimum delay before a retry of a rejected request; 0 if not stated
 	dontRetry  bool          // the rejected request must not be retried at another node either
 	body       []byte
 }
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -13,14 +13,14 @@
 // closingCheckInterval is the interval at which a closing process checks which connections it can close.
 const closingCheckInterval = 10 * time.Millisecond
 
-// drainState is the state of the shutdown that lifecycle.Process does not hold.
+// drainState is the part of the shutdown state that lifecycle.Process does not hold.
 type drainState struct {
 	eventPending bool          // the shutdown notice was received and is not reported to the overload controller yet
 	grace        time.Duration // time after the notice in which a request that is read may still start
 	retryAfter   time.Duration // retry-after time of requests that are rejected during shutdown; 0 for none
 }
 
-// startDrain starts the shutdown on its notice. A second notice has no effect.
+// startDrain starts the shutdown when its notice arrives. A second notice has no effect.
 func (b *Backend) startDrain() {
 	if !b.process.BeginDrain(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
 		return
