--- a/backend/client_conn.go
+++ b/backend/client_conn.go
@@ -143,9 +143,9 @@
 	if phase == lifecycle.Serving && discarded == 0 && !client.busy() && len(client.undelivered) == 0 {
 		return
 	}
-	f.backend.log.Info("client connection closed", "connection", client.number, "reason", reason, "phase", phase, "open", len(client.requests),
-		"half_read", client.protocol.openSlots()-client.pendingResponses(), "unsent_answers", len(client.undelivered),
-		"dropped_bytes", discarded)
+	f.backend.log.Info("client connection closed", "connection", client.number, "reason", reason, "phase", phase, "open_requests", len(client.requests),
+		"incomplete_requests", client.protocol.openSlots()-client.pendingResponses(), "undelivered_responses", len(client.undelivered),
+		"discarded_bytes", discarded)
 }
 
 // recordUnanswered counts and logs a request whose client did not get its response.
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -130,7 +130,7 @@
 // completely read are still answered. Without pending responses the connection is aborted at once.
 func (f *frontend) terminateConnection(client *clientConn, reason error) {
 	f.backend.stats.BadConns++
-	f.backend.logLimited("client protocol error", "from", "edge node", "reason", reason)
+	f.backend.logLimited("client protocol error", "peer", "edge node", "reason", reason)
 	f.stopReading(client)
 	if !client.busy() && client.conn.Unsent() == 0 {
 		client.conn.Abort(reason)
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -49,7 +49,7 @@
 		return false // received before the connection was lost
 	}
 	if n.Number != l.lastNotice+1 {
-		l.backend.logLimited("processor notices lost", "after", l.lastNotice, "got", n.Number)
+		l.backend.logLimited("processor notices lost", "last_number", l.lastNotice, "received_number", n.Number)
 		l.onNoticesLost()
 	}
 	l.lastNotice = n.Number
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -25,7 +25,7 @@
 	if !b.process.BeginDrain(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
 		return
 	}
-	b.log.Info("shutdown started", "within", b.process.KillTime()-b.now, "owed", b.unanswered, "heard_late_by_at_most", b.now-b.process.NoticeTime())
+	b.log.Info("shutdown started", "until_kill", b.process.KillTime()-b.now, "unanswered_requests", b.unanswered, "max_notice_delay", b.now-b.process.NoticeTime())
 	b.logPhase()
 	b.cluster.leave()
 	b.drain.eventPending = true
@@ -43,8 +43,8 @@
 
 // logPhase logs the present phase of the shutdown.
 func (b *Backend) logPhase() {
-	b.log.Info("shutdown phase changed", "to", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "owed", b.unanswered,
-		"connections", len(b.frontend.clients), "half_read_bytes", b.frontend.partialBytes)
+	b.log.Info("shutdown phase changed", "new_phase", b.process.Phase(), "until_kill", b.process.KillTime()-b.now, "unanswered_requests", b.unanswered,
+		"connections", len(b.frontend.clients), "incomplete_request_bytes", b.frontend.partialBytes)
 }
 
 // pendingWork returns the work that the exit of the process has to wait for.
@@ -102,7 +102,7 @@
 		if !b.hasClient(r) {
 			continue
 		}
-		b.log.Warn("request cancelled at shutdown deadline", "id", r.wireID, "held", !r.state.runInProgress())
+		b.log.Warn("request cancelled at shutdown deadline", "id", r.wireID, "not_started", !r.state.runInProgress())
 		if r.state.runInProgress() {
 			b.frontend.respondFailure(r, accounting.Cancelled)
 		} else {
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -263,7 +263,7 @@
 		for line := range strings.Lines(node.Process.Log()) {
 			for _, what := range []string{
 				"wall clock stepped", "process stalled", "processor link lost", "accept failed", "upstream protocol error", "upstream unreachable",
-				"configuration rejected", "configuration reloaded", "processor command retried", "request unanswered", "to=draining",
+				"configuration rejected", "configuration reloaded", "processor command retried", "request unanswered", "new_phase=draining",
 				"request cancelled at shutdown deadline", "processor unreachable",
 			} {
 				if strings.Contains(line, what) {
