--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -84,7 +84,7 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	change(after, nil, 0) // without the former members
-	waitForLog("must stand beside the new one", 0)
+	waitForLog("must first be used together with the previous list", 0)
 	for _, i := range []int{3, 4} {
 		cluster.setMembers(i, after, before)
 		if err := cluster.nodes[i].Start(); err != nil { // it serves claims once the other nodes know it
@@ -94,14 +94,14 @@
 	change(after, before, 0, 1)
 	time.Sleep(300 * time.Millisecond)
 	change(after, nil, 0) // n3 has still adopted only the former list
-	waitForLog("not known to go by the new list", 0)
+	waitForLog("not known to use the new member list", 0)
 	if err := cluster.nodes[2].Kill(); err != nil {
 		t.Fatal(err)
 	}
 	cluster.setMembers(2, after, before)
 	cluster.start(2)
 	change(after, nil, 0, 1, 2, 3, 4)
-	waitForLog("may still be asked for again", 0, 1, 2, 3, 4)
+	waitForLog("may still retry requests that ran under the previous member list", 0, 1, 2, 3, 4)
 	waitForLog("now=3 before=0", 0, 1, 2, 3, 4)
 	for _, i := range []int{0, 1} {
 		if err := cluster.nodes[i].Drain(); err != nil {
--- a/failover/roster.go
+++ b/failover/roster.go
@@ -73,15 +73,15 @@
 var (
 	// ErrTransitionRequired means that the new list must first be used together
 	// with the previous list.
-	ErrTransitionRequired = errors.New("the member list changes, and the previous list must stand beside the new one first")
+	ErrTransitionRequired = errors.New("the new member list must first be used together with the previous list")
 	// ErrTransitionInProgress means that the lists belong to a different change
 	// than the one in progress.
 	ErrTransitionInProgress = errors.New("another membership change is in progress and must end first")
 	// ErrRetryHorizon means that clients may still retry requests that ran
 	// under the previous list alone.
-	ErrRetryHorizon = errors.New("requests that ran under the previous member list may still be asked for again")
+	ErrRetryHorizon = errors.New("clients may still retry requests that ran under the previous member list")
 	// ErrNotAdopted means that some nodes are not known to use the new list.
-	ErrNotAdopted = errors.New("some nodes are not known to go by the new list")
+	ErrNotAdopted = errors.New("some nodes are not known to use the new member list")
 )
 
 // NotAdopted returns the members other than self that are not known to use the
