--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -10,54 +10,55 @@
 	"frosthub/recovery"
 )
 
-// ClusterConfig describes the nodes that take over each other's guarded requests. The zero value is a node alone.
+// ClusterConfig configures the cluster whose nodes take over each other's guarded requests. The zero value means that
+// the node belongs to no cluster.
 type ClusterConfig struct {
 	Name    string
-	Listen  string // where the other nodes connect
+	Listen  string // address on which the other nodes connect
 	Members []ClusterMember
-	// Previous is the members before, while the members change.
+	// Previous is the previous member list while a membership change is in progress.
 	Previous []ClusterMember
-	// ResumeUnclaimed has a request that a lost node had reserved go on although nobody retries it.
+	// ResumeUnclaimed makes the cluster resume a request that a lost node had reserved even if no client retries it.
 	ResumeUnclaimed bool
-	// MajorityAfter is how long after a start all nodes that may know more than this node's disk are waited for. After
-	// that a majority will do. 0 means the default.
+	// MajorityAfter is how long after a start to wait for the recorded states of all recovery peers. After that, those
+	// of a majority suffice. 0 means the default.
 	MajorityAfter time.Duration
-	// DegradeAfter is how long a majority is waited for. 0 means the default.
+	// DegradeAfter is how long to wait for a majority of the recovery peers. 0 means the default.
 	DegradeAfter time.Duration
-	// ReplayableHandlers are the handlers whose requests may run twice and are taken over too, and what their keys are
-	// made of.
+	// ReplayableHandlers maps the handlers whose requests may run twice and are taken over too to the key parts of
+	// their requests.
 	ReplayableHandlers map[string][]KeyPart
 }
 
-// ClusterMember is one of the nodes. This node is among them.
+// ClusterMember is a node of the cluster. The list of members includes this node.
 type ClusterMember struct {
 	failover.Member
 	Address string `json:"address"`
-	// Processor is where other nodes may ask the node's processor how runs ended once the node seems lost. Empty: they
-	// don't.
+	// Processor is the address at which other nodes query the node's processor for the outcomes of its runs once the
+	// node seems lost. If it is empty, they do not.
 	Processor string `json:"processor,omitempty"`
 }
 
 const (
-	// failoverTick is the time between looks at what other nodes owe an answer to.
-	failoverTick = 20 * time.Millisecond
-	// probeInterval and probeTimeout are those of the failure detector: a node is suspected after a few intervals.
+	// failoverTickInterval is the time between checks for overdue answers of other nodes.
+	failoverTickInterval = 20 * time.Millisecond
+	// probeInterval and probeTimeout configure the failure detector, which suspects a node after a few intervals.
 	probeInterval = 100 * time.Millisecond
 	probeTimeout  = 40 * time.Millisecond
-	// notedResultShare is the part of the memory limit for results of replayable requests that are kept for other
-	// nodes.
-	notedResultShare = 0.02
+	// replayableResultShare is the part of the memory limit for results of replayable requests that this node keeps for
+	// other nodes.
+	replayableResultShare = 0.02
 )
 
-// cluster connects the backend with the failure detector, the failover node and the recovery node: it carries their
-// messages and does what they decide.
+// cluster connects the backend with the failure detector, the failover node and the recovery node: it transports their
+// messages and carries out their decisions.
 //
-// A node of a cluster comes up in steps: init; startRecovery once the store is loaded; start once the recovery knows
-// enough of what the others remember of this node. Until then no guarded request is admitted.
+// A node joins its cluster in three steps: init, then startRecovery once the store is loaded, then start once the
+// recovery has established whether the store is complete. Until then the node admits no guarded request.
 //
 // All methods are called by the goroutine that owns the backend.
 type cluster struct {
-	backend     *Backend // nil for a node alone
+	backend     *Backend // nil without a cluster
 	detector    *membership.Detector
 	node        *failover.Node // nil until start
 	links       map[string]*peerLink
@@ -65,23 +66,23 @@
 	nextTick    time.Duration
 	store       *idempotency.Store
 	recovery    *recovery.Node // nil until startRecovery
-	mark        uint64         // random, of this process: others remember it with what they know of the node
+	mark        uint64         // random number of this process; peers store it with the node's recorded state
 	peerStates  peerStateFile
 	refill      refillState
-	keyParts    [][]KeyPart // by handler, of replayable ones that are taken over
+	keyParts    [][]KeyPart // by handler index; nil unless the handler is replayable and its requests are taken over
 
-	processorQueries map[string]*processorQuery // by the lost node whose processor is asked
+	processorQueries map[string]*processorQuery // by the name of the lost node
 
-	roster      clusterRoster       // the adopted one
-	ownDigests  []uint64            // of the adopted roster's lists
-	peerDigests map[string][]uint64 // of those that other nodes have adopted
-	departing   []ClusterMember     // of the previous list: no members any more, but not known to be gone
+	roster      clusterRoster       // the roster that this node has adopted
+	ownDigests  []uint64            // digests of the member lists of roster
+	peerDigests map[string][]uint64 // digests that the other nodes reported, by node
+	departing   []ClusterMember     // nodes of the previous list that are no longer members but not known to be dead
 	change      rosterChange
 }
 
 func (c *cluster) enabled() bool { return c.backend != nil }
 
-// init prepares a node of a cluster.
+// init prepares a node of a cluster. It does nothing if no cluster is configured.
 func (c *cluster) init(b *Backend) {
 	if b.cfg.Cluster.Name == "" || !b.guard.enabled() {
 		return
@@ -93,22 +94,22 @@
 	for _, handler := range b.handlers {
 		parts := b.cfg.Cluster.ReplayableHandlers[handler.name]
 		if !handler.replayable {
-			parts = nil // what must not run twice is guarded, or not kept at all
+			parts = nil // requests that must not run twice are guarded by the store, or not tracked at all
 		}
 		c.keyParts = append(c.keyParts, parts)
 	}
 }
 
-// start has the node take part in the cluster, in the incarnation that its store counts. It is called again when the
-// incarnation is raised.
+// start makes the node take part in the cluster, under the incarnation that its store has recorded. It is called again
+// when the incarnation is raised.
 func (c *cluster) start() {
 	b := c.backend
 	c.incarnation = c.store.Stats().Incarnation
 	roster := c.roster.forFailover()
-	if c.node != nil { // its incarnation was raised
+	if c.node != nil { // the incarnation was raised
 		c.store.AbandonInFlight(b.guard.now())
 	}
-	c.change.pending = true // until the roster of the operator's file is adopted
+	c.change.pending = true // until the roster of the operator's configuration file is adopted
 	c.detector = membership.New(membership.Config{
 		Name:          b.cfg.Name,
 		Incarnation:   c.incarnation,
@@ -122,7 +123,7 @@
 		Members:         roster.Members,
 		Previous:        roster.Previous,
 		ResumeUnclaimed: b.cfg.Cluster.ResumeUnclaimed,
-		MaxResultBytes:  int(min(b.memoryShare(notedResultShare), notedResultShare*assumedMemoryBytes)),
+		MaxResultBytes:  int(min(b.memoryShare(replayableResultShare), replayableResultShare*assumedMemoryBytes)),
 	}, c.store, c, b.cfg.Seed^1, b.guard.now())
 	c.node.MarkFencesDurable(fenceList(c.peerStates.Fences))
 	c.startRefill()
@@ -130,17 +131,17 @@
 		"members", len(roster.Members), "before", len(roster.Previous))
 }
 
-// Alive reports whether a node is believed to be alive. The failover node asks it. A node that is only suspected isn't
-// alive: trying to replace it does no harm.
+// Alive reports whether the failure detector considers a node alive. It implements failover.FailureDetector. A node
+// that is only suspected is not alive: an attempt to take over its requests does no harm.
 func (c *cluster) Alive(name string) bool { return c.detector.Lookup(name).State == membership.Alive }
 
-// Dead reports whether a node is believed to be dead or to have left.
+// Dead reports whether the failure detector considers a node dead or has seen it leave.
 func (c *cluster) Dead(name string) bool { return c.detector.Lookup(name).State >= membership.Dead }
 
-// Incarnation returns the last known incarnation of a node.
+// Incarnation returns the latest known incarnation of a node.
 func (c *cluster) Incarnation(name string) uint64 { return c.detector.Lookup(name).Incarnation }
 
-// onTimer does what is due and asks the backend to wake up for the rest.
+// onTimer performs what is due, and makes the backend wake up for the next deadline.
 func (c *cluster) onTimer() {
 	c.recoveryTick()
 	if c.node == nil {
@@ -149,7 +150,7 @@
 	b := c.backend
 	c.expireProcessorQueries()
 	if b.now >= c.nextTick {
-		c.nextTick = b.now + failoverTick
+		c.nextTick = b.now + failoverTickInterval
 		c.node.Tick(b.guard.now())
 		c.refillTick()
 	}
@@ -163,8 +164,8 @@
 	b.wakeBy(deadline)
 }
 
-// runPending carries out what the failure detector and the failover node want, and reports whether there was an outcome
-// of a request.
+// runPending performs the pending actions of the recovery node, the failure detector and the failover node. It reports
+// whether one of them was a decision on a request.
 func (c *cluster) runPending() bool {
 	c.runRecovery()
 	if c.node == nil {
@@ -181,7 +182,7 @@
 func (c *cluster) runDetector() {
 	messages, changes := c.detector.Ready()
 	for _, message := range messages {
-		if link := c.links[message.To]; link != nil { // else it is no member any more
+		if link := c.links[message.To]; link != nil { // nil: no longer a member
 			link.batch.Members = append(link.batch.Members, message.Message)
 		}
 	}
@@ -194,23 +195,23 @@
 
 func (c *cluster) runFailover() (progress bool) {
 	for {
-		messages, outcomes := c.node.Ready()
-		if len(messages)+len(outcomes) == 0 {
+		messages, decisions := c.node.Ready()
+		if len(messages)+len(decisions) == 0 {
 			return progress
 		}
 		for _, message := range messages {
-			if link := c.links[message.To]; link != nil { // a ballot may name a node that is not on this roster
+			if link := c.links[message.To]; link != nil { // nil: a ballot may name a node outside this roster
 				link.batch.Claims = append(link.batch.Claims, message.Message)
 			}
 		}
-		for _, outcome := range outcomes {
+		for _, decision := range decisions {
 			progress = true
-			c.applyOutcome(outcome)
+			c.applyDecision(decision)
 		}
 	}
 }
 
-// leave tells the other nodes that this one ends. It takes nothing over any more.
+// leave announces to the other nodes that this one shuts down. From then on it takes over no requests.
 func (c *cluster) leave() {
 	if c.node != nil {
 		c.node.StartDraining()
@@ -218,10 +219,10 @@
 	}
 }
 
-// expireProcessorQueries closes the connections on which the processor of a lost node doesn't answer.
+// expireProcessorQueries closes the connections on which the processor of a lost node did not answer in time.
 func (c *cluster) expireProcessorQueries() {
 	b := c.backend
-	for _, query := range c.processorQueries { // each has its own connection: the order doesn't matter
+	for _, query := range c.processorQueries { // the order does not matter: each query has its own connection
 		switch {
 		case query.conn == nil:
 		case b.now >= query.deadline:
--- a/backend/cluster_link.go
+++ b/backend/cluster_link.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	// nodeRedialWait is the time between tries to reach a node.
-	nodeRedialWait = 200 * time.Millisecond
-	// maxUnsentToNode is how many bytes may wait for a node that takes none. Then the connection is closed.
-	maxUnsentToNode = 4 << 20
+	// peerRedialInterval is the time between attempts to connect to a peer.
+	peerRedialInterval = 200 * time.Millisecond
+	// maxUnsentToPeer is the maximum number of unsent bytes for a peer that does not read. Beyond it, the connection is
+	// closed.
+	maxUnsentToPeer = 4 << 20
 )
 
-// peerLink is the connection on which this node sends to another one. What the other sends comes on a connection that
-// it has opened; see peerConn.
+// peerLink is the outgoing connection to a peer. This node only sends on it; the peer's messages arrive on the
+// connection that the peer has opened, a peerConn.
 type peerLink struct {
 	address    string
 	processor  string
-	conn       *conn.Conn // nil while there is none
+	conn       *conn.Conn // nil while not connected
 	dialing    bool
 	redialAt   time.Duration
-	batch      peerproto.Batch // of this turn
-	queryState bool            // the node is to be asked what it remembers of this one
+	batch      peerproto.Batch // messages of this turn
+	queryState bool            // the next hello queries the state of this node that the peer has recorded
 }
 
-// hasPending reports whether a link has something to send.
+// hasPending reports whether the link has anything to send.
 func (l *peerLink) hasPending() bool {
 	batch := &l.batch
 	messages := len(batch.Members) + len(batch.Claims)
 	return messages > 0 || batch.PeerState != nil || batch.PageRequest != nil || batch.Page != nil || l.queryState
 }
 
-// abort closes the connection of a link, if there is one.
+// abort closes the connection of the link, if there is one.
 func (l *peerLink) abort() {
 	if l.conn != nil {
 		l.conn.Abort(conn.ErrClosedLocally)
 	}
 }
 
-// updateLinks makes the links those to the nodes of the roster, at their addresses, and has the failure detector probe
-// those nodes.
+// updateLinks adds, removes and readdresses links so that there is one to each other node of the roster and to each
+// departing node. It also sets the nodes that the failure detector probes.
 func (c *cluster) updateLinks() {
 	nodes := append(c.roster.allMembers(), c.departing...)
 	var names []string
@@ -74,14 +75,15 @@
 	}
 }
 
-// sendBatches writes what has come together in a turn, one batch a node.
+// sendBatches writes the messages of this turn, one batch for each peer.
 func (c *cluster) sendBatches() {
-	for _, link := range c.links { // each has its own connection: the order doesn't matter
+	for _, link := range c.links { // the order does not matter: each link has its own connection
 		c.flush(link)
 	}
 }
 
-// flush writes a turn's batch to a node. What can't be sent is lost; its sender retries.
+// flush writes this turn's batch to a peer. Without a connection the batch is dropped, and the senders of its messages
+// retry; flush then starts to connect.
 func (c *cluster) flush(link *peerLink) {
 	if !link.hasPending() {
 		return
@@ -104,16 +106,16 @@
 
 func (c *cluster) dialed(link *peerLink, address string, opened *conn.Conn, err error) {
 	link.dialing = false
-	link.redialAt = c.backend.now + nodeRedialWait
+	link.redialAt = c.backend.now + peerRedialInterval
 	if err != nil {
 		return
 	}
-	if link.address != address { // it has moved meanwhile
+	if link.address != address { // the address has changed in the meantime
 		opened.CloseAfterSend(conn.ErrClosedLocally)
 		return
 	}
 	link.conn = opened
-	opened.MaxUnsent = maxUnsentToNode
+	opened.MaxUnsent = maxUnsentToPeer
 	opened.OnData = func([]byte) error { return nil }
 	opened.OnClosed = func(error) {
 		if link.conn == opened {
@@ -124,8 +126,8 @@
 	link.queryState = false
 }
 
-// helloMessage is the first message on a connection to another node. It is sent again when the roster changes, and when this
-// node's log has grown.
+// helloMessage returns the first message on a connection to a peer. It is sent again when the roster changes, and when
+// this node's log has grown.
 func (c *cluster) helloMessage(queryState bool) []byte {
 	b := c.backend
 	return peerproto.Append(nil, &peerproto.Batch{Hello: &peerproto.Hello{
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -10,28 +10,28 @@
 	"frosthub/recovery"
 )
 
-// maxHelloBytes is how many bytes are taken of a node that has not said who it is.
+// maxHelloBytes is the maximum number of bytes to buffer from a peer that has not identified itself.
 const maxHelloBytes = 4 << 10
 
 var (
-	errStranger = errors.New("not of this cluster")
-	errNoHello  = errors.New("it does not say who it is")
+	errNotMember = errors.New("the sender is not a member of this cluster")
+	errNoHello   = errors.New("the sender has not identified itself with a hello message")
 )
 
-// peerConn is a connection that another node has opened to send on.
+// peerConn is an incoming connection, on which a peer sends its messages.
 type peerConn struct {
 	cluster     *cluster
-	node        string // its name; empty until it has said who it is
+	name        string // name of the peer; empty until its hello arrives
 	incarnation uint64
 }
 
-// accept takes the connection of another node.
+// accept starts reading from an incoming connection of a peer.
 func (c *cluster) accept(accepted *conn.Conn) {
 	peer := &peerConn{cluster: c}
 	parser := peerproto.NewParser(peer.receive)
-	accepted.OnData = c.backend.parseLogged("bad node", func(text []byte) error {
+	accepted.OnData = c.backend.parseLogged("peer protocol error", func(text []byte) error {
 		err := parser.Feed(text)
-		if err == nil && peer.node == "" && parser.Buffered() > maxHelloBytes {
+		if err == nil && peer.name == "" && parser.Buffered() > maxHelloBytes {
 			return errNoHello
 		}
 		return err
@@ -39,82 +39,82 @@
 	accepted.OnClosed = func(error) {}
 }
 
-// receive handles a batch of messages. An error closes the connection.
+// receive handles a batch of messages. If it returns an error, the connection is closed.
 func (p *peerConn) receive(batch *peerproto.Batch) error {
 	c := p.cluster
 	if c.recovery == nil && batch.Hello == nil {
-		return nil // the store is not loaded yet: the other node retries
+		return nil // the store is not loaded yet: the peer retries
 	}
-	if hello := batch.Hello; hello != nil && (p.node == "" || p.node == hello.From) {
+	if hello := batch.Hello; hello != nil && (p.name == "" || p.name == hello.From) {
 		if err := p.identify(hello); err != nil {
 			return err
 		}
 	}
-	if p.node != "" && batch.PeerState != nil && c.recovery != nil {
-		c.recovery.Receive(c.backend.now, p.node, *batch.PeerState)
+	if p.name != "" && batch.PeerState != nil && c.recovery != nil {
+		c.recovery.Receive(c.backend.now, p.name, *batch.PeerState)
 	}
 	switch {
-	case p.node == "":
+	case p.name == "":
 		return errNoHello
 	case c.node == nil:
 		return nil
-	case c.links[p.node] == nil:
-		return fmt.Errorf("%w: %s", errStranger, p.node)
+	case c.links[p.name] == nil:
+		return fmt.Errorf("%w: %s", errNotMember, p.name)
 	}
 	p.dispatch(batch)
 	return nil
 }
 
-// identify takes a hello.
+// identify handles a hello message. It returns an error if the sender is not a member of the cluster.
 func (p *peerConn) identify(hello *peerproto.Hello) error {
 	c := p.cluster
-	isMember := c.links[hello.From] != nil || c.recovery == nil // the members are not known before the store is loaded
+	isMember := c.links[hello.From] != nil || c.recovery == nil // the roster is not known before the store is loaded
 	if hello.Cluster != c.backend.cfg.Cluster.Name || !isMember {
-		return fmt.Errorf("%w: %s of %s", errStranger, hello.From, hello.Cluster)
+		return fmt.Errorf("%w: %s of %s", errNotMember, hello.From, hello.Cluster)
 	}
-	p.node = hello.From
+	p.name = hello.From
 	p.incarnation = hello.Incarnation
-	c.peerDigests[p.node] = hello.RosterDigests
+	c.peerDigests[p.name] = hello.RosterDigests
 	c.onHello(hello)
 	return nil
 }
 
-// dispatch hands the messages of a member to those that they are for.
+// dispatch passes the messages of a member to the components that handle them.
 func (p *peerConn) dispatch(batch *peerproto.Batch) {
 	c := p.cluster
 	b := c.backend
 	if batch.PageRequest != nil {
-		c.sendPage(p.node, p.incarnation, batch.PageRequest)
+		c.sendPage(p.name, p.incarnation, batch.PageRequest)
 	}
 	if batch.Page != nil {
-		c.onPage(p.node, p.incarnation, batch.Page)
+		c.onPage(p.name, p.incarnation, batch.Page)
 	}
 	if len(batch.Members) == 0 {
-		c.detector.Observe(b.now, p.node, p.incarnation)
+		c.detector.Observe(b.now, p.name, p.incarnation)
 	}
 	for i := range batch.Members {
-		c.detector.Receive(b.now, p.node, p.incarnation, &batch.Members[i])
+		c.detector.Receive(b.now, p.name, p.incarnation, &batch.Members[i])
 	}
-	if len(batch.Claims) > 0 && !failover.Compatible(c.peerDigests[p.node], c.ownDigests) {
-		b.logLimited("member lists differ", "node", p.node)
+	if len(batch.Claims) > 0 && !failover.Compatible(c.peerDigests[p.name], c.ownDigests) {
+		b.logLimited("peer messages dropped: no common member list", "node", p.name)
 		return
 	}
 	for i := range batch.Claims {
-		c.node.Receive(b.guard.now(), p.node, p.incarnation, &batch.Claims[i])
+		c.node.Receive(b.guard.now(), p.name, p.incarnation, &batch.Claims[i])
 	}
 }
 
-// onHello takes what a node says of itself, and answers what it asks.
+// onHello records the state that a peer reports in its hello message, and answers its query.
 func (c *cluster) onHello(hello *peerproto.Hello) {
 	if c.recovery == nil {
-		return // the store is not loaded yet: the other node retries
+		return // the store is not loaded yet: the peer retries
 	}
 	if hello.QueryState {
 		answer := c.peerStates.Answer(hello.From, hello.Mark)
 		c.links[hello.From].batch.PeerState = &answer
 	}
 	if c.peerStates.MarkReturned(hello.From) {
-		c.backend.log.Warn("recovery", "back", hello.From, "so", "it is waited for again")
+		c.backend.log.Warn("recovery", "back", hello.From, "so", "recovery waits for its answer again")
 		c.recovery.SetOthers(c.recoveryPeers())
 	}
 	c.peerStates.Update(hello.From, hello.Mark, recovery.PeerState{Incarnation: hello.Incarnation, Seq: hello.Seq})
--- a/backend/cluster_operator.go
+++ b/backend/cluster_operator.go
@@ -6,17 +6,18 @@
 	"frosthub/recovery"
 )
 
-// Errors of what an operator says to a running node.
+// Errors of an operator's requests to a running node.
 var (
-	ErrNoCluster       = errors.New("no cluster here, or its store is still being loaded")
+	ErrNoCluster       = errors.New("the node belongs to no cluster, or its store is still loading")
 	ErrUnknownNode     = errors.New("no other node of the cluster has that name")
-	ErrNodeAlive       = errors.New("that node seems to be alive")
-	ErrHistoryComplete = errors.New("nothing of this node's disk is in doubt")
+	ErrNodeAlive       = errors.New("the failure detector considers that node alive")
+	ErrHistoryComplete = errors.New("the history in this node's store is already complete")
 )
 
-// Trust accepts the operator's assurance that this node's disk is all that there is. What it may lack is not asked for
-// any more, and may run twice. The store records it. Trust returns ErrNoCluster or ErrNothingUnknown where it doesn't
-// apply. It may be called from any goroutine.
+// Trust accepts the operator's assurance that this node's disk is complete. The node stops querying its peers for
+// missing history; a request that is missing on the disk may run twice. The store records the assurance. Trust returns
+// ErrNoCluster without a loaded store of a cluster, and ErrHistoryComplete if the history is complete already. It may
+// be called from any goroutine.
 func (b *Backend) Trust() (err error) {
 	b.runOnOwner(func() { err = b.cluster.trustDisk() })
 	return err
@@ -30,7 +31,7 @@
 	case c.store.HistoryComplete() && c.recovery.Phase() != recovery.Querying:
 		return ErrHistoryComplete
 	}
-	b.log.Warn("recovery", "said", "an operator answers for the disk")
+	b.log.Warn("recovery", "said", "an operator has confirmed that the store is complete")
 	c.store.AcceptHistory(b.guard.now())
 	c.refill.history = nil
 	c.recovery.TrustDisk()
@@ -39,9 +40,11 @@
 	return nil
 }
 
-// Forget accepts the operator's assurance that a node of the cluster never comes back: nobody here waits for what it
-// may know. It is recorded beside the store, and ends when that node sends a message after all. Forget returns
-// ErrNoCluster, ErrUnknownNode or ErrNodeAlive where it doesn't apply. It may be called from any goroutine.
+// Forget accepts the operator's assurance that another node of the cluster never returns: this node no longer waits for
+// the history and the recorded states of that node. The assurance is stored beside the store, and ends when that node
+// sends a message after all. Forget returns ErrNoCluster without a loaded store of a cluster, ErrUnknownNode if name is
+// not another node of the cluster, and ErrNodeAlive if that node seems to be alive. It may be called from any
+// goroutine.
 func (b *Backend) Forget(name string) (err error) {
 	b.runOnOwner(func() { err = b.cluster.forgetNode(name) })
 	return err
@@ -57,7 +60,7 @@
 	case c.node != nil && c.Alive(name):
 		return ErrNodeAlive
 	}
-	b.log.Warn("recovery", "said", "a node never comes back", "node", name)
+	b.log.Warn("recovery", "said", "an operator has confirmed that a node never returns", "node", name)
 	c.peerStates.Forget(name, b.guard.now())
 	c.recovery.SetOthers(c.recoveryPeers())
 	c.recovery.Tick(b.now)
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -10,17 +10,17 @@
 	"frosthub/overload"
 )
 
-// processorQueryTimeout is how long the processor of a lost node is waited for.
+// processorQueryTimeout is how long to wait for the processor of a lost node.
 const processorQueryTimeout = 100 * time.Millisecond
 
-// processorQuery is a question to the processor of a lost node.
+// processorQuery is a query to the processor of a lost node.
 type processorQuery struct {
-	conn     *conn.Conn // nil while it is dialed
+	conn     *conn.Conn // nil while connecting
 	deadline time.Duration
 }
 
-// queryProcessor asks the processor of a lost node how runs that were started there have ended: it hands out its
-// notices after the given one.
+// queryProcessor queries the processor of a lost node for the outcomes of the runs that the node had started. The
+// processor sends its notices after the one with the given number.
 func (c *cluster) queryProcessor(wanted failover.ProcessorQuery) {
 	b := c.backend
 	link := c.links[wanted.Node]
@@ -39,17 +39,17 @@
 		opened.MaxUnsent = int(min(b.memoryShare(linkMemoryShare), math.MaxInt32))
 		opened.SetInputLimit(opened.MaxUnsent)
 		opened.OnClosed = func(error) { delete(c.processorQueries, wanted.Node) }
-		parser := processor.NewParser(func(notice processor.Notice) { c.onForeignNotice(wanted.Node, opened, &notice) })
+		parser := processor.NewParser(func(notice processor.Notice) { c.onLostNodeNotice(wanted.Node, opened, &notice) })
 		opened.OnData = b.parseLogged("processor protocol error", parser.Feed)
-		opened.Write(processor.AppendHello(nil, max(wanted.Notice, 1))) // 0 would say that its backend has started anew
+		opened.Write(processor.AppendHello(nil, max(wanted.Notice, 1))) // 0 would mean that the processor's backend has restarted
 	})
 }
 
-// onForeignNotice handles a notice of the processor of a lost node.
-func (c *cluster) onForeignNotice(node string, from *conn.Conn, notice *processor.Notice) {
+// onLostNodeNotice handles a notice of the processor of a lost node.
+func (c *cluster) onLostNodeNotice(node string, from *conn.Conn, notice *processor.Notice) {
 	switch notice.Kind {
 	case processor.Hello:
-		from.Write(processor.AppendGaugeRequest(nil, 1)) // its answer follows all notices that are kept
+		from.Write(processor.AppendGaugeRequest(nil, 1)) // the reply arrives after all notices that the processor has kept
 	case processor.Complete:
 		switch notice.Outcome {
 		case overload.OK, overload.Failed, overload.Cancelled:
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -12,18 +12,18 @@
 	"frosthub/membership"
 )
 
-// reconfigureRetry is the time between tries to adopt another roster.
-const reconfigureRetry = time.Second
+// reconfigureRetryInterval is the time between attempts to adopt another roster.
+const reconfigureRetryInterval = time.Second
 
-// rosterChange is how far the change to another roster is.
+// rosterChange is the progress of a change to another roster.
 type rosterChange struct {
-	pending bool          // the roster of the configuration is to be adopted
-	retryAt time.Duration // when that is tried next
-	reason  string        // why it is not adopted yet
-	writing bool          // a roster is being written; it is adopted once it is on disk
+	pending bool          // the configured roster is not adopted yet
+	retryAt time.Duration // time of the next attempt
+	reason  string        // why the configured roster is not adopted yet
+	writing bool          // a roster is being written; it is adopted once it is durable
 }
 
-// reconfigure has the node adopt the roster of another configuration as soon as that is safe.
+// reconfigure makes the node adopt the roster of another configuration as soon as that is safe.
 func (c *cluster) reconfigure(cfg ClusterConfig) {
 	if !c.enabled() || cfg.Name != c.backend.cfg.Cluster.Name {
 		return
@@ -34,8 +34,8 @@
 	c.change.retryAt = c.backend.now
 }
 
-// tryReconfigure adopts the roster of the configuration if that is safe. While the members change it also finds out
-// whether all other nodes have adopted both lists.
+// tryReconfigure adopts the configured roster if that is safe. While the members change, it also checks whether all
+// other nodes have adopted both lists.
 func (c *cluster) tryReconfigure() {
 	b := c.backend
 	awaitsOthers := len(c.roster.Previous) > 0 && c.roster.Since <= 0
@@ -46,7 +46,7 @@
 		b.wakeBy(c.change.retryAt)
 		return
 	}
-	c.change.retryAt = b.now + reconfigureRetry
+	c.change.retryAt = b.now + reconfigureRetryInterval
 	b.wakeBy(c.change.retryAt)
 	roster := c.roster.forFailover()
 	if len(roster.Previous) > 0 && roster.Since == 0 && c.recordAdoptedByAll(&roster) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// recordAdoptedByAll records when all nodes have adopted both lists, and reports whether they have.
+// recordAdoptedByAll reports whether all other nodes have adopted both lists, and if so stores the current time as the
+// roster's Since.
 func (c *cluster) recordAdoptedByAll(roster *failover.Roster) bool {
 	b := c.backend
 	behind := roster.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.peerDigests[name] })
@@ -72,7 +73,7 @@
 	return true
 }
 
-// adoptConfigured adopts the roster of the configuration if it may follow the present one.
+// adoptConfigured adopts the configured roster if the rules allow it to follow the current one.
 func (c *cluster) adoptConfigured(roster *failover.Roster) {
 	b := c.backend
 	configured := b.cfg.Cluster.roster()
@@ -81,7 +82,7 @@
 		if c.change.reason == "" || !errors.Is(err, failover.ErrNotAdopted) {
 			c.change.reason = err.Error()
 		}
-		b.logLimited("membership change refused", "reason", c.change.reason)
+		b.logLimited("membership change postponed", "reason", c.change.reason)
 		return
 	}
 	configured.Since = next.Since
@@ -92,7 +93,7 @@
 	}
 }
 
-// retryWindow is how long after a request was read it may run or be retried.
+// retryWindow returns how long after a request was read it may still run or be retried.
 func (c *cluster) retryWindow() time.Duration {
 	longest := c.backend.cfg.Idempotency.Store.RetryHorizon
 	for _, handler := range c.backend.handlers {
@@ -101,7 +102,7 @@
 	return longest
 }
 
-// writeRoster has the node adopt a roster once it is on disk.
+// writeRoster writes a roster to disk and then adopts it.
 func (c *cluster) writeRoster(roster clusterRoster) {
 	b := c.backend
 	c.change.writing = true
@@ -112,7 +113,7 @@
 			c.change.writing = false
 			if err != nil {
 				c.change.pending = true
-				b.logLimited("membership change refused", "reason", err)
+				b.logLimited("membership change postponed", "reason", err)
 				return
 			}
 			c.adopt(roster)
@@ -120,7 +121,7 @@
 	}()
 }
 
-// adopt has the node act on a roster from now on, and tells the other nodes.
+// adopt makes the node use a roster from now on, and announces the roster to the other nodes.
 func (c *cluster) adopt(roster clusterRoster) {
 	b := c.backend
 	c.keepDeparting(&roster)
@@ -137,8 +138,8 @@
 	b.log.Info("membership changed", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
 }
 
-// keepDeparting keeps the links to the nodes that leave with a new roster: those may still have requests in flight, and
-// have them noted by this one.
+// keepDeparting keeps the links to the nodes that leave with a new roster: they may still have requests in flight and
+// need this node to note the outcomes.
 func (c *cluster) keepDeparting(next *clusterRoster) {
 	if len(next.Previous) == 0 {
 		for _, member := range c.roster.Previous {
@@ -152,7 +153,7 @@
 	})
 }
 
-// sendHelloToAll sends a hello to all nodes that are connected.
+// sendHelloToAll sends a hello message to all connected peers.
 func (c *cluster) sendHelloToAll() {
 	for _, link := range c.links {
 		if link.conn != nil {
@@ -161,8 +162,8 @@
 	}
 }
 
-// adoptedByAllSince tells since when all nodes have adopted both lists, as far as this one knows. It is empty if they
-// have not.
+// adoptedByAllSince returns the time since which all nodes are known to have adopted both lists, in RFC 3339 format. It
+// returns "" if some are not known to.
 func (c *cluster) adoptedByAllSince() string {
 	if c.roster.Since == 0 {
 		return ""
@@ -170,8 +171,8 @@
 	return time.Unix(0, int64(c.roster.Since)).UTC().Format(time.RFC3339)
 }
 
-// unlinkDeparted closes the link to a node that is no member any more once the node is believed to be dead. One that has
-// left may still wait for the ends of its runs.
+// unlinkDeparted closes the link to a departing node once the node is considered dead. A node that has left may still
+// wait for the outcomes of its runs.
 func (c *cluster) unlinkDeparted(update membership.Update) {
 	if update.State != membership.Dead {
 		return
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -11,10 +11,10 @@
 	"frosthub/overload"
 )
 
-// defaultSizeKB is the size in kilobytes that is taken for a request whose first node said none.
+// defaultSizeKB is the assumed size in kilobytes of a taken-over request whose size is not known.
 const defaultSizeKB = 24.0
 
-// claim asks the group of a guarded request, before it is submitted to the overload controller.
+// claim claims the key of a guarded request in its group, before the request is submitted to the overload controller.
 func (c *cluster) claim(r *request) {
 	r.unverify()
 	handler := &c.backend.handlers[r.handler]
@@ -30,21 +30,21 @@
 	})
 }
 
-// submitClaimed submits a request that its group has granted to the overload controller.
+// submitClaimed submits a request whose claim its group has granted to the overload controller.
 func (c *cluster) submitClaimed(r *request) {
 	c.endClaim(r)
 	if r.guard.replayable {
-		c.backend.results.checkRepeat(r) // where there is no room it isn't cached: it may run twice
+		c.backend.results.checkRepeat(r) // if the cache is full the request runs uncached, since it may run twice
 	}
 	c.backend.submitArrival(r)
 }
 
-// submitRepeat submits a request of which the group knows another attempt in flight.
+// submitRepeat submits a request to the overload controller while another attempt with its key is in flight.
 func (c *cluster) submitRepeat(r *request) {
 	c.endClaim(r)
 	r.originalID = cmp.Or(c.node.OriginalID(r.guard.key), 1)
 	if r.originalID == r.id || c.backend.requests[r.originalID] == nil {
-		r.originalID = ^uint64(0) // another node's: the overload controller knows nothing of it
+		r.originalID = ^uint64(0) // the attempt is at another node, unknown to the overload controller
 	}
 	r.arrival.RepeatOf = r.originalID
 	c.backend.submitArrival(r)
@@ -55,14 +55,15 @@
 	r.arrival.QueueDelay += c.backend.now - r.guard.claimedAt
 }
 
-// requestWithdrawn implements requestObserver. It does nothing: the account of a request that was taken over is closed by
-// whoever withdraws it.
+// requestWithdrawn implements requestObserver. It does nothing: the code that withdraws a taken-over request records
+// its response.
 func (c *cluster) requestWithdrawn(*request) {}
 
 // requestEnded implements requestObserver.
 func (c *cluster) requestEnded(r *request, end requestEnd) { c.recordFailoverResponse(r, end.reason) }
 
-// recordFailoverResponse closes the account of a request that was taken over: its answer is the group's.
+// recordFailoverResponse records the response to a taken-over request in the ledger. The request has no client
+// connection; its response goes to the group.
 func (c *cluster) recordFailoverResponse(r *request, reason accounting.Reason) {
 	if !r.failedOver || r.accountClosed {
 		return
@@ -73,8 +74,9 @@
 	ledger.ResponseSent(c.backend.wallTime, r.ticket)
 }
 
-// handOff has another node take over a request that this one leaves unstarted as it ends, and reports whether one does.
-// The client gets the other node's result from here, if it comes in time.
+// handOff hands a request that this node has not started over to another node while this one shuts down. It reports
+// whether another node takes the request over. The client still gets its response from this node if the other node's
+// result arrives in time.
 func (c *cluster) handOff(r *request) bool {
 	if c.node == nil || r.guard == nil || r.state != stateHeld {
 		return false
@@ -88,28 +90,28 @@
 	return true
 }
 
-// acceptFailover submits a request of another node, which was lost, to the overload controller. Nobody waits for it on
-// a connection here.
-func (c *cluster) acceptFailover(outcome *failover.RequestDecision) {
+// acceptFailover submits a request of a lost node to the overload controller. No client connection of this node waits
+// for it.
+func (c *cluster) acceptFailover(decision *failover.RequestDecision) {
 	b := c.backend
-	work := outcome.Work
+	work := decision.Work
 	handler := b.handlerIndex(work.Handler)
 	left := time.Duration(work.Left)
-	if handler < 0 || left <= 0 || b.controller == nil || b.requests[outcome.ID] != nil {
-		c.node.Release(b.guard.now(), outcome.Key, outcome.ID)
+	if handler < 0 || left <= 0 || b.controller == nil || b.requests[decision.ID] != nil {
+		c.node.Release(b.guard.now(), decision.Key, decision.ID)
 		return
 	}
 	r := &request{
-		id:         outcome.ID,
-		wireID:     fmt.Sprintf("%016x", outcome.ID),
+		id:         decision.ID,
+		wireID:     fmt.Sprintf("%016x", decision.ID),
 		handler:    handler,
 		body:       work.Body,
 		state:      stateHeld,
 		failedOver: true,
 		readAt:     b.now,
 		guard: &guardState{
-			key:            outcome.Key,
-			createdAt:      outcome.Made,
+			key:            decision.Key,
+			createdAt:      decision.Made,
 			answerDeadline: b.now + left,
 			replayable:     work.Replayable,
 		},
@@ -130,60 +132,60 @@
 	b.events = append(b.events, r.arrival)
 }
 
-// applyOutcome carries out what the failover node decided about a request.
-func (c *cluster) applyOutcome(outcome failover.RequestDecision) {
+// applyDecision carries out a decision of the failover node on a request.
+func (c *cluster) applyDecision(decision failover.RequestDecision) {
 	b := c.backend
-	if outcome.Decision == failover.TakenOver {
-		c.acceptFailover(&outcome)
+	if decision.Decision == failover.TakenOver {
+		c.acceptFailover(&decision)
 		return
 	}
-	r := b.requests[outcome.ID]
-	if r == nil || r.guard == nil || r.guard.key != outcome.Key {
-		if outcome.Decision == idempotency.Start { // it was given up in the same moment: it never ran
-			c.node.Finish(b.guard.now(), outcome.Key, outcome.ID, idempotency.EntryNeverRan, nil)
+	r := b.requests[decision.ID]
+	if r == nil || r.guard == nil || r.guard.key != decision.Key {
+		if decision.Decision == idempotency.Start { // the request was cancelled at the same time: it never ran
+			c.node.Finish(b.guard.now(), decision.Key, decision.ID, idempotency.EntryNeverRan, nil)
 		}
 		return
 	}
 	if r.state == stateUnverified {
-		c.applyClaimed(r, &outcome)
+		c.applyClaimDecision(r, &decision)
 	} else {
-		c.applyLater(r, &outcome)
+		c.applySubmittedDecision(r, &decision)
 	}
 }
 
-// applyClaimed carries out the answer to the claim of r.
-func (c *cluster) applyClaimed(r *request, outcome *failover.RequestDecision) {
+// applyClaimDecision carries out the decision on the claim of r.
+func (c *cluster) applyClaimDecision(r *request, decision *failover.RequestDecision) {
 	b := c.backend
 	switch {
-	case outcome.Decision == idempotency.Fresh:
+	case decision.Decision == idempotency.Fresh:
 		c.submitClaimed(r)
-	case outcome.Decision == idempotency.Duplicate && r.guard.replayable: // it waits
-	case outcome.Decision == idempotency.Duplicate:
+	case decision.Decision == idempotency.Duplicate && r.guard.replayable: // r waits for the outcome
+	case decision.Decision == idempotency.Duplicate:
 		c.submitRepeat(r)
-	case outcome.Decision == idempotency.Replay:
-		b.guard.countDecision(outcome.Decision)
-		b.frontend.respondSuccess(r, accounting.Replayed, outcome.Result)
+	case decision.Decision == idempotency.Replay:
+		b.guard.countDecision(decision.Decision)
+		b.frontend.respondSuccess(r, accounting.Replayed, decision.Result)
 		b.finishAnswered(r)
 	case r.guard.replayable:
 		c.submitClaimed(r)
 	default:
-		b.frontend.respondWithoutResult(r, b.guard.countDecision(outcome.Decision))
+		b.frontend.respondWithoutResult(r, b.guard.countDecision(decision.Decision))
 		b.finishAnswered(r)
 	}
 }
 
-// applyLater carries out a decision about a request that was submitted to the overload controller.
-func (c *cluster) applyLater(r *request, outcome *failover.RequestDecision) {
+// applySubmittedDecision carries out a decision on a request that was submitted to the overload controller.
+func (c *cluster) applySubmittedDecision(r *request, decision *failover.RequestDecision) {
 	b := c.backend
 	controllerDecides := r.guard.replayable && r.state != stateAwaitingResult && !r.failedOver
 	switch {
-	case outcome.Decision == idempotency.Duplicate: // it goes on where it is, or waits for the node that has taken it over
-	case controllerDecides && outcome.Decision != idempotency.Replay:
-	case outcome.Decision == idempotency.Start && !b.isWanted(r):
+	case decision.Decision == idempotency.Duplicate: // it continues, or waits for the node that has taken it over
+	case controllerDecides && decision.Decision != idempotency.Replay:
+	case decision.Decision == idempotency.Start && !b.isWanted(r):
 		r.guard.endRecorded = true
-		c.node.Finish(b.guard.now(), outcome.Key, outcome.ID, idempotency.EntryNeverRan, nil)
+		c.node.Finish(b.guard.now(), decision.Key, decision.ID, idempotency.EntryNeverRan, nil)
 		b.runEnded(r, overload.NeverRan, accounting.NeverRan, 0, nil)
 	default:
-		b.guard.applyOutcome(outcome.Outcome)
+		b.guard.applyOutcome(decision.Outcome)
 	}
 }
--- a/backend/cluster_stats.go
+++ b/backend/cluster_stats.go
@@ -7,38 +7,38 @@
 	"frosthub/recovery"
 )
 
-// maxShownRequests is how many requests ClusterStats shows: what a person reads.
-const maxShownRequests = 500
+// maxStatsRequests is the maximum number of requests in ClusterStats, which are meant for human readers.
+const maxStatsRequests = 500
 
-// ClusterStats tells how a node sees its cluster, and what it has to do with the other nodes.
+// ClusterStats holds the state of the cluster as a node sees it.
 type ClusterStats struct {
 	Name            string                   `json:"name"`
 	Incarnation     uint64                   `json:"life"`
-	Previous        int                      `json:"former"` // nodes of the previous list while the members change, else 0
-	Since           string                   `json:"since"`  // since when all are known to have adopted both lists
-	RosterReason    string                   `json:"why"`    // why the roster of the configuration is not adopted
-	Phase           string                   `json:"phase"`  // of the recovery
+	Previous        int                      `json:"former"` // nodes of the previous list during a membership change, else 0
+	Since           string                   `json:"since"`  // time since which all nodes are known to have adopted both lists
+	RosterReason    string                   `json:"why"`    // why the configured roster is not adopted
+	Phase           string                   `json:"phase"`  // phase of the recovery
 	PhaseReason     string                   `json:"phase_why"`
-	Unanswered      []string                 `json:"missing"`  // during recovery: the nodes that have not answered
-	Refill          []recovery.Progress      `json:"told"`     // if the disk lacked something: how far each other node has sent it
-	UnknownOutcomes int                      `json:"doubts"`   // keys whose outcome the other nodes are asked for
-	OutcomeUnknown  map[string]int           `json:"in_doubt"` // keys whose outcome is unknown, by handler; "" where that is unknown too
-	LocalHealth     int                      `json:"unwell"`   // how slow this node takes itself to be, 0 to 8
+	Unanswered      []string                 `json:"missing"`  // during recovery: nodes that have not answered
+	Refill          []recovery.Progress      `json:"told"`     // progress of each other node's history transfer, if any is needed
+	UnknownOutcomes int                      `json:"doubts"`   // number of keys whose outcome is queried from other nodes
+	OutcomeUnknown  map[string]int           `json:"in_doubt"` // keys with an unknown outcome, by handler; "" if unknown
+	LocalHealth     int                      `json:"unwell"`   // estimate of this node's own slowness, 0 to 8
 	Members         []MemberStats            `json:"members"`
 	Failover        failover.Stats           `json:"work"`
-	Requests        []failover.RequestStatus `json:"reqs"` // some of those in flight, waited for or noted for others
+	Requests        []failover.RequestStatus `json:"reqs"` // some of the requests in flight, awaited, or noted for other nodes
 }
 
-// MemberStats tells what is believed of a node.
+// MemberStats holds the state of a member as this node sees it.
 type MemberStats struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"life"`
 	State       string `json:"state"`
-	Roster      string `json:"goes"` // how the roster it has adopted stands to this node's; see rosterRelation
+	Roster      string `json:"goes"` // relation of its adopted roster to this node's; see rosterRelation
 }
 
-// ClusterStats returns the figures of the cluster, nil without one or before the store is loaded. It may be called from
-// any goroutine while Serve runs and after it.
+// ClusterStats returns the state of the cluster, or nil if the node belongs to no cluster or its store is still
+// loading. It may be called from any goroutine while Serve runs and after it has returned.
 func (b *Backend) ClusterStats() *ClusterStats {
 	var out *ClusterStats
 	b.runOnOwner(func() {
@@ -70,7 +70,7 @@
 	}
 	out.LocalHealth = c.detector.LocalHealth()
 	out.Failover = c.node.Stats()
-	out.Requests = c.node.Requests(maxShownRequests)
+	out.Requests = c.node.Requests(maxStatsRequests)
 	for _, member := range c.detector.Snapshot() {
 		out.Members = append(out.Members, MemberStats{
 			Name:        member.Name,
@@ -82,8 +82,8 @@
 	return out
 }
 
-// rosterRelation tells how the roster that a node has adopted stands to this node's: "as here", "beside" if the two may
-// be used at the same time, "apart" if not, or "unknown".
+// rosterRelation returns how the roster that a node has adopted relates to this node's: "as here" if they are equal,
+// "beside" if the two may be in use at the same time, "apart" if not, and "unknown" if the node has not reported one.
 func (c *cluster) rosterRelation(name string) string {
 	digests := c.peerDigests[name]
 	switch {
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -23,28 +23,28 @@
 	"frosthub/recovery"
 )
 
-// safeBuffer is a log that is read while it is written.
-type safeBuffer struct {
+// syncBuffer is a buffer for a log that is read while it is written.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *safeBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *safeBuffer) contains(text string) bool {
+func (b *syncBuffer) contains(text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Contains(b.text.String(), text)
 }
 
-// emptyPeer is a node n1 that remembers nothing, and says so to whoever asks.
+// emptyPeer is a stand-in for node n1. It has recorded no state of other nodes, and answers queries accordingly.
 type emptyPeer struct {
-	listener net.Listener
-	asker    string // address of the node that asks
+	listener        net.Listener
+	queryingAddress string // address of the node whose queries it answers
 }
 
 func (p *emptyPeer) serve() {
@@ -73,7 +73,7 @@
 	if batch.Hello == nil || !batch.Hello.QueryState {
 		return nil
 	}
-	dialed, err := net.Dial("tcp", p.asker)
+	dialed, err := net.Dial("tcp", p.queryingAddress)
 	if err != nil {
 		return err
 	}
@@ -84,16 +84,16 @@
 	return err
 }
 
-// startClusterNode starts n3 of the cluster north, whose node n1 remembers nothing and whose node n2 is down. It
-// returns once n3 takes part.
+// startClusterNode starts n3 of the cluster north. Node n1 has recorded no state, and node n2 is down. It returns once
+// n3 takes part in the cluster.
 func startClusterNode(t *testing.T) *Backend {
 	t.Helper()
 	disk := fake.NewDisk()
 	if err := wal.Init(disk, "n3", time.Duration(time.Now().UnixNano()), 1); err != nil {
 		t.Fatal(err)
 	}
-	s := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, options: map[string]string{}}
-	s.startPeers("")
+	bed := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, options: map[string]string{}}
+	bed.startPeers("")
 	var address [2]string
 	for i := range address {
 		var err error
@@ -101,8 +101,8 @@
 			t.Fatal(err)
 		}
 	}
-	s.listenAddress = address[0]
-	cfg := s.config()
+	bed.listenAddress = address[0]
+	cfg := bed.config()
 	cfg.Idempotency = IdempotencyConfig{Dir: t.TempDir(), Handlers: map[string][]KeyPart{"file-claim": {KeyPartBody}}, Disk: disk}
 	cfg.Cluster = ClusterConfig{Name: "north", Listen: address[1]}
 	for _, name := range []string{"n1", "n2", "n3"} {
@@ -114,9 +114,9 @@
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	cfg.Cluster.Members[0].Address = listener.Addr().String()
-	n1 := &emptyPeer{listener: listener, asker: address[1]}
+	n1 := &emptyPeer{listener: listener, queryingAddress: address[1]}
 	go n1.serve()
-	var log safeBuffer
+	var log syncBuffer
 	b := New(cfg, slog.New(slog.NewTextHandler(&log, nil)))
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
@@ -126,7 +126,7 @@
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		for _, p := range s.fakeServers {
+		for _, p := range bed.fakeServers {
 			p.stop()
 		}
 	})
@@ -137,7 +137,8 @@
 	return b
 }
 
-// claimsOfUnknownNodes is a batch with ballots of nodes that nobody knows, and with a message of an unknown kind.
+// claimsOfUnknownNodes returns a batch with ballots of nodes outside the cluster, and with a message of an unknown
+// kind.
 func claimsOfUnknownNodes() []byte {
 	unknown := failover.Ballot{Number: 2, Node: "who", Incarnation: 9}
 	return peerproto.Append(nil, &peerproto.Batch{
@@ -162,8 +163,9 @@
 	})
 }
 
-// TestForeignConnectionsAreClosed checks that a connection is closed whose sender is no member of the cluster, doesn't
-// say who it is or sends noise, whatever it asks for, and that ballots of nodes that nobody knows do no harm.
+// TestForeignConnectionsAreClosed checks that a connection is closed if its sender is not a member of the cluster,
+// sends no hello or sends invalid data, whatever its other messages are. It also checks that ballots of unknown nodes
+// do no harm.
 func TestForeignConnectionsAreClosed(t *testing.T) {
 	b := startClusterNode(t)
 	address := b.cfg.Cluster.Listen
--- a/backend/fake_peer_test.go
+++ b/backend/fake_server_test.go
@@ -11,19 +11,19 @@
 	"sync"
 )
 
-// fakeServer is a stand-in for the processor or the upstream tier, which listen.
+// fakeServer is a stand-in for the processor or for the upstream tier. It listens for connections of the backend.
 type fakeServer struct {
 	bed      *testbed
 	name     string
 	listener net.Listener
 
 	mu                   sync.Mutex
-	lastConn             net.Conn            // that spoke last
-	connByID             map[string]net.Conn // that named a request's id last
+	lastConn             net.Conn            // connection that sent a command last
+	connByID             map[string]net.Conn // connection that named a request id last
 	conns                []net.Conn
-	ignoresGaugeRequests bool // the processor does not answer for the gauges
-	completesAll         bool // the processor completes each request at once, which is not printed
-	resetsReused         bool // the upstream tier resets a connection at its second call, unread
+	ignoresGaugeRequests bool // the processor does not reply to gauge requests
+	completesAll         bool // the processor completes each request at once, without printing it
+	resetsReused         bool // the upstream tier resets a connection at its second call, without reading it
 }
 
 func newFakeServer(bed *testbed, name string) *fakeServer {
@@ -53,10 +53,10 @@
 	}()
 }
 
-// commandsWithBody are the commands that carry a body.
+// commandsWithBody contains the commands that carry a body.
 var commandsWithBody = map[string]bool{"begin": true, "answer": true, "invoke": true}
 
-// read reads the commands of a connection and prints those that are not handled here.
+// read reads the commands of a connection, and prints those that handleCommand does not carry out.
 func (p *fakeServer) read(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for commands := 0; ; commands++ {
@@ -64,7 +64,7 @@
 		if err != nil {
 			return
 		}
-		if p.resets(commands) {
+		if p.shouldReset(commands) {
 			_ = conn.Close()
 			return
 		}
@@ -73,7 +73,7 @@
 			p.sendGauges(conn, words[1])
 			continue
 		}
-		p.remember(conn, words)
+		p.recordConn(conn, words)
 		if commandsWithBody[words[0]] {
 			size, _ := strconv.Atoi(words[len(words)-1])
 			body := make([]byte, size+2)
@@ -82,18 +82,18 @@
 			}
 			words[len(words)-1] = quoteBody(string(body[:size]))
 		}
-		if p.handled(conn, words) {
+		if p.handleCommand(conn, words) {
 			continue
 		}
 		if words[0] == "invoke" {
-			words = slices.Delete(words, 2, 3) // the time-out, which changes from run to run
+			words = slices.Delete(words, 2, 3) // the timeout, which changes from run to run
 		}
 		p.bed.print(p.name, "%s", strings.Join(words, " "))
 	}
 }
 
-// resets reports whether a connection that carried so many commands is to be reset.
-func (p *fakeServer) resets(commands int) bool {
+// shouldReset reports whether to reset a connection that has carried the given number of commands.
+func (p *fakeServer) shouldReset(commands int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.resetsReused && commands > 0
@@ -107,8 +107,8 @@
 	}
 }
 
-// remember notes which connection spoke last, and of which request.
-func (p *fakeServer) remember(conn net.Conn, words []string) {
+// recordConn records the connection as the last one, and as the last one that named the request.
+func (p *fakeServer) recordConn(conn net.Conn, words []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastConn = conn
@@ -117,8 +117,8 @@
 	}
 }
 
-// handled carries out what the processor does by itself, and reports whether that is all that is to be done.
-func (p *fakeServer) handled(conn net.Conn, words []string) bool {
+// handleCommand performs what the processor does by itself, and reports whether the command needs no further handling.
+func (p *fakeServer) handleCommand(conn net.Conn, words []string) bool {
 	switch words[0] {
 	case "begin":
 		p.bed.lookUpID(words[1], true)
@@ -135,7 +135,7 @@
 		if rejected {
 			_, _ = fmt.Fprintf(conn, "reject interrupt %s\r\n", words[1])
 		}
-		return rejected || !begun // silence says that it knows the request
+		return rejected || !begun // no reply means that the processor has the request
 	}
 	return false
 }
@@ -147,7 +147,8 @@
 	return strconv.Quote(body)
 }
 
-// write sends text on the connection that named its first word last, or else on the one that spoke last.
+// write sends text on the connection that last named the first word of the text, or else on the one that sent a command
+// last.
 func (p *fakeServer) write(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +163,7 @@
 	_, _ = io.WriteString(conn, text)
 }
 
-// close ends all connections.
+// close closes all connections.
 func (p *fakeServer) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +173,7 @@
 	p.conns = nil
 }
 
-// stop ends all connections and listens no more.
+// stop closes the listener and all connections.
 func (p *fakeServer) stop() {
 	_ = p.listener.Close()
 	p.close()
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -13,34 +13,34 @@
 	"frosthub/overload"
 )
 
-// answerMargin is how long before a client's timeout its request is answered at the latest: the answer has to get
-// there.
+// answerMargin is how long before a client's timeout its request is answered at the latest, so that the response can
+// reach the client in time.
 const answerMargin = 10 * time.Millisecond
 
-// idempotencyGuard stands between the backend and the idempotency store, or the failover node of a cluster. It asks
-// them before a guarded request is admitted and before it is started, and carries out their decisions. It decides
-// nothing itself.
+// idempotencyGuard connects the backend with the idempotency store, or in a cluster with the failover node. It requests
+// their decision before a guarded request is admitted and before its run starts, and carries the decision out. It makes
+// no decisions of its own.
 //
 // Its methods are called by the goroutine that owns the backend.
 type idempotencyGuard struct {
 	backend        *Backend
-	keyParts       [][]KeyPart        // by handler; nil: not guarded
-	store          *idempotency.Store // nil until it is loaded
+	keyParts       [][]KeyPart        // by handler index; nil for a handler that is not guarded
+	store          *idempotency.Store // nil until the store is loaded
 	log            *wal.Log
 	lock           *os.File
-	startedAt      time.Duration         // both clocks are read once, here
-	startedAtWall  time.Duration         // so that a step of the wall clock changes nothing while the process runs
-	storeFailed    bool                  // nothing can be guarded until a restart
-	stopLoading    chan struct{}         // closed when the process ends
-	loadingDone    chan struct{}         // closed when the loading is over
-	awaitingResult map[*request]struct{} // their runs have ended, their answers wait for the disk
+	startedAt      time.Duration         // monotonic time of the start
+	startedAtWall  time.Duration         // wall-clock time of the start; later steps of the wall clock have no effect
+	storeFailed    bool                  // no new request can be guarded until a restart
+	stopLoading    chan struct{}         // closed when the process shuts down
+	loadingDone    chan struct{}         // closed when loading has ended
+	awaitingResult map[*request]struct{} // requests whose response waits for a durable result
 	stats          IdempotencyStats
 }
 
-// IdempotencyStats tells what the store has done for requests, and how it is.
+// IdempotencyStats holds the state of the idempotency store and counts of its decisions.
 type IdempotencyStats struct {
 	Loading        bool              `json:"reading"`
-	StoreFailed    bool              `json:"broken"` // nothing can be guarded until a restart
+	StoreFailed    bool              `json:"broken"` // no new request can be guarded until a restart
 	Store          idempotency.Stats `json:"store"`
 	Log            wal.LogStats      `json:"log"`
 	Replayed       int64             `json:"repeated"`
@@ -51,9 +51,9 @@
 	LoadingMS      int64             `json:"reading_ms"`
 }
 
-// init finds out which handlers are guarded, and returns the handlers' settings with those as deduplicated: the
-// overload controller then lets their repeats join the original request, and has a run go on when its client is gone,
-// as its answer is for whoever repeats it.
+// init determines which handlers are guarded, and returns the settings of all handlers with the guarded ones marked as
+// deduplicated. The overload controller then joins repeats to the original request, and lets a run continue after its
+// client is gone because a repeat may still need the result.
 func (g *idempotencyGuard) init(b *Backend) []overload.Handler {
 	g.backend = b
 	cfg := &b.cfg.Idempotency
@@ -77,11 +77,11 @@
 
 func (g *idempotencyGuard) enabled() bool { return g.keyParts != nil }
 
-// now is the store's time of day, since 1970.
+// now returns the time that the store uses, as the time since 1970.
 func (g *idempotencyGuard) now() time.Duration { return g.startedAtWall + g.backend.now - g.startedAt }
 
-// admit reports whether a guarded request is to be submitted to the overload controller now. If not, it was answered
-// because nothing of it can be run, or the cluster is asked first.
+// admit reports whether the caller must submit a guarded request to the overload controller now. If it returns false,
+// either the request has been answered without a run, or it waits for the outcome of its claim in the cluster.
 func (g *idempotencyGuard) admit(r *request) bool {
 	b := g.backend
 	r.guard.answerDeadline = b.now - r.arrival.QueueDelay + b.handlers[r.handler].clientTimeout - answerMargin
@@ -111,11 +111,10 @@
 	return false
 }
 
-// undecided is the decision as long as the store is being loaded, or the node of a cluster doesn't yet know what it
-// has.
+// undecided is the decision while the store is loading, or while the node has not yet started in its cluster.
 const undecided idempotency.Decision = 0
 
-// decide returns the decision of the store about a request that no cluster is asked about.
+// decide returns the decision on a request that is not claimed in a cluster.
 func (g *idempotencyGuard) decide(r *request) idempotency.Decision {
 	switch g.storeState() {
 	case storeUnavailable:
@@ -131,8 +130,8 @@
 	return undecided
 }
 
-// linkToOriginal tells the overload controller which request r repeats. If that is of an earlier incarnation, or has
-// ended, the controller knows nothing of it: it gets an id that is made of the key.
+// linkToOriginal sets the request that r repeats, for the overload controller. If the original belongs to an earlier
+// incarnation or has ended, the controller has no state for it; r then gets an id that is derived from the key.
 func (g *idempotencyGuard) linkToOriginal(r *request) {
 	r.originalID = g.store.OriginalRequest(r.guard.key)
 	if r.originalID == 0 || g.backend.requests[r.originalID] == nil {
@@ -141,7 +140,7 @@
 	r.arrival.RepeatOf = r.originalID
 }
 
-// countDecision counts a decision that ends a request, and returns how the request is accounted for.
+// countDecision counts a decision that ends a request, and returns the reason under which the request is accounted for.
 func (g *idempotencyGuard) countDecision(decision idempotency.Decision) accounting.Reason {
 	switch decision {
 	case idempotency.Replay:
@@ -171,7 +170,8 @@
 	return accounting.StoreFailed
 }
 
-// startGuarded has a request that the overload controller wants run wait until its intent is on disk.
+// startGuarded starts a guarded request that the overload controller has decided to run. Unless the request may run
+// twice, its run starts only when its intent is durable.
 func (g *idempotencyGuard) startGuarded(r *request) {
 	b := g.backend
 	if r.guard.replayable {
@@ -187,7 +187,7 @@
 	g.reserve(r)
 }
 
-// join has a repeat wait for the outcome of the original request.
+// join makes a repeat wait for the outcome of the original request.
 func (g *idempotencyGuard) join(r *request) {
 	if g.backend.cluster.enabled() {
 		r.joinOriginal()
@@ -195,7 +195,7 @@
 		return
 	}
 	if g.store.Peek(g.now(), r.guard.createdAt, r.guard.key) != idempotency.Duplicate {
-		// Since this request was submitted, the original was proved never to have run.
+		// After this request was submitted, the original was proved never to have run.
 		g.applyOutcome(idempotency.Outcome{ID: r.id, Decision: idempotency.Fresh})
 		return
 	}
@@ -203,7 +203,8 @@
 	g.reserve(r)
 }
 
-// reserve has the store of a node alone reserve the key of r, and carries out its decision unless that follows later.
+// reserve reserves the key of r in the store of a node without a cluster. It carries the decision out at once unless
+// the store returns Wait; the decision then follows when the record is durable.
 func (g *idempotencyGuard) reserve(r *request) {
 	outcome := g.store.Reserve(g.now(), r.guard.createdAt, r.guard.key, g.backend.handlers[r.handler].name, r.id)
 	if outcome.Decision != idempotency.Wait {
@@ -214,11 +215,11 @@
 // requestWithdrawn implements requestObserver.
 func (g *idempotencyGuard) requestWithdrawn(r *request) { g.withdraw(r) }
 
-// requestEnded implements requestObserver. It does nothing: the end was reported to recordEnd before, since the answer
-// may have to wait for it.
+// requestEnded implements requestObserver. It does nothing: recordEnd has recorded the end before, because the response
+// may have to wait for the record to become durable.
 func (g *idempotencyGuard) requestEnded(*request, requestEnd) {}
 
-// withdraw follows a request that no longer waits and never ran.
+// withdraw releases the key of a request that no longer waits and never ran.
 func (g *idempotencyGuard) withdraw(r *request) {
 	cluster := &g.backend.cluster
 	switch {
@@ -232,8 +233,8 @@
 	}
 }
 
-// IdempotencyStats returns the figures of the store, nil without one. It may be called from any goroutine while Serve
-// runs and after it.
+// IdempotencyStats returns the statistics of the store, or nil if the backend has none. It may be called from any
+// goroutine while Serve runs and after it has returned.
 func (b *Backend) IdempotencyStats() *IdempotencyStats {
 	if !b.guard.enabled() {
 		return nil
--- a/backend/idempotency_key.go
+++ b/backend/idempotency_key.go
@@ -10,23 +10,24 @@
 	"frosthub/idempotency"
 )
 
-// guardState is what the guard keeps of a request that must not run twice.
+// guardState is the guard's state for a request that must not run twice, or for a replayable one that the cluster
+// tracks.
 type guardState struct {
 	key            idempotency.Key
-	createdAt      time.Duration     // since 1970; 0 unknown
-	answerDeadline time.Duration     // when it is answered at the latest, whatever the disk does
-	claimedAt      time.Duration     // when the store, or the group, was asked
-	answerReason   accounting.Reason // of its answer, once its run has ended
-	endRecorded    bool              // its end was reported to the store
-	replayable     bool              // it may run twice: only the nodes of the cluster know of it
+	createdAt      time.Duration     // since 1970; 0 if unknown
+	answerDeadline time.Duration     // the request is answered by then even if its result is not durable
+	claimedAt      time.Duration     // when the request was passed to the store or claimed in the cluster
+	answerReason   accounting.Reason // accounting reason of the response; set when the run has ended
+	endRecorded    bool              // the end was reported to the store or the failover node
+	replayable     bool              // the request may run twice: the nodes of the cluster track it, the store does not
 }
 
-// hasRequiredKeyField reports whether a request has the field that its key is made of, if it needs one.
+// hasRequiredKeyField reports whether a request has the key field that its handler requires, if any.
 func (g *idempotencyGuard) hasRequiredKeyField(parsed *parsedRequest) bool {
 	return !g.enabled() || len(parsed.guardKey) > 0 || !slices.Contains(g.keyParts[parsed.request.handler], KeyPartField)
 }
 
-// newState returns the guard's state for a new request, nil if the request is not guarded.
+// newState returns the guard's state for a new request, or nil if the request is not guarded.
 func (g *idempotencyGuard) newState(parsed *parsedRequest) *guardState {
 	if !g.enabled() {
 		return nil
@@ -47,15 +48,15 @@
 	}
 }
 
-// keyOf returns the idempotency key of a request: the start of a hash of its handler and the given parts. Each part
-// goes in with its number and length, so that no two different lists of parts make the same input.
+// keyOf returns the idempotency key of a request: the first bytes of a hash of its handler and the given parts. Each
+// part is hashed with its number and length, so that two different lists of parts never produce the same input.
 func (g *idempotencyGuard) keyOf(parsed *parsedRequest, parts []KeyPart) idempotency.Key {
 	hash := sha256.New()
 	add := func(part KeyPart, value []byte) {
 		var header [9]byte
 		header[0] = byte(part)
 		binary.LittleEndian.PutUint64(header[1:], uint64(len(value)))
-		_, _ = hash.Write(header[:]) // never an error
+		_, _ = hash.Write(header[:]) // a hash never returns an error
 		_, _ = hash.Write(value)
 	}
 	add(0, []byte(g.backend.handlers[parsed.request.handler].name))
--- a/backend/idempotency_outcome.go
+++ b/backend/idempotency_outcome.go
@@ -14,12 +14,12 @@
 	}
 }
 
-// applyOutcome carries out what the store, or the cluster, decided about a request that waited.
+// applyOutcome carries out the decision of the store, or of the cluster, on a request that waited for it.
 func (g *idempotencyGuard) applyOutcome(outcome idempotency.Outcome) {
 	b := g.backend
 	r := b.requests[outcome.ID]
 	if r == nil || r.guard == nil || r.guard.endRecorded && r.state != stateAwaitingResult {
-		invariant.Check(outcome.Decision != idempotency.Start, "what is to be begun is there")
+		invariant.Check(outcome.Decision != idempotency.Start, "a request whose intent became durable still exists")
 		return
 	}
 	delete(g.awaitingResult, r)
@@ -51,8 +51,8 @@
 	}
 }
 
-// abandonIntent follows an intent that is on disk but is not to be carried out: nobody waits for the request any more,
-// or the overload controller had it join another meanwhile.
+// abandonIntent ends a request whose intent became durable but that must not run any more: its client is gone, or the
+// overload controller joined it to another request in the meantime.
 func (g *idempotencyGuard) abandonIntent(r *request) {
 	reason := accounting.NeverRan
 	if r.state == stateJoined {
@@ -64,8 +64,8 @@
 	g.applyOutcomes(others)
 }
 
-// recordEnd reports the end of a guarded request to the store, or the cluster, and returns whether its answer has to
-// wait for the disk.
+// recordEnd reports the end of a guarded request to the store, or to the failover node, and returns whether the
+// response must wait until the end is durable.
 func (g *idempotencyGuard) recordEnd(r *request, outcome overload.Outcome, reason accounting.Reason, body []byte) bool {
 	if r.guard.replayable {
 		g.recordReplayableEnd(r, outcome, body)
@@ -74,7 +74,7 @@
 	switch {
 	case r.guard.endRecorded, r.state < stateJoined:
 		return false
-	case r.state == stateJoined: // it has no run of its own
+	case r.state == stateJoined: // a joined request has no run of its own
 		g.withdraw(r)
 		return false
 	case r.state == stateAwaitingIntent:
@@ -97,8 +97,8 @@
 	return kind == idempotency.EntryResult
 }
 
-// recordReplayableEnd reports the end of a request that may run twice: to the other nodes only, and its answer doesn't
-// wait.
+// recordReplayableEnd reports the end of a replayable request to the failover node. Nothing is stored, so the response
+// does not wait.
 func (g *idempotencyGuard) recordReplayableEnd(r *request, outcome overload.Outcome, body []byte) {
 	switch {
 	case r.guard.endRecorded:
@@ -114,7 +114,7 @@
 	}
 }
 
-// entryKindOf returns how the store records the end of a run.
+// entryKindOf returns the kind of store entry that records a run with the given outcome.
 func entryKindOf(outcome overload.Outcome) idempotency.EntryKind {
 	switch outcome {
 	case overload.OK:
@@ -125,8 +125,8 @@
 	return idempotency.EntryFailed
 }
 
-// onTimer answers the requests that wait for the disk and can wait no longer. Their results are kept all the same once
-// the disk has them.
+// onTimer fails the requests that wait for a durable result and have reached their deadline. The store keeps their
+// results all the same once they are durable.
 func (g *idempotencyGuard) onTimer() {
 	b := g.backend
 	for r := range g.awaitingResult {
@@ -143,7 +143,7 @@
 			b.finishAnswered(r)
 		}
 		delete(g.awaitingResult, r)
-		if b.cluster.enabled() { // too few nodes of its group may ever answer
+		if b.cluster.enabled() { // a majority of the group may never confirm the result
 			b.cluster.recordFailoverResponse(r, accounting.ResultNotDurable)
 			delete(b.requests, r.id)
 		}
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -12,31 +12,31 @@
 	"frosthub/internal/wal"
 )
 
-// Times and limits of opening and closing the store.
+// Durations and limits of opening and closing the store.
 const (
-	// commitRecords is how many waiting records are committed without waiting for the interval.
-	commitRecords = 64
-	// closeTimeout is how long the disk is waited for when the process ends: all answers have left by then.
+	// maxWaitingRecords is the number of waiting records that starts a commit before the interval has passed.
+	maxWaitingRecords = 64
+	// closeTimeout is how long to wait for the disk at shutdown, when all responses have been sent.
 	closeTimeout = 50 * time.Millisecond
-	// loadProgressInterval is the time between log lines on how far the loading is.
+	// loadProgressInterval is the time between log lines about the progress of loading.
 	loadProgressInterval = time.Second
-	// recordsPerCheck is how many records are loaded between looks at the clock.
+	// recordsPerCheck is the number of records loaded between checks for a shutdown and for a due progress line.
 	recordsPerCheck = 4096
 )
 
-// storeState is what the store can do.
+// storeState is the availability of the store.
 type storeState uint8
 
 // The states of the store. A state never changes back:
 //
 //	loading → ready         the store was loaded (onOpened)
-//	loading → unavailable   it could not be loaded (onOpened)
-//	ready → read only       the disk has failed (onDurable), or the incarnation can't be counted (raiseIncarnation)
+//	loading → unavailable   the store could not be loaded (onOpened)
+//	ready → read only       the disk has failed (onDurable), or the incarnation can't be raised (raiseIncarnation)
 const (
 	storeLoading     storeState = iota
-	storeReady                  // it guards requests
-	storeReadOnly               // it knows the requests of before, but can guard no new ones until a restart
-	storeUnavailable            // it knows nothing until a restart
+	storeReady                  // new requests can be guarded
+	storeReadOnly               // entries can be read, but no new requests guarded until a restart
+	storeUnavailable            // there are no entries until a restart
 )
 
 var storeStateNames = [...]string{
@@ -49,7 +49,7 @@
 // String returns the name of the state.
 func (s storeState) String() string { return storeStateNames[s] }
 
-// storeState returns what the store can do.
+// storeState returns the current availability of the store.
 func (g *idempotencyGuard) storeState() storeState {
 	switch {
 	case g.store == nil && g.storeFailed:
@@ -62,35 +62,35 @@
 	return storeReady
 }
 
-// storeMessage is the log message of all that is logged about the store.
+// storeMessage is the message of all log lines about the store. Their attributes name the event.
 const storeMessage = "idempotency store"
 
-var errClosing = errors.New("the process ends")
+var errLoadAborted = errors.New("the process is shutting down")
 
-// loadedStore is a store that was opened, with what was found beside it.
+// loadedStore is an opened store and the other state that was loaded from its directory.
 type loadedStore struct {
-	store    *idempotency.Store
-	log      *wal.Writer
-	lock     *os.File
-	contents wal.Contents
-	setAside bool // its records were put aside: they count as lost
+	store       *idempotency.Store
+	log         *wal.Writer
+	lock        *os.File
+	contents    wal.Contents
+	quarantined bool // the records were quarantined and count as lost
 
-	// Of a node of a cluster only.
+	// Set only for a node of a cluster.
 	roster     clusterRoster
 	peerStates peerStateFile
 }
 
-// storeOpener opens the store of a node. It runs on a goroutine of its own and touches no state of the backend.
+// storeOpener opens the store of a node. It runs on its own goroutine and accesses no state of the backend.
 type storeOpener struct {
-	node        string
-	config      *IdempotencyConfig
-	firstRoster *clusterRoster // what a node of a cluster starts with if it is new; nil for a node alone
-	now         time.Duration  // since 1970
-	stop        <-chan struct{}
-	log         *slog.Logger
+	nodeName      string
+	config        *IdempotencyConfig
+	initialRoster *clusterRoster // the roster of a new node of a cluster; nil without a cluster
+	now           time.Duration  // since 1970
+	stop          <-chan struct{}
+	log           *slog.Logger
 }
 
-// open starts loading the store. Requests are served meanwhile; guarded ones are rejected.
+// open starts loading the store. In the meantime requests are served, but guarded ones are rejected.
 func (g *idempotencyGuard) open() {
 	b := g.backend
 	if !g.enabled() {
@@ -98,7 +98,7 @@
 	}
 	for name := range b.cfg.Idempotency.Handlers {
 		if b.handlerIndex(name) < 0 {
-			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "reason", "no such handler", "handler", name)
+			b.log.Warn(storeMessage, "dir", b.cfg.Idempotency.Dir, "reason", "the settings have no such handler", "handler", name)
 		}
 	}
 	b.readClocks()
@@ -107,26 +107,26 @@
 	g.awaitingResult = map[*request]struct{}{}
 	g.stopLoading = make(chan struct{})
 	g.loadingDone = make(chan struct{})
-	began := b.now
+	loadStartedAt := b.now
 	opener := storeOpener{
-		node:   b.cfg.Name,
-		config: &b.cfg.Idempotency,
-		now:    g.startedAtWall,
-		stop:   g.stopLoading,
-		log:    b.log,
+		nodeName: b.cfg.Name,
+		config:   &b.cfg.Idempotency,
+		now:      g.startedAtWall,
+		stop:     g.stopLoading,
+		log:      b.log,
 	}
 	if b.cluster.enabled() {
 		configured := b.cfg.Cluster.roster()
-		opener.firstRoster = &configured
+		opener.initialRoster = &configured
 	}
 	go func() {
 		defer close(g.loadingDone)
 		loaded, err := opener.open()
-		b.loop.Post(func() { g.onOpened(loaded, err, began) })
+		b.loop.Post(func() { g.onOpened(loaded, err, loadStartedAt) })
 	}()
 }
 
-// open opens the store. On an error what it returns may hold the lock already.
+// open opens the store. If it fails, the result may already hold the lock.
 func (o *storeOpener) open() (loaded loadedStore, err error) {
 	dir := o.config.Dir
 	disk := o.config.Disk
@@ -139,15 +139,15 @@
 	if loaded.lock, err = filelock.Acquire(filepath.Join(dir, wal.LockName)); err != nil {
 		return loaded, err
 	}
-	if o.firstRoster != nil {
-		if loaded.roster, err = readRoster(dir, *o.firstRoster); err != nil {
+	if o.initialRoster != nil {
+		if loaded.roster, err = readRoster(dir, *o.initialRoster); err != nil {
 			return loaded, err
 		}
 		if loaded.peerStates, err = readPeerStates(dir); err != nil {
 			return loaded, err
 		}
 	}
-	if loaded.setAside, err = wal.BeginRead(disk); err != nil {
+	if loaded.quarantined, err = wal.BeginRead(disk); err != nil {
 		return loaded, err
 	}
 	defer func() {
@@ -156,15 +156,15 @@
 		}
 	}()
 	loaded.store = idempotency.New(o.config.Store)
-	loaded.log, loaded.contents, err = wal.Open(disk, o.node, loaded.store, o.now, o.recordCounter())
+	loaded.log, loaded.contents, err = wal.Open(disk, o.nodeName, loaded.store, o.now, o.recordCallback())
 	return loaded, err
 }
 
-// recordCounter returns a function to call for each record loaded. It logs the progress, and fails once the process
-// ends.
-func (o *storeOpener) recordCounter() func(idempotency.LogEntry) error {
+// recordCallback returns the function that wal.Open calls for each loaded record. It logs the progress, and returns an
+// error when the process shuts down.
+func (o *storeOpener) recordCallback() func(idempotency.LogEntry) error {
 	records := 0
-	logged := time.Now()
+	lastLoggedAt := time.Now()
 	return func(idempotency.LogEntry) error {
 		records++
 		if records%recordsPerCheck != 0 {
@@ -172,19 +172,19 @@
 		}
 		select {
 		case <-o.stop:
-			return errClosing
+			return errLoadAborted
 		default:
 		}
-		if time.Since(logged) >= loadProgressInterval {
-			logged = time.Now()
+		if time.Since(lastLoggedAt) >= loadProgressInterval {
+			lastLoggedAt = time.Now()
 			o.log.Info(storeMessage, "dir", o.config.Dir, "records_loaded", records)
 		}
 		return nil
 	}
 }
 
-// onOpened takes the store that was opened into use.
-func (g *idempotencyGuard) onOpened(loaded loadedStore, err error, began time.Duration) {
+// onOpened starts using the store that was opened, or records that it could not be opened.
+func (g *idempotencyGuard) onOpened(loaded loadedStore, err error, loadStartedAt time.Duration) {
 	b := g.backend
 	dir := b.cfg.Idempotency.Dir
 	g.lock = loaded.lock
@@ -193,23 +193,23 @@
 		b.log.Error(storeMessage, "dir", dir, "reason", err, "so", "guarded requests are rejected until a restart")
 		return
 	}
-	if loaded.setAside {
-		b.log.Error(storeMessage, "dir", dir, "reason", "starts died over it",
-			"so", "its records are put aside; what ran is not known until the horizon has passed")
+	if loaded.quarantined {
+		b.log.Error(storeMessage, "dir", dir, "reason", "earlier processes died while loading the store",
+			"so", "its records are quarantined and count as lost until the retry horizon has passed")
 		loaded.store.MarkOutdated(g.now())
 	}
 	for _, damage := range loaded.contents.Damage {
 		b.log.Error(storeMessage, "dir", dir, "damage", damage)
 	}
 	g.store = loaded.store
-	g.log = wal.NewLog(loaded.log, b.cfg.Idempotency.CommitInterval, commitRecords, func(seq uint64, err error) {
+	g.log = wal.NewLog(loaded.log, b.cfg.Idempotency.CommitInterval, maxWaitingRecords, func(seq uint64, err error) {
 		b.loop.Post(func() { g.onDurable(seq, err) })
 	})
 	if b.cluster.enabled() {
 		b.cluster.startRecovery(g.store, &loaded)
 	}
 	g.flushEntries()
-	g.stats.LoadingMS = (b.now - began).Milliseconds()
+	g.stats.LoadingMS = (b.now - loadStartedAt).Milliseconds()
 	stats := g.store.Stats()
 	b.log.Info(storeMessage, "dir", dir,
 		"incarnation", stats.Incarnation,
@@ -219,16 +219,16 @@
 		"segments", stats.Segments,
 		"torn_bytes", loaded.contents.TornBytes,
 		"history_lost", stats.LostBefore > 0,
-		"took", b.now-began)
+		"took", b.now-loadStartedAt)
 }
 
-// onDurable handles the log's report that all records up to seq are on disk, or that the disk has failed.
+// onDurable handles the log's report that all records up to seq are durable, or that the disk has failed.
 func (g *idempotencyGuard) onDurable(seq uint64, err error) {
-	node := g.backend.cluster.node // nil for a node alone
+	node := g.backend.cluster.node // nil without a cluster
 	if err != nil {
 		g.storeFailed = true
 		g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err,
-			"so", "guarded requests are rejected until a restart, but for repeats")
+			"so", "new guarded requests are rejected until a restart; repeats of recorded ones are answered")
 	}
 	switch {
 	case err == nil && node != nil:
@@ -242,7 +242,7 @@
 	}
 }
 
-// flushEntries gives the log what the store wrote in this turn.
+// flushEntries passes the records that the store wrote in this turn to the log.
 func (g *idempotencyGuard) flushEntries() {
 	if g.log != nil {
 		g.log.Append(g.store.TakeEntries())
@@ -255,7 +255,8 @@
 	}
 }
 
-// close ends the log. All answers have left by then; what waits are records of failures and of entries that expired.
+// close closes the log and releases the lock. All responses have been sent by then; only records of failures and of
+// expired entries may still wait.
 func (g *idempotencyGuard) close() {
 	if !g.enabled() {
 		return
@@ -265,7 +266,7 @@
 		g.flushEntries()
 		if err := g.log.Close(closeTimeout); err != nil {
 			g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err)
-			return // the lock is released by the end of the process
+			return // the end of the process releases the lock
 		}
 	} else {
 		select {
--- a/backend/idempotency_test.go
+++ b/backend/idempotency_test.go
@@ -6,7 +6,7 @@
 	"frosthub/idempotency"
 )
 
-// TestStoreState checks what the store can do, by whether it was loaded and whether the disk has failed.
+// TestStoreState checks the state of the store, depending on whether it was loaded and whether the disk has failed.
 func TestStoreState(t *testing.T) {
 	for _, test := range []struct {
 		guard idempotencyGuard
@@ -25,7 +25,7 @@
 	}
 }
 
-// newKeyTestGuard returns a guard of a backend with the handlers "read" and "file-claim".
+// newKeyTestGuard returns the guard of a backend with the handlers "read" and "file-claim".
 func newKeyTestGuard() *idempotencyGuard {
 	b := &Backend{handlers: []handler{{name: "read"}, {name: "file-claim"}}}
 	b.guard.backend = b
--- a/backend/peer_states.go
+++ b/backend/peer_states.go
@@ -14,18 +14,19 @@
 	"frosthub/recovery"
 )
 
-// peerStatesFileName is the file in the directory of the store that holds what this node remembers of the others.
+// peerStatesFileName is the file in the store's directory that holds the recorded states of the peers.
 const peerStatesFileName = "remembered.json"
 
-// peerStateFile is what this node remembers of the others, and how far that is on disk and announced.
+// peerStateFile holds the recorded states of the peers, and the progress of writing them and of announcing this node's
+// log.
 type peerStateFile struct {
 	*recovery.PeerStates
 	writing      bool
 	nextTick     time.Duration
-	announcedSeq uint64 // the last record of this node's log that was announced to the others
+	announcedSeq uint64 // sequence number of this node's last announced log record
 }
 
-// readPeerStates returns what is remembered, which is nothing where the node is new.
+// readPeerStates reads the recorded states of the peers. They are empty if the node is new.
 func readPeerStates(dir string) (peerStateFile, error) {
 	text, err := os.ReadFile(filepath.Join(dir, peerStatesFileName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -36,12 +37,13 @@
 		err = json.Unmarshal(text, states)
 	}
 	if err != nil {
-		return peerStateFile{}, fmt.Errorf("%s: %w", peerStatesFileName, err)
+		return peerStateFile{}, fmt.Errorf("read %s: %w", peerStatesFileName, err)
 	}
 	return peerStateFile{PeerStates: states}, nil
 }
 
-// writePeerStates writes what is remembered if that has changed. Its fences hold once it is on disk.
+// writePeerStates writes the recorded states of the peers if they have changed. Their fences take effect once they are
+// on disk.
 func (c *cluster) writePeerStates() {
 	b := c.backend
 	if c.peerStates.writing || !c.peerStates.Changed() {
@@ -59,7 +61,7 @@
 			c.peerStates.writing = false
 			switch {
 			case err != nil:
-				b.logLimited("peer states not written", "reason", err)
+				b.logLimited("writing peer states failed", "reason", err)
 			case c.node != nil:
 				c.node.MarkFencesDurable(written)
 			}
@@ -67,9 +69,9 @@
 	}()
 }
 
-// fenceList converts the fences that are remembered.
-func fenceList(remembered map[string]uint64) (out []failover.Fence) {
-	for name, incarnation := range remembered {
+// fenceList converts recorded fences, incarnations by node name, to a list.
+func fenceList(recorded map[string]uint64) (out []failover.Fence) {
+	for name, incarnation := range recorded {
 		out = append(out, failover.Fence{Node: name, Incarnation: incarnation})
 	}
 	return out
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxWitnesses is how many nodes of a list remember the state of one: two majorities of them overlap.
-	maxWitnesses = 4
-	// peerStateInterval is the time between writes of what this node remembers, and between its announcements of how
-	// far its log is. The loss of the last two intervals of a log is not found.
+	// maxRecoveryPeers is the maximum number of recovery peers in each member list. Any two majorities of them overlap.
+	maxRecoveryPeers = 4
+	// peerStateInterval is the time between writes of the recorded peer states, and between announcements of this
+	// node's log position. The loss of the last two intervals of a log is not detected.
 	peerStateInterval = 250 * time.Millisecond
 )
 
-// startRecovery starts the recovery of the node, once its store is loaded.
+// startRecovery starts the recovery of the node once its store is loaded.
 func (c *cluster) startRecovery(store *idempotency.Store, loaded *loadedStore) {
 	b := c.backend
 	c.store = store
@@ -40,21 +40,22 @@
 	c.recovery.DiskLoaded(b.now, recovery.DiskState{
 		Incarnation: c.incarnation,
 		Seq:         store.DurableSeq(),
-		NewStore:    c.incarnation == 1 && !loaded.setAside,
+		NewStore:    c.incarnation == 1 && !loaded.quarantined,
 	})
 	c.runRecovery()
 }
 
-// recoveryPeers returns the nodes that remember how far this node's log is: some of each list, the same whoever computes
-// them, so that what is announced and asked doesn't grow with the fleet.
+// recoveryPeers returns the names of the peers that record this node's log position: a fixed number from each member
+// list, so that the cost of announcements and queries does not grow with the size of the fleet. Every node computes the
+// same ones.
 func (c *cluster) recoveryPeers() (names []string) {
 	own := c.backend.cfg.Name
 	var key idempotency.Key
 	copy(key[:], own)
 	for _, members := range [][]ClusterMember{c.roster.Members, c.roster.Previous} {
 		found := 0
-		for _, name := range failover.Group(failoverMembers(members), key, maxWitnesses+1) {
-			if name == own || found == maxWitnesses || c.peerStates.Forgotten(name) {
+		for _, name := range failover.Group(failoverMembers(members), key, maxRecoveryPeers+1) {
+			if name == own || found == maxRecoveryPeers || c.peerStates.Forgotten(name) {
 				continue
 			}
 			found++
@@ -66,7 +67,7 @@
 	return names
 }
 
-// runRecovery carries out what the recovery node wants, and starts the node once the recovery is over.
+// runRecovery performs the actions of the recovery node, and starts the failover node once the recovery allows it.
 func (c *cluster) runRecovery() {
 	if c.recovery == nil {
 		return
@@ -95,7 +96,7 @@
 	}
 }
 
-// queryPeerStates asks nodes what they remember of this one.
+// queryPeerStates queries peers for the states of this node that they have recorded.
 func (c *cluster) queryPeerStates(names []string) {
 	for _, name := range names {
 		if link := c.links[name]; link != nil {
@@ -107,22 +108,23 @@
 func (c *cluster) markHistoryLost() {
 	b := c.backend
 	c.store.MarkOutdated(b.guard.now())
-	b.log.Error("store older than peers know", "incarnation", c.incarnation, "reason", c.recovery.Reason(),
-		"so", "what it does not have is not taken for fresh until the horizon has passed")
+	b.log.Error("store is older than the state that peers recorded", "incarnation", c.incarnation, "reason", c.recovery.Reason(),
+		"so", "keys that it lacks are not treated as new until the retry horizon has passed")
 }
 
-func (c *cluster) raiseIncarnation(known uint64) {
+func (c *cluster) raiseIncarnation(recorded uint64) {
 	b := c.backend
-	if !c.store.RaiseIncarnation(known) {
+	if !c.store.RaiseIncarnation(recorded) {
 		b.guard.storeFailed = true
-		b.log.Error("store older than peers know", "reason", "an incarnation that can't be counted", "known", known,
+		b.log.Error("store is older than the state that peers recorded",
+			"reason", "the incarnation that a peer recorded is too far ahead", "known", recorded,
 			"so", "guarded requests are rejected until a restart")
 	}
 	c.incarnation = c.store.Stats().Incarnation
 }
 
-// recoveryTick does what is due of the recovery, announces how far this node's log is, and has what it remembers of
-// others written.
+// recoveryTick performs the due steps of the recovery. At each peerStateInterval it also announces this node's log
+// position and writes the recorded peer states.
 func (c *cluster) recoveryTick() {
 	if c.recovery == nil {
 		return
@@ -138,12 +140,12 @@
 	}
 	c.peerStates.nextTick = b.now + peerStateInterval
 	b.wakeBy(c.peerStates.nextTick)
-	c.announceLog()
+	c.announceLogPosition()
 	c.writePeerStates()
 }
 
-// announceLog tells the witnesses how far this node's log is, if it has grown.
-func (c *cluster) announceLog() {
+// announceLogPosition reports this node's log position to its recovery peers if the log has grown.
+func (c *cluster) announceLogPosition() {
 	last := c.store.DurableSeq()
 	if last == c.peerStates.announcedSeq {
 		return
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -8,18 +8,19 @@
 	"frosthub/recovery"
 )
 
-// maxUnknownKeys is how many keys with an unknown outcome the other nodes are asked for at a start: as many as can have
-// been in flight.
+// maxUnknownKeys is the maximum number of keys with an unknown outcome that are queried at a start. It covers as many
+// as can have been in flight.
 const maxUnknownKeys = 4096
 
-// refillState is what this node still asks of the others: the history that its disk lacks, and the outcomes of
-// runs whose end it does not know.
+// refillState is what this node still queries from its peers: the history that its disk lacks, and the outcomes of runs
+// whose end it has not recorded.
 type refillState struct {
-	history         *recovery.Refill[failover.Cursor] // nil while nothing is lacking
+	history         *recovery.Refill[failover.Cursor] // nil while the history is complete
 	unknownOutcomes *recovery.UnknownOutcomes
 }
 
-// startRefill asks for what the store lacks of its history, if anything, and for the keys with an unknown outcome.
+// startRefill starts the transfer of the history that the store lacks, if any, and the queries for keys with an unknown
+// outcome.
 func (c *cluster) startRefill() {
 	var keys [][16]byte
 	for _, key := range c.store.KeysWithUnknownOutcome(maxUnknownKeys) {
@@ -37,10 +38,10 @@
 	}
 	c.refill.history = refill
 	c.store.SetRefillCheck(func(key idempotency.Key) bool { return refill.Covers(c.node.GroupPeers(key)) })
-	c.finishRefill() // it is over at once if an operator has said of all others that they never come back
+	c.finishRefill() // done at once if an operator has declared all other nodes forgotten
 }
 
-// others returns the names of all nodes of the roster but this one.
+// others returns the names of all other nodes of the roster.
 func (c *cluster) others() (names []string) {
 	for _, member := range c.roster.allMembers() {
 		if member.Name != c.backend.cfg.Name {
@@ -50,9 +51,9 @@
 	return names
 }
 
-// refillTick asks for what is due.
+// refillTick sends the queries that are due.
 func (c *cluster) refillTick() {
-	c.queryUnknown()
+	c.queryUnknownOutcomes()
 	refill := c.refill.history
 	if refill == nil || refill.Done() {
 		return
@@ -64,8 +65,8 @@
 	}
 }
 
-// queryUnknown asks for the keys whose outcome is still unknown, where that is due.
-func (c *cluster) queryUnknown() {
+// queryUnknownOutcomes queries the outcomes that are still unknown and due.
+func (c *cluster) queryUnknownOutcomes() {
 	now := c.backend.guard.now()
 	isUnknown := func(key [16]byte) bool {
 		return c.store.PeekOutcome(now, 0, key).Decision == idempotency.OutcomeUnknown
@@ -77,7 +78,7 @@
 	c.node.ResolveUnknown(now, keys)
 }
 
-// sendPage answers a node that has lost a part of its history.
+// sendPage answers the page request of a node that has lost part of its history.
 func (c *cluster) sendPage(to string, incarnation uint64, request *failover.PageRequest) {
 	if request.Incarnation != incarnation || incarnation < c.Incarnation(to) {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// onPage takes a page of the history that this node has lost.
+// onPage handles a page of the history that this node has lost.
 func (c *cluster) onPage(from string, incarnation uint64, page *failover.Page) {
 	b := c.backend
 	refill := c.refill.history
@@ -108,19 +109,19 @@
 	}
 	refill.PageReceived(b.now, from, &info, c.node.ReceivePage(b.guard.now(), page))
 	if info.Last {
-		b.log.Info("state refill", "by", from, "complete", page.Complete, "fences_supported", page.FencesSupported)
+		b.log.Info("refill pass from peer ended", "by", from, "complete", page.Complete, "fences_supported", page.FencesSupported)
 	}
 	c.finishRefill()
 }
 
-// finishRefill ends the refill if all other nodes have sent what they know.
+// finishRefill ends the refill if all other nodes have sent their records.
 func (c *cluster) finishRefill() {
 	b := c.backend
 	if c.refill.history == nil || !c.refill.history.Done() {
 		return
 	}
 	kept := c.store.MarkRefilled(b.guard.now())
-	b.log.Info("state refill", "by", "all others", "also_for_later_incarnations", kept)
+	b.log.Info("refill completed", "by", "all others", "also_for_later_incarnations", kept)
 	c.recovery.MarkComplete()
 	c.runRecovery()
 }
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -14,24 +14,23 @@
 	"frosthub/internal/wal"
 )
 
-// rosterFileName is the file in the directory of the store that holds the roster that this node has adopted.
+// rosterFileName is the file in the store's directory that holds the roster that this node has adopted.
 const rosterFileName = "cluster.json"
 
-// clusterRoster is the members of a cluster as a node has adopted them, with their addresses. The record of it on disk
-// is as new as what the node acts on, or newer: what the node starts with after a restart is what others may know of
-// it.
+// clusterRoster holds the member lists that a node has adopted, with addresses. A roster is written to disk before the
+// node uses it, so that after a restart the node never uses an older roster than other nodes have seen from it.
 type clusterRoster struct {
 	Members  []ClusterMember `json:"members"`
-	Previous []ClusterMember `json:"before,omitempty"` // while the members change: those before
+	Previous []ClusterMember `json:"before,omitempty"` // the previous list while the members change
 	Since    time.Duration   `json:"since"`            // nanoseconds since 1970; see failover.Roster
 }
 
-// roster returns the roster of the operator's file.
+// roster returns the configured roster.
 func (c *ClusterConfig) roster() clusterRoster {
 	return clusterRoster{Members: c.Members, Previous: c.Previous}
 }
 
-// forFailover returns the roster without addresses.
+// forFailover returns the roster without addresses, for package failover.
 func (r *clusterRoster) forFailover() failover.Roster {
 	return failover.Roster{
 		Members:  failoverMembers(r.Members),
@@ -51,7 +50,7 @@
 	return slices.ContainsFunc(members, func(member ClusterMember) bool { return member.Name == name })
 }
 
-// allMembers returns the members of both lists. A node that is on both is returned as it is on the new one.
+// allMembers returns the members of both lists. A node on both lists is returned with its entry of the new list.
 func (r *clusterRoster) allMembers() []ClusterMember {
 	out := slices.Clone(r.Members)
 	for _, member := range r.Previous {
@@ -62,21 +61,21 @@
 	return out
 }
 
-// readRoster returns the roster that this node adopted last. If there is none it writes and returns first.
-func readRoster(dir string, first clusterRoster) (clusterRoster, error) {
+// readRoster returns the roster that this node has adopted last. If there is none, it writes initial and returns it.
+func readRoster(dir string, initial clusterRoster) (clusterRoster, error) {
 	text, err := os.ReadFile(filepath.Join(dir, rosterFileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return first, writeRosterFile(dir, first)
+		return initial, writeRosterFile(dir, initial)
 	}
 	if err != nil {
-		return clusterRoster{}, fmt.Errorf("%s: %w", rosterFileName, err)
+		return clusterRoster{}, fmt.Errorf("read %s: %w", rosterFileName, err)
 	}
 	var roster clusterRoster
 	if err := json.Unmarshal(text, &roster); err != nil {
-		return clusterRoster{}, fmt.Errorf("%s: %w", rosterFileName, err)
+		return clusterRoster{}, fmt.Errorf("read %s: %w", rosterFileName, err)
 	}
 	if len(roster.Members) == 0 {
-		return clusterRoster{}, fmt.Errorf("%s: no members", rosterFileName)
+		return clusterRoster{}, fmt.Errorf("read %s: the member list is empty", rosterFileName)
 	}
 	return roster, nil
 }
--- a/backend/roster_test.go
+++ b/backend/roster_test.go
@@ -11,8 +11,8 @@
 	"frosthub/failover"
 )
 
-// TestRosterFormat reads a roster that an earlier version wrote, and writes it again byte for byte: nodes of both versions
-// may use one directory after each other.
+// TestRosterFormat reads a roster that an earlier version wrote, and checks that it is written back byte for byte.
+// Nodes of both versions may use the same directory in turn.
 func TestRosterFormat(t *testing.T) {
 	const stored = "testdata/roster-v1"
 	member := func(node failover.Member, address, processor string) ClusterMember {
--- a/cmd/frosthub/power_loss_test.go
+++ b/cmd/frosthub/power_loss_test.go
@@ -113,7 +113,7 @@
 		}
 		found := false
 		for end := time.Now().Add(5 * time.Second); !found && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			found = strings.Contains(cluster.nodes[restored].Log()[before:], "store older than peers know")
+			found = strings.Contains(cluster.nodes[restored].Log()[before:], "store is older than the state that peers recorded")
 		}
 		if outdatedCount++; !found {
 			t.Errorf("round %d: n%d trusts an older disk (n%d recovers late):\n%s", round, restored+1, late+1, cluster.nodes[restored].Log()[before:])
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	cluster.start(0)
-	if log := cluster.nodes[0].Log(); !strings.Contains(log, "starts died over it") || !strings.Contains(log, "serving in part") {
+	if log := cluster.nodes[0].Log(); !strings.Contains(log, "earlier processes died while loading the store") || !strings.Contains(log, "serving in part") {
 		t.Error(log)
 	}
 	repeated := &harness.ClaimLoad{
