--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -182,7 +182,7 @@
 func (c *cluster) runDetector() {
 	messages, changes := c.detector.Ready()
 	for _, message := range messages {
-		if link := c.links[message.To]; link != nil { // nil: no longer a member
+		if link := c.links[message.To]; link != nil { // nil if the node is no longer a member
 			link.batch.Members = append(link.batch.Members, message.Message)
 		}
 	}
@@ -200,7 +200,7 @@
 			return progress
 		}
 		for _, message := range messages {
-			if link := c.links[message.To]; link != nil { // nil: a ballot may name a node outside this roster
+			if link := c.links[message.To]; link != nil { // nil if a ballot names a node outside this roster
 				link.batch.Claims = append(link.batch.Claims, message.Message)
 			}
 		}
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -61,15 +61,15 @@
 // roster's Since.
 func (c *cluster) recordAdoptedByAll(roster *failover.Roster) bool {
 	b := c.backend
-	behind := roster.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.peerDigests[name] })
-	if len(behind) > 0 {
-		c.change.reason = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(behind, ", "))
+	notAdopted := roster.NotAdopted(b.cfg.Name, func(name string) []uint64 { return c.peerDigests[name] })
+	if len(notAdopted) > 0 {
+		c.change.reason = fmt.Sprintf("%v: %s", failover.ErrNotAdopted, strings.Join(notAdopted, ", "))
 		return false
 	}
 	c.change.reason = ""
-	dated := c.roster
-	dated.Since = b.guard.now()
-	c.writeRoster(dated)
+	updated := c.roster
+	updated.Since = b.guard.now()
+	c.writeRoster(updated)
 	return true
 }
 
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -186,7 +186,7 @@
 		{"the node itself", append(hello("north", "n3"), claims...), true},
 		{"no hello", claims, true},
 		{"noise", []byte("GET / HTTP/1.1\r\n\r\n"), true},
-		{"a long part of nothing", append([]byte{0, 1, 0, 0}, make([]byte, 8000)...), true},
+		{"a long incomplete message", append([]byte{0, 1, 0, 0}, make([]byte, 8000)...), true},
 		{"a member", append(hello("north", "n1"), claims...), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
