--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -127,8 +127,8 @@
 	}, c.store, c, b.cfg.Seed^1, b.guard.now())
 	c.node.MarkFencesDurable(fenceList(c.peerStates.Fences))
 	c.startRefill()
-	b.log.Info("cluster member started", "name", b.cfg.Cluster.Name, "incarnation", c.incarnation,
-		"members", len(roster.Members), "before", len(roster.Previous))
+	b.log.Info("cluster member started", "cluster", b.cfg.Cluster.Name, "incarnation", c.incarnation,
+		"members", len(roster.Members), "previous_members", len(roster.Previous))
 }
 
 // Alive reports whether the failure detector considers a node alive. It implements failover.FailureDetector. A node
@@ -188,8 +188,8 @@
 	}
 	for _, change := range changes {
 		c.unlinkDeparted(change.Update)
-		c.backend.log.Info("member state changed", "name", change.Name, "incarnation", change.Incarnation,
-			"state", change.State.String(), "was", change.Previous.State.String())
+		c.backend.log.Info("member state changed", "node", change.Name, "incarnation", change.Incarnation,
+			"state", change.State.String(), "previous_state", change.Previous.State.String())
 	}
 }
 
--- a/backend/cluster_messages.go
+++ b/backend/cluster_messages.go
@@ -114,7 +114,7 @@
 		c.links[hello.From].batch.PeerState = &answer
 	}
 	if c.peerStates.MarkReturned(hello.From) {
-		c.backend.log.Warn("recovery", "back", hello.From, "so", "recovery waits for its answer again")
+		c.backend.log.Warn("recovery", "returned_node", hello.From, "consequence", "recovery waits for its answer again")
 		c.recovery.SetOthers(c.recoveryPeers())
 	}
 	c.peerStates.Update(hello.From, hello.Mark, recovery.PeerState{Incarnation: hello.Incarnation, Seq: hello.Seq})
--- a/backend/cluster_operator.go
+++ b/backend/cluster_operator.go
@@ -31,7 +31,7 @@
 	case c.store.HistoryComplete() && c.recovery.Phase() != recovery.Querying:
 		return ErrHistoryComplete
 	}
-	b.log.Warn("recovery", "said", "an operator has confirmed that the store is complete")
+	b.log.Warn("recovery", "event", "an operator has confirmed that the store is complete")
 	c.store.AcceptHistory(b.guard.now())
 	c.refill.history = nil
 	c.recovery.TrustDisk()
@@ -60,7 +60,7 @@
 	case c.node != nil && c.Alive(name):
 		return ErrNodeAlive
 	}
-	b.log.Warn("recovery", "said", "an operator has confirmed that a node never returns", "node", name)
+	b.log.Warn("recovery", "event", "an operator has confirmed that a node never returns", "node", name)
 	c.peerStates.Forget(name, b.guard.now())
 	c.recovery.SetOthers(c.recoveryPeers())
 	c.recovery.Tick(b.now)
--- a/backend/cluster_reconfigure.go
+++ b/backend/cluster_reconfigure.go
@@ -135,7 +135,8 @@
 		refill.SetOthers(c.others())
 	}
 	c.sendHelloToAll()
-	b.log.Info("membership changed", "now", len(roster.Members), "before", len(roster.Previous), "all_since", c.adoptedByAllSince())
+	b.log.Info("membership changed", "members", len(roster.Members), "previous_members", len(roster.Previous),
+		"adopted_by_all_since", c.adoptedByAllSince())
 }
 
 // keepDeparting keeps the links to the nodes that leave with a new roster: they may still have requests in flight and
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -190,12 +190,12 @@
 	g.lock = loaded.lock
 	if err != nil {
 		g.storeFailed = true
-		b.log.Error(storeMessage, "dir", dir, "reason", err, "so", "guarded requests are rejected until a restart")
+		b.log.Error(storeMessage, "dir", dir, "reason", err, "consequence", "guarded requests are rejected until a restart")
 		return
 	}
 	if loaded.quarantined {
 		b.log.Error(storeMessage, "dir", dir, "reason", "earlier processes died while loading the store",
-			"so", "its records are quarantined and count as lost until the retry horizon has passed")
+			"consequence", "its records are quarantined and count as lost until the retry horizon has passed")
 		loaded.store.MarkOutdated(g.now())
 	}
 	for _, damage := range loaded.contents.Damage {
@@ -228,7 +228,7 @@
 	if err != nil {
 		g.storeFailed = true
 		g.backend.log.Error(storeMessage, "dir", g.backend.cfg.Idempotency.Dir, "reason", err,
-			"so", "new guarded requests are rejected until a restart; repeats of recorded ones are answered")
+			"consequence", "new guarded requests are rejected until a restart; repeats of recorded ones are answered")
 	}
 	switch {
 	case err == nil && node != nil:
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -85,7 +85,7 @@
 			restart = c.node != nil
 		}
 		if action.To != action.From {
-			c.backend.log.Info("recovery", "phase", action.To.String(), "was", action.From.String(), "reason", action.Reason)
+			c.backend.log.Info("recovery", "phase", action.To.String(), "previous_phase", action.From.String(), "reason", action.Reason)
 		}
 	}
 	switch {
@@ -109,7 +109,7 @@
 	b := c.backend
 	c.store.MarkOutdated(b.guard.now())
 	b.log.Error("store is older than the state that peers recorded", "incarnation", c.incarnation, "reason", c.recovery.Reason(),
-		"so", "keys that it lacks are not treated as new until the retry horizon has passed")
+		"consequence", "keys that it lacks are not treated as new until the retry horizon has passed")
 }
 
 func (c *cluster) raiseIncarnation(recorded uint64) {
@@ -117,8 +117,8 @@
 	if !c.store.RaiseIncarnation(recorded) {
 		b.guard.storeFailed = true
 		b.log.Error("store is older than the state that peers recorded",
-			"reason", "the incarnation that a peer recorded is too far ahead", "known", recorded,
-			"so", "guarded requests are rejected until a restart")
+			"reason", "the incarnation that a peer recorded is too far ahead", "recorded_incarnation", recorded,
+			"consequence", "guarded requests are rejected until a restart")
 	}
 	c.incarnation = c.store.Stats().Incarnation
 }
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -109,7 +109,7 @@
 	}
 	refill.PageReceived(b.now, from, &info, c.node.ReceivePage(b.guard.now(), page))
 	if info.Last {
-		b.log.Info("refill pass from peer ended", "by", from, "complete", page.Complete, "fences_supported", page.FencesSupported)
+		b.log.Info("refill pass from peer ended", "source", from, "source_complete", page.Complete, "fences_supported", page.FencesSupported)
 	}
 	c.finishRefill()
 }
@@ -121,7 +121,7 @@
 		return
 	}
 	kept := c.store.MarkRefilled(b.guard.now())
-	b.log.Info("refill completed", "by", "all others", "also_for_later_incarnations", kept)
+	b.log.Info("refill completed", "source", "all others", "applies_to_later_incarnations", kept)
 	c.recovery.MarkComplete()
 	c.runRecovery()
 }
--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -102,7 +102,7 @@
 	cluster.start(2)
 	change(after, nil, 0, 1, 2, 3, 4)
 	waitForLog("may still retry requests that ran under the previous member list", 0, 1, 2, 3, 4)
-	waitForLog("now=3 before=0", 0, 1, 2, 3, 4)
+	waitForLog(`msg="membership changed" members=3 previous_members=0`, 0, 1, 2, 3, 4)
 	for _, i := range []int{0, 1} {
 		if err := cluster.nodes[i].Drain(); err != nil {
 			t.Fatal(err)
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -101,7 +101,7 @@
 	}
 	started := time.Now()
 	cluster.start(0)
-	for end := time.Now().Add(15 * time.Second); !strings.Contains(node.Log(), `by="all others"`); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(15 * time.Second); !strings.Contains(node.Log(), `source="all others"`); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the other nodes never sent its records again: ", node.Log())
 		}
@@ -186,8 +186,8 @@
 	if err := cluster.nodes[1].Start(); err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitForLog(0, `by=n2`, 15*time.Second)
-	if log := cluster.nodes[0].Log(); strings.Contains(log, `by="all others"`) {
+	cluster.waitForLog(0, `source=n2`, 15*time.Second)
+	if log := cluster.nodes[0].Log(); strings.Contains(log, `source="all others"`) {
 		t.Error("one of two nodes counts as all others: ", log)
 	}
 	twoOfThree := runLoad(1, 20, 0, 1) // the same keys: both return what n2 has recorded
@@ -206,7 +206,7 @@
 	if out := recovery(0, "forget", "n3", "--yes"); !strings.Contains(out, "recorded") {
 		t.Error(out)
 	}
-	cluster.waitForLog(0, `by="all others"`, 10*time.Second)
+	cluster.waitForLog(0, `source="all others"`, 10*time.Second)
 	if out := recovery(0); !strings.Contains(out, "serving") || !strings.Contains(out, "n2") {
 		t.Error(out)
 	}
@@ -214,7 +214,7 @@
 		t.Errorf("%+v", totals)
 	}
 	cluster.start(2) // although it is forgotten
-	cluster.waitForLog(0, "back=n3", 5*time.Second)
+	cluster.waitForLog(0, "returned_node=n3", 5*time.Second)
 	if totals := cluster.verify(runLoad(2, 20, 0, 1, 2)); totals.Served != totals.Keys {
 		t.Errorf("%+v", totals)
 	}
@@ -286,7 +286,7 @@
 		}
 	}
 	time.Sleep(2 * time.Second)
-	if strings.Contains(cluster.nodes[0].Log(), `by="all others"`) {
+	if strings.Contains(cluster.nodes[0].Log(), `source="all others"`) {
 		t.Error("the recovery is complete while older programs run: ", cluster.nodes[0].Log())
 	}
 	for _, i := range []int{3, 4} {
@@ -296,7 +296,7 @@
 		cluster.nodes[i].Binary = binary
 		cluster.start(i)
 	}
-	cluster.waitForLog(0, `by="all others"`, 20*time.Second)
+	cluster.waitForLog(0, `source="all others"`, 20*time.Second)
 	stop()
 	totals := cluster.verify(load)
 	t.Logf("%+v", totals)
