--- a/internal/harness/claim_load.go
+++ b/internal/harness/claim_load.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// maxAttempts is the number of attempts after which a caller gives up a key.
+	// maxAttempts is the number of attempts after which a caller stops sending a key.
 	maxAttempts = 40
-	// maxFailures is the number of failures after which a caller gives up a key: its outcome is unknown, and no retry will change that.
+	// maxFailures is the number of failures after which a caller stops sending a key: its outcome is unknown, and retries cannot change
+	// that.
 	maxFailures = 3
 )
 
-// ClaimLoad is a load of requests that must not run twice. Each key is a body, sent under a new request ID in each attempt until it is
-// served, and repeated after that. The exported fields may not change while Run runs.
+// ClaimLoad generates requests that must not run twice. A key is a request body. Callers send it under a new request ID in each attempt
+// until it is served, and repeat it afterwards. The exported fields must not change while Run runs.
 type ClaimLoad struct {
 	Handler       string
-	Callers       int           // keys in flight at a time
+	Callers       int           // number of concurrent callers, each with one key in flight
 	Keys          int           // keys of each caller; 0: until the context is done
-	Repeats       int           // repeats of each key that was served
-	LateShare     float64       // share of the repeats that are of a random earlier key
+	Repeats       int           // repeats of each key after it was served
+	LateShare     float64       // share of the repeats that send a random earlier key
 	Pause         time.Duration // between attempts
 	Timeout       time.Duration // of an attempt
-	RetryHorizon  time.Duration // as the nodes are configured: no attempt may arrive so long after its key was created; 0: no limit
+	RetryHorizon  time.Duration // retry horizon of the nodes: no attempt may arrive later than this after its key was created; 0: no limit
 	CostMS        float64
-	Padding       int // bytes of a body beyond its key
+	Padding       int // bytes added to each body
 	Customer      string
-	SendCreatedAt bool                // send with each attempt when its key was created
+	SendCreatedAt bool                // send the creation time of the key with each attempt
 	OnLatency     func(time.Duration) // called with the latency of each served attempt, one call at a time; may be nil
 
 	mu         sync.Mutex
 	history    []HistoryEvent
-	began      int64                   // of the first Run, in Unix nanoseconds
+	firstRunAt int64                   // start of the first Run, in Unix nanoseconds
 	records    map[string]*ClaimRecord // by key
-	keys       []string                // in the order of their creation
+	keys       []string                // in order of creation
 	violations []string
 }
 
-// ClaimRecord is what the callers know of a key.
+// ClaimRecord holds the results of all attempts of a key, as its callers received them.
 type ClaimRecord struct {
 	First       string // result of the first attempt that was served
 	Served      int    // attempts served
 	Failed      int    // attempts answered with an error
 	Rejected    int    // attempts rejected
 	CreatedAt   int64  // in Unix milliseconds
-	Interrupted int    // attempts whose connection ended, or that timed out
+	Interrupted int    // attempts that timed out or whose connection ended
 }
 
-// Run sends requests until the context is done or each caller has sent its keys. clientFor returns the client for an attempt, by a
-// random number.
+// Run sends requests until the context is done or each caller has sent its keys. clientFor selects the client of an attempt by a random
+// number.
 func (l *ClaimLoad) Run(ctx context.Context, seed uint64, clientFor func(random uint64) fake.Client) {
 	l.mu.Lock()
 	if l.records == nil {
 		l.records = map[string]*ClaimRecord{}
-		l.began = time.Now().UnixNano()
+		l.firstRunAt = time.Now().UnixNano()
 	}
 	l.mu.Unlock()
 	var callers sync.WaitGroup
@@ -68,23 +69,23 @@
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			for n := 0; ctx.Err() == nil && (l.Keys == 0 || n < l.Keys); n++ {
 				key := fmt.Sprintf("claim %x-%d-%d%*s", seed, i, n, l.Padding, "")
-				l.claim(ctx, random, key, clientFor)
+				l.sendKey(ctx, random, key, clientFor)
 			}
 		})
 	}
 	callers.Wait()
 }
 
-// claim sends a key until it is served and repeated, or given up.
-func (l *ClaimLoad) claim(ctx context.Context, random *rand.Rand, key string, clientFor func(uint64) fake.Client) {
-	created := time.Now()
-	record := &ClaimRecord{CreatedAt: created.UnixMilli()}
+// sendKey sends a key until it is served and repeated, or until the limits on attempts, failures or time end the retries.
+func (l *ClaimLoad) sendKey(ctx context.Context, random *rand.Rand, key string, clientFor func(uint64) fake.Client) {
+	createdAt := time.Now()
+	record := &ClaimRecord{CreatedAt: createdAt.UnixMilli()}
 	l.mu.Lock()
 	l.records[key] = record
 	l.keys = append(l.keys, key)
 	l.mu.Unlock()
 	served := 0
-	for attempt := 0; ctx.Err() == nil && attempt < maxAttempts && served < l.Repeats+1 && l.mayRetry(created); attempt++ {
+	for attempt := 0; ctx.Err() == nil && attempt < maxAttempts && served < l.Repeats+1 && l.mayRetry(createdAt); attempt++ {
 		target := key
 		if record.Served > 0 && random.Float64() < l.LateShare {
 			target = l.randomKey(random)
@@ -104,10 +105,10 @@
 	}
 }
 
-// mayRetry reports whether an attempt that is sent now arrives within the retry horizon, even if it takes as long as its timeout allows.
-// The nodes forget what is older, as their configuration tells them to: a caller that went on would break its side of the contract.
-func (l *ClaimLoad) mayRetry(created time.Time) bool {
-	return l.RetryHorizon == 0 || time.Since(created)+l.Timeout <= l.RetryHorizon
+// mayRetry reports whether an attempt that is sent now arrives within the retry horizon, even if it takes the full timeout. Nodes drop
+// older keys as configured, so later retries would violate the contract between client and node.
+func (l *ClaimLoad) mayRetry(createdAt time.Time) bool {
+	return l.RetryHorizon == 0 || time.Since(createdAt)+l.Timeout <= l.RetryHorizon
 }
 
 func (l *ClaimLoad) randomKey(random *rand.Rand) string {
@@ -116,8 +117,8 @@
 	return l.keys[random.IntN(len(l.keys))]
 }
 
-// attempt sends a key once and returns the status that the response amounts to: 200 if it is served, 503 if it is rejected, 0 if there
-// is none, 500 otherwise.
+// attempt sends a key once and returns the status that corresponds to its result: 200 if it is served, 503 if it is rejected, 0 if there
+// is no response, 500 otherwise.
 func (l *ClaimLoad) attempt(random *rand.Rand, key string, clientFor func(uint64) fake.Client) int {
 	l.mu.Lock()
 	record := l.records[key]
@@ -162,12 +163,12 @@
 	}
 	record.Failed++
 	if servedBefore {
-		l.violations = append(l.violations, fmt.Sprintf("%s: served, and failed later (%d)", key, response.Status))
+		l.violations = append(l.violations, fmt.Sprintf("%s: failed with status %d after it was served", key, response.Status))
 	}
 	return status
 }
 
-// statusOf returns the status that the result of a round trip amounts to, as attempt does.
+// statusOf maps the result of a round trip to the status that attempt returns.
 func statusOf(response fake.Response, outcome fake.Outcome) int {
 	switch {
 	case outcome == fake.Rejected:
@@ -182,13 +183,14 @@
 	return http.StatusInternalServerError
 }
 
-// recordServed records a result, which must be that of the key's first. The caller holds the mutex.
+// recordServed records the result of a served attempt. A result that differs from the key's first result is a violation. The caller
+// holds the mutex.
 func (l *ClaimLoad) recordServed(record *ClaimRecord, key, result string, sentAt time.Time) {
 	if record.First == "" {
 		record.First = result
 	}
 	if record.First != result {
-		l.violations = append(l.violations, fmt.Sprintf("%s: answered %q first and %q later", key, record.First, result))
+		l.violations = append(l.violations, fmt.Sprintf("%s: first result %q, later result %q", key, record.First, result))
 	}
 	record.Served++
 	if l.OnLatency != nil {
@@ -196,40 +198,40 @@
 	}
 }
 
-// linearizable reports whether one run of each key, at some time after it was first requested, explains all responses. If not, it
-// describes a key's history.
+// linearizable reports whether a single run of each key, at some time after its first attempt, explains all responses. If not, it
+// describes the history of one key that violates this.
 func (l *ClaimLoad) linearizable() (violation string, ok bool) {
 	events := append([]HistoryEvent(nil), l.history...)
-	firstAsked := map[string]int64{}
-	lastHeard := map[string]int64{}
+	firstSentAt := map[string]int64{}
+	lastReceivedAt := map[string]int64{}
 	results := map[string]string{}
 	for _, event := range l.history {
-		if at, ok := firstAsked[event.Key]; !ok || event.Asked < at {
-			firstAsked[event.Key] = event.Asked
+		if at, ok := firstSentAt[event.Key]; !ok || event.Asked < at {
+			firstSentAt[event.Key] = event.Asked
 		}
 		if event.Served && results[event.Key] == "" {
 			results[event.Key] = event.Result
 		}
-		lastHeard[event.Key] = max(lastHeard[event.Key], event.Heard)
+		lastReceivedAt[event.Key] = max(lastReceivedAt[event.Key], event.Heard)
 	}
-	for key, at := range firstAsked { // when it ran is not known any closer
-		events = append(events, HistoryEvent{Key: key, Ran: true, Result: results[key], Asked: min(at, l.began), Heard: lastHeard[key]})
+	for key, at := range firstSentAt { // the callers cannot observe the time of the run more precisely
+		events = append(events, HistoryEvent{Key: key, Ran: true, Result: results[key], Asked: min(at, l.firstRunAt), Heard: lastReceivedAt[key]})
 	}
 	return Linearizable(events)
 }
 
-// ClaimTotals counts keys and attempts of a ClaimLoad.
+// ClaimTotals counts the keys and attempts of a ClaimLoad by their results.
 type ClaimTotals struct {
 	Keys           int
 	Served         int // keys that were served
 	Answers        int // attempts that were served
 	OutcomeUnknown int // keys that failed and were never served
-	Rejected       int // attempts
-	Interrupted    int // attempts
+	Rejected       int // attempts that were rejected
+	Interrupted    int // attempts that timed out or whose connection ended
 }
 
-// Verify checks what the callers know against the counted effects, by key, and describes each violation: keys that ran more than once,
-// that were served and never ran, or whose responses are not linearizable.
+// Verify compares the callers' records with the number of runs of each key (effects). It describes each violation: a key that ran more
+// than once, that was served but never ran, or whose responses are inconsistent or not linearizable.
 func (l *ClaimLoad) Verify(effects map[string]int) (ClaimTotals, []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,7 +249,7 @@
 		case runs > 1:
 			violations = append(violations, fmt.Sprintf("%s ran %d times", key, runs))
 		case runs == 0 && record.Served > 0:
-			violations = append(violations, fmt.Sprintf("%s: served, and it never ran", key))
+			violations = append(violations, fmt.Sprintf("%s: served, but it never ran", key))
 		}
 		if record.Served > 0 {
 			totals.Served++
--- a/internal/harness/edge_node.go
+++ b/internal/harness/edge_node.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// finalRecordSize is the length in bytes of the record that ends a request, with its padding.
+	// finalRecordSize is the length in bytes of the last record of a request, including its padding.
 	finalRecordSize = 8 + 3
 	// maxSlot is the highest slot that an edge node uses on a connection.
 	maxSlot = 1000
-	// edgeDialTimeout is how long an edge node waits for a connection.
+	// edgeDialTimeout limits how long an edge node waits for a connection.
 	edgeDialTimeout = time.Second
-	// redialPause is how long an edge node waits before it connects again after a failure.
+	// redialPause is the delay before an edge node reconnects after a failure.
 	redialPause = 5 * time.Millisecond
-	// finalResponseTimeout is how long an edge node waits for its open requests once it sends no more.
+	// finalResponseTimeout limits how long an edge node waits for open requests after it has stopped sending.
 	finalResponseTimeout = 6 * time.Second
-	// responsePollInterval is how often it looks whether any is still open.
+	// responsePollInterval is the interval at which it checks for open requests.
 	responsePollInterval = time.Millisecond
 )
 
-// EdgeNode is an edge node that keeps its connections and sends requests on them until it sees their end, as one does that has not
-// been notified of a drain. It records what it sees in an ExchangeLog.
+// EdgeNode sends requests on persistent connections until it sees them end, like an edge node that has not been notified of a drain. It
+// records each request and its result in an ExchangeLog.
 type EdgeNode struct {
-	Name       string // the node that receives the requests, as named in the log
+	Name       string // name of the receiving node in the log
 	Address    string
-	Proxy      *faultproxy.Proxy // on the way to the node; nil: none
+	Proxy      *faultproxy.Proxy // proxy between edge node and node; nil: none
 	Conns      int
 	Interval   time.Duration // mean time between requests of a connection
 	Slots      int           // maximum of open requests on a connection
 	Handlers   []string
 	CostMS     float64
 	Body       string
-	SplitShare float64       // share of requests written in two parts
-	SplitPause time.Duration // maximum time between the parts
+	SplitShare float64       // share of requests that are written in two parts
+	SplitPause time.Duration // maximum time between the two parts
 
-	// ExcuseFor returns why the end of a connection that was begun at the given time is not the node's fault, empty if it is. If
-	// nil, each end is the node's fault.
+	// ExcuseFor returns why the node is not at fault for the end of a connection that was opened at the given time. An empty string
+	// means that it is at fault. If ExcuseFor is nil, the node is at fault for each end.
 	ExcuseFor func(began time.Time) string
 }
 
-// Run sends requests until the context is done, then waits for the open ones.
+// Run sends requests until the context is done, then waits for the responses to open requests.
 func (e EdgeNode) Run(ctx context.Context, log *ExchangeLog, seed uint64) {
 	var conns sync.WaitGroup
 	for i := range e.Conns {
@@ -57,11 +57,11 @@
 			for ctx.Err() == nil {
 				conn, err := net.DialTimeout("tcp", e.dialAddress(), edgeDialTimeout)
 				if err == nil {
-					c := &edgeConn{edge: e, log: log, conn: conn, open: map[uint16]sentRequest{}, began: time.Now()}
+					c := &edgeConn{edge: e, log: log, conn: conn, open: map[uint16]sentRequest{}, openedAt: time.Now()}
 					c.run(ctx, random)
 					continue
 				}
-				select { // no request ran on a refused connection
+				select { // there is nothing to record: no request was sent on a refused connection
 				case <-ctx.Done():
 				case <-time.After(redialPause):
 				}
@@ -78,23 +78,23 @@
 	return e.Address
 }
 
-// edgeConn is one connection of an EdgeNode. One goroutine sends on it while another reads responses.
+// edgeConn is one connection of an EdgeNode. One goroutine sends requests while another reads responses.
 type edgeConn struct {
-	edge  EdgeNode
-	log   *ExchangeLog
-	conn  net.Conn
-	began time.Time
-	sent  int64 // bytes, including the request that is being written
+	edge      EdgeNode
+	log       *ExchangeLog
+	conn      net.Conn
+	openedAt  time.Time
+	bytesSent int64 // includes the request that is being written
 
 	mu       sync.Mutex
 	open     map[uint16]sentRequest // requests written completely, by slot
-	closedAt time.Time              // when its end was seen; zero before
+	closedAt time.Time              // when the end of the connection was read; zero while it is open
 }
 
-// sentRequest is a request that was written completely.
+// sentRequest identifies a request that was written completely.
 type sentRequest struct {
-	id  uint64
-	end int64 // bytes of the connection up to its end
+	id        uint64
+	endOffset int64 // bytes of the connection up to the end of the request
 }
 
 func (c *edgeConn) run(ctx context.Context, random *rand.Rand) {
@@ -132,7 +132,7 @@
 	return used || len(c.open) >= c.edge.Slots
 }
 
-// send draws a request and writes it, and reports whether it was written completely.
+// send writes a random request and reports whether it was written completely.
 func (c *edgeConn) send(slot uint16, random *rand.Rand) bool {
 	request := fake.Request{
 		ID:      random.Uint64() | 1,
@@ -142,9 +142,9 @@
 		Body:    c.edge.Body,
 	}
 	text := request.FastCGI(slot)
-	c.sent += int64(len(text))
+	c.bytesSent += int64(len(text))
 	if random.Float64() < c.edge.SplitShare {
-		// Split before the last record: once its header is read the response may come, before its padding is written.
+		// The split lies before the last record: the node may respond once it has read that record's header, before the padding is written.
 		split := 1 + random.IntN(len(text)-finalRecordSize)
 		if _, err := io.WriteString(c.conn, text[:split]); err != nil {
 			return false
@@ -153,15 +153,15 @@
 		text = text[split:]
 	}
 	c.mu.Lock()
-	defer c.mu.Unlock() // until the request is recorded, so that its response is handled after that
+	defer c.mu.Unlock() // held until the request is recorded, so that its response is handled afterwards
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		return false
 	}
 	c.log.RecordSent(c.edge.Name, request.ID, request.Handler, time.Now())
-	sent := sentRequest{id: request.ID, end: c.sent}
+	sent := sentRequest{id: request.ID, endOffset: c.bytesSent}
 	if c.closedAt.IsZero() {
 		c.open[slot] = sent
-	} else { // the connection had ended, and this goroutine had not seen it
+	} else { // the end of the connection was handled before this request was recorded
 		c.recordUnanswered(sent)
 	}
 	return true
@@ -173,7 +173,7 @@
 	delete(c.open, response.Slot)
 	c.mu.Unlock()
 	if !ok {
-		return // rejected before it was written completely
+		return // the node rejected the request before it was written completely
 	}
 	outcome := fake.Failed
 	switch {
@@ -185,7 +185,7 @@
 	c.log.RecordResponse(request.id, outcome, time.Now())
 }
 
-// handleClose records the requests that the end of the connection leaves without a response.
+// handleClose records the requests that are still open when the connection ends.
 func (c *edgeConn) handleClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,23 +195,23 @@
 	}
 }
 
-// recordUnanswered records a request whose connection ended without its response: what the node had received of it, and when the node
-// closed the connection. The caller holds the mutex.
+// recordUnanswered records a request whose connection ended without its response. Behind a proxy it records when the node received the
+// request and closed the connection, or why the node is not at fault. The caller holds the mutex.
 func (c *edgeConn) recordUnanswered(request sentRequest) {
 	closedAt := c.closedAt
 	excuse := ""
 	if c.edge.ExcuseFor != nil {
-		excuse = c.edge.ExcuseFor(c.began)
+		excuse = c.edge.ExcuseFor(c.openedAt)
 	}
 	if c.edge.Proxy != nil {
 		client := c.conn.LocalAddr().String()
-		deliveredAt, delivered := c.edge.Proxy.DeliveredAt(client, request.end)
+		deliveredAt, delivered := c.edge.Proxy.DeliveredAt(client, request.endOffset)
 		nodeClosedAt, reason := c.edge.Proxy.ClosedAt(client)
 		switch {
 		case reason != "":
 			excuse = reason
 		case !delivered:
-			excuse = "the node never received it"
+			excuse = "the node did not receive the complete request"
 		case nodeClosedAt.IsZero():
 			excuse = "the node did not close the connection"
 		default:
--- a/internal/harness/event_queue.go
+++ b/internal/harness/event_queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// EventQueue is the clock of a discrete-event simulation and its scheduled events. Events run in the order of their times, events of
-// the same time in the order in which they were scheduled. It is not safe for concurrent use.
+// EventQueue is the clock and the event queue of a discrete-event simulation. Events run in order of their times; events with equal
+// times run in the order in which they were scheduled. It is not safe for concurrent use.
 type EventQueue struct {
 	Now time.Duration
 
@@ -17,11 +17,11 @@
 // event is a scheduled call.
 type event struct {
 	at     time.Duration
-	number int // in the order of scheduling
+	number int // sequence number, which orders events with equal times
 	call   func()
 }
 
-// eventHeap implements heap.Interface.
+// eventHeap implements heap.Interface with the next event on top.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -44,13 +44,13 @@
 	return popped
 }
 
-// After schedules a call after the given time.
+// After schedules a call at the current simulated time plus delay.
 func (q *EventQueue) After(delay time.Duration, call func()) {
 	q.scheduled++
 	heap.Push(&q.events, event{at: q.Now + delay, number: q.scheduled, call: call})
 }
 
-// Next advances the clock to the next event and runs it, if there is one until the given time, and reports whether it did.
+// Next advances the clock to the next event and runs it, unless that event is later than the given time. It reports whether an event ran.
 func (q *EventQueue) Next(until time.Duration) bool {
 	if len(q.events) == 0 || q.events[0].at > until {
 		return false
--- a/internal/harness/fault_plan.go
+++ b/internal/harness/fault_plan.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// FaultKind is a kind of fault of a node or of what it communicates with.
+// FaultKind is a kind of fault of a node, its network or the processes that it communicates with.
 type FaultKind uint8
 
 // The kinds of faults.
 const (
-	FaultDrain       FaultKind = iota // SIGTERM, then a new process
-	FaultKill                         // SIGKILL, then a new process
+	FaultDrain       FaultKind = iota // SIGTERM, then a restart
+	FaultKill                         // SIGKILL, then a restart
 	FaultPause                        // SIGSTOP, then SIGCONT
-	FaultClock                        // the wall clock is wrong
-	FaultSyscall                      // a system call fails
+	FaultClock                        // the wall clock is offset
+	FaultSyscall                      // system calls fail
 	FaultDescriptors                  // no file descriptor is free
 	FaultLinkReset                    // the connection to the processor is reset
-	FaultLinkStall                    // the connection to the processor carries nothing
+	FaultLinkStall                    // the connection to the processor forwards no data
 	FaultEdgeReset                    // the connections of edge nodes are reset
-	FaultEdgeDelay                    // the connections of edge nodes are slow
-	FaultEdgeStall                    // the connections of edge nodes carry nothing
+	FaultEdgeDelay                    // the connections of edge nodes delay data
+	FaultEdgeStall                    // the connections of edge nodes forward no data
 	FaultUpstream                     // replies of the upstream fail
-	FaultReconfigure                  // a reload that moves the processor and the upstream to other addresses
-	faultKinds                        // number of kinds
+	FaultReconfigure                  // a reload changes the addresses of the processor and the upstream
+	faultKindCount                    // number of kinds
 )
 
 var faultKindNames = [...]string{
@@ -50,11 +50,11 @@
 // PlannedFault is one fault of a plan.
 type PlannedFault struct {
 	At    time.Duration // since the start of the test
-	For   time.Duration // how long it lasts; 0 if it is momentary
+	For   time.Duration // duration; 0 if the fault is instantaneous
 	Node  int
 	Kind  FaultKind
-	Clock time.Duration // of FaultClock: the clock's offset
-	Call  string        // of FaultSyscall: the call and its error, in the syntax of the build tag faults
+	Clock time.Duration // clock offset of FaultClock
+	Call  string        // system call and error of FaultSyscall, in the fault file syntax of builds with the tag faults
 }
 
 // String describes the fault in one line.
@@ -62,11 +62,11 @@
 	return fmt.Sprintf("%v +%v node %d %v %v%s", f.At, f.For, f.Node, f.Kind, f.Clock, f.Call)
 }
 
-// drainShare is the share of faults made drains whatever was drawn: most rules under test are about drains.
+// drainShare is the share of faults that are replaced by drains, because most of the rules under test concern drains.
 const drainShare = 0.25
 
-// faultCalls are the failures of system calls to draw from.
-var faultCalls = []string{
+// syscallFaults are the system call failures from which FaultSyscall is drawn.
+var syscallFaults = []string{
 	"write ENOBUFS",
 	"write ENOMEM",
 	"accept EMFILE",
@@ -76,8 +76,8 @@
 	"read EIO",
 }
 
-// faultClocks are the clock offsets to draw from.
-var faultClocks = []time.Duration{
+// clockOffsets are the offsets from which FaultClock is drawn.
+var clockOffsets = []time.Duration{
 	-time.Hour,
 	-2 * time.Second,
 	-300 * time.Millisecond,
@@ -86,8 +86,8 @@
 	time.Hour,
 }
 
-// PlanFaults draws the given number of faults per node, spread over the length of a test so that they overlap, in the order of their
-// times. Equal seeds give equal plans.
+// PlanFaults draws the given number of faults per node at random times within the length of a test, so that faults overlap. It returns
+// them in order of time. Equal seeds produce equal plans.
 func PlanFaults(seed uint64, nodes int, length time.Duration, perNode int) []PlannedFault {
 	random := rand.New(rand.NewPCG(seed, 35))
 	var plan []PlannedFault
@@ -104,7 +104,7 @@
 	fault := PlannedFault{
 		At:   time.Duration(random.Float64() * float64(length)),
 		Node: node,
-		Kind: FaultKind(random.IntN(int(faultKinds))),
+		Kind: FaultKind(random.IntN(int(faultKindCount))),
 	}
 	if random.Float64() < drainShare {
 		fault.Kind = FaultDrain
@@ -114,9 +114,9 @@
 	case FaultDrain, FaultKill, FaultLinkReset, FaultEdgeReset, FaultReconfigure:
 		fault.For = 0
 	case FaultClock:
-		fault.Clock = faultClocks[random.IntN(len(faultClocks))]
+		fault.Clock = clockOffsets[random.IntN(len(clockOffsets))]
 	case FaultSyscall:
-		fault.Call = faultCalls[random.IntN(len(faultCalls))]
+		fault.Call = syscallFaults[random.IntN(len(syscallFaults))]
 	case FaultEdgeDelay:
 		fault.For *= 2
 	case FaultPause:
--- a/internal/harness/free_address.go
+++ b/internal/harness/free_address.go
@@ -8,17 +8,17 @@
 	"sync"
 )
 
-// ErrNoFreeAddress is returned by FreeAddress if it finds none.
-var ErrNoFreeAddress = errors.New("no free address")
+// ErrNoFreeAddress is returned by FreeAddress if it finds no free address.
+var ErrNoFreeAddress = errors.New("no free loopback address found")
 
-// Range of the ports of FreeAddress. It lies below the ports that the system gives to connections, and to listeners that ask for none:
-// those may take an address before the test listens on it.
+// Range of the ports of FreeAddress. It lies below the system's ephemeral ports, because an outgoing connection or a listener on port 0
+// could take an ephemeral port before the test listens on it.
 const (
 	minPort = 10000
 	maxPort = 32000
 )
 
-// freeAddressAttempts is the number of ports that FreeAddress tries.
+// freeAddressAttempts is the maximum number of ports that FreeAddress tries.
 const freeAddressAttempts = 1000
 
 // issuedAddresses are the addresses that FreeAddress has returned.
@@ -27,7 +27,8 @@
 	issuedAddresses = map[string]bool{}
 )
 
-// FreeAddress returns a loopback address that nobody listens on and that no earlier call has returned. It is safe for concurrent use.
+// FreeAddress returns a loopback address that is not in use and that no earlier call has returned. It returns ErrNoFreeAddress if it
+// finds none. It is safe for concurrent use.
 func FreeAddress() (string, error) {
 	issuedMu.Lock()
 	defer issuedMu.Unlock()
--- a/internal/harness/history.go
+++ b/internal/harness/history.go
@@ -8,25 +8,24 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// HistoryEvent is one operation on a key: a run that started, or a response, between its request and its arrival. All times are of one
-// clock.
+// HistoryEvent is one operation on a key: the start of a run, or a request with its response. All times are of the same clock.
 type HistoryEvent struct {
 	Key          string
-	Ran          bool // a run; otherwise a response
-	Served       bool // of a response: a result; otherwise an error
+	Ran          bool // set for a run, not for a response
+	Served       bool // for a response: it carries a result, not an error
 	Result       string
-	Asked, Heard int64 // when the operation was invoked and when it returned
+	Asked, Heard int64 // times at which the operation was invoked and returned
 }
 
-// keyState is the state of a key in the sequential specification.
+// keyState is the state of a key in the sequential specification of the linearizability check.
 type keyState struct {
 	ran    bool
 	served bool
 	result string
 }
 
-// step reports whether an event may follow in the state, and the state after it: a key runs once, each result is that of its run, and
-// no error follows a result.
+// step reports whether an event is allowed in the state, and returns the next state. A key runs once, each result equals that of its
+// run, and no error follows a result.
 func (s keyState) step(event HistoryEvent) (bool, keyState) {
 	switch {
 	case event.Ran:
@@ -37,7 +36,7 @@
 	return !s.served, s
 }
 
-// Linearizable reports whether the events of each key are linearizable. If not, it describes the history of a key that is not.
+// Linearizable reports whether the events of each key are linearizable. If not, it describes the history of one key that violates this.
 func Linearizable(events []HistoryEvent) (violation string, ok bool) {
 	histories := map[string][]porcupine.Operation{}
 	for i, event := range events {
@@ -59,7 +58,7 @@
 	return "", true
 }
 
-// describeHistory returns the key and its events in the order of their invocation, a line each.
+// describeHistory returns the key and its events in order of invocation, one per line.
 func describeHistory(key string, history []porcupine.Operation) string {
 	slices.SortFunc(history, func(x, y porcupine.Operation) int { return int(x.Call - y.Call) })
 	var text strings.Builder
--- a/internal/harness/inject.go
+++ b/internal/harness/inject.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// upstreamFailureShare is the share of the upstream's replies that fail during FaultUpstream.
+	// upstreamFailureShare is the share of upstream replies that fail during FaultUpstream.
 	upstreamFailureShare = 0.3
-	// edgeDelayDivisor divides the duration of FaultEdgeDelay into the delay.
+	// edgeDelayDivisor is the ratio of the duration of FaultEdgeDelay to the delay that it injects.
 	edgeDelayDivisor = 20
-	// minDescriptors are the standard streams, which a descriptor limit always leaves.
+	// minDescriptors is the lowest descriptor limit that is set: it leaves the standard streams open.
 	minDescriptors = 3
 )
 
-// Inject injects a fault, and returns when it is over.
+// Inject injects a fault and returns when it has ended.
 func (n *Node) Inject(fault PlannedFault) {
 	switch fault.Kind {
 	case FaultDrain:
@@ -43,7 +43,7 @@
 	}
 }
 
-// injectNetworkFault injects a fault of a proxy.
+// injectNetworkFault injects a fault into the proxy between the node and its processor or its edge nodes.
 func (n *Node) injectNetworkFault(fault PlannedFault) {
 	n.transition.Lock()
 	processorProxy := n.processorProxy
@@ -68,7 +68,7 @@
 	}
 }
 
-// injectProcessFault adds a line to the process's fault file for the given time.
+// injectProcessFault adds a line to the process's fault file and removes it after the given time.
 func (n *Node) injectProcessFault(line string, duration time.Duration) {
 	n.setProcessFault(line, true)
 	time.Sleep(duration)
@@ -90,7 +90,7 @@
 	_ = n.Process.InjectFaults(lines...)
 }
 
-// exhaustDescriptors limits the process's file descriptors to fewer than it has open, for the given time.
+// exhaustDescriptors limits the process's file descriptors to fewer than are open, for the given time.
 func (n *Node) exhaustDescriptors(duration time.Duration) {
 	n.transition.Lock()
 	pid := n.Process.PID()
@@ -98,11 +98,11 @@
 	var limit unix.Rlimit
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil || unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit) != nil {
-		return // it has just ended
+		return // the process has just ended
 	}
 	exhausted := unix.Rlimit{Cur: uint64(max(minDescriptors, len(open)-1)), Max: limit.Max}
 	_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &exhausted, nil)
 	time.Sleep(duration)
-	limit.Cur = limit.Max // as the Go runtime sets it: the limit read above may be that of an overlapping fault
+	limit.Cur = limit.Max // the value that the Go runtime sets; the limit read above may come from an overlapping fault
 	_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
 }
--- a/internal/harness/node.go
+++ b/internal/harness/node.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	// maxPauseAtTransition is the longest pause of a process that is starting or ending.
+	// maxPauseAtTransition limits the pause of a process that is starting or ending.
 	maxPauseAtTransition = 100 * time.Millisecond
-	// reconfigureOverlap is how long the old addresses of processor and upstream stay connected after a move.
+	// reconfigureOverlap is how long connections to the old addresses of processor and upstream stay open after a reconfiguration.
 	reconfigureOverlap = 1500 * time.Millisecond
-	// loggedLines is the number of log lines quoted in a violation.
+	// loggedLines is the number of log lines that a violation quotes.
 	loggedLines = 4
 )
 
-// Node is a real process with its processor, its upstream and the network between them, all of which may fail. It is restarted under
-// its name and address whenever it ends. Its methods are safe for concurrent use; the exported fields may not change after Start.
+// Node is a real process with its processor, its upstream and the proxies between them, all of which can be made to fail. After a drain
+// or a kill it is restarted under the same name and address. Its methods are safe for concurrent use; the exported fields must not
+// change after Start.
 type Node struct {
 	Name      string
 	Process   *Process
 	Processor *fake.Processor
 	Upstream  *fake.Upstream
-	EdgeProxy *faultproxy.Proxy // the way of edge nodes that faults are injected into
-	KillAfter time.Duration     // how long a drain may take
+	EdgeProxy *faultproxy.Proxy // proxy between edge nodes and the process, for network faults
+	KillAfter time.Duration     // longest time that a drain may take
 
 	transition     sync.Mutex // held while the process starts, ends or is reconfigured
 	processorProxy *faultproxy.Proxy
 	upstreamProxy  *faultproxy.Proxy
 
 	mu         sync.Mutex
-	faults     map[string]bool // active faults of the process, as lines of its fault file
+	faults     map[string]bool // lines of the process's fault file that are active
 	drains     []Drain
 	kills      []time.Time
 	pauses     []Span
 	violations []string
 }
 
-// Span is a span of time. A zero To means that it has not ended.
+// Span is a period of time. If To is zero, it has not ended.
 type Span struct{ From, To time.Time }
 
 // Drain is a drain of a node's process.
@@ -53,7 +54,7 @@
 	EndedAt    time.Time
 }
 
-// NewNode returns a node whose process is not started.
+// NewNode starts the processor, the upstream and the proxies of a node, and returns the node. Its process is not started.
 func NewNode(name, binary, dir string, cores float64, work func(uint64, string) time.Duration, seed uint64) (*Node, error) {
 	n := &Node{Name: name, faults: map[string]bool{}}
 	var err error
@@ -69,25 +70,25 @@
 	}
 	n.Process = &Process{Binary: binary, Dir: dir, Name: name, Listen: listen, ProcessorCores: int(cores)}
 	if n.EdgeProxy, err = faultproxy.NewProxy(listen); err != nil {
-		return nil, fmt.Errorf("starting a proxy of edge nodes: %w", err)
+		return nil, fmt.Errorf("starting the proxy for edge nodes: %w", err)
 	}
 	return n, n.newProxies()
 }
 
-// newProxies replaces the proxies of the processor and the upstream. The caller closes the old ones.
+// newProxies replaces the proxies to the processor and the upstream. The caller closes the old ones.
 func (n *Node) newProxies() (err error) {
 	if n.processorProxy, err = faultproxy.NewProxy(n.Processor.Address()); err != nil {
-		return fmt.Errorf("starting a proxy of the processor: %w", err)
+		return fmt.Errorf("starting the proxy to the processor: %w", err)
 	}
 	if n.upstreamProxy, err = faultproxy.NewProxy(n.Upstream.Address()); err != nil {
-		return fmt.Errorf("starting a proxy of the upstream: %w", err)
+		return fmt.Errorf("starting the proxy to the upstream: %w", err)
 	}
 	n.Process.Processor = n.processorProxy.Address()
 	n.Process.Upstream = n.upstreamProxy.Address()
 	return nil
 }
 
-// Close kills the process and closes everything around it.
+// Close kills the process and closes its processor, its upstream and all proxies.
 func (n *Node) Close() {
 	n.transition.Lock()
 	defer n.transition.Unlock()
@@ -100,24 +101,24 @@
 	n.upstreamProxy.Close()
 }
 
-// Start starts the process, and returns once it accepts connections.
+// Start starts the process and returns once it accepts connections.
 func (n *Node) Start() error {
 	n.transition.Lock()
 	defer n.transition.Unlock()
 	return n.Process.Start()
 }
 
-// Drain sends SIGTERM and waits for the process to end, which it must do by itself, in time and without an error. If restart is set, it
-// then starts a new process.
+// Drain sends SIGTERM and waits for the process to end. A process that does not exit in time or exits with an error is a violation. If
+// restart is set, Drain then starts a new process.
 func (n *Node) Drain(restart bool) {
 	n.transition.Lock()
 	defer n.transition.Unlock()
 	notifiedAt := time.Now()
 	if err := n.Process.Signal(syscall.SIGTERM); err != nil {
-		n.addViolation("it had ended before its drain: %v; %s", err, lastLines(n.Process.Log()))
+		n.addViolation("sending SIGTERM failed, the process had ended before its drain: %v; %s", err, lastLines(n.Process.Log()))
 	}
 	if err := n.waitForDrain(notifiedAt); err != nil {
-		n.addViolation("it ended with an error: %v; %s", err, lastLines(n.Process.Log()))
+		n.addViolation("process ended with an error: %v; %s", err, lastLines(n.Process.Log()))
 	}
 	n.mu.Lock()
 	n.drains = append(n.drains, Drain{NotifiedAt: notifiedAt, EndedAt: time.Now()})
@@ -127,8 +128,8 @@
 	}
 }
 
-// waitForDrain waits for the process to end and returns its error. A process that takes too long is a violation, and killed; time during
-// which it was paused does not count.
+// waitForDrain waits for the process to end and returns its error. A process that exceeds KillAfter is killed and recorded as a
+// violation; time during which it was paused does not count.
 func (n *Node) waitForDrain(notifiedAt time.Time) error {
 	var err error
 	ended := make(chan struct{})
@@ -141,10 +142,10 @@
 	case <-ended:
 		return err
 	case <-time.After(timeout):
-		n.addViolation("killed %v after its notice; %s", n.KillAfter, lastLines(n.Process.Log()))
+		n.addViolation("process killed, it had not ended %v after SIGTERM; %s", n.KillAfter, lastLines(n.Process.Log()))
 		_ = n.Process.Signal(syscall.SIGKILL)
 		<-ended
-		return nil // the process ended by the signal
+		return nil // the error would only report the kill
 	}
 }
 
@@ -156,18 +157,18 @@
 	n.kills = append(n.kills, time.Now())
 	n.mu.Unlock()
 	if err := n.Process.Kill(); err != nil {
-		n.addViolation("not killed: %v", err)
+		n.addViolation("killing the process: %v", err)
 	}
 	n.restart()
 }
 
 func (n *Node) restart() {
 	if err := n.Process.Start(); err != nil {
-		n.addViolation("it does not start: %v", err)
+		n.addViolation("starting the process: %v", err)
 	}
 }
 
-// Pause stops the process for the given time, or a shorter one if it is starting or ending.
+// Pause stops the process for the given time, or for at most maxPauseAtTransition if it is starting or ending.
 func (n *Node) Pause(duration time.Duration) {
 	if n.transition.TryLock() {
 		defer n.transition.Unlock()
@@ -186,8 +187,8 @@
 	n.mu.Unlock()
 }
 
-// reconfigure moves the processor and the upstream to other addresses by a reload. The old ones accept nothing new at once, and are
-// closed after a while.
+// reconfigure changes the addresses of the processor and the upstream by a reload. The old addresses immediately accept no new
+// connections; connections to them are closed after reconfigureOverlap.
 func (n *Node) reconfigure() {
 	n.transition.Lock()
 	processorProxy := n.processorProxy
@@ -198,7 +199,7 @@
 	}
 	n.transition.Unlock()
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
-		n.addViolation("not reconfigured: %v", err)
+		n.addViolation("reconfiguring the process: %v", err)
 	}
 	processorProxy.StopAccepting()
 	upstreamProxy.StopAccepting()
@@ -207,7 +208,7 @@
 	upstreamProxy.Close()
 }
 
-// lastLines returns the last lines of a log in one line.
+// lastLines returns the last lines of a log, joined into one line.
 func lastLines(log string) string {
 	lines := strings.Split(strings.TrimSpace(log), "\n")
 	return strings.Join(lines[max(0, len(lines)-loggedLines):], " | ")
--- a/internal/harness/node_record.go
+++ b/internal/harness/node_record.go
@@ -11,21 +11,22 @@
 	n.violations = append(n.violations, n.Name+": "+fmt.Sprintf(format, args...))
 }
 
-// Violations describes each violation of the rules on processes: one that did not start, or did not end in time or without an error.
+// Violations describes each violation of the rules on processes: a process did not start, could not be signaled, killed or reconfigured,
+// did not end in time, or ended with an error.
 func (n *Node) Violations() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]string(nil), n.violations...)
 }
 
-// Drains returns the drains so far.
+// Drains returns all drains so far.
 func (n *Node) Drains() []Drain {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]Drain(nil), n.drains...)
 }
 
-// KilledSince returns an excuse for requests lost since the given time if the process was killed since, and an empty string otherwise.
+// KilledSince returns why requests may be lost if the process was killed after the given time, and an empty string otherwise.
 func (n *Node) KilledSince(then time.Time) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,7 +38,7 @@
 	return ""
 }
 
-// Paused returns for how long the process was paused between two times.
+// Paused returns the total time that the process was paused between two times.
 func (n *Node) Paused(from, to time.Time) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,7 +49,7 @@
 	return total
 }
 
-// overlap returns how much of the span lies between two times.
+// overlap returns the length of the part of the span between two times.
 func (s Span) overlap(from, to time.Time) time.Duration {
 	start := s.From
 	if start.Before(from) {
--- a/internal/harness/power_loss.go
+++ b/internal/harness/power_loss.go
@@ -13,22 +13,23 @@
 	"frosthub/internal/fake"
 )
 
-// Names of the files in which a program built with the tag powerloss records what is not durable yet.
+// Names of the files in which a program built with the tag powerloss records the durable length of each file and the name changes that
+// are not durable yet.
 const (
 	durablePrefix = ".durable."
 	pendingName   = ".pending"
 )
 
-// zeroSectorOdds is one in how many sectors beyond the durable part of a file reads as zeros.
+// zeroSectorOdds is the reciprocal of the share of sectors beyond the durable part of a file that read as zeros.
 const zeroSectorOdds = 3
 
-// CutPower reduces the directory of a killed process to what a loss of power in that moment could have left, drawn at random: of each file
-// its durable part and some of the rest, of which sectors may never have been written, and of the changes of names that were not
-// durable any prefix. The process must be built with the tag powerloss.
+// CutPower reduces the directory of a killed process to a random state that a power loss at that moment could have left. Each file keeps
+// its durable part and a random length of the rest, in which some sectors may not have been written. Of the name changes that were not
+// durable, any prefix remains. The process must be built with the tag powerloss.
 func CutPower(dir string, random *rand.Rand) error {
 	d := crashedDir(dir)
 	if err := d.undoNameChanges(random); err != nil {
-		return fmt.Errorf("undoing changes of names: %w", err)
+		return fmt.Errorf("undoing name changes: %w", err)
 	}
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -38,8 +39,8 @@
 		if strings.HasPrefix(file.Name(), ".") {
 			continue
 		}
-		if err := d.cutFile(file.Name(), random); err != nil {
-			return fmt.Errorf("cutting %s: %w", file.Name(), err)
+		if err := d.truncateFile(file.Name(), random); err != nil {
+			return fmt.Errorf("truncating %s: %w", file.Name(), err)
 		}
 	}
 	return nil
@@ -50,11 +51,11 @@
 
 func (d crashedDir) path(name string) string { return filepath.Join(string(d), name) }
 
-// cutFile draws what is left of a file.
-func (d crashedDir) cutFile(name string, random *rand.Rand) error {
+// truncateFile reduces a file to its durable part and a random length of the rest, with random sectors set to zeros.
+func (d crashedDir) truncateFile(name string, random *rand.Rand) error {
 	text, err := os.ReadFile(d.path(durablePrefix + name))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil // written by another program before, and not by this one
+		return nil // an earlier program wrote the file, and this one did not
 	}
 	if err != nil {
 		return err
@@ -78,7 +79,7 @@
 	return os.WriteFile(d.path(name), data, 0o600)
 }
 
-// undoNameChanges undoes the last of the changes of names that were not durable, as many as are drawn.
+// undoNameChanges undoes the last name changes that were not durable. Their number is drawn at random.
 func (d crashedDir) undoNameChanges(random *rand.Rand) error {
 	text, err := os.ReadFile(d.path(pendingName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -94,10 +95,10 @@
 	return errors.Join(err, os.Remove(d.path(pendingName)))
 }
 
-// undo undoes one change of names:
+// undo undoes one name change:
 //
 //	create NAME
-//	rename FROM TO BACKUP    BACKUP is where a replaced file was kept, or -
+//	rename FROM TO BACKUP    BACKUP is the name that the replaced file was kept under, or -
 //	remove NAME BACKUP
 func (d crashedDir) undo(change []string) error {
 	switch {
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// rename renames a file with the record of its durable part, where they exist.
+// rename renames a file and the record of its durable part, as far as they exist.
 func (d crashedDir) rename(from, to string) error {
 	return errors.Join(
 		ignoreMissing(os.Rename(d.path(from), d.path(to))),
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Process is a process of the program, with a directory of its own. The fields take effect at the next Start, Launch or reload. Log may be
-// called at any time; all other methods are for one goroutine at a time, except that Signal and PID may be called while Wait waits.
+// Process is a process of the program with its own directory. The fields take effect at the next Start, Launch or reload. Log may be
+// called at any time. The other methods must not be called concurrently, except that Signal and PID may be called while Wait waits.
 type Process struct {
 	Binary          string
 	Dir             string
@@ -29,10 +29,10 @@
 	Conf            string // content of the operator's file; empty: there is none
 	Cores           float64
 	Sockets         int           // 1024 if 0
-	ProcessorCores  int           // of the processor, as in the settings; 2 if 0
-	WithoutCommands bool          // an earlier version, which has no subcommands
-	ConfigPipe      string        // read as the configuration in place of the file in Dir; empty: that file
-	ClockOffset     time.Duration // of its wall clock, if it is built with the tag powerloss or faults
+	ProcessorCores  int           // cores of the processor in the settings; 2 if 0
+	WithoutCommands bool          // the program is an earlier version without subcommands
+	ConfigPipe      string        // path of the configuration that the process reads; the file in Dir if empty
+	ClockOffset     time.Duration // offset of its wall clock, if it is built with the tag powerloss or faults
 	GraceMS         int           // 300 if 0
 	MemoryMB        int           // 192 if 0
 
@@ -58,13 +58,13 @@
 	return l.buffer.String()
 }
 
-// Log returns what the process, and those started before it, have logged so far.
+// Log returns the log of the process and of all processes that were started before it.
 func (p *Process) Log() string { return p.log.String() }
 
-// startTimeout is how long Start waits for a process to listen.
+// startTimeout limits how long Start waits for a process to listen.
 const startTimeout = 10 * time.Second
 
-// Start starts the process, and returns once it accepts connections.
+// Start starts the process and returns once it accepts connections.
 func (p *Process) Start() error {
 	if err := p.Launch(); err != nil {
 		return err
@@ -78,10 +78,10 @@
 			break
 		}
 	}
-	return fmt.Errorf("it does not listen: %s", p.Log())
+	return fmt.Errorf("process does not accept connections: %s", p.Log())
 }
 
-// Launch writes the process's configuration and starts it, and does not wait until it listens.
+// Launch writes the process's configuration and starts the process without waiting until it listens.
 func (p *Process) Launch() error {
 	text, err := p.Config()
 	if err != nil {
@@ -121,13 +121,13 @@
 	return os.WriteFile(p.operatorPath(), []byte(p.Conf), 0o600)
 }
 
-// InjectFaults replaces the faults of a process that is built with the tag faults by the given lines, such as "clock 2s" and
+// InjectFaults replaces the active faults of a process that is built with the tag faults. Each line is one fault, such as "clock 2s" or
 // "write ENOBUFS".
 func (p *Process) InjectFaults(lines ...string) error {
 	return replaceFile(p.faultPath(), strings.Join(lines, "\n"))
 }
 
-// ReloadConfig writes the configuration and makes the process reload it.
+// ReloadConfig writes the platform's configuration and signals the process to reload it.
 func (p *Process) ReloadConfig() error {
 	text, err := p.Config()
 	if err == nil {
@@ -148,7 +148,7 @@
 	return os.Rename(next, path)
 }
 
-// ReloadOperatorFile writes the operator's file and makes the process reload it.
+// ReloadOperatorFile writes the operator's file and signals the process to reload it.
 func (p *Process) ReloadOperatorFile() error {
 	if err := p.writeOperatorFile(); err != nil {
 		return err
@@ -162,7 +162,7 @@
 // Signal sends a signal to the process.
 func (p *Process) Signal(signal os.Signal) error { return p.cmd.Process.Signal(signal) }
 
-// Kill kills the process and waits for its end.
+// Kill kills the process and waits for it to exit.
 func (p *Process) Kill() error {
 	if err := p.cmd.Process.Kill(); err != nil {
 		return err
@@ -174,10 +174,10 @@
 	return nil
 }
 
-// Wait waits for the end of the process and returns its error.
+// Wait waits for the process to exit and returns its error.
 func (p *Process) Wait() error { return p.cmd.Wait() }
 
-// Drain sends SIGTERM to the process, waits for its end and returns its error.
+// Drain sends SIGTERM to the process, waits for it to exit and returns its error.
 func (p *Process) Drain() error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -185,7 +185,7 @@
 	return p.cmd.Wait()
 }
 
-// CPU returns the CPU time that the process has used so far.
+// CPU returns the CPU time that the threads of the running process have used so far.
 func (p *Process) CPU() (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	if err != nil {
@@ -208,14 +208,14 @@
 }
 
 // Resident returns the resident memory of the process in kilobytes.
-func (p *Process) Resident() (kb int, err error) { return p.status("VmRSS:") }
+func (p *Process) Resident() (kb int, err error) { return p.readMemoryStatus("VmRSS:") }
 
-// PeakResident returns the peak resident memory of the running process in kilobytes. Unlike MaxResident, it does not include memory of
-// the parent process from before the program was executed.
-func (p *Process) PeakResident() (kb int, err error) { return p.status("VmHWM:") }
+// PeakResident returns the peak resident memory of the running process in kilobytes. Unlike MaxResident, it does not include the memory
+// of the parent process between fork and exec.
+func (p *Process) PeakResident() (kb int, err error) { return p.readMemoryStatus("VmHWM:") }
 
-// status returns a figure of the process's status file in kilobytes.
-func (p *Process) status(name string) (kb int, err error) {
+// readMemoryStatus returns a field of the process's status file in kilobytes.
+func (p *Process) readMemoryStatus(name string) (kb int, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err == nil {
 		_, rest, _ := strings.Cut(string(text), name)
@@ -224,7 +224,7 @@
 	return kb, err
 }
 
-// MaxResident returns the peak resident memory of the ended process in kilobytes.
+// MaxResident returns the peak resident memory of the exited process in kilobytes.
 func (p *Process) MaxResident() int64 {
 	if usage, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		return usage.Maxrss
--- a/internal/harness/process_config.go
+++ b/internal/harness/process_config.go
@@ -8,7 +8,7 @@
 // object is a JSON object.
 type object = map[string]any
 
-// Config returns the platform's configuration of the process, in JSON.
+// Config returns the platform's configuration of the process as JSON.
 func (p *Process) Config() ([]byte, error) {
 	return json.Marshal(object{
 		"name":      cmp.Or(p.Name, "n1"),
