--- a/internal/fake/accept.go
+++ b/internal/fake/accept.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// AcceptAll accepts connections until the listener is closed and calls serve with each in a goroutine of its own.
+// AcceptAll accepts connections until the listener is closed and calls serve for each in a separate goroutine.
 func AcceptAll(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -13,7 +13,7 @@
 	}
 }
 
-// ResetConn closes a TCP connection with a reset. It does nothing to any other connection, or none.
+// ResetConn closes a TCP connection with a reset. Other connections and nil are ignored.
 func ResetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/fake/ajp_client.go
+++ b/internal/fake/ajp_client.go
@@ -9,8 +9,7 @@
 	"frosthub/internal/ajp"
 )
 
-// AJPClient is a client that sends each request over an AJP connection of its own and reuses idle connections. It is safe for
-// concurrent use.
+// AJPClient is an AJP client. Each connection carries one request at a time; idle connections are reused. It is safe for concurrent use.
 type AJPClient struct {
 	Secret    string
 	MaxPacket int // in bytes; ajp.DefaultPacketSize if 0
@@ -20,13 +19,13 @@
 	idle    []net.Conn
 }
 
-// NewAJPClient returns a client of the node at the given address.
+// NewAJPClient returns a client for the node at the given address.
 func NewAJPClient(address string) *AJPClient { return &AJPClient{address: address} }
 
-// Send sends a request and returns its outcome.
+// Send implements Client.
 func (c *AJPClient) Send(r *Request, timeout time.Duration) Outcome { return send(c, r, timeout) }
 
-// RoundTrip sends a request on an idle connection, or a new one, and returns its response.
+// RoundTrip implements Client. It uses an idle connection if there is one.
 func (c *AJPClient) RoundTrip(r *Request, timeout time.Duration) (Response, Outcome) {
 	conn, err := c.acquire()
 	if err != nil {
@@ -51,7 +50,7 @@
 	return response, Served
 }
 
-// acquire returns an idle connection, or a new one.
+// acquire returns an idle connection if there is one, otherwise a new one.
 func (c *AJPClient) acquire() (net.Conn, error) {
 	c.mu.Lock()
 	if last := len(c.idle) - 1; last >= 0 {
@@ -70,7 +69,8 @@
 	c.idle = append(c.idle, conn)
 }
 
-// readAJPResponse reads one response: Wrong if it is malformed, Sent if the connection ends before it does.
+// readAJPResponse reads one response. The outcome is Wrong if it is malformed, and Sent if the connection ends or times out before its
+// end.
 func readAJPResponse(conn net.Conn, maxPacket int) (response Response, outcome Outcome) {
 	parser := ajp.NewClient(maxPacket)
 	parser.AwaitingResponse = true
--- a/internal/fake/ajp_server.go
+++ b/internal/fake/ajp_server.go
@@ -10,7 +10,7 @@
 	"frosthub/internal/ajp"
 )
 
-// Fault is how an AJPServer treats a call.
+// Fault is a way in which an AJPServer fails a call.
 type Fault uint8
 
 // The faults.
@@ -20,19 +20,19 @@
 	ResetBefore             // the call does not run; the connection ends
 	ResetAfter              // the call runs; the connection ends
 	TruncatedResponse       // the call runs; the connection ends within the response
-	WrongLength             // the call runs; the response has a chunk longer than its packet
+	WrongLength             // the call runs; the response has a chunk whose length exceeds its packet
 	Rejects                 // the call does not run; status 503
 	Fails                   // the call runs; status 500
 	NoPong                  // the call does not run; neither it nor CPing is answered
 )
 
-// runs reports whether a call runs under the fault.
+// runs reports whether a call with the fault runs.
 func (f Fault) runs() bool { return f != ResetBefore && f != Rejects && f != NoPong }
 
-// AJPServer is a test double of an upstream AJP server. It counts how often each call runs. Its methods are safe for concurrent use.
+// AJPServer is a test double of an upstream AJP server. It counts the runs of each call. Its methods are safe for concurrent use.
 type AJPServer struct {
-	Work  time.Duration         // of each call
-	Fault func(id uint64) Fault // the fault of a call; nil: none. Set it before the first connection, or use SetFault.
+	Work  time.Duration         // duration of each call
+	Fault func(id uint64) Fault // returns the fault of a call; nil: none. Set it before the first connection, or use SetFault.
 
 	address string
 
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// accept serves connections until the listener is closed. Each is known to Stop before the next is accepted.
+// accept serves connections until the listener is closed. It records each for Stop before it accepts the next.
 func (s *AJPServer) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -77,10 +77,10 @@
 	}
 }
 
-// Address returns the address that the server listens on, also while it is stopped.
+// Address returns the address of the server, which stays the same while it is stopped.
 func (s *AJPServer) Address() string { return s.address }
 
-// Stop closes the listener and all connections. Restart makes the server listen again.
+// Stop closes the listener and all connections. The server can be restarted with Restart.
 func (s *AJPServer) Stop() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -93,14 +93,14 @@
 // Restart makes a stopped server listen on its address again.
 func (s *AJPServer) Restart() error { return s.listen(s.address) }
 
-// SetFault sets the fault of all further calls.
+// SetFault sets the fault of all subsequent calls.
 func (s *AJPServer) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Fault = func(uint64) Fault { return fault }
 }
 
-// CallCounts returns how often the call of each request has run, by request ID.
+// CallCounts returns the number of runs of each call, by request ID.
 func (s *AJPServer) CallCounts() map[uint64]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// handle answers one message and reports whether the connection stays open.
+// handle responds to one message and reports whether the connection stays open.
 func (s *AJPServer) handle(conn net.Conn, parser *ajp.Server, message ajp.Message) bool {
 	id := requestID(message)
 	s.mu.Lock()
@@ -161,7 +161,7 @@
 	case ajp.NeedBodyChunk:
 		return write(conn, ajp.AppendGetBodyChunk(nil, ajp.DefaultPacketSize))
 	case ajp.Request:
-		s.call(id, fault)
+		s.runCall(id, fault)
 		body := []byte("reply to " + string(message.Body))
 		parser.Done()
 		return respond(conn, fault, body)
@@ -170,7 +170,7 @@
 	}
 }
 
-// requestID returns the request ID of a message, 0 if it has none.
+// requestID returns the request ID of a message, or 0 if it has none.
 func requestID(message ajp.Message) (id uint64) {
 	message.Headers.Each(func(name, value []byte) {
 		if string(name) == "X-Request-Id" {
@@ -180,8 +180,8 @@
 	return id
 }
 
-// call counts a call and runs it unless the fault prevents that.
-func (s *AJPServer) call(id uint64, fault Fault) {
+// runCall counts a call and runs it unless the fault prevents the run.
+func (s *AJPServer) runCall(id uint64, fault Fault) {
 	s.mu.Lock()
 	s.received++
 	if fault.runs() {
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -11,41 +11,41 @@
 	"frosthub/internal/wal"
 )
 
-// ErrPowerLost is returned by each operation of a Disk whose power is cut.
-var ErrPowerLost = errors.New("the power is gone")
+// ErrPowerLost is returned by the operations of a Disk after its power was cut.
+var ErrPowerLost = errors.New("simulated disk has lost power")
 
-// SectorSize is the size in bytes of the unit that a disk writes completely or not at all.
+// SectorSize is the number of bytes that a disk writes atomically.
 const SectorSize = 512
 
-// Disk is an in-memory wal.Disk that loses power after a number of operations. What it holds afterwards is drawn at random within what
-// a file system may leave: of unsynced data any sectors and any length, of unsynced changes of names any prefix. Its methods except
+// Disk is an in-memory wal.Disk that loses power after a number of operations. Its content afterwards is a random one of the states that
+// a file system may leave: any sectors and any length of unsynced data, and any prefix of the unsynced name changes. Its methods except
 // Put are safe for concurrent use.
 type Disk struct {
-	PowerBudget int                           // operations until the power is cut; negative: never
+	PowerBudget int                           // number of operations until the power is cut; negative: never
 	Fail        func(what, name string) error // returns the error of an operation on a file; may be nil
 	Slow        func(what string, number int) // called before each operation, without the lock; may be nil
 
 	mu         sync.Mutex
 	operations int
-	files      map[string]*inode // as the process sees them
-	synced     map[string]*inode // as last synced
-	unsynced   []nameChange      // since the last sync
+	files      map[string]*inode // current files
+	synced     map[string]*inode // files after the last directory sync
+	unsynced   []nameChange      // name changes since the last directory sync
 }
 
-// nameChange is a change of the names of files.
+// nameChange creates, renames or removes a file name.
 type nameChange func(names map[string]*inode)
 
 type inode struct {
-	data   []byte // as the process sees it
-	synced []byte // as last synced
+	data   []byte // current content
+	synced []byte // content after the last sync
 }
 
-// NewDisk returns an empty disk whose power stays on.
+// NewDisk returns an empty disk without a limit on operations.
 func NewDisk() *Disk {
 	return &Disk{PowerBudget: -1, files: map[string]*inode{}, synced: map[string]*inode{}}
 }
 
-// CutPower cuts the power.
+// CutPower cuts the power: all later operations fail with ErrPowerLost.
 func (d *Disk) CutPower() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,12 +59,13 @@
 	return d.operations
 }
 
-// begin counts an operation and returns the error that it fails with; interrupted reports that the power is cut in the middle of it.
-func (d *Disk) begin(what, name string) (interrupted bool, err error) {
+// beginOperation counts an operation and returns the error that it fails with. interrupted reports that the power is cut during the
+// operation. The caller holds the mutex.
+func (d *Disk) beginOperation(operation, name string) (interrupted bool, err error) {
 	d.operations++
 	if slow := d.Slow; slow != nil {
-		d.mu.Unlock() // others may use the disk while this operation waits
-		slow(what, d.operations)
+		d.mu.Unlock() // other operations may proceed while this one waits
+		slow(operation, d.operations)
 		d.mu.Lock()
 	}
 	if d.PowerBudget == 0 {
@@ -77,25 +78,25 @@
 		}
 	}
 	if d.Fail != nil {
-		return false, d.Fail(what, name)
+		return false, d.Fail(operation, name)
 	}
 	return false, nil
 }
 
-// rename applies a change of names, which the next Sync makes durable.
-func (d *Disk) rename(change nameChange) {
+// applyNameChange applies a name change, which the next SyncDir makes durable.
+func (d *Disk) applyNameChange(change nameChange) {
 	change(d.files)
 	d.unsynced = append(d.unsynced, change)
 }
 
-// Names returns the names of all files in order.
+// Names returns the sorted names of all files.
 func (d *Disk) Names() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
-// Read returns the content of a file.
+// Read returns the content of a file, or fs.ErrNotExist.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,25 +107,25 @@
 	return slices.Clone(file.data), nil
 }
 
-// Put sets the content of a file, and syncs it.
+// Put sets the content of a file and makes it durable.
 func (d *Disk) Put(name string, data []byte) {
 	file := &inode{data: slices.Clone(data), synced: slices.Clone(data)}
 	d.files[name] = file
 	d.synced[name] = file
 }
 
-// OpenAppend opens a file for appending after size bytes. It creates the file if there is none.
+// OpenAppend truncates a file to size bytes and opens it for appending. It creates the file if it does not exist.
 func (d *Disk) OpenAppend(name string, size int64) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	interrupted, err := d.begin("open", name)
+	interrupted, err := d.beginOperation("open", name)
 	if err != nil && !interrupted {
 		return nil, err
 	}
 	file := d.files[name]
 	if file == nil {
 		file = &inode{}
-		d.rename(func(names map[string]*inode) { names[name] = file })
+		d.applyNameChange(func(names map[string]*inode) { names[name] = file })
 	}
 	if len(file.data) > int(size) {
 		file.data = file.data[:size:size]
@@ -134,7 +135,7 @@
 
 // Rename renames a file.
 func (d *Disk) Rename(from, to string) error {
-	return d.change("rename", to, func(names map[string]*inode) {
+	return d.changeNames("rename", to, func(names map[string]*inode) {
 		if file := names[from]; file != nil {
 			names[to] = file
 			delete(names, from)
@@ -144,25 +145,25 @@
 
 // Remove removes a file.
 func (d *Disk) Remove(name string) error {
-	return d.change("remove", name, func(names map[string]*inode) { delete(names, name) })
+	return d.changeNames("remove", name, func(names map[string]*inode) { delete(names, name) })
 }
 
-// change is an operation that changes names.
-func (d *Disk) change(what, name string, change nameChange) error {
+// changeNames performs an operation that changes names.
+func (d *Disk) changeNames(operation, name string, change nameChange) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	interrupted, err := d.begin(what, name)
+	interrupted, err := d.beginOperation(operation, name)
 	if err == nil || interrupted {
-		d.rename(change)
+		d.applyNameChange(change)
 	}
 	return err
 }
 
-// SyncDir makes the names of files durable.
+// SyncDir makes all name changes durable.
 func (d *Disk) SyncDir() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, err := d.begin("sync", ""); err != nil {
+	if _, err := d.beginOperation("sync", ""); err != nil {
 		return err
 	}
 	d.synced = maps.Clone(d.files)
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// AfterPowerLoss returns the disk as it may be found when the power is back.
+// AfterPowerLoss returns a disk with a random state that a power loss could have left.
 func (d *Disk) AfterPowerLoss(random *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,23 +186,23 @@
 	return after
 }
 
-// afterPowerLoss draws what a loss of power leaves of a file.
+// afterPowerLoss returns a random content that a power loss could leave of a file.
 func (f *inode) afterPowerLoss(random *rand.Rand) []byte {
 	if slices.Equal(f.data, f.synced) {
 		return f.synced
 	}
 	shorter := min(len(f.synced), len(f.data))
 	longer := max(len(f.synced), len(f.data))
-	left := make([]byte, shorter+random.IntN(longer-shorter+1))
-	copy(left, f.synced)
-	writtenShare := random.Float64() // of the sectors
-	for start := 0; start < len(left) && start < len(f.data); start += SectorSize {
-		end := min(start+SectorSize, len(left), len(f.data))
+	remaining := make([]byte, shorter+random.IntN(longer-shorter+1))
+	copy(remaining, f.synced)
+	writtenShare := random.Float64() // mean share of the sectors that were written
+	for start := 0; start < len(remaining) && start < len(f.data); start += SectorSize {
+		end := min(start+SectorSize, len(remaining), len(f.data))
 		if random.Float64() < writtenShare {
-			copy(left[start:end], f.data[start:end])
+			copy(remaining[start:end], f.data[start:end])
 		}
 	}
-	return left
+	return remaining
 }
 
 // diskFile is an open file of a Disk.
@@ -215,7 +216,7 @@
 func (f *diskFile) Write(data []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	interrupted, err := f.disk.begin("write", f.name)
+	interrupted, err := f.disk.beginOperation("write", f.name)
 	if err == nil || interrupted {
 		f.inode.data = append(f.inode.data, data...)
 	}
@@ -226,12 +227,12 @@
 func (f *diskFile) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	_, err := f.disk.begin("fsync", f.name)
+	_, err := f.disk.beginOperation("fsync", f.name)
 	if err == nil {
 		f.inode.synced = slices.Clone(f.inode.data)
 	}
 	return err
 }
 
-// Close does nothing.
+// Close does nothing; unsynced data stays unsynced.
 func (f *diskFile) Close() error { return nil }
--- a/internal/fake/edge_load.go
+++ b/internal/fake/edge_load.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// redialPause is how long an edge node waits before it connects again to a node that may be away.
+	// redialPause is the delay before an edge node reconnects to a node that ended or refused a connection.
 	redialPause = 2 * time.Millisecond
-	// finalResponseTimeout is how long an edge node waits for its open requests once it sends no more.
+	// finalResponseTimeout limits how long an edge node waits for open requests after it has stopped sending.
 	finalResponseTimeout = 3 * time.Second
 	// maxSlot is the highest slot that an edge node uses on a connection.
 	maxSlot = 1000
 )
 
-// EdgeLoad is the load of an edge node over several multiplexed FastCGI connections.
+// EdgeLoad generates the load of an edge node over several multiplexed FastCGI connections.
 type EdgeLoad struct {
 	Address  string
-	Conns    int           // number of connections; each is replaced when it ends
+	Conns    int           // number of connections; each is reopened when it ends
 	Interval time.Duration // mean time between requests of a connection
 	Slots    int           // maximum of open requests on a connection
 	Handlers []string
-	Abort    float64 // share of requests aborted after a moment
-	Close    float64 // share of requests after which the connection is half-closed with all its open requests
-	Bad      float64 // share of requests for a handler that does not exist
+	Abort    float64 // share of requests that are aborted after up to 2 ms
+	Close    float64 // share of requests after which the connection is half-closed while its requests are open
+	Bad      float64 // share of requests that name a handler that does not exist
 	CostMS   float64
 	Body     string
-	Callers  int // numbers of edge nodes in use; 1 if 0
+	Callers  int // number of different edge node numbers in the requests; 1 if 0
 }
 
-// Run sends requests until the context is done, waits for the open ones, and returns when no connection is left. It records the
+// Run sends requests until the context is done, waits for the open ones, and returns when all connections have ended. It records the
 // outcome of each request in the tally.
 func (l EdgeLoad) Run(ctx context.Context, tally *Tally, seed uint64) {
 	var conns sync.WaitGroup
@@ -55,7 +55,7 @@
 	conns.Wait()
 }
 
-// runConn sends requests on one connection until it ends. An error means that the node ended it.
+// runConn sends requests on one connection until it ends. It returns an error if the node ended or refused the connection.
 func (l EdgeLoad) runConn(ctx context.Context, tally *Tally, random *rand.Rand) error {
 	conn, err := net.Dial("tcp", l.Address)
 	if err != nil {
@@ -69,7 +69,7 @@
 		case <-ctx.Done():
 			_ = conn.SetReadDeadline(time.Now().Add(finalResponseTimeout))
 			c.waitForResponses()
-			c.finish()
+			c.closeAndWait()
 			return nil
 		case <-c.ended:
 			return io.EOF
@@ -88,13 +88,13 @@
 			time.Sleep(time.Duration(random.IntN(3)) * time.Millisecond)
 			_, _ = io.WriteString(conn, FastCGIAbort(slot))
 		case action < l.Abort+l.Close:
-			c.finish()
+			c.closeAndWait()
 			return nil
 		}
 	}
 }
 
-// draw draws the next request.
+// draw returns a random request.
 func (l EdgeLoad) draw(random *rand.Rand) Request {
 	request := Request{
 		ID:      random.Uint64() | 1,
@@ -110,17 +110,17 @@
 	return request
 }
 
-// edgeConn is one connection of an EdgeLoad. One goroutine sends on it while another reads responses.
+// edgeConn is one connection of an EdgeLoad. One goroutine sends requests while another reads responses.
 type edgeConn struct {
 	conn  net.Conn
 	tally *Tally
 	body  string
-	ended chan struct{} // closed when no more responses come
+	ended chan struct{} // closed when the connection has ended
 
 	mu      sync.Mutex
 	open    map[uint16]uint64 // request IDs by slot
 	closed  bool
-	changed *sync.Cond // open or closed changed
+	changed *sync.Cond // signals changes of open and closed
 }
 
 func newEdgeConn(conn net.Conn, tally *Tally, body string) *edgeConn {
@@ -168,7 +168,7 @@
 	return used || len(c.open) >= slots
 }
 
-// send writes a request. If it was not written completely, its outcome is NotSent unless it was answered already.
+// send writes a request. If the write is incomplete, its outcome is NotSent unless the node has already responded.
 func (c *edgeConn) send(slot uint16, request *Request) error {
 	c.mu.Lock()
 	c.open[slot] = request.ID
@@ -197,8 +197,8 @@
 	}
 }
 
-// finish half-closes the connection and waits for its end: responses that the node has handed to the system still arrive.
-func (c *edgeConn) finish() {
+// closeAndWait half-closes the connection and waits for its end, so that responses that the node has already written still arrive.
+func (c *edgeConn) closeAndWait() {
 	if tcp, ok := c.conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
--- a/internal/fake/fastcgi.go
+++ b/internal/fake/fastcgi.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Types of FastCGI records.
+// FastCGI record types.
 const (
 	fcgiBegin  = 1
 	fcgiAbort  = 2
@@ -16,16 +16,16 @@
 	fcgiStdout = 6
 )
 
-// fcgiHeaderSize is the length of a record's header in bytes.
+// fcgiHeaderSize is the length of a record header in bytes.
 const fcgiHeaderSize = 8
 
-// fcgiPadding ends each record that is written, so that records have odd lengths.
+// fcgiPadding is appended to each record that is written, so that servers have to handle padding that does not align records.
 const fcgiPadding = "pad"
 
 // fcgiOverloaded is the protocol status FCGI_OVERLOADED: the request was rejected.
 const fcgiOverloaded = 2
 
-// FastCGIRecord returns one FastCGI record with padding.
+// FastCGIRecord returns a FastCGI record with padding.
 func FastCGIRecord(kind byte, slot uint16, content string) string {
 	header := []byte{1, kind, 0, 0, 0, 0, byte(len(fcgiPadding)), 0}
 	binary.BigEndian.PutUint16(header[2:], slot)
@@ -33,10 +33,10 @@
 	return string(header) + content + fcgiPadding
 }
 
-// FastCGIAbort returns the record that aborts a request.
+// FastCGIAbort returns the record that aborts the request of a slot.
 func FastCGIAbort(slot uint16) string { return FastCGIRecord(fcgiAbort, slot, "") }
 
-// FastCGIPair returns a name and a value as a FastCGI parameter. The name must be shorter than 128 bytes.
+// FastCGIPair encodes a name-value pair of FastCGI parameters. The name must be shorter than 128 bytes.
 func FastCGIPair(name, value string) string {
 	pair := []byte{byte(len(name))}
 	if len(value) < 128 {
@@ -47,7 +47,7 @@
 	return string(pair) + name + value
 }
 
-// FastCGIRequest returns the records of a complete request: its parameters in two records, and its body unless it is empty.
+// FastCGIRequest returns the records of a complete request. The parameters are split into two records; an empty body has no data record.
 func FastCGIRequest(slot uint16, params, body string) string {
 	half := len(params) / 2
 	var records strings.Builder
@@ -65,7 +65,7 @@
 // FastCGIResponse is one complete FastCGI response.
 type FastCGIResponse struct {
 	Slot           uint16
-	NoBody         bool // nothing came before END_REQUEST
+	NoBody         bool // no STDOUT data preceded END_REQUEST
 	ProtocolStatus byte
 	Text           string
 }
--- a/internal/fake/fastcgi_client.go
+++ b/internal/fake/fastcgi_client.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// maxOpenRequests is the number of requests that a FastCGIClient has open on one connection.
+// maxOpenRequests is the maximum number of open requests of a FastCGIClient on one connection.
 const maxOpenRequests = 31
 
-// FastCGIClient is a client that sends requests over a few multiplexed FastCGI connections. It is safe for concurrent use.
+// FastCGIClient is a client that sends requests over multiplexed FastCGI connections. It is safe for concurrent use.
 type FastCGIClient struct {
 	address string
 	mu      sync.Mutex
@@ -26,13 +26,13 @@
 	closed   bool
 }
 
-// NewFastCGIClient returns a client of the node at the given address.
+// NewFastCGIClient returns a client for the node at the given address.
 func NewFastCGIClient(address string) *FastCGIClient { return &FastCGIClient{address: address} }
 
-// Send sends a request and returns its outcome.
+// Send implements Client.
 func (c *FastCGIClient) Send(r *Request, timeout time.Duration) Outcome { return send(c, r, timeout) }
 
-// RoundTrip sends a request on a connection with a free slot and returns its response.
+// RoundTrip implements Client. It uses a connection with a free slot, and aborts a request that times out.
 func (c *FastCGIClient) RoundTrip(r *Request, timeout time.Duration) (Response, Outcome) {
 	c.mu.Lock()
 	conn, err := c.freeConn()
@@ -41,15 +41,15 @@
 		return Response{}, NotSent
 	}
 	slot := conn.freeSlot()
-	answer := make(chan FastCGIResponse, 1)
-	conn.open[slot] = answer
+	responses := make(chan FastCGIResponse, 1)
+	conn.open[slot] = responses
 	_, err = io.WriteString(conn.conn, r.FastCGI(slot))
 	c.mu.Unlock()
 	if err != nil {
 		return Response{}, NotSent
 	}
 	select {
-	case response, ok := <-answer:
+	case response, ok := <-responses:
 		switch {
 		case !ok:
 			return Response{}, Sent
@@ -67,7 +67,7 @@
 	}
 }
 
-// freeConn returns a connection with a free slot, a new one if there is none. The caller holds the mutex.
+// freeConn returns a connection with a free slot, or a new one if there is none. The caller holds the mutex.
 func (c *FastCGIClient) freeConn() (*fastcgiConn, error) {
 	var free *fastcgiConn
 	for _, conn := range c.conns {
@@ -95,21 +95,21 @@
 	return f.lastSlot
 }
 
-// readResponses hands each response to the request that waits for it until the connection ends.
+// readResponses delivers each response to the RoundTrip that waits for it, until the connection ends.
 func (c *FastCGIClient) readResponses(conn *fastcgiConn) {
 	_ = ReadFastCGI(bufio.NewReader(conn.conn), func(response FastCGIResponse) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if answer := conn.open[response.Slot]; answer != nil {
+		if responses := conn.open[response.Slot]; responses != nil {
 			delete(conn.open, response.Slot)
-			answer <- response
+			responses <- response
 		}
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.closed = true
-	for _, answer := range conn.open {
-		close(answer)
+	for _, responses := range conn.open {
+		close(responses)
 	}
 	conn.open = nil
 }
--- a/internal/fake/open_load.go
+++ b/internal/fake/open_load.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// OpenLoad is an open load: requests arrive at random times with a given mean rate, whether earlier ones are answered or not.
+// OpenLoad generates open-loop load: requests arrive at random times with a given mean rate, independently of responses to earlier ones.
 type OpenLoad struct {
 	Rate      float64 // mean arrivals per second
 	Handlers  []string
 	CostMS    float64
-	Target    time.Duration // a later response has no value
+	Target    time.Duration // latency objective: a later response has no value
 	Timeout   time.Duration
-	Body      string // if empty, each request's body is its ID
-	Value     map[string]float64
+	Body      string              // body of all requests; if empty, each request's body is its ID
+	Value     map[string]float64  // value of a served request, by handler
 	OnLatency func(time.Duration) // called with the latency of each request served within Target, one call at a time; may be nil
 }
 
-// Run sends requests until the context is done, waits for all responses, and returns the service level: the value served within
-// Target as a share of the value requested. clientFor returns the client for a request ID. Equal seeds give equal requests at equal times.
+// Run sends requests until the context is done, waits for all responses, and returns the service level: the value of the requests that
+// were served within Target as a share of the value of all requests. clientFor returns the client for a request ID. Equal seeds produce
+// the same requests and arrival times.
 func (l OpenLoad) Run(ctx context.Context, seed uint64, tally *Tally, clientFor func(id uint64) Client) float64 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var requests sync.WaitGroup
@@ -42,11 +43,11 @@
 		requested += value
 		tally.Set(request.ID, Sent)
 		requests.Go(func() {
-			began := time.Now()
-			request.Start = began.UnixMilli()
+			sentAt := time.Now()
+			request.Start = sentAt.UnixMilli()
 			outcome := clientFor(request.ID).Send(&request, l.Timeout)
 			tally.Set(request.ID, outcome)
-			latency := time.Since(began)
+			latency := time.Since(sentAt)
 			if outcome != Served || latency > l.Target {
 				return
 			}
@@ -60,7 +61,7 @@
 	}
 }
 
-// draw draws the next request.
+// draw returns a random request.
 func (l OpenLoad) draw(random *rand.Rand) Request {
 	request := Request{
 		ID:      random.Uint64() | 1,
--- a/internal/fake/outcome.go
+++ b/internal/fake/outcome.go
@@ -8,18 +8,18 @@
 	"sync"
 )
 
-// Outcome is what a client knows of a request that it sent.
+// Outcome is the result of a request as its client observed it.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Sent     Outcome = iota // written; no response has come
-	Served                  // answered with the result that the processor produces for it
-	Rejected                // answered: it was never run
-	Failed                  // answered in any other way
-	Aborted                 // aborted by the client, which the node confirmed without a response
-	NotSent                 // not written completely
-	Wrong                   // answered in a way that is never right: with another result, or twice
+	Sent     Outcome = iota // written; there is no response
+	Served                  // the response has the result that the processor produces for the request
+	Rejected                // the response states that the request was not run
+	Failed                  // any other response
+	Aborted                 // the client aborted the request, and the node ended it without a response body
+	NotSent                 // the request was not written completely
+	Wrong                   // protocol violation: a wrong or malformed result, or a second response
 )
 
 var outcomeNames = [...]string{
@@ -44,7 +44,7 @@
 // NewTally returns an empty tally.
 func NewTally() *Tally { return &Tally{outcomes: map[uint64]Outcome{}} }
 
-// Set records the outcome of a request. A second outcome after a final one is recorded as Wrong, whatever it is.
+// Set records the outcome of a request. Any outcome that follows a final one is recorded as Wrong. All outcomes but Sent are final.
 func (t *Tally) Set(id uint64, outcome Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +74,7 @@
 	return count
 }
 
-// ProcessorResult returns the result that Processor produces for a request.
+// ProcessorResult returns the result that a Processor produces for a request.
 func ProcessorResult(id uint64, body string) string {
 	return fmt.Sprintf("result of %016x: %s", id, body)
 }
@@ -87,7 +87,7 @@
 	Reuse  bool // the connection may carry another request
 }
 
-// outcome returns what the response says of a request whose result would be the given one.
+// outcome classifies the response to a request whose correct result is the given one.
 func (r *Response) outcome(result string) Outcome {
 	switch {
 	case r.Status == 200 && r.Body == result:
@@ -100,7 +100,7 @@
 	return Failed
 }
 
-// ParseCGIResponse parses a response with CGI header fields.
+// ParseCGIResponse parses a response with CGI header fields. The status is 0 if it is missing or malformed.
 func ParseCGIResponse(text string) Response {
 	head, body, _ := strings.Cut(text, "\r\n\r\n")
 	response := Response{Fields: map[string]string{}, Body: body, Reuse: true}
@@ -113,7 +113,7 @@
 	return response
 }
 
-// OutcomeOf returns what a response with CGI header fields says of a request whose result would be the given one.
+// OutcomeOf classifies a response with CGI header fields to a request whose correct result is the given one.
 func OutcomeOf(text, result string) Outcome {
 	response := ParseCGIResponse(text)
 	return response.outcome(result)
--- a/internal/fake/processor.go
+++ b/internal/fake/processor.go
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// Processor is a test double of the processor: a number of cores shared equally by all runs, so that its capacity is known. It counts
-// how often each request is run, so that a test can tell duplicates. Its methods are safe for concurrent use; the fields may not change
-// once a node has connected.
+// Processor is a test double of the processor. All runs share its cores equally, so that its capacity is known. It counts the runs of
+// each request, so that a test can detect duplicates. Its methods are safe for concurrent use; the fields must not change once a node
+// has connected.
 type Processor struct {
 	Cores     float64
-	Work      func(id uint64, handler string) time.Duration // time a run takes on one core
-	MakesCall func(id uint64, handler string) bool          // whether a run begins with an upstream call; nil: never
+	Work      func(id uint64, handler string) time.Duration // duration of a run on one core
+	MakesCall func(id uint64, handler string) bool          // reports whether a run begins with an upstream call; nil: no run does
 
 	listener net.Listener
-	wake     chan struct{} // the runs changed
+	wake     chan struct{} // signals schedule that the runs have changed
 	done     chan struct{} // closed by Close
 
-	mu       sync.Mutex
-	conn     net.Conn // the present connection
-	started  time.Time
-	notices  []string // all sent, replayed to a node that reconnects
-	running  []*run
-	advanced time.Time // until when the cores' time has been shared
+	mu         sync.Mutex
+	conn       net.Conn // current connection, nil before the first
+	startedAt  time.Time
+	notices    []string // all notices so far, which a node that reconnects receives again
+	running    []*run
+	advancedAt time.Time // time up to which core time has been distributed to the runs
 
 	runs        map[uint64]int
 	handlers    map[uint64]string
 	firstStarts map[uint64]time.Time
-	effects     map[string]int // runs by body; Reset keeps it
+	effects     map[string]int // number of runs by request body; Reset keeps it
 }
 
 // run is one run of a request.
 type run struct {
-	id      uint64
-	body    string
-	calling bool    // waits for the reply to its upstream call
-	left    float64 // seconds on one core
-	started time.Time
+	id            uint64
+	body          string
+	awaitingCall  bool    // it waits for the reply to its upstream call
+	remainingWork float64 // in seconds on one core
+	startedAt     time.Time
 }
 
 // NewProcessor returns a processor that listens on a loopback address and runs until Close.
@@ -62,8 +62,8 @@
 		listener:    listener,
 		wake:        make(chan struct{}, 1),
 		done:        make(chan struct{}),
-		started:     now,
-		advanced:    now,
+		startedAt:   now,
+		advancedAt:  now,
 		runs:        map[uint64]int{},
 		handlers:    map[uint64]string{},
 		firstStarts: map[uint64]time.Time{},
@@ -88,14 +88,14 @@
 	}
 }
 
-// Runs returns how often each request was started, by request ID.
+// Runs returns the number of runs of each request, by request ID.
 func (p *Processor) Runs() map[uint64]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.runs)
 }
 
-// Effects returns how often each body was started, under whatever request ID.
+// Effects returns the number of runs of each request body, under any request ID.
 func (p *Processor) Effects() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,14 +109,14 @@
 	return maps.Clone(p.handlers)
 }
 
-// FirstStarts returns when each request was first started, by request ID.
+// FirstStarts returns the time of the first start of each request, by request ID.
 func (p *Processor) FirstStarts() map[uint64]time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.firstStarts)
 }
 
-// Reset forgets all runs and counts except those of Effects, as if the machine had been lost with its node.
+// Reset drops all runs and counts except those of Effects, as after the loss of the machine with its node.
 func (p *Processor) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +125,7 @@
 	p.runs = map[uint64]int{}
 	p.handlers = map[uint64]string{}
 	p.firstStarts = map[uint64]time.Time{}
-	p.started = time.Now()
+	p.startedAt = time.Now()
 }
 
 // start starts a run. The caller holds the mutex.
@@ -140,27 +140,27 @@
 	}
 	p.handlers[id] = handler
 	p.effects[body]++
-	r := &run{id: id, body: body, left: p.Work(id, handler).Seconds(), started: time.Now()}
+	r := &run{id: id, body: body, remainingWork: p.Work(id, handler).Seconds(), startedAt: time.Now()}
 	p.running = append(p.running, r)
 	if p.MakesCall != nil && p.MakesCall(id, handler) {
-		r.calling = true
+		r.awaitingCall = true
 		p.notify(fmt.Sprintf("ask %d %016x %d\r\n%s\r\n", len(p.notices)+1, id, len(body), body))
 	}
 	p.reschedule()
 }
 
-// endCall lets a run go on whose upstream call is answered. The caller holds the mutex.
+// endCall resumes a run whose upstream call has ended. The caller holds the mutex.
 func (p *Processor) endCall(id uint64) {
 	p.advance()
 	for _, r := range p.running {
 		if r.id == id {
-			r.calling = false
+			r.awaitingCall = false
 		}
 	}
 	p.reschedule()
 }
 
-// interrupt ends a run. The caller holds the mutex.
+// interrupt stops a run and notifies the node. The caller holds the mutex.
 func (p *Processor) interrupt(id uint64) {
 	p.advance()
 	for i, r := range p.running {
@@ -173,32 +173,32 @@
 	p.reschedule()
 }
 
-// advance shares the cores' time since the last call among all runs. The caller holds the mutex.
+// advance distributes the core time since the last call equally among the runnable runs. The caller holds the mutex.
 func (p *Processor) advance() {
 	now := time.Now()
 	if n := float64(p.runnable()); n > 0 {
-		share := now.Sub(p.advanced).Seconds() * min(1, p.Cores/n)
+		share := now.Sub(p.advancedAt).Seconds() * min(1, p.Cores/n)
 		for _, r := range p.running {
-			if !r.calling {
-				r.left -= share
+			if !r.awaitingCall {
+				r.remainingWork -= share
 			}
 		}
 	}
-	p.advanced = now
+	p.advancedAt = now
 }
 
-// runnable returns the number of runs that want a core.
+// runnable returns the number of runs that do not wait for an upstream call. The caller holds the mutex.
 func (p *Processor) runnable() int {
 	n := 0
 	for _, r := range p.running {
-		if !r.calling {
+		if !r.awaitingCall {
 			n++
 		}
 	}
 	return n
 }
 
-// reschedule makes schedule look at the runs again.
+// reschedule signals schedule to recompute when the next run ends.
 func (p *Processor) reschedule() {
 	select {
 	case p.wake <- struct{}{}:
@@ -206,14 +206,14 @@
 	}
 }
 
-// complete notifies the node of the end of a run.
+// complete notifies the node of the end of a run. The caller holds the mutex.
 func (p *Processor) complete(r *run, result, body string) {
 	number := len(p.notices) + 1
-	ms := time.Since(r.started).Seconds() * 1000
+	ms := time.Since(r.startedAt).Seconds() * 1000
 	p.notify(fmt.Sprintf("complete %d %016x %s %.2f %d\r\n%s\r\n", number, r.id, result, ms, len(body), body))
 }
 
-// notify sends a notice to the node and keeps it for a later connection.
+// notify sends a notice to the node and stores it for replay on a later connection. The caller holds the mutex.
 func (p *Processor) notify(text string) {
 	p.notices = append(p.notices, text)
 	if p.conn != nil {
@@ -221,7 +221,7 @@
 	}
 }
 
-// schedule completes each run when its work is done, until Close.
+// schedule completes each run at the end of its work, until Close.
 func (p *Processor) schedule() {
 	timer := time.NewTimer(time.Hour)
 	for {
@@ -235,13 +235,13 @@
 	}
 }
 
-// completeFinished completes the runs whose work is done and returns the time until the next one may be.
+// completeFinished completes the runs whose work is done and returns the time until the next run can end.
 func (p *Processor) completeFinished() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.advance()
 	p.running = slices.DeleteFunc(p.running, func(r *run) bool {
-		if r.left > 0 || r.calling {
+		if r.remainingWork > 0 || r.awaitingCall {
 			return false
 		}
 		p.complete(r, "ok", ProcessorResult(r.id, r.body))
@@ -250,8 +250,8 @@
 	next := time.Hour
 	slowdown := max(1, float64(p.runnable())/p.Cores)
 	for _, r := range p.running {
-		if !r.calling {
-			next = min(next, time.Duration(r.left*slowdown*float64(time.Second))+50*time.Microsecond)
+		if !r.awaitingCall {
+			next = min(next, time.Duration(r.remainingWork*slowdown*float64(time.Second))+50*time.Microsecond)
 		}
 	}
 	return next
--- a/internal/fake/processor_protocol.go
+++ b/internal/fake/processor_protocol.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// accept serves connections until the listener is closed. A new connection replaces the one before.
+// accept serves connections until the listener is closed. A new connection replaces the previous one.
 func (p *Processor) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -78,21 +78,21 @@
 	}
 }
 
-// greet answers a node's greeting and replays the notices after the last one it has seen. A node that has seen none has restarted:
-// the runs and notices of its former incarnation are dropped.
+// greet replies to a node's greeting and replays the notices after the last one that the node has received. A node that has received
+// none has restarted; the runs and notices of its earlier incarnation are dropped. The caller holds the mutex.
 func (p *Processor) greet(lastSeen string) {
 	last, _ := strconv.Atoi(lastSeen)
 	if last == 0 && len(p.notices) > 0 {
 		p.running = nil
 		p.notices = nil
 	}
-	p.reply("hi warm %d", time.Since(p.started).Milliseconds())
+	p.reply("hi warm %d", time.Since(p.startedAt).Milliseconds())
 	for i := last; i < len(p.notices); i++ {
 		_, _ = io.WriteString(p.conn, p.notices[i])
 	}
 }
 
-// reply writes a line to the node.
+// reply writes a line to the node. The caller holds the mutex.
 func (p *Processor) reply(format string, args ...any) {
 	_, _ = fmt.Fprintf(p.conn, format+"\r\n", args...)
 }
--- a/internal/fake/request.go
+++ b/internal/fake/request.go
@@ -9,11 +9,11 @@
 type Request struct {
 	ID        uint64
 	Handler   string
-	Caller    int   // number of the edge node
-	Start     int64 // when the edge node received it, in Unix milliseconds
+	Caller    int   // number of the edge node that sends the request
+	Start     int64 // time at which the edge node received it, in Unix milliseconds
 	CostMS    float64
 	Customer  string // empty: not sent
-	CreatedAt int64  // when it was first created, in Unix milliseconds; 0: not sent
+	CreatedAt int64  // time of its creation, which all attempts share, in Unix milliseconds; 0: not sent
 	Body      string
 }
 
--- a/internal/fake/upstream.go
+++ b/internal/fake/upstream.go
@@ -12,21 +12,21 @@
 	"sync"
 )
 
-// replyFault is a way in which a reply of an Upstream fails.
+// replyFault is a fault of a reply of an Upstream.
 type replyFault int
 
 const (
-	replyReset     replyFault = iota // the connection is reset
-	replyMissing                     // no reply
-	replyMalformed                   // a line that is not a reply
-	replyTooLong                     // a length that no reply may have
-	replyFaults                      // number of faults
+	replyReset      replyFault = iota // the connection is reset
+	replyMissing                      // no reply
+	replyMalformed                    // a line that is not a reply
+	replyTooLong                      // a length above the limit for replies
+	replyFaultCount                   // number of faults
 
 	replyOK replyFault = -1
 )
 
-// Upstream is a test double of the upstream proxy: it runs each call at once, and a share of its replies, drawn at random, fails.
-// Its methods are safe for concurrent use.
+// Upstream is a test double of the upstream proxy. It runs each call immediately; a random share of its replies fails. Its methods are
+// safe for concurrent use.
 type Upstream struct {
 	listener net.Listener
 
@@ -50,17 +50,17 @@
 // Address returns the address that the upstream listens on.
 func (u *Upstream) Address() string { return u.listener.Addr().String() }
 
-// Close closes the listener. Open connections stay.
+// Close closes the listener. Open connections stay open.
 func (u *Upstream) Close() { _ = u.listener.Close() }
 
-// SetFailureShare sets the share of the replies that fail from now on.
+// SetFailureShare sets the share of subsequent replies that fail.
 func (u *Upstream) SetFailureShare(share float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.failureShare = share
 }
 
-// CallCounts returns how often the call of each request has run, by request ID.
+// CallCounts returns the number of runs of each call, by request ID.
 func (u *Upstream) CallCounts() map[uint64]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -92,7 +92,7 @@
 
 // reply runs a call, replies to it, and reports whether the connection stays open.
 func (u *Upstream) reply(conn net.Conn, id string) bool {
-	switch u.run(id) {
+	switch u.runCall(id) {
 	case replyReset:
 		return false
 	case replyMissing:
@@ -106,14 +106,14 @@
 	return true
 }
 
-// run counts a call and draws the fault of its reply.
-func (u *Upstream) run(id string) replyFault {
+// runCall counts a run of a call and draws the fault of its reply.
+func (u *Upstream) runCall(id string) replyFault {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	number, _ := strconv.ParseUint(id, 16, 64)
 	u.runs[number]++
 	if u.random.Float64() < u.failureShare {
-		return replyFault(u.random.IntN(int(replyFaults)))
+		return replyFault(u.random.IntN(int(replyFaultCount)))
 	}
 	return replyOK
 }
--- a/internal/faultproxy/doc.go
+++ b/internal/faultproxy/doc.go
@@ -1,4 +1,4 @@
-// Package faultproxy has TCP proxies that inject network faults between the processes of a test: resets, stalls, delays, and
+// Package faultproxy provides TCP proxies that inject network faults between the processes of a test: resets, stalls, delays, and
 // connections that end in the middle of a message.
 //
 // Only tests and the laboratory may import it; CI checks that.
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -9,24 +9,24 @@
 	"frosthub/internal/fake"
 )
 
-// linkBufferSize is the most that a Link forwards at once, in bytes.
+// linkBufferSize is the maximum number of bytes that a Link forwards at once.
 const linkBufferSize = 4 << 10
 
-// Link is a proxy for the connections from one node to another, which carry data in one direction. Its methods are safe for
+// Link is a proxy for the connections from one node to another, which transfer data in one direction only. Its methods are safe for
 // concurrent use.
 type Link struct {
 	target   string
 	listener net.Listener
 
 	mu      sync.Mutex
-	cut     bool
+	down    bool
 	stalled bool
 	delay   time.Duration
 	conns   map[net.Conn]bool
-	changed *sync.Cond // cut or stalled changed
+	changed *sync.Cond // signals changes of down and stalled
 }
 
-// NewLink returns a link to the given address that listens on a loopback address until Close.
+// NewLink returns a link to the given target address. It listens on a loopback address until Close.
 func NewLink(target string) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,11 +41,11 @@
 // Address returns the address that the link listens on.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Reset closes all connections, in the middle of a message if one is on its way, and refuses new ones until Heal.
+// Reset closes all connections, possibly in the middle of a message, and closes new ones immediately until Heal.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = true
+	l.down = true
 	for conn := range l.conns {
 		_ = conn.Close()
 	}
@@ -53,7 +53,7 @@
 	l.changed.Broadcast()
 }
 
-// Stall keeps connections open and forwards nothing until Heal.
+// Stall keeps connections open but forwards no data until Heal.
 func (l *Link) Stall() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,11 +67,11 @@
 	l.delay = delay
 }
 
-// Heal ends all faults. Data that was stalled is forwarded.
+// Heal ends all faults. Stalled data is then forwarded.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = false
+	l.down = false
 	l.stalled = false
 	l.delay = 0
 	l.changed.Broadcast()
@@ -83,10 +83,10 @@
 	l.Reset()
 }
 
-// forward carries one connection until one side or a fault ends it.
+// forward forwards one connection until either side or a fault ends it.
 func (l *Link) forward(source net.Conn) {
 	defer func() { _ = source.Close() }()
-	if l.isCut() {
+	if l.isDown() {
 		return
 	}
 	target, err := net.Dial("tcp", l.target)
@@ -99,7 +99,7 @@
 	l.conns[target] = true
 	l.mu.Unlock()
 	go func() {
-		_, _ = io.Copy(io.Discard, target) // nothing is sent back: this waits for the end of the connection
+		_, _ = io.Copy(io.Discard, target) // the target sends no data; this waits for the end of the connection
 		_ = source.Close()
 	}()
 	buf := make([]byte, linkBufferSize)
@@ -108,8 +108,8 @@
 		if err != nil {
 			return
 		}
-		delay, cut := l.waitWhileStalled()
-		if cut {
+		delay, down := l.waitWhileStalled()
+		if down {
 			_, _ = target.Write(buf[:n/2])
 			return
 		}
@@ -120,18 +120,18 @@
 	}
 }
 
-func (l *Link) isCut() bool {
+func (l *Link) isDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.down
 }
 
-// waitWhileStalled waits for the end of a stall and returns the faults of what is forwarded next.
-func (l *Link) waitWhileStalled() (delay time.Duration, cut bool) {
+// waitWhileStalled waits for the end of a stall and returns the faults that apply to the data that is forwarded next.
+func (l *Link) waitWhileStalled() (delay time.Duration, down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.stalled && !l.cut {
+	for l.stalled && !l.down {
 		l.changed.Wait()
 	}
-	return l.delay, l.cut
+	return l.delay, l.down
 }
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// proxyBufferSize is the most that a Proxy forwards at once, in bytes.
+	// proxyBufferSize is the maximum number of bytes that a Proxy forwards at once.
 	proxyBufferSize = 16 << 10
-	// dialTimeout is how long a Proxy waits for a connection to its server.
+	// dialTimeout limits how long a Proxy waits for a connection to its server.
 	dialTimeout = time.Second
 )
 
-// Reasons why a proxy, not the server, ended a connection.
+// Reasons why a connection ended without a close by the server.
 const (
-	reasonReset    = "reset on the way"
-	reasonDial     = "no connection to the far side"
-	reasonNotFound = "not carried"
+	reasonReset   = "reset by the proxy"
+	reasonDial    = "proxy could not connect to the server"
+	reasonUnknown = "connection unknown to the proxy"
 )
 
-// Proxy is a proxy for the connections from clients to a server, which carry data in both directions. It records when each byte was
-// delivered to the server and when the server closed a connection, so that a test can judge the server by what it received, not by what
-// was sent to it. Its methods are safe for concurrent use.
+// Proxy is a proxy for the connections from clients to a server, which transfer data in both directions. It records when data was
+// delivered to the server and when the server closed a connection, so that a test can check the server against the data that it received,
+// not the data that was sent. Its methods are safe for concurrent use.
 type Proxy struct {
 	server   string
 	listener net.Listener
 
 	mu      sync.Mutex
-	changed *sync.Cond // stalled, closed or the reason of a connection changed
+	changed *sync.Cond // signals changes of stalled, closed and the reason of a connection
 	delay   time.Duration
 	stalled bool
 	closed  bool
-	conns   map[string]*proxyConn // by the client's address
+	conns   map[string]*proxyConn // by client address
 }
 
 // proxyConn is one connection of a Proxy, guarded by the proxy's mutex.
 type proxyConn struct {
 	client       net.Conn
-	server       net.Conn // nil until it is connected
+	server       net.Conn // nil until the proxy has connected to the server
 	deliveries   []delivery
 	serverClosed time.Time
-	reason       string // why the proxy ended it; empty: it did not
+	reason       string // why the proxy ended the connection; empty if it did not
 }
 
-// delivery records how many bytes of a connection the server had been handed at a time.
+// delivery records the total number of bytes of a connection that were delivered to the server at a point in time.
 type delivery struct {
 	bytes int64
 	at    time.Time
 }
 
-// NewProxy returns a proxy of the given address that listens on a loopback address until Close.
+// NewProxy returns a proxy for the given server address. It listens on a loopback address until Close.
 func NewProxy(server string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,15 +76,15 @@
 	p.delay = delay
 }
 
-// Stall keeps connections open and forwards nothing while it is on.
-func (p *Proxy) Stall(on bool) {
+// Stall starts or ends a stall, during which connections stay open but no data is forwarded.
+func (p *Proxy) Stall(stalled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stalled = on
+	p.stalled = stalled
 	p.changed.Broadcast()
 }
 
-// Reset resets all connections, with the data on its way. New connections are carried as before.
+// Reset resets all connections and drops data that was not forwarded yet. New connections are forwarded as usual.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,7 @@
 	p.changed.Broadcast()
 }
 
-// StopAccepting closes the listener. Open connections are carried on.
+// StopAccepting closes the listener. Open connections stay open.
 func (p *Proxy) StopAccepting() { _ = p.listener.Close() }
 
 // Close closes the listener and resets all connections.
@@ -110,8 +110,8 @@
 	p.Reset()
 }
 
-// DeliveredAt returns when the server had been handed that many bytes of the connection from the given client address, and whether it
-// ever was.
+// DeliveredAt returns the time at which the given number of bytes of the connection from a client address had been delivered to the
+// server. ok is false if they were not delivered.
 func (p *Proxy) DeliveredAt(client string, bytes int64) (at time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,26 +127,26 @@
 	return time.Time{}, false
 }
 
-// ClosedAt returns when the server closed the connection from the given client address, zero if it did not, and the reason if the proxy
-// ended the connection instead.
+// ClosedAt returns the time at which the server closed the connection from a client address, zero if it did not. If the proxy ended the
+// connection or never had it, reason is not empty.
 func (p *Proxy) ClosedAt(client string) (at time.Time, reason string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn := p.conns[client]
 	if conn == nil {
-		return time.Time{}, reasonNotFound
+		return time.Time{}, reasonUnknown
 	}
 	return conn.serverClosed, conn.reason
 }
 
-// forward carries one connection until both directions have ended.
+// forward forwards one connection until both directions have ended.
 func (p *Proxy) forward(client net.Conn) {
 	conn := &proxyConn{client: client}
 	p.mu.Lock()
 	p.conns[client.RemoteAddr().String()] = conn
 	p.mu.Unlock()
 	server, err := net.DialTimeout("tcp", p.server, dialTimeout)
-	if !p.connected(conn, server, err) {
+	if !p.recordServerConn(conn, server, err) {
 		fake.ResetConn(client)
 		fake.ResetConn(server)
 		return
@@ -159,8 +159,8 @@
 	_ = server.Close()
 }
 
-// connected records the connection to the server, and reports whether the client's is to be carried.
-func (p *Proxy) connected(conn *proxyConn, server net.Conn, err error) bool {
+// recordServerConn records the connection to the server, or why there is none. It reports whether the connection is to be forwarded.
+func (p *Proxy) recordServerConn(conn *proxyConn, server net.Conn, err error) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil || p.closed || conn.reason != "" {
@@ -173,8 +173,8 @@
 	return true
 }
 
-// injectFaults waits for the end of a stall, then for the delay.
-func (p *Proxy) injectFaults(conn *proxyConn) {
+// applyFaults waits for the end of a stall, then for the delay.
+func (p *Proxy) applyFaults(conn *proxyConn) {
 	p.mu.Lock()
 	for p.stalled && !p.closed && conn.reason == "" {
 		p.changed.Wait()
@@ -193,7 +193,7 @@
 			closeWrite(conn.server)
 			return
 		}
-		p.injectFaults(conn)
+		p.applyFaults(conn)
 		if _, err := conn.server.Write(buf[:n]); err != nil {
 			p.recordServerClosed(conn, err)
 			_, _ = io.Copy(io.Discard, conn.client)
@@ -212,18 +212,18 @@
 		n, err := conn.server.Read(buf)
 		if err != nil {
 			p.recordServerClosed(conn, err)
-			p.injectFaults(conn)
+			p.applyFaults(conn)
 			closeWrite(conn.client)
 			return
 		}
-		p.injectFaults(conn)
+		p.applyFaults(conn)
 		if _, err := conn.client.Write(buf[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// recordServerClosed records that the server closed a connection, unless the proxy has ended it.
+// recordServerClosed records the time at which the server closed a connection, unless the proxy has ended it.
 func (p *Proxy) recordServerClosed(conn *proxyConn, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
