--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden is for tests that compare what they print with traces: text files
-// in the repository, which people read when they change.
+// Package golden supports golden-file tests, which compare their output with traces: text files in the repository whose changes are
+// reviewed.
 package golden
 
 import (
@@ -17,34 +17,33 @@
 	traceFileMode = 0o644
 )
 
-var update = flag.Bool("update", false, "write the traces anew, to be read before they are committed")
+var update = flag.Bool("update", false, "rewrite the traces; review the changes before committing them")
 
-// Files runs a subtest for each trace of the package: play returns the text of a
-// trace as the code makes it now. Tests in real time may run on a machine that
-// stands still for longer than their trace tolerates, so a trace that differs is
-// played again, up to the given number of attempts: a real fault differs each time.
-func Files(t *testing.T, attempts int, play func(t *testing.T, text string) string) {
+// Files runs a subtest for each trace of the package. replay returns the text of a trace with the output that the code produces now. A
+// machine that stalls for longer than a trace tolerates can change the output of a test in real time. A trace whose output differs is
+// therefore replayed, up to the given number of attempts in total; a fault in the code differs in each of them.
+func Files(t *testing.T, attempts int, replay func(t *testing.T, text string) string) {
 	t.Helper()
 	files, err := filepath.Glob(traceFiles)
 	if err != nil || len(files) == 0 {
-		t.Fatal("no traces", err)
+		t.Fatal("no traces found:", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) {
 			t.Parallel()
-			playFile(t, file, attempts, play)
+			checkTrace(t, file, attempts, replay)
 		})
 	}
 }
 
-func playFile(t *testing.T, file string, attempts int, play func(t *testing.T, text string) string) {
+func checkTrace(t *testing.T, file string, attempts int, replay func(t *testing.T, text string) string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := string(text)
-	got := play(t, want)
+	got := replay(t, want)
 	if *update {
 		if err := os.WriteFile(file, []byte(got), traceFileMode); err != nil {
 			t.Fatal(err)
@@ -55,28 +54,26 @@
 		if got == want {
 			return
 		}
-		t.Log("played again:", cmp.Diff(want, got))
-		got = play(t, want)
+		t.Log("trace differs, replaying it:", cmp.Diff(want, got))
+		got = replay(t, want)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// RewrittenLines is the number of output lines that Steps passes while traces are
-// written anew.
-const RewrittenLines = -1
+// UnknownOutputLines is the number of output lines that Steps passes while traces are rewritten.
+const UnknownOutputLines = -1
 
-// Steps plays a text in which each line is an input and the indented lines below it
-// are its output. It calls step for each input, without its comment, with the
-// number of its output lines or RewrittenLines, and returns the text with the
-// output that step returns.
+// Steps replays a trace in which each line is an input and the indented lines below it are its output. It calls step for each input with
+// the line, without its comment, and the number of its output lines in the trace, or UnknownOutputLines. It returns the trace with the
+// output of step.
 func Steps(text string, step func(line string, outputLines int) []string) string {
 	var out strings.Builder
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	for i, line := range lines {
 		if isOutput(line) {
-			continue // it is made anew
+			continue // step produces the new output
 		}
 		out.WriteString(line + "\n")
 		input, _, _ := strings.Cut(line, "#")
@@ -84,7 +81,7 @@
 		if input == "" {
 			continue
 		}
-		outputLines := RewrittenLines
+		outputLines := UnknownOutputLines
 		if !*update {
 			outputLines = countOutput(lines[i+1:])
 		}
@@ -97,7 +94,7 @@
 
 func isOutput(line string) bool { return strings.HasPrefix(line, " ") }
 
-// countOutput returns how many of the lines are output before the next input.
+// countOutput returns the number of output lines before the next input.
 func countOutput(lines []string) int {
 	n := 0
 	for n < len(lines) && isOutput(lines[n]) {
@@ -106,10 +103,10 @@
 	return n
 }
 
-// FixSeeds has property tests draw the same values in each run. It is for the init
-// function of their package; flags of the command line override it.
+// FixSeeds makes property tests draw the same values in each run. It must be called in the init function of a test package; flags on the
+// command line override it.
 func FixSeeds() {
-	// Where rapid is not linked there are no such flags, and nothing to set.
+	// If the package rapid is not linked in, these flags do not exist and the errors are ignored.
 	_ = flag.Set("rapid.seed", "20261201")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
--- a/internal/golden/parser.go
+++ b/internal/golden/parser.go
@@ -11,40 +11,39 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Open returns a function that feeds a new parser, whose messages are printed.
-type Open func(print func(format string, args ...any)) (feed func([]byte) error)
+// ParserFactory creates a parser and returns a function that feeds it with input. The parser's messages are passed to print.
+type ParserFactory func(print func(format string, args ...any)) (feed func([]byte) error)
 
-// Parser plays traces of a parser. Each line is its input as Go string literals,
-// which are joined. The parser must print the same for the whole input and for
-// single bytes.
-func Parser(t *testing.T, open Open) {
+// Parser checks a parser against the traces of the package. Each input line is a sequence of Go string literals, which are concatenated.
+// The parser must produce the same output whether it is fed with the whole input or with single bytes.
+func Parser(t *testing.T, newParser ParserFactory) {
 	t.Helper()
 	Files(t, 1, func(t *testing.T, text string) string {
 		t.Helper()
 		return Steps(text, func(line string, _ int) []string {
 			input := unquote(t, line)
-			output := feedAll(open, input)
+			output := feedAll(newParser, input)
 			singleBytes := make([][]byte, len(input))
 			for i := range input {
 				singleBytes[i] = input[i : i+1]
 			}
-			if diff := cmp.Diff(output, feedAll(open, singleBytes...)); diff != "" {
-				t.Errorf("%s: cut at each byte: %s", line, diff)
+			if diff := cmp.Diff(output, feedAll(newParser, singleBytes...)); diff != "" {
+				t.Errorf("%s: output differs for single bytes: %s", line, diff)
 			}
 			return output
 		})
 	})
 }
 
-// Fuzz feeds a parser with any bytes, whole and cut in two. The seeds are the inputs
-// of the traces.
-func Fuzz(f *testing.F, open Open) {
+// Fuzz checks that a parser produces the same output for arbitrary input as a whole and split in two. The seed corpus consists of the
+// inputs of the traces.
+func Fuzz(f *testing.F, newParser ParserFactory) {
 	f.Helper()
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, input []byte, cut uint16) {
 		middle := int(cut) % (len(input) + 1)
-		whole := feedAll(open, input)
-		inTwo := feedAll(open, input[:middle], input[middle:])
+		whole := feedAll(newParser, input)
+		inTwo := feedAll(newParser, input[:middle], input[middle:])
 		if diff := cmp.Diff(whole, inTwo); diff != "" {
 			t.Error(diff)
 		}
@@ -53,7 +52,7 @@
 
 func addSeeds(f *testing.F) {
 	f.Helper()
-	const cut = 9 // any
+	const cut = 9 // arbitrary split position
 	files, _ := filepath.Glob(traceFiles)
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -70,11 +69,10 @@
 	}
 }
 
-// feedAll returns what a new parser prints for the pieces of a stream, with its
-// error as the last line.
-func feedAll(open Open, pieces ...[]byte) []string {
+// feedAll returns the output of a new parser for consecutive pieces of input. An error ends it and is its last line.
+func feedAll(newParser ParserFactory, pieces ...[]byte) []string {
 	var output []string
-	feed := open(func(format string, args ...any) {
+	feed := newParser(func(format string, args ...any) {
 		output = append(output, fmt.Sprintf(format, args...))
 	})
 	for _, piece := range pieces {
@@ -85,7 +83,7 @@
 	return output
 }
 
-// unquote returns the text of Go string literals with spaces between them.
+// unquote returns the concatenated content of Go string literals that are separated by spaces.
 func unquote(t testing.TB, literals string) []byte {
 	t.Helper()
 	var text []byte
@@ -94,7 +92,7 @@
 		if err != nil {
 			t.Fatal(literals, err)
 		}
-		unquoted, _ := strconv.Unquote(literal) // QuotedPrefix has checked it
+		unquoted, _ := strconv.Unquote(literal) // QuotedPrefix returns only valid literals
 		text = append(text, unquoted...)
 		literals = strings.TrimSpace(literals[len(literal):])
 	}
