--- a/lab/outage/client.go
+++ b/lab/outage/client.go
@@ -6,42 +6,42 @@
 	"frosthub/overload"
 )
 
-// request is what a client wants served.
+// request is a request of a client.
 type request struct {
-	id       uint64
-	handler  int
-	made     time.Duration
-	work     time.Duration // still to be done; of a node without limits: the work per request at which this one ends
-	node     *node         // that has it; nil while no node does
-	over     bool          // it was answered, or the client has given up
-	attempts int
-	running  bool
+	id            uint64
+	handler       int
+	createdAt     time.Duration
+	remainingWork time.Duration // work left; in a sharedProcessor, the workPerRequest at which the request ends
+	node          *node         // node that has the request; nil if none has it
+	done          bool          // the request was served or its client timed out
+	attempts      int
+	running       bool
 }
 
-// arrive makes a request, and has the next one come at a random moment.
-func (f *fleet) arrive() {
+// generateRequests creates a request and schedules the next one after a random time.
+func (f *fleet) generateRequests() {
 	rate := baseLoad * float64(f.config.nodes) * coresPerNode / meanWork.Seconds()
-	if f.Now >= firstReturn && f.Now < firstReturn+f.floodFor {
+	if f.Now >= firstReturn && f.Now < firstReturn+f.overloadDuration {
 		rate *= f.loadFactor
 	}
-	f.newRequest()
-	f.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), f.arrive)
+	f.createRequest()
+	f.After(time.Duration(f.random.ExpFloat64()/rate*float64(time.Second)), f.generateRequests)
 }
 
-// newRequest makes a request of a random handler.
-func (f *fleet) newRequest() {
+// createRequest creates a request for a random handler and sends it.
+func (f *fleet) createRequest() {
 	f.requests++
 	r := &request{
-		id:      uint64(f.requests),
-		handler: f.drawHandler(),
-		made:    f.Now,
-		work:    meanWork/2 + f.randomSpan(meanWork),
+		id:            uint64(f.requests),
+		handler:       f.drawHandler(),
+		createdAt:     f.Now,
+		remainingWork: meanWork/2 + f.randomDuration(meanWork),
 	}
-	f.After(clientTimeout, func() { f.giveUp(r) })
+	f.After(clientTimeout, func() { f.timeOut(r) })
 	f.send(r)
 }
 
-// drawHandler returns a handler by its share.
+// drawHandler returns the index of a random handler. Its probability is the handler's share.
 func (f *fleet) drawHandler() int {
 	x := f.random.Float64()
 	last := len(handlers) - 1
@@ -54,15 +54,15 @@
 	return last
 }
 
-// send sends a request to a random node. One that is down refuses the connection.
+// send sends a request to a random node. A node that is down, or cannot run the handler yet, rejects it.
 func (f *fleet) send(r *request) {
-	if r.over {
+	if r.done {
 		return
 	}
 	f.attempts++
 	r.attempts++
 	n := f.nodes[f.random.IntN(len(f.nodes))]
-	if !n.up || handlers[r.handler].guarded && !n.established {
+	if !n.up || handlers[r.handler].deduplicated && !n.established {
 		f.retry(r, retryDelay)
 		return
 	}
@@ -76,42 +76,42 @@
 		Kind:      overload.Arrived,
 		ID:        r.id,
 		Handler:   r.handler,
-		Remaining: clientTimeout - (f.Now - r.made),
-		Hint:      r.work,
+		Remaining: clientTimeout - (f.Now - r.createdAt),
+		Hint:      r.remainingWork,
 		SizeKB:    1,
 		EdgeNode:  int(r.id % clientAddresses),
 	})
 }
 
-// retry has the client of a failed attempt try another node after about that time.
+// retry schedules another attempt of a failed request after a random time around the given delay.
 func (f *fleet) retry(r *request, delay time.Duration) {
 	r.node = nil
 	r.running = false
-	if !r.over {
-		f.After(delay/2+f.randomSpan(delay), func() { f.send(r) })
+	if !r.done {
+		f.After(delay/2+f.randomDuration(delay), func() { f.send(r) })
 	}
 }
 
-// giveUp has the client time out. Most clients make a new request then.
-func (f *fleet) giveUp(r *request) {
-	if r.over {
+// timeOut ends a request whose client times out. Most clients then create a new request.
+func (f *fleet) timeOut(r *request) {
+	if r.done {
 		return
 	}
-	r.over = true
+	r.done = true
 	if n := r.node; n != nil && n.requests[r.id] == r && f.strategy != unlimited {
-		// Without the controller nobody tells the processor, and the request runs on.
+		// Without a controller the processor is not notified, and the request continues to run.
 		n.events = append(n.events, overload.Event{Kind: overload.ClientGone, ID: r.id})
 	}
 	if f.random.Float64() < repeatShare {
-		f.After(repeatDelay/2+f.randomSpan(repeatDelay), f.newRequest)
+		f.After(repeatDelay/2+f.randomDuration(repeatDelay), f.createRequest)
 	}
 }
 
-// serve ends a request with an answer, if its client still waits.
+// serve ends a request with a response, if its client still waits.
 func (f *fleet) serve(r *request) {
-	if r.over {
+	if r.done {
 		return
 	}
-	r.over = true
-	f.served[r.handler][f.Now/bucket]++
+	r.done = true
+	f.served[r.handler][f.Now/bucketWidth]++
 }
--- a/lab/outage/config.go
+++ b/lab/outage/config.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// strategy is how the nodes of a fleet come back after the outage.
+// strategy is how the nodes of a fleet recover after the outage.
 type strategy uint8
 
 const (
-	queryPeers       strategy = iota // as the product does it
-	serveImmediately                 // each node trusts its disk
-	awaitAll                         // each node waits for the answers of all others
-	unlimited                        // as serveImmediately, and all requests run at once: there is no overload controller
+	queryPeers       strategy = iota // as implemented in package recovery
+	serveImmediately                 // each node serves as soon as it has read its store
+	awaitAll                         // each node waits for responses from all other nodes
+	unlimited                        // like serveImmediately, but without an overload controller: all requests run concurrently
 	strategyCount
 )
 
-// strategyNames are the rows of the report.
+// strategyNames are the names of the strategies in the report and the plot.
 var strategyNames = [...]string{
 	queryPeers:       "as built",
 	serveImmediately: "at once",
@@ -21,66 +21,66 @@
 	unlimited:        "no limits",
 }
 
-// handler is a kind of request, as clients and nodes know it.
+// handler describes the requests for one handler.
 type handler struct {
-	name    string
-	share   float64 // of the requests
-	weight  float64 // what an answer is worth
-	guarded bool    // it has an idempotency key: only a node that knows its own history may run it
+	name         string
+	share        float64 // share of all requests
+	weight       float64 // value of a served request
+	deduplicated bool    // requests have idempotency keys: only a node that has recovered its history may run them
 }
 
 var handlers = []handler{
 	{name: "status", share: 0.6, weight: 1},
 	{name: "field-update", share: 0.2, weight: 2},
-	{name: "file-claim", share: 0.2, weight: 3, guarded: true},
+	{name: "file-claim", share: 0.2, weight: 3, deduplicated: true},
 }
 
-// config is one fleet and what happens to it.
+// config holds the parameters of one simulation run.
 type config struct {
-	nodes      int
-	lost       float64       // share of the nodes that never come back
-	loadFactor float64       // load after the outage, as a multiple of the load before
-	floodFor   time.Duration // how long the load is that high
-	strategy   strategy
-	seed       uint64
-	// honorRetryAfter has rejected clients wait as long as the node said.
+	nodes            int
+	lostShare        float64       // share of the nodes that never return
+	loadFactor       float64       // load after the outage, as a multiple of the load before
+	overloadDuration time.Duration // duration of the increased load
+	strategy         strategy
+	seed             uint64
+	// honorRetryAfter makes rejected clients wait for at least the node's Retry-After.
 	honorRetryAfter bool
-	// witnesses is the number of peers that remember a node's state.
-	witnesses int
+	// peersPerNode is the number of peers that store a node's state.
+	peersPerNode int
 }
 
-// The simulated time.
+// Simulated time.
 const (
-	simStep = 5 * time.Millisecond   // of a node
-	simEnd  = 40 * time.Second       // of a run
-	bucket  = 200 * time.Millisecond // resolution of what was served
+	simStep     = 5 * time.Millisecond   // time step of the nodes
+	simEnd      = 40 * time.Second       // length of a run
+	bucketWidth = 200 * time.Millisecond // time resolution of the served requests
 )
 
-// The nodes.
+// Nodes.
 const (
 	coresPerNode    = 2.0
-	meanWork        = 100 * time.Millisecond // of a request, on one core
-	baseLoad        = 0.7                    // before the outage, as a share of the capacity
-	maxLoadingTime  = 200 * time.Millisecond // until a node has read its store
-	warmUpTime      = 5 * time.Second        // after a start, in which the processor is slower
+	meanWork        = 100 * time.Millisecond // mean work of a request on one core
+	baseLoad        = 0.7                    // load before the outage, as a share of the capacity
+	maxLoadingTime  = 200 * time.Millisecond // longest time until a node has read its store
+	warmUpTime      = 5 * time.Second        // time after a start in which the processor runs at warmUpSpeed
 	warmUpSpeed     = 0.5
-	controlInterval = 25 * time.Millisecond // longest time between two calls of the overload controller
+	controlInterval = 25 * time.Millisecond // longest time between two timer events of the overload controller
 	maxNetworkDelay = 2 * time.Millisecond
 )
 
-// The outage.
+// Outage.
 const (
 	outageAt     = 5 * time.Second
-	outageLength = 3 * time.Second // until the first node returns
-	returnSpread = 3 * time.Second // from the first to the last
+	outageLength = 3 * time.Second // time until the first node returns
+	returnSpread = 3 * time.Second // longest time between the returns of the first and the last node
 	firstReturn  = outageAt + outageLength
 )
 
-// The clients.
+// Clients.
 const (
 	clientTimeout   = 3 * time.Second
-	retryDelay      = 50 * time.Millisecond  // until a rejected client tries another node
-	repeatDelay     = 500 * time.Millisecond // until a client that timed out makes a new request
-	repeatShare     = 0.8                    // of those clients do so
+	retryDelay      = 50 * time.Millisecond  // mean time until a rejected client retries
+	repeatDelay     = 500 * time.Millisecond // mean time until a client that timed out creates a new request
+	repeatShare     = 0.8                    // share of the clients that do so
 	clientAddresses = 50
 )
--- a/lab/outage/fleet.go
+++ b/lab/outage/fleet.go
@@ -7,25 +7,25 @@
 	"frosthub/internal/harness"
 )
 
-// randomStream tells the random numbers of this simulation from those of others with the same seed.
+// randomStream separates the random numbers of this simulation from those of other simulations with the same seed.
 const randomStream = 26
 
-// fleet is one run.
+// fleet is the state of one simulation run.
 type fleet struct {
 	config
-	harness.EventQueue // the simulated time
+	harness.EventQueue // simulated time and scheduled events
 	random             *rand.Rand
 	nodes              []*node
-	served             [][]float64 // requests, by handler and bucket of time
+	served             [][]float64 // number of served requests, by handler and time bucket
 	requests           int
 	attempts           int
 }
 
-// simulate runs a fleet to the end.
+// simulate runs the simulation of a fleet until simEnd.
 func simulate(cfg config) *fleet {
 	f := newFleet(cfg)
-	f.After(outageAt, f.loseAll)
-	f.arrive()
+	f.After(outageAt, f.cutPower)
+	f.generateRequests()
 	for now := time.Duration(0); now < simEnd; now += simStep {
 		for f.Next(now) {
 		}
@@ -39,7 +39,7 @@
 	return f
 }
 
-// newFleet returns a fleet whose nodes all run.
+// newFleet returns a fleet in which all nodes are up and established.
 func newFleet(cfg config) *fleet {
 	f := &fleet{
 		config: cfg,
@@ -47,11 +47,11 @@
 		served: make([][]float64, len(handlers)),
 	}
 	for i := range f.served {
-		f.served[i] = make([]float64, simEnd/bucket+1)
+		f.served[i] = make([]float64, simEnd/bucketWidth+1)
 	}
 	for i := range cfg.nodes {
-		n := &node{index: i, returnAt: firstReturn + f.randomSpan(returnSpread)}
-		if f.random.Float64() < cfg.lost {
+		n := &node{index: i, returnAt: firstReturn + f.randomDuration(returnSpread)}
+		if f.random.Float64() < cfg.lostShare {
 			n.returnAt = 0
 		}
 		f.nodes = append(f.nodes, n)
@@ -61,20 +61,20 @@
 	return f
 }
 
-// loseAll is the outage: all nodes lose power, and most return later.
-func (f *fleet) loseAll() {
+// cutPower starts the outage: all nodes lose power. It schedules the return of those that do return.
+func (f *fleet) cutPower() {
 	for _, n := range f.nodes {
 		f.stop(n)
 		if n.returnAt > 0 {
 			f.After(n.returnAt-f.Now, func() {
 				f.start(n)
-				f.load(n)
+				f.loadStore(n)
 			})
 		}
 	}
 }
 
-// randomSpan returns a random time up to a longest.
-func (f *fleet) randomSpan(longest time.Duration) time.Duration {
+// randomDuration returns a random duration between 0 and longest.
+func (f *fleet) randomDuration(longest time.Duration) time.Duration {
 	return time.Duration(f.random.Int64N(int64(longest) + 1))
 }
--- a/lab/outage/main.go
+++ b/lab/outage/main.go
@@ -1,6 +1,6 @@
-// Command outage simulates the return of a fleet after a loss of power: many nodes in one process, from a seed. The overload controller and the
-// recovery state machine are those of the product; processors, clients and the network are simple models. It compares strategies of coming
-// back, prints a table and plots the service over time.
+// Command outage simulates the recovery of a fleet after a power outage: many nodes in one process, with random numbers from a seed. It
+// uses the packages overload and recovery of the product; processors, clients and the network are simple models. It compares recovery
+// strategies, prints a table and optionally plots the service over time.
 package main
 
 import (
@@ -17,15 +17,15 @@
 
 func main() {
 	var cfg config
-	flag.IntVar(&cfg.nodes, "boxes", 300, "nodes of the fleet")
-	flag.Float64Var(&cfg.lost, "never", 0, "share of the nodes that never come back")
+	flag.IntVar(&cfg.nodes, "boxes", 300, "number of nodes of the fleet")
+	flag.Float64Var(&cfg.lostShare, "never", 0, "share of the nodes that never return")
 	flag.Float64Var(&cfg.loadFactor, "times", 10, "load after the outage, as a multiple of the load before")
-	flag.DurationVar(&cfg.floodFor, "flood", 10*time.Second, "how long the load is that high")
-	flag.Uint64Var(&cfg.seed, "seed", 1, "seed of all random choices")
-	flag.BoolVar(&cfg.honorRetryAfter, "heed", false, "rejected clients wait as long as they are told")
-	plotFile := flag.String("plot", "", "file for the plot, .png or .svg; empty: none")
+	flag.DurationVar(&cfg.overloadDuration, "flood", 10*time.Second, "duration of the increased load")
+	flag.Uint64Var(&cfg.seed, "seed", 1, "seed of the random numbers")
+	flag.BoolVar(&cfg.honorRetryAfter, "heed", false, "rejected clients wait for at least the node's Retry-After")
+	plotFile := flag.String("plot", "", "file of the plot, .png or .svg; empty: no plot")
 	flag.Parse()
-	cfg.witnesses = min(4, cfg.nodes-1)
+	cfg.peersPerNode = min(4, cfg.nodes-1)
 
 	fleets := simulateAll(cfg)
 	if err := writeReport(os.Stdout, fleets); err != nil {
@@ -33,27 +33,27 @@
 	}
 	if *plotFile != "" {
 		if err := savePlot(*plotFile, cfg, fleets); err != nil {
-			log.Fatal(fmt.Errorf("plotting: %w", err))
+			log.Fatal(fmt.Errorf("saving the plot: %w", err))
 		}
 	}
 }
 
-// simulateAll runs a fleet of each strategy, all at the same time.
+// simulateAll simulates one fleet per strategy, all concurrently.
 func simulateAll(cfg config) []*fleet {
 	fleets := make([]*fleet, strategyCount)
 	var running sync.WaitGroup
 	for i := range fleets {
 		running.Go(func() {
-			own := cfg
-			own.strategy = strategy(i)
-			fleets[i] = simulate(own)
+			strategyCfg := cfg
+			strategyCfg.strategy = strategy(i)
+			fleets[i] = simulate(strategyCfg)
 		})
 	}
 	running.Wait()
 	return fleets
 }
 
-// writeReport prints a row for each strategy. The words are those of the tables in docs/notes.
+// writeReport prints a row for each strategy. Its words match those of the tables in docs/notes.
 func writeReport(out io.Writer, fleets []*fleet) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	header := "way\tuntil 0.9 of before, by handler\tworth in the first 10 s\tmessages a box\ttries a req"
@@ -62,7 +62,7 @@
 	}
 	for i, f := range fleets {
 		r := f.result()
-		_, err := fmt.Fprintf(w, "%s\t%s\t%.2f\t%.1f, %d at most\t%.1f\n", strategyNames[i], formatRecoveryTimes(r.recoveryTimes), r.firstSeconds,
+		_, err := fmt.Fprintf(w, "%s\t%s\t%.2f\t%.1f, %d at most\t%.1f\n", strategyNames[i], formatRecoveryTimes(r.recoveryTimes), r.earlyService,
 			r.meanMessages, r.maxMessages, r.attempts)
 		if err != nil {
 			return err
@@ -71,7 +71,7 @@
 	return w.Flush()
 }
 
-// formatRecoveryTimes lists the times of the handlers.
+// formatRecoveryTimes returns the recovery times by handler as one line of text.
 func formatRecoveryTimes(times []time.Duration) string {
 	var words []string
 	for i, recoveryTime := range times {
--- a/lab/outage/node.go
+++ b/lab/outage/node.go
@@ -11,33 +11,33 @@
 // node is one server of the fleet.
 type node struct {
 	index    int
-	returnAt time.Duration // after the outage; 0 if it never returns
+	returnAt time.Duration // time of its return after the outage; 0 if it never returns
 	up       bool
-	startAt  time.Duration // of its processor
+	startAt  time.Duration // start time of its processor
 
 	// Recovery.
-	recovery    *recovery.Node // nil until the store is read, and where the strategy has none
-	established bool           // it may run guarded requests
-	messages    int            // sent for recovery, its own and answers to others
+	recovery    *recovery.Node // nil until the store is read, and with strategies that do not query peers
+	established bool           // it may run requests with idempotency keys
+	messages    int            // number of recovery messages sent: its queries and its responses to peers
 
 	// The overload controller.
 	controller  *overload.Controller
 	nextControl time.Duration
-	events      []overload.Event // that the controller has not seen yet
-	busy        float64          // sum over the steps since the last timer event: share of the cores in use
+	events      []overload.Event // events that the controller has not handled yet
+	busySum     float64          // sum of the share of cores in use over the steps since the last timer event
 
 	// Requests.
-	requests map[uint64]*request // all that it has, by their id
+	requests map[uint64]*request // all requests on the node, by ID
 	running  []*request
-	shared   sharedProcessor // of the strategy unlimited
+	shared   sharedProcessor // used by the strategy unlimited only
 }
 
-// settings returns the configuration of each node's overload controller.
-func settings() overload.Settings {
+// controllerSettings returns the settings of each node's overload controller.
+func controllerSettings() overload.Settings {
 	var list []overload.Handler
 	for _, h := range handlers {
 		idempotency := overload.Replayable
-		if h.guarded {
+		if h.deduplicated {
 			idempotency = overload.Deduplicated
 		}
 		list = append(list, overload.Handler{
@@ -63,14 +63,14 @@
 	}
 }
 
-// start starts a node without any requests.
+// start starts a node without requests.
 func (f *fleet) start(n *node) {
 	n.up = true
 	n.startAt = f.Now
 	if f.Now == 0 {
-		n.startAt = -warmUpTime // it was warm when the run began
+		n.startAt = -warmUpTime // nodes are already warm when the run starts
 	}
-	n.controller = overload.New(f.seed+uint64(n.index), settings(), f.Now)
+	n.controller = overload.New(f.seed+uint64(n.index), controllerSettings(), f.Now)
 	n.nextControl = f.Now
 	n.events = nil
 	n.requests = map[uint64]*request{}
@@ -78,7 +78,7 @@
 	n.shared = sharedProcessor{}
 }
 
-// stop has a node lose power, and all its requests fail.
+// stop cuts the power of a node. All its requests fail and are retried.
 func (f *fleet) stop(n *node) {
 	n.up = false
 	n.established = false
@@ -90,7 +90,7 @@
 	}
 }
 
-// sortedIDs returns the ids of requests in ascending order, so that a run depends on its seed alone.
+// sortedIDs returns the IDs of requests in ascending order. Map iteration order would make runs with equal seeds differ.
 func sortedIDs(requests map[uint64]*request) []uint64 {
 	ids := make([]uint64, 0, len(requests))
 	for id := range requests {
@@ -100,7 +100,7 @@
 	return ids
 }
 
-// step is one step of the simulated time of a node: its processor works, and its controller decides.
+// step advances a node by one time step: first its processor runs requests, then its controller handles events.
 func (f *fleet) step(n *node) {
 	speed := 1.0
 	if f.Now-n.startAt < warmUpTime {
@@ -113,54 +113,54 @@
 		}
 		return
 	}
-	f.work(n, speed)
-	f.control(n)
+	f.runRequests(n, speed)
+	f.runController(n)
 }
 
-// work has the running requests of a node share its cores for one step.
-func (f *fleet) work(n *node, speed float64) {
+// runRequests runs the requests of a node for one time step, in which they share its cores equally.
+func (f *fleet) runRequests(n *node, speed float64) {
 	count := float64(len(n.running))
 	if count == 0 {
 		return
 	}
-	done := workPerRequest(count, speed)
-	n.busy += min(1, count/coresPerNode)
+	workDone := workPerRequest(count, speed)
+	n.busySum += min(1, count/coresPerNode)
 	n.running = slices.DeleteFunc(n.running, func(r *request) bool {
-		r.work -= done
-		if r.work > 0 {
+		r.remainingWork -= workDone
+		if r.remainingWork > 0 {
 			return false
 		}
 		delete(n.requests, r.id)
 		f.serve(r)
-		n.events = append(n.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: overload.OK, Took: f.Now - r.made})
+		n.events = append(n.events, overload.Event{Kind: overload.Ended, ID: r.id, Outcome: overload.OK, Took: f.Now - r.createdAt})
 		return true
 	})
 }
 
-// workPerRequest returns the work that each of so many running requests gets in one step.
+// workPerRequest returns the work that each of count running requests completes in one time step.
 func workPerRequest(count, speed float64) time.Duration {
 	return time.Duration(float64(simStep) * speed * min(1, coresPerNode/count))
 }
 
-// control passes the events of a node to its controller, and does what that decides.
-func (f *fleet) control(n *node) {
+// runController passes the events of a node to its controller and applies the resulting actions.
+func (f *fleet) runController(n *node) {
 	if f.Now >= n.nextControl {
 		n.nextControl = f.Now + controlInterval
-		busyShare := n.busy / float64(controlInterval/simStep)
+		busyShare := n.busySum / float64(controlInterval/simStep)
 		n.events = append(n.events, overload.Event{Kind: overload.Timer, Gauges: []float64{busyShare, float64(len(n.running))}})
-		n.busy = 0
+		n.busySum = 0
 	}
 	for len(n.events) > 0 {
 		events := n.events
 		n.events = nil
 		for _, action := range n.controller.Handle(f.Now, events) {
-			f.apply(n, &action)
+			f.applyAction(n, &action)
 		}
 	}
 }
 
-// apply does what the controller of a node has decided.
-func (f *fleet) apply(n *node, action *overload.Action) {
+// applyAction applies an action of a node's controller.
+func (f *fleet) applyAction(n *node, action *overload.Action) {
 	if action.Kind == overload.SetTimer {
 		n.nextControl = min(max(action.At, f.Now+simStep), f.Now+controlInterval)
 	}
--- a/lab/outage/recovery.go
+++ b/lab/outage/recovery.go
@@ -7,15 +7,15 @@
 	"frosthub/recovery"
 )
 
-// What the disk of each node has after the outage, and what its peers remember of it: nothing was lost.
+// State of each node before the outage, which its disk and its peers still have completely afterwards.
 const (
 	incarnationBefore = 1
 	seqBefore         = 100
 )
 
-// load has a node that has returned read its store, and begin its recovery.
-func (f *fleet) load(n *node) {
-	loadingTime := f.randomSpan(maxLoadingTime)
+// loadStore makes a node that has returned read its store and start its recovery.
+func (f *fleet) loadStore(n *node) {
+	loadingTime := f.randomDuration(maxLoadingTime)
 	if f.strategy == serveImmediately || f.strategy == unlimited {
 		f.After(loadingTime, func() { n.established = true })
 		return
@@ -28,10 +28,10 @@
 	})
 }
 
-// recoveryConfig returns whom a node asks, and how long it waits.
+// recoveryConfig returns the peers that a node queries and the time that it waits for them.
 func (f *fleet) recoveryConfig(n *node) recovery.Config {
 	cfg := recovery.Config{RetryHorizon: time.Hour}
-	peers := f.witnesses
+	peers := f.peersPerNode
 	if f.strategy == awaitAll {
 		peers = len(f.nodes) - 1
 		cfg.MajorityAfter = time.Hour
@@ -45,54 +45,54 @@
 
 func nodeName(index int) string { return strconv.Itoa(index) }
 
-// nodeNamed returns the node of a name that nodeName made.
-func (f *fleet) nodeNamed(name string) *node {
+// nodeByName returns the node with a name from nodeName.
+func (f *fleet) nodeByName(name string) *node {
 	index, err := strconv.Atoi(name)
 	if err != nil {
-		panic("outage: a name of no node: " + name)
+		panic("outage: invalid node name: " + name)
 	}
 	return f.nodes[index]
 }
 
-// continueRecovery does what a node's recovery wants, now and at its deadlines.
+// continueRecovery sends the queries of a node's recovery and schedules the next call at its next deadline, until the node is established.
 func (f *fleet) continueRecovery(n *node) {
-	process := n.recovery
-	if process == nil {
+	nodeRecovery := n.recovery
+	if nodeRecovery == nil {
 		return
 	}
-	process.Tick(f.Now)
-	for _, action := range process.Ready() {
+	nodeRecovery.Tick(f.Now)
+	for _, action := range nodeRecovery.Ready() {
 		for _, name := range action.Query {
 			f.query(n, name)
 		}
 	}
-	n.established = process.Established()
+	n.established = nodeRecovery.Established()
 	if n.established {
 		return
 	}
-	f.After(max(simStep, process.NextDeadline()-f.Now), func() {
-		if n.recovery == process && !n.established {
+	f.After(max(simStep, nodeRecovery.NextDeadline()-f.Now), func() {
+		if n.recovery == nodeRecovery && !n.established {
 			f.continueRecovery(n)
 		}
 	})
 }
 
-// query asks a peer what it remembers of a node. A peer answers once it is back and has read its store.
+// query sends a query for a node's state to a peer. A peer that is down or has not read its store does not respond.
 func (f *fleet) query(n *node, peerName string) {
-	process := n.recovery
-	peer := f.nodeNamed(peerName)
+	nodeRecovery := n.recovery
+	peer := f.nodeByName(peerName)
 	n.messages++
-	f.After(f.randomSpan(maxNetworkDelay), func() {
+	f.After(f.randomDuration(maxNetworkDelay), func() {
 		if !peer.up || peer.recovery == nil {
 			return
 		}
 		peer.messages++
-		f.After(f.randomSpan(maxNetworkDelay), func() {
-			if n.recovery != process {
+		f.After(f.randomDuration(maxNetworkDelay), func() {
+			if n.recovery != nodeRecovery {
 				return
 			}
 			remembered := recovery.PeerState{Incarnation: incarnationBefore, Seq: seqBefore}
-			process.Receive(f.Now, peerName, recovery.Answer{PeerState: remembered})
+			nodeRecovery.Receive(f.Now, peerName, recovery.Answer{PeerState: remembered})
 			f.continueRecovery(n)
 		})
 	})
