--- a/internal/fake/ajp_server.go
+++ b/internal/fake/ajp_server.go
@@ -23,7 +23,7 @@
 	WrongLength             // the call runs; the response has a chunk whose length exceeds its packet
 	Rejects                 // the call does not run; status 503
 	Fails                   // the call runs; status 500
-	NoPong                  // the call does not run; neither it nor CPing is answered
+	NoPong                  // the call does not run; there is no response to it or to CPing
 )
 
 // runs reports whether a call with the fault runs.
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -21,9 +21,9 @@
 // a file system may leave: any sectors and any length of unsynced data, and any prefix of the unsynced name changes. Its methods except
 // Put are safe for concurrent use.
 type Disk struct {
-	PowerBudget int                           // number of operations until the power is cut; negative: never
-	Fail        func(what, name string) error // returns the error of an operation on a file; may be nil
-	Slow        func(what string, number int) // called before each operation, without the lock; may be nil
+	PowerBudget int                                // number of operations until the power is cut; negative: never
+	Fail        func(operation, name string) error // returns the error of an operation on a file; may be nil
+	Slow        func(operation string, number int) // called before each operation, without the lock; may be nil
 
 	mu         sync.Mutex
 	operations int
--- a/internal/fake/outcome.go
+++ b/internal/fake/outcome.go
@@ -84,7 +84,7 @@
 	Status int
 	Fields map[string]string
 	Body   string
-	Reuse  bool // the connection may carry another request
+	Reuse  bool // the connection can be used for another request
 }
 
 // outcome classifies the response to a request whose correct result is the given one.
--- a/internal/harness/claim_load.go
+++ b/internal/harness/claim_load.go
@@ -48,7 +48,7 @@
 type ClaimRecord struct {
 	First       string // result of the first attempt that was served
 	Served      int    // attempts served
-	Failed      int    // attempts answered with an error
+	Failed      int    // attempts with an error response
 	Rejected    int    // attempts rejected
 	CreatedAt   int64  // in Unix milliseconds
 	Interrupted int    // attempts that timed out or whose connection ended
