--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	compareInterval    = 10 * time.Second // between two comparisons of the ledger with the requests that are known here
-	statsFileOpenLimit = 2 * time.Second  // for the disk that keeps the statistics file; the node serves without it after that
+	ledgerComparisonInterval = 10 * time.Second // between two comparisons of the ledger with the requests that are known here
+	statsFileOpenTimeout     = 2 * time.Second  // for the disk that keeps the statistics file; the node serves without it after that
 )
 
 // AccountingConfig says how accounts of the requests are kept. The zero value keeps those of this process in memory.
@@ -24,10 +24,10 @@
 
 // requestAccounting keeps the accounts of all requests: each is opened when the request is read, and closed once.
 type requestAccounting struct {
-	ledger     *accounting.Ledger  // nil until Serve
-	ledgerRows []uint16            // rows in the ledger, by handler
-	recorder   *statsfile.Recorder // nil without a statistics file
-	compareAt  time.Duration       // when the ledger is compared next with what the backend knows
+	ledger         *accounting.Ledger  // nil until Serve
+	ledgerRows     []uint16            // rows in the ledger, by handler
+	recorder       *statsfile.Recorder // nil without a statistics file
+	nextComparison time.Duration       // when the ledger is compared next with what the backend knows
 }
 
 // ledgerRow returns the row of a handler in the ledger, that of no handler for a negative index.
@@ -58,7 +58,7 @@
 		ledger.StartIncarnation(b.wallTime, 0)
 	} else {
 		b.recorder = statsfile.NewRecorder(b.cfg.Accounting.File, b.cfg.Accounting.Entries, b.log)
-		ledger = b.recorder.Open(ledger, cfg, b.wallTime, statsFileOpenLimit)
+		ledger = b.recorder.Open(ledger, cfg, b.wallTime, statsFileOpenTimeout)
 	}
 	b.ledger = ledger
 	for _, h := range b.handlers {
--- a/backend/audit.go
+++ b/backend/audit.go
@@ -11,8 +11,8 @@
 // and logs what differs.
 func (b *Backend) auditLedger() {
 	b.ledger.Audit(b.wallTime)
-	if b.now >= b.compareAt {
-		b.compareAt = b.now + compareInterval
+	if b.now >= b.nextComparison {
+		b.nextComparison = b.now + ledgerComparisonInterval
 		b.compareLedger()
 	}
 	b.logMismatches()
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -88,18 +88,18 @@
 		cfg:          cfg,
 		log:          log,
 		loop:         conn.NewLoop(),
-		ownerClock:   ownerClock{start: time.Now().Add(-processorAgeMax)},
+		ownerClock:   ownerClock{origin: time.Now().Add(-maxProcessorAge)},
 		requestTable: requestTable{requests: map[uint64]*request{}},
 		advice:       loadAdvice{healthy: true},
 		logLimits:    map[string]*logthrottle.Limiter{},
 		ownerCalls:   make(chan func()),
 		done:         make(chan struct{}),
 	}
-	b.readSettings()
+	b.applySettings()
 	b.cluster.init(b)
 	b.frontend.init(b)
 	b.processor.init(b)
-	if cfg.callsOverAJP() {
+	if cfg.usesAJPUpstream() {
 		b.upstream = newAJPUpstream(b)
 	} else {
 		b.upstream = newProxyUpstream(b)
@@ -111,14 +111,14 @@
 
 // readSettings takes over what the settings of the overload controller say of this backend, and adapts them to what it
 // can do.
-func (b *Backend) readSettings() {
+func (b *Backend) applySettings() {
 	settings := &b.cfg.Settings
 	b.canCancel = settings.Backend.Cancellation != overload.CancelOff
 	b.drain.grace = settings.Rules.DrainGrace
 	if settings.Limits.RetryAfter {
 		b.drain.retryAfter = settings.Limits.MaxRetryAfter.Or(0)
 	}
-	settings.Handlers = withoutSkipping(b.guard.init(b))
+	settings.Handlers = withoutSkipValues(b.guard.init(b))
 	for i := range settings.Handlers {
 		b.handlers = append(b.handlers, newHandler(&settings.Handlers[i]))
 	}
@@ -140,7 +140,7 @@
 
 // withoutSkipping returns the settings of the handlers without the value of runs that go on without their call: the
 // processor has no command for that.
-func withoutSkipping(handlers []overload.Handler) []overload.Handler {
+func withoutSkipValues(handlers []overload.Handler) []overload.Handler {
 	handlers = slices.Clone(handlers)
 	for i := range handlers {
 		handlers[i].SkipValue = 0
@@ -174,7 +174,7 @@
 	b.cfg.ControlPlane = cfg.ControlPlane
 	b.cfg.StopTimeout = cfg.StopTimeout
 	b.processor.reconfigure(cfg.Processor)
-	if cfg.callsOverAJP() == b.cfg.callsOverAJP() { // else it takes a new process
+	if cfg.usesAJPUpstream() == b.cfg.usesAJPUpstream() { // else it takes a new process
 		b.cfg.AJPUpstream = cfg.AJPUpstream
 		b.upstream.reconfigure(&cfg)
 	}
--- a/backend/config.go
+++ b/backend/config.go
@@ -25,7 +25,7 @@
 	gcMemoryShare      = 0.75            // of the memory limit, which the garbage collector aims at; the rest is stacks and the program
 	defaultStopTimeout = 3 * time.Second // where the configuration states none
 	defaultSockets     = 1024
-	socketsMin         = 32 // a backend can't serve with fewer descriptors
+	minSockets         = 32 // a backend can't serve with fewer descriptors
 )
 
 // Config is the configuration of a backend. The first part is the platform's and is read by Parse; the second part is the
@@ -137,8 +137,8 @@
 	if cfg.Limits.Sockets == 0 {
 		cfg.Limits.Sockets = defaultSockets
 	}
-	if cfg.Limits.Sockets < socketsMin {
-		return Config{}, fmt.Errorf("limits: %d sockets are too few, %d at least", cfg.Limits.Sockets, socketsMin)
+	if cfg.Limits.Sockets < minSockets {
+		return Config{}, fmt.Errorf("limits: %d sockets are too few, %d at least", cfg.Limits.Sockets, minSockets)
 	}
 	return cfg, nil
 }
@@ -160,7 +160,7 @@
 }
 
 // callsOverAJP reports whether calls go to AJP peers instead of the upstream proxy.
-func (c *Config) callsOverAJP() bool { return len(c.AJPUpstream.Balancer.Peers) > 0 }
+func (c *Config) usesAJPUpstream() bool { return len(c.AJPUpstream.Balancer.Peers) > 0 }
 
 // Apply sets the limits of the Go runtime: the number of threads that run Go code, and the memory that the garbage
 // collector aims at. A program that embeds a backend among other things leaves it out.
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -15,11 +15,11 @@
 // controlReporter renews the lease of this backend at the control plane. It reads no replies, so a control plane that is
 // silent changes nothing.
 type controlReporter struct {
-	address   string
-	conn      net.Conn // nil without a control plane, and while the system gives no socket
-	nextAt    time.Duration
-	saidReady bool // in the last report
-	buf       []byte
+	address       string
+	conn          net.Conn // nil without a control plane, and while the system gives no socket
+	nextReportAt  time.Duration
+	reportedReady bool // in the last report
+	buf           []byte
 }
 
 // open sends reports to that address from now on. An error for what can't be an address changes nothing.
@@ -32,7 +32,7 @@
 	r.close()
 	r.address = address
 	r.conn = nil
-	r.nextAt = 0
+	r.nextReportAt = 0
 	return nil
 }
 
@@ -47,20 +47,20 @@
 	if r.address == "" {
 		return
 	}
-	if r.conn == nil && b.now >= r.nextAt {
+	if r.conn == nil && b.now >= r.nextReportAt {
 		r.dial(b)
 	}
 	if r.conn == nil {
-		b.wakeBy(r.nextAt)
+		b.wakeBy(r.nextReportAt)
 		return
 	}
 	ready := b.advice.healthy && b.controller != nil
-	if b.now >= r.nextAt || ready != r.saidReady {
-		r.nextAt = b.now + reportInterval
-		r.saidReady = ready
+	if b.now >= r.nextReportAt || ready != r.reportedReady {
+		r.nextReportAt = b.now + reportInterval
+		r.reportedReady = ready
 		r.send(b)
 	}
-	b.wakeBy(r.nextAt)
+	b.wakeBy(r.nextReportAt)
 }
 
 // dial takes a socket. The system may have none to give for a while.
@@ -68,7 +68,7 @@
 	conn, err := net.Dial("udp", r.address)
 	if err != nil {
 		b.logLimited("control plane unreachable", "reason", err)
-		r.nextAt = b.now + reportInterval
+		r.nextReportAt = b.now + reportInterval
 		return
 	}
 	r.conn = conn
@@ -77,7 +77,7 @@
 // send sends one report. An error of the first write is the answer to an earlier report, to which nobody listened: this
 // one was not sent then.
 func (r *controlReporter) send(b *Backend) {
-	r.buf = control.AppendReport(r.buf[:0], b.cfg.Name, r.saidReady)
+	r.buf = control.AppendReport(r.buf[:0], b.cfg.Name, r.reportedReady)
 	err := faultinject.Error(faultinject.Send)
 	if err == nil {
 		_, err = r.conn.Write(r.buf)
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -20,7 +20,7 @@
 type controllerDriver struct {
 	controller     *overload.Controller // nil until the processor is up
 	events         []overload.Event     // what has happened since the last batch, in order
-	controllerWake time.Duration        // when the controller wants a timer event; 0 for none
+	nextTimerEvent time.Duration        // when the controller wants a timer event; 0 for none
 	gaugesDeadline time.Duration        // the timer event waits for gauges until then; 0 if it does not wait
 	gauges         []float64            // as the processor reported them last
 }
@@ -52,16 +52,16 @@
 // onControllerTimer asks for the gauges when a timer event is due, and adds the event once they are there or are late.
 func (b *Backend) onControllerTimer() {
 	switch {
-	case b.controller == nil || b.controllerWake == 0 && b.gaugesDeadline == 0:
+	case b.controller == nil || b.nextTimerEvent == 0 && b.gaugesDeadline == 0:
 	case b.gaugesDeadline > 0 && b.now >= b.gaugesDeadline:
 		b.stats.GaugesLate++
 		b.addTimerEvent()
 	case b.gaugesDeadline > 0:
 		b.wakeBy(b.gaugesDeadline)
-	case b.now < b.controllerWake:
-		b.wakeBy(b.controllerWake)
+	case b.now < b.nextTimerEvent:
+		b.wakeBy(b.nextTimerEvent)
 	default:
-		b.controllerWake = 0
+		b.nextTimerEvent = 0
 		if !b.processor.requestGauges() {
 			b.addTimerEvent()
 			return
@@ -83,7 +83,7 @@
 		actions := b.controller.Handle(b.now, b.events)
 		b.events = b.events[:0]
 		for i := range actions {
-			b.apply(&actions[i])
+			b.applyAction(&actions[i])
 		}
 	}
 	invariant.Check(b.unanswered >= 0 && b.unanswered <= len(b.requests), "unanswered requests are among those known")
@@ -94,7 +94,7 @@
 }
 
 // apply carries out one action of the controller.
-func (b *Backend) apply(action *overload.Action) {
+func (b *Backend) applyAction(action *overload.Action) {
 	switch action.Kind {
 	case overload.Health:
 		b.advice.healthy = action.Healthy
@@ -102,12 +102,12 @@
 	case overload.Signal:
 		b.advice.loadSignal = strconv.AppendFloat(b.advice.loadSignal[:0], action.Value, 'f', 4, 64)
 	case overload.SetTimer:
-		b.controllerWake = action.At
+		b.nextTimerEvent = action.At
 		b.wakeBy(action.At)
 	case overload.CloseIdle:
 		b.advice.idleTimeout = action.Duration
 	case overload.RemoveEntry:
-		b.forgetResult(action.ID)
+		b.removeCachedRead(action.ID)
 	default:
 		if r := b.requests[action.ID]; r != nil { // else it has ended in the same batch
 			b.applyToRequest(r, action)
@@ -127,12 +127,12 @@
 	case overload.Fail:
 		b.applyFail(r)
 	case overload.StoreEntry:
-		b.results.remember(r, action.Duration)
+		b.results.storeEntry(r, action.Duration)
 	case overload.Coalesce:
 		b.applyCoalesce(r)
 	case overload.Call:
 		if r.state == stateAwaitingCall {
-			b.call(r, action.Duration)
+			b.makeCall(r, action.Duration)
 		}
 	default:
 		invariant.Check(false, "an action that this protocol has no message for")
@@ -141,7 +141,7 @@
 
 // forgetResult drops a remembered result, also that of a request that has ended. A request that must run once is
 // forgotten by its own end, as one that never ran.
-func (b *Backend) forgetResult(id uint64) {
+func (b *Backend) removeCachedRead(id uint64) {
 	if entry := b.results.byID[id]; entry != nil && !entry.runsOnce {
 		b.results.drop(entry)
 	}
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -77,7 +77,7 @@
 	if b.ledger != nil { // Serve has begun
 		c.Requests = b.ledger.Total()
 		c.Mismatches = b.ledger.MismatchCount()
-		c.Reasons = reasonsOf(b.ledger)
+		c.Reasons = sumReasons(b.ledger)
 	}
 	c.ConnsRefused = b.connsRejected.Load()
 	c.Open = b.loop.Open.Load()
@@ -121,7 +121,7 @@
 }
 
 // reasonsOf adds up the reasons of all rows of a ledger.
-func reasonsOf(ledger *accounting.Ledger) map[string]int64 {
+func sumReasons(ledger *accounting.Ledger) map[string]int64 {
 	sums := map[string]int64{}
 	for _, row := range ledger.Report(false).Rows {
 		for reason, n := range row.Reasons {
@@ -132,17 +132,17 @@
 }
 
 // recordViolation counts and logs an act that a rule forbids at this moment. The caller leaves it undone.
-func (b *Backend) recordViolation(act string, r *request, verdict lifecycle.Decision) {
+func (b *Backend) recordViolation(operation string, r *request, verdict lifecycle.Decision) {
 	b.stats.Violations++
-	b.log.Error("lifecycle violation prevented", "act", act, "id", r.wireID, "reason", verdict)
+	b.log.Error("lifecycle violation prevented", "act", operation, "id", r.wireID, "reason", verdict)
 }
 
 // logLimited logs a warning, at most once a second for each kind, with the number left out since the last one.
-func (b *Backend) logLimited(kind string, args ...any) {
-	limiter := b.logLimits[kind]
+func (b *Backend) logLimited(message string, args ...any) {
+	limiter := b.logLimits[message]
 	if limiter == nil {
 		limiter = &logthrottle.Limiter{}
-		b.logLimits[kind] = limiter
+		b.logLimits[message] = limiter
 	}
 	leftOut, ok := limiter.Allow()
 	if !ok {
@@ -151,15 +151,15 @@
 	if leftOut > 0 {
 		args = append(args, "left_out", leftOut)
 	}
-	b.log.Warn(kind, args...)
+	b.log.Warn(message, args...)
 }
 
 // parseLogged returns a function for a connection's OnData that feeds a parser, and logs the errors of that under kind.
-func (b *Backend) parseLogged(kind string, feed func([]byte) error) func([]byte) error {
+func (b *Backend) parseLogged(message string, feed func([]byte) error) func([]byte) error {
 	return func(p []byte) error {
 		err := feed(p)
 		if err != nil {
-			b.logLimited(kind, "reason", err)
+			b.logLimited(message, "reason", err)
 		}
 		return err
 	}
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -21,24 +21,24 @@
 
 func (f *frontend) sweepConnection(client *clientConn, idleTimeout time.Duration) {
 	b := f.backend
-	unused := b.now - client.lastUsed
-	partial, late := client.protocol.overdue(b.now - partialTimeout)
+	idleTime := b.now - client.lastUsed
+	partial, overdue := client.protocol.overdue(b.now - partialTimeout)
 	switch {
 	case client.readStopped:
 	case !client.hasSentRequest && b.now-client.acceptedAt >= partialTimeout:
 		f.terminateConnection(client, errIncomplete)
-	case late: // its other requests may be good
+	case overdue: // its other requests may be good
 		f.rejectMalformed(partial, f.openAccountWithoutID(client), 0, accounting.Incomplete, errIncomplete.Error())
 		f.updatePartialBytes(client)
 	case !client.idle():
 	case client.conn.Closing():
-		if unused >= idleTimeout+partialTimeout { // part of a message keeps it from its end
+		if idleTime >= idleTimeout+partialTimeout { // part of a message keeps it from its end
 			f.terminateConnection(client, errIncomplete)
 		}
-	case unused >= idleTimeout:
+	case idleTime >= idleTimeout:
 		b.stats.ConnsEvicted++
 		client.conn.CloseGracefully(errIdle)
-	case !client.buffersReleased && unused >= bufferReleaseDelay:
+	case !client.buffersReleased && idleTime >= bufferReleaseDelay:
 		client.buffersReleased = true
 		client.conn.ReleaseBuffers()
 	}
--- a/backend/main.go
+++ b/backend/main.go
@@ -20,7 +20,7 @@
 	// Retries to read a configuration file that is there and that the disk did not give.
 	configRetryInterval = 200 * time.Millisecond
 	configRetryTimeout  = 30 * time.Second // after SIGHUP
-	startRetryTimeout   = 10 * time.Second // at the start: a node has 30 s to be ready
+	startupRetryTimeout = 10 * time.Second // at the start: a node has 30 s to be ready
 )
 
 // Main runs one backend as a process, and returns when that may exit. It reads the platform's configuration, see Load,
@@ -38,7 +38,7 @@
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM, syscall.SIGINT)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // a second one changes nothing
 	defer stop()
-	cfg, err := loadAtStart(ctx, configure)
+	cfg, err := loadConfigAtStart(ctx, configure)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 }
 
 // load reads the platform's configuration and has the operator's part filled in.
-func load(configure func(*Config) error) (Config, error) {
+func loadConfig(configure func(*Config) error) (Config, error) {
 	cfg, err := LoadConfig()
 	if err == nil {
 		err = configure(&cfg)
@@ -99,9 +99,9 @@
 }
 
 // loadAtStart reads the configuration, and retries for a while where the disk does not give it.
-func loadAtStart(ctx context.Context, configure func(*Config) error) (Config, error) {
-	for end := time.Now().Add(startRetryTimeout); ; time.Sleep(configRetryInterval) {
-		cfg, err := load(configure)
+func loadConfigAtStart(ctx context.Context, configure func(*Config) error) (Config, error) {
+	for end := time.Now().Add(startupRetryTimeout); ; time.Sleep(configRetryInterval) {
+		cfg, err := loadConfig(configure)
 		if !isUnreadable(err) || ctx.Err() != nil || time.Now().After(end) {
 			return cfg, err
 		}
@@ -111,7 +111,7 @@
 // reloadFile reads the configuration again and has the backend use it. One that can't be used changes nothing. An
 // unreadable one has to be tried again: the addresses that are in use may be gone for good.
 func (b *Backend) reloadFile(configure func(*Config) error) error {
-	cfg, err := load(configure)
+	cfg, err := loadConfig(configure)
 	if err != nil {
 		b.log.Error("configuration rejected", "reason", err)
 		return err
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -11,10 +11,10 @@
 const (
 	// processorAgeMax is how long before this process the processor may have started. The owner's clock begins so long
 	// before the process does, which keeps every span positive.
-	processorAgeMax = time.Hour
+	maxProcessorAge = time.Hour
 
 	// stallMin is how late a turn must be to count as a stall. A busy machine keeps a thread waiting for less.
-	stallMin = 100 * time.Millisecond
+	minStall = 100 * time.Millisecond
 
 	// maxTurnInterval is the longest sleep of the owner.
 	maxTurnInterval = time.Second
@@ -23,7 +23,7 @@
 // ownerClock is the time as the owner goroutine sees it. Both clocks are read once a turn, at the same moment, so that
 // everything which happens in a turn happens at one time. It is not safe for concurrent use.
 type ownerClock struct {
-	start        time.Time     // the origin of now
+	origin       time.Time     // the origin of now
 	now          time.Duration // monotonic time since start
 	wallTime     time.Duration // the same moment as a span since the start of 1970, for stamps alone
 	wakeAt       time.Duration // when the owner wakes next without news
@@ -39,9 +39,9 @@
 }
 
 // read takes the time of this turn from both clocks.
-func (c *ownerClock) read() clockReading {
+func (c *ownerClock) readTime() clockReading {
 	at := time.Now()
-	c.now = at.Sub(c.start)
+	c.now = at.Sub(c.origin)
 	c.wallTime = time.Duration(at.UnixNano()) + faultinject.ClockOffset()
 	c.heartbeat.Record(c.now)
 	step, stall := c.arrivalDelay.BeginTurn(c.now, c.wallTime)
@@ -52,16 +52,16 @@
 func (c *ownerClock) wakeBy(t time.Duration) { c.wakeAt = min(c.wakeAt, t) }
 
 // untilWake is how long the owner may sleep from now on.
-func (c *ownerClock) untilWake() time.Duration { return max(0, c.wakeAt-time.Since(c.start)) }
+func (c *ownerClock) untilWake() time.Duration { return max(0, c.wakeAt-time.Since(c.origin)) }
 
 // readClocks takes the time of this turn, and counts and logs steps of the time of day and stalls of the process.
 func (b *Backend) readClocks() time.Time {
-	reading := b.read()
+	reading := b.readTime()
 	if reading.step != 0 {
 		b.stats.ClockSteps++
 		b.logLimited("wall clock stepped", "by", reading.step)
 	}
-	if reading.stall >= stallMin {
+	if reading.stall >= minStall {
 		b.stats.Stalls++
 		b.logLimited("process stalled", "for", reading.stall)
 	}
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -14,7 +14,7 @@
 	// resultCacheShare is the part of the memory limit that the cache may take.
 	resultCacheShare = 0.08
 	// cacheEntryBytes is what an entry takes beside its names and its result.
-	cacheEntryBytes = 400
+	entryOverheadBytes = 400
 	// maxCachedResult is the size of the largest result in bytes, as the protocol of the deployment has it.
 	maxCachedResult = 4 << 10
 	// maxRecentRepeats is how many ids of the repeats of an entry are kept.
@@ -27,9 +27,9 @@
 // must run once it is the idempotency key, which is its customer's own. For a read it is the object read and the body,
 // since the result is made of both. A key without a name is none.
 type cacheKey struct {
-	handler     int
-	owner, name string
-	body        [sha256.Size]byte
+	handler        int
+	customer, name string
+	body           [sha256.Size]byte
 }
 
 // cacheEntry is a cached request. It has a result once the run of the request has succeeded.
@@ -40,7 +40,7 @@
 	runsOnce      bool          // it must not run again: a repeat gets what came of it, even if that is nothing
 	expiresAt     time.Duration // if it must run once, what arrived before is a repeat; if it is a read, what is read before
 	ended         bool
-	ok            bool
+	succeeded     bool
 	result        []byte
 	bytes         int
 }
@@ -51,29 +51,29 @@
 //
 // Its methods are called by the goroutine that owns the backend.
 type resultCache struct {
-	backend   *Backend
-	entries   map[cacheKey]*cacheEntry
-	byID      map[uint64]*cacheEntry
-	usedBytes int
-	shareFor  time.Duration // how long after its end the result of a read may be shared
+	backend           *Backend
+	entries           map[cacheKey]*cacheEntry
+	byID              map[uint64]*cacheEntry
+	usedBytes         int
+	readShareDuration time.Duration // how long after its end the result of a read may be shared
 }
 
 func (c *resultCache) init(b *Backend) {
 	c.backend = b
 	c.entries = map[cacheKey]*cacheEntry{}
 	c.byID = map[uint64]*cacheEntry{}
-	c.shareFor = b.cfg.Settings.Backend.ReuseFor
+	c.readShareDuration = b.cfg.Settings.Backend.ReuseFor
 }
 
 // keyOf returns the cache key of a request for an object; once is its idempotency key.
-func (c *resultCache) keyOf(r *request, object, owner, once string) cacheKey {
+func (c *resultCache) keyOf(r *request, resource, customer, idempotencyKey string) cacheKey {
 	switch {
 	case c.backend.handlers[r.handler].deduplicated:
-		return cacheKey{handler: r.handler, owner: owner, name: once}
-	case object == "" || c.shareFor == 0:
+		return cacheKey{handler: r.handler, customer: customer, name: idempotencyKey}
+	case resource == "" || c.readShareDuration == 0:
 		return cacheKey{}
 	}
-	return cacheKey{handler: r.handler, name: object, body: sha256.Sum256(r.body)}
+	return cacheKey{handler: r.handler, name: resource, body: sha256.Sum256(r.body)}
 }
 
 // find returns the entry that a request repeats, nil if there is none.
@@ -156,7 +156,7 @@
 
 // remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it
 // says for how long.
-func (c *resultCache) remember(r *request, lifetime time.Duration) {
+func (c *resultCache) storeEntry(r *request, lifetime time.Duration) {
 	if r.cacheKey.name == "" || c.byID[r.id] == nil && !c.add(r) {
 		return
 	}
@@ -166,7 +166,9 @@
 }
 
 // baseBytes is what an entry takes without a result.
-func (e *cacheEntry) baseBytes() int { return cacheEntryBytes + len(e.key.owner) + len(e.key.name) }
+func (e *cacheEntry) baseBytes() int {
+	return entryOverheadBytes + len(e.key.customer) + len(e.key.name)
+}
 
 func (c *resultCache) drop(entry *cacheEntry) {
 	if entry == nil {
@@ -190,7 +192,7 @@
 	end := requestEnd{outcome: overload.Failed}
 	if entry := c.byID[r.originalID]; entry != nil {
 		end.mayHaveRun = true
-		if entry.ok {
+		if entry.succeeded {
 			end.outcome = overload.OK
 			end.result = entry.result
 		}
@@ -219,7 +221,7 @@
 // its followers are answered alike.
 func (c *resultCache) requestEnded(original *request, end requestEnd) {
 	if entry := c.byID[original.id]; entry != nil {
-		c.storeEnd(entry, end)
+		c.recordEnd(entry, end)
 	}
 	followers := original.followers
 	original.followers = nil
@@ -232,21 +234,21 @@
 
 // storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run
 // once is dropped only if it never ran: otherwise a repeat would be its second run.
-func (c *resultCache) storeEnd(entry *cacheEntry, end requestEnd) {
+func (c *resultCache) recordEnd(entry *cacheEntry, end requestEnd) {
 	entry.ended = true
 	c.usedBytes -= entry.bytes
 	entry.bytes = entry.baseBytes()
-	entry.ok = end.outcome == overload.OK && c.hasRoom(entry.bytes+len(end.result))
-	if entry.ok {
+	entry.succeeded = end.outcome == overload.OK && c.hasRoom(entry.bytes+len(end.result))
+	if entry.succeeded {
 		entry.result = append([]byte(nil), end.result...)
 		entry.bytes += len(end.result)
 	}
 	c.usedBytes += entry.bytes
 	if !entry.runsOnce {
-		entry.expiresAt = min(entry.expiresAt, c.backend.now+c.shareFor)
+		entry.expiresAt = min(entry.expiresAt, c.backend.now+c.readShareDuration)
 	}
 	mustStay := entry.runsOnce && end.mayHaveRun
-	if !entry.ok && !mustStay {
+	if !entry.succeeded && !mustStay {
 		c.drop(entry)
 	}
 }
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -64,7 +64,7 @@
 			t.Errorf("request %d repeats %d, want %d", step.id, r.originalID, step.repeats)
 		}
 		if r.originalID == 0 {
-			b.results.remember(r, time.Hour)
+			b.results.storeEntry(r, time.Hour)
 			b.results.requestEnded(r, requestEnd{outcome: overload.OK, mayHaveRun: true, result: []byte("x")})
 		}
 	}
--- a/backend/testbed_await_test.go
+++ b/backend/testbed_await_test.go
@@ -32,11 +32,11 @@
 }
 
 // takeLine takes the first line that begins so, if a party has printed one.
-func (bed *testbed) takeLine(start string) (line string, ok bool) {
+func (bed *testbed) takeLine(prefix string) (line string, ok bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	for i, line := range bed.printed {
-		if strings.HasPrefix(line, start) {
+		if strings.HasPrefix(line, prefix) {
 			bed.printed = append(bed.printed[:i:i], bed.printed[i+1:]...)
 			return line, true
 		}
@@ -59,12 +59,12 @@
 }
 
 // expectNone fails the test if a party has printed a line that begins so.
-func (bed *testbed) expectNone(start string) {
+func (bed *testbed) expectNone(prefix string) {
 	bed.t.Helper()
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	for _, line := range bed.printed {
-		if strings.HasPrefix(line, start) {
+		if strings.HasPrefix(line, prefix) {
 			bed.t.Errorf("%q", line)
 		}
 	}
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -82,17 +82,17 @@
 }
 
 // steps are the first words of steps and what they do, given the words after that.
-var steps = map[string]func(bed *testbed, words []string){
+var stepHandlers = map[string]func(bed *testbed, words []string){
 	"start":     func(bed *testbed, words []string) { bed.start(parseOptions(words)) },
-	"wait":      func(_ *testbed, words []string) { time.Sleep(duration(words[0])) },
+	"wait":      func(_ *testbed, words []string) { time.Sleep(parseDuration(words[0])) },
 	"leave":     func(bed *testbed, _ []string) { bed.shutDown() },
 	"dies":      func(bed *testbed, _ []string) { bed.crash() },
 	"disk":      (*testbed).diskStep,
-	"moves":     (*testbed).move,
-	"pause":     (*testbed).pause,
+	"moves":     (*testbed).moveStep,
+	"pause":     (*testbed).pauseStep,
 	"owner":     (*testbed).ownerStep,
-	"crowd":     (*testbed).crowd,
-	"many":      (*testbed).many,
+	"crowd":     (*testbed).openIdleConns,
+	"many":      (*testbed).sendMany,
 	"figures":   func(bed *testbed, _ []string) { bed.print("figures", "%s", bed.reasons()) },
 	"kept":      (*testbed).printKept,
 	"counters":  (*testbed).printCounters,
@@ -104,14 +104,14 @@
 
 // step plays one step.
 func (bed *testbed) step(words []string) {
-	play := steps[words[0]]
+	play := stepHandlers[words[0]]
 	if play == nil {
 		bed.t.Fatal("unknown step", words)
 	}
 	play(bed, words[1:])
 }
 
-func duration(word string) time.Duration {
+func parseDuration(word string) time.Duration {
 	d, _ := time.ParseDuration(word)
 	return d
 }
@@ -153,14 +153,14 @@
 }
 
 // move has all that the backend talks to be elsewhere from now on.
-func (bed *testbed) move([]string) {
+func (bed *testbed) moveStep([]string) {
 	bed.startPeers("new ")
 	bed.backend.Reload(bed.config())
 }
 
 // pause has the owner stall, as on a machine that does; what is sent to it stays unread.
-func (bed *testbed) pause(words []string) {
-	bed.backend.loop.Post(func() { time.Sleep(duration(words[0])) })
+func (bed *testbed) pauseStep(words []string) {
+	bed.backend.loop.Post(func() { time.Sleep(parseDuration(words[0])) })
 }
 
 // ownerStep has the owner stall between "holds" and "goes"; what is sent meanwhile is one batch.
@@ -179,7 +179,7 @@
 }
 
 // crowd opens connections that carry nothing. Its words are how many, and how many may stay.
-func (bed *testbed) crowd(words []string) {
+func (bed *testbed) openIdleConns(words []string) {
 	n, _ := strconv.Atoi(words[0])
 	limit, _ := strconv.Atoi(words[1])
 	var conns []net.Conn
@@ -205,7 +205,7 @@
 }
 
 // many sends so many requests, each with an id, a caller and a connection of its own. Half of the connections stay open.
-func (bed *testbed) many(words []string) {
+func (bed *testbed) sendMany(words []string) {
 	n, _ := strconv.Atoi(words[0])
 	done := 0
 	for i := range n {
@@ -236,7 +236,7 @@
 	b := bed.backend
 	b.loop.Post(func() {
 		bed.print("kept", "%d reqs, %d connections, %d strange, %d calls, %d wires, %d results, %d trials, %d bytes half read",
-			len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.callsInFlight(), b.upstream.connections(),
+			len(b.requests), len(b.frontend.clients), len(b.processor.unverified), b.upstream.callsInFlight(), b.upstream.connectionCount(),
 			len(b.results.byID), len(b.processor.pendingChecks), b.frontend.partialBytes)
 	})
 }
@@ -290,11 +290,11 @@
 		bed.knownIDs[rest[0]] = false
 		bed.mu.Unlock()
 	case "runs":
-		peer.set(&peer.completesAll, rest)
+		peer.setMode(&peer.completesAll, rest)
 	case "forgets":
-		peer.set(&peer.resetsReused, rest)
+		peer.setMode(&peer.resetsReused, rest)
 	case "mute":
-		peer.set(&peer.ignoresGaugeRequests, rest)
+		peer.setMode(&peer.ignoresGaugeRequests, rest)
 	case "breaks":
 		peer.close()
 	case "shuts":
@@ -303,10 +303,10 @@
 }
 
 // set sets one of the peer's ways: on, unless the words say otherwise.
-func (p *fakeServer) set(way *bool, words []string) {
+func (p *fakeServer) setMode(mode *bool, words []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	*way = len(words) == 0 || words[0] == "on"
+	*mode = len(words) == 0 || words[0] == "on"
 }
 
 // clientStep plays a step of a client. Its words are the client's name, what it does, the slot, and options.
@@ -356,7 +356,7 @@
 		options := parseOptions(words[3:])
 		if ago, ok := options["ago"]; ok {
 			delete(options, "ago")
-			options["HTTP_X_REQUEST_START"] = strconv.FormatInt(time.Now().Add(-duration(ago)).UnixMilli(), 10)
+			options["HTTP_X_REQUEST_START"] = strconv.FormatInt(time.Now().Add(-parseDuration(ago)).UnixMilli(), 10)
 		}
 		text = request(slot, options)
 	case "checks":
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -35,7 +35,7 @@
 	// callsInFlight is the number of calls in flight.
 	callsInFlight() int
 	// connections is the number of connections to the upstream tier.
-	connections() int
+	connectionCount() int
 }
 
 // upstreamCall is a call in flight.
@@ -45,16 +45,16 @@
 	deadline  time.Duration
 
 	// Over the proxy protocol.
-	proxyConn *proxyConn    // nil while the call waits for a connection
-	sentAt    time.Duration // when it was written
-	connIdle  time.Duration // how long the connection had been idle before
-	sentMark  int           // bytes written on the connection before
+	proxyConn    *proxyConn    // nil while the call waits for a connection
+	sentAt       time.Duration // when it was written
+	connIdleTime time.Duration // how long the connection had been idle before
+	queuedBefore int           // bytes written on the connection before
 
 	// Over AJP.
-	target  *loadbalance.Target
-	ajpConn *ajpConn              // nil while the connection is dialed
-	tried   []*loadbalance.Target // targets at which the call is proved never to have run
-	proved  overload.Outcome      // what the last of them proved
+	target        *loadbalance.Target
+	ajpConn       *ajpConn              // nil while the connection is dialed
+	tried         []*loadbalance.Target // targets at which the call is proved never to have run
+	provenOutcome overload.Outcome      // what the last of them proved
 }
 
 // upstreamCalls are the calls in flight of an upstream, by the id of their request. Both upstreams embed it.
@@ -75,19 +75,19 @@
 func (u *upstreamCalls) callsInFlight() int { return len(u.calls) }
 
 // add puts the run of r on hold until its call has ended.
-func (u *upstreamCalls) add(r *request, after time.Duration) *upstreamCall {
+func (u *upstreamCalls) add(r *request, timeout time.Duration) *upstreamCall {
 	b := u.backend
 	b.stats.Calls++
-	added := &upstreamCall{request: r, startedAt: b.now, deadline: b.now + after}
+	call := &upstreamCall{request: r, startedAt: b.now, deadline: b.now + timeout}
 	r.startCall()
-	r.call = added
-	u.calls[r.id] = added
-	return added
+	r.call = call
+	u.calls[r.id] = call
+	return call
 }
 
 // remove forgets a call without reporting its end.
-func (u *upstreamCalls) remove(ended *upstreamCall) {
-	r := ended.request
+func (u *upstreamCalls) remove(call *upstreamCall) {
+	r := call.request
 	delete(u.calls, r.id)
 	r.call = nil
 	r.awaitCall()
@@ -95,7 +95,7 @@
 
 // call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried
 // where that does harm.
-func (b *Backend) call(r *request, after time.Duration) {
+func (b *Backend) makeCall(r *request, timeout time.Duration) {
 	command := lifecycle.Command{
 		Idempotent: b.handlers[r.handler].replayable,
 		NeverRan:   !r.callOutcomeUnknown,
@@ -106,14 +106,14 @@
 		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
 		return
 	}
-	b.upstream.invoke(r, after)
+	b.upstream.invoke(r, timeout)
 }
 
 // callEnded reports the end of a call to the overload controller.
-func (b *Backend) callEnded(ended *upstreamCall, outcome overload.Outcome) {
-	r := ended.request
+func (b *Backend) reportCallEnd(call *upstreamCall, outcome overload.Outcome) {
+	r := call.request
 	r.callFailed = outcome != overload.OK
-	r.callOutcomeUnknown = !provesCallOutcome(outcome)
+	r.callOutcomeUnknown = !isOutcomeProven(outcome)
 	if outcome == overload.OK {
 		b.stats.CallsOK++
 		r.run()
@@ -124,12 +124,12 @@
 		Kind:    overload.CallEnded,
 		ID:      r.id,
 		Outcome: outcome,
-		Took:    b.now - ended.startedAt,
+		Took:    b.now - call.startedAt,
 	})
 }
 
 // provesCallOutcome reports whether a call that ended so is known to have had its effect or known to have had none.
-func provesCallOutcome(outcome overload.Outcome) bool {
+func isOutcomeProven(outcome overload.Outcome) bool {
 	switch outcome {
 	case overload.OK, overload.Overloaded, overload.NeverRan, overload.NoConnection:
 		return true
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -24,13 +24,13 @@
 // only where it is proved never to have run. A call that may have run is the overload controller's to retry.
 type ajpUpstream struct {
 	upstreamCalls
-	balancer *loadbalance.Balancer
-	pools    map[*loadbalance.Target]*connPool
-	open     int // connections, counting those being dialed
+	balancer  *loadbalance.Balancer
+	pools     map[*loadbalance.Target]*connPool
+	openConns int // connections, counting those being dialed
 }
 
 // dontRetryName is the header by which a server says that no other server would take the request either.
-var dontRetryName = []byte("X-Dont-Retry")
+var dontRetryHeader = []byte("X-Dont-Retry")
 
 func newAJPUpstream(b *Backend) *ajpUpstream {
 	cfg := b.cfg.AJPUpstream.Balancer
@@ -42,54 +42,54 @@
 	}
 }
 
-func (u *ajpUpstream) connections() int { return u.open }
+func (u *ajpUpstream) connectionCount() int { return u.openConns }
 
-func (u *ajpUpstream) invoke(r *request, after time.Duration) { u.place(u.add(r, after)) }
+func (u *ajpUpstream) invoke(r *request, timeout time.Duration) { u.pickTarget(u.add(r, timeout)) }
 
 // place has the load balancer pick a target for a call and gives the call a connection there.
-func (u *ajpUpstream) place(waiting *upstreamCall) {
-	waiting.target = u.balancer.Pick(u.backend.now, waiting.request.stickyRoute, waiting.tried...)
-	if waiting.target == nil {
-		u.end(waiting, cmp.Or(waiting.proved, overload.Overloaded))
+func (u *ajpUpstream) pickTarget(call *upstreamCall) {
+	call.target = u.balancer.Pick(u.backend.now, call.request.stickyRoute, call.tried...)
+	if call.target == nil {
+		u.endCall(call, cmp.Or(call.provenOutcome, overload.Overloaded))
 		return
 	}
-	if idle := u.takeIdle(waiting.target); idle != nil {
-		u.assign(idle, waiting)
+	if idleConn := u.takeIdle(call.target); idleConn != nil {
+		u.assignConn(idleConn, call)
 		return
 	}
-	if u.open >= u.connectionLimit() && !u.closeOldest() {
-		u.leaveTarget(waiting, loadbalance.Abandoned)
-		u.end(waiting, overload.Overloaded)
+	if u.openConns >= u.connectionLimit() && !u.closeOldest() {
+		u.releaseTarget(call, loadbalance.Abandoned)
+		u.endCall(call, overload.Overloaded)
 		return
 	}
-	u.dial(waiting)
+	u.dial(call)
 }
 
 // assign has a connection carry a call. Where it was idle for a while, or its target may be down, the target is asked
 // first whether it is there.
-func (u *ajpUpstream) assign(carrier *ajpConn, waiting *upstreamCall) {
+func (u *ajpUpstream) assignConn(connection *ajpConn, call *upstreamCall) {
 	b := u.backend
-	carrier.call = waiting
-	waiting.ajpConn = carrier
-	if b.now-carrier.usedAt < trustIdle && !carrier.target.NeedsHealthCheck() {
-		u.send(carrier)
+	connection.call = call
+	call.ajpConn = connection
+	if b.now-connection.usedAt < cpingIdleThreshold && !connection.target.NeedsHealthCheck() {
+		u.send(connection)
 		return
 	}
-	carrier.pongBy = b.now + pongTimeout
-	b.wakeBy(carrier.pongBy)
+	connection.cpongDeadline = b.now + cpongTimeout
+	b.wakeBy(connection.cpongDeadline)
 	b.scratch = ajp.AppendCPing(b.scratch[:0])
-	carrier.conn.Write(b.scratch)
+	connection.conn.Write(b.scratch)
 }
 
 // send writes the call of a connection.
-func (u *ajpUpstream) send(carrier *ajpConn) {
+func (u *ajpUpstream) send(connection *ajpConn) {
 	b := u.backend
-	r := carrier.call.request
-	carrier.pongBy = 0
-	carrier.usedAt = b.now
-	carrier.sentMark = carrier.conn.QueuedTotal()
-	carrier.parser.AwaitingResponse = true
-	left := max(1, (carrier.call.deadline - b.now).Milliseconds())
+	r := connection.call.request
+	connection.cpongDeadline = 0
+	connection.usedAt = b.now
+	connection.queuedBefore = connection.conn.QueuedTotal()
+	connection.parser.AwaitingResponse = true
+	left := max(1, (connection.call.deadline - b.now).Milliseconds())
 	forward := ajp.ForwardRequest{
 		Path:   "/invoke/" + b.handlers[r.handler].name,
 		Secret: b.cfg.AJPUpstream.Secret,
@@ -105,68 +105,68 @@
 	}
 	maxPacket := b.cfg.AJP.packet()
 	b.scratch = ajp.AppendForward(b.scratch[:0], &forward, maxPacket)
-	carrier.unsentBody = r.callBody[min(len(r.callBody), ajp.MaxBodyChunk(maxPacket)):]
-	carrier.conn.Write(b.scratch)
+	connection.unsentBody = r.callBody[min(len(r.callBody), ajp.MaxBodyChunk(maxPacket)):]
+	connection.conn.Write(b.scratch)
 }
 
 // onAnswer handles a message of a server.
-func (u *ajpUpstream) onAnswer(from *ajpConn, answer ajp.Reply) {
+func (u *ajpUpstream) onReply(connection *ajpConn, reply ajp.Reply) {
 	b := u.backend
-	answered := from.call
-	switch answer.Kind {
+	call := connection.call
+	switch reply.Kind {
 	case ajp.CPong:
-		if from.pongBy > 0 {
-			u.send(from)
+		if connection.cpongDeadline > 0 {
+			u.send(connection)
 		}
 		return
 	case ajp.GetBodyChunk:
-		if answered != nil {
-			maxPart := min(b.cfg.AJP.packet(), answer.MaxLength+ajp.BodyChunkOverhead)
-			b.scratch, from.unsentBody = ajp.AppendBodyChunk(b.scratch[:0], from.unsentBody, maxPart)
-			from.conn.Write(b.scratch)
+		if call != nil {
+			maxPart := min(b.cfg.AJP.packet(), reply.MaxLength+ajp.BodyChunkOverhead)
+			b.scratch, connection.unsentBody = ajp.AppendBodyChunk(b.scratch[:0], connection.unsentBody, maxPart)
+			connection.conn.Write(b.scratch)
 		}
 		return
 	}
-	if answered == nil {
+	if call == nil {
 		return // given up: the connection is being closed
 	}
-	from.call = nil
-	from.usedAt = b.now
-	answered.ajpConn = nil
-	if answer.Reuse {
-		u.release(from)
+	connection.call = nil
+	connection.usedAt = b.now
+	call.ajpConn = nil
+	if reply.Reuse {
+		u.release(connection)
 	} else {
-		u.close(from)
+		u.close(connection)
 	}
-	u.endAnswered(answered, &answer)
+	u.handleStatus(call, &reply)
 }
 
 // endAnswered ends a call, or retries it at another target, as the answer's status says.
-func (u *ajpUpstream) endAnswered(answered *upstreamCall, answer *ajp.Reply) {
-	switch answer.Status {
+func (u *ajpUpstream) handleStatus(call *upstreamCall, reply *ajp.Reply) {
+	switch reply.Status {
 	case 200:
-		u.leaveTarget(answered, loadbalance.Succeeded)
-		u.backend.processor.replyToCall(answered.request, answer.Body)
-		u.end(answered, overload.OK)
+		u.releaseTarget(call, loadbalance.Succeeded)
+		u.backend.processor.replyToCall(call.request, reply.Body)
+		u.endCall(call, overload.OK)
 	case 429, 503: // it never ran
-		if forbidsRetry(answer) {
-			u.leaveTarget(answered, loadbalance.Overloaded)
-			u.end(answered, overload.Overloaded)
+		if forbidsRetry(reply) {
+			u.releaseTarget(call, loadbalance.Overloaded)
+			u.endCall(call, overload.Overloaded)
 			return
 		}
-		u.retryElsewhere(answered, loadbalance.Overloaded, overload.Overloaded)
+		u.retryAtAnotherTarget(call, loadbalance.Overloaded, overload.Overloaded)
 	case 504:
-		u.leaveTarget(answered, loadbalance.Succeeded)
-		u.end(answered, overload.TimedOut)
+		u.releaseTarget(call, loadbalance.Succeeded)
+		u.endCall(call, overload.TimedOut)
 	default:
-		u.leaveTarget(answered, loadbalance.Succeeded)
-		u.end(answered, overload.Failed)
+		u.releaseTarget(call, loadbalance.Succeeded)
+		u.endCall(call, overload.Failed)
 	}
 }
 
-func forbidsRetry(answer *ajp.Reply) (forbidden bool) {
-	answer.Headers.Each(func(name, value []byte) {
-		if bytes.EqualFold(name, dontRetryName) && string(value) == "1" {
+func forbidsRetry(reply *ajp.Reply) (forbidden bool) {
+	reply.Headers.Each(func(name, value []byte) {
+		if bytes.EqualFold(name, dontRetryHeader) && string(value) == "1" {
 			forbidden = true
 		}
 	})
@@ -174,50 +174,50 @@
 }
 
 // leaveTarget tells the load balancer how a call ended at its target.
-func (u *ajpUpstream) leaveTarget(left *upstreamCall, outcome loadbalance.Outcome) {
-	u.balancer.Done(u.backend.now, left.target, outcome)
-	left.target = nil
-	left.ajpConn = nil
+func (u *ajpUpstream) releaseTarget(call *upstreamCall, outcome loadbalance.Outcome) {
+	u.balancer.Done(u.backend.now, call.target, outcome)
+	call.target = nil
+	call.ajpConn = nil
 }
 
 // retryElsewhere follows the proof that a call never ran at its target: another target may have it.
-func (u *ajpUpstream) retryElsewhere(failed *upstreamCall, outcome loadbalance.Outcome, proved overload.Outcome) {
-	failed.tried = append(failed.tried, failed.target)
-	failed.proved = proved
-	u.leaveTarget(failed, outcome)
-	if u.backend.now >= failed.deadline {
-		u.end(failed, proved)
+func (u *ajpUpstream) retryAtAnotherTarget(call *upstreamCall, outcome loadbalance.Outcome, provenOutcome overload.Outcome) {
+	call.tried = append(call.tried, call.target)
+	call.provenOutcome = provenOutcome
+	u.releaseTarget(call, outcome)
+	if u.backend.now >= call.deadline {
+		u.endCall(call, provenOutcome)
 		return
 	}
-	u.place(failed)
+	u.pickTarget(call)
 }
 
-func (u *ajpUpstream) end(ended *upstreamCall, outcome overload.Outcome) {
-	invariant.Check(ended.target == nil, "a call that ends is at no target")
-	u.remove(ended)
-	u.backend.callEnded(ended, outcome)
+func (u *ajpUpstream) endCall(call *upstreamCall, outcome overload.Outcome) {
+	invariant.Check(call.target == nil, "a call that ends is at no target")
+	u.remove(call)
+	u.backend.reportCallEnd(call, outcome)
 }
 
 // drop takes a call of which nothing is known from its target and closes its connection: AJP has no other way to abort
 // a call.
-func (u *ajpUpstream) drop(dropped *upstreamCall, outcome loadbalance.Outcome) {
-	carrier := dropped.ajpConn
-	if dropped.target != nil {
-		u.leaveTarget(dropped, outcome)
+func (u *ajpUpstream) abandonCall(call *upstreamCall, outcome loadbalance.Outcome) {
+	connection := call.ajpConn
+	if call.target != nil {
+		u.releaseTarget(call, outcome)
 	}
-	if carrier != nil {
-		carrier.call = nil
-		u.close(carrier)
+	if connection != nil {
+		connection.call = nil
+		u.close(connection)
 	}
 }
 
 func (u *ajpUpstream) cancel(r *request) {
-	cancelled := r.call
-	if cancelled == nil {
+	call := r.call
+	if call == nil {
 		return
 	}
-	u.drop(cancelled, loadbalance.Abandoned)
-	u.remove(cancelled)
+	u.abandonCall(call, loadbalance.Abandoned)
+	u.remove(call)
 }
 
 func (u *ajpUpstream) reconfigure(cfg *Config) {
@@ -236,35 +236,35 @@
 
 func (u *ajpUpstream) onTimer() {
 	for _, id := range slices.Sorted(maps.Keys(u.calls)) {
-		if pending := u.calls[id]; pending != nil { // else ended by the end of an earlier one
-			u.expireCall(pending)
+		if call := u.calls[id]; call != nil { // else ended by the end of an earlier one
+			u.expireCall(call)
 		}
 	}
 	u.closeIdle()
 }
 
 // expireCall gives up a call whose time has passed, and the connection of a call whose target doesn't answer CPing.
-func (u *ajpUpstream) expireCall(pending *upstreamCall) {
+func (u *ajpUpstream) expireCall(call *upstreamCall) {
 	b := u.backend
-	carrier := pending.ajpConn
-	awaitsPong := carrier != nil && carrier.pongBy > 0
+	connection := call.ajpConn
+	awaitsPong := connection != nil && connection.cpongDeadline > 0
 	switch {
-	case b.now >= pending.deadline+callGrace:
+	case b.now >= call.deadline+callGrace:
 		outcome := loadbalance.TimedOut
-		if carrier == nil || awaitsPong { // it was never sent
+		if connection == nil || awaitsPong { // it was never sent
 			outcome = loadbalance.Fault
 		}
-		u.drop(pending, outcome)
-		u.end(pending, overload.TimedOut)
-	case awaitsPong && b.now >= carrier.pongBy:
-		b.logLimited("upstream unreachable", "peer", carrier.target.Address, "reason", errNoPong)
-		carrier.call = nil
-		u.close(carrier)
-		u.retryElsewhere(pending, loadbalance.Fault, overload.NoConnection)
+		u.abandonCall(call, outcome)
+		u.endCall(call, overload.TimedOut)
+	case awaitsPong && b.now >= connection.cpongDeadline:
+		b.logLimited("upstream unreachable", "peer", connection.target.Address, "reason", errNoCPong)
+		connection.call = nil
+		u.close(connection)
+		u.retryAtAnotherTarget(call, loadbalance.Fault, overload.NoConnection)
 	default:
-		b.wakeBy(pending.deadline + callGrace)
+		b.wakeBy(call.deadline + callGrace)
 		if awaitsPong {
-			b.wakeBy(carrier.pongBy)
+			b.wakeBy(connection.cpongDeadline)
 		}
 	}
 }
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -14,14 +14,14 @@
 // Times of connections to AJP servers.
 const (
 	// trustIdle is how long a connection may be idle and be used without asking first whether the server is there.
-	trustIdle = time.Second
+	cpingIdleThreshold = time.Second
 	// pongTimeout is how long that answer is waited for: giving it takes the server no work.
-	pongTimeout = 100 * time.Millisecond
+	cpongTimeout = 100 * time.Millisecond
 	// ajpMaxIdle is how long a connection may be idle before it is closed.
 	ajpMaxIdle = 30 * time.Second
 )
 
-var errNoPong = errors.New("no answer to CPing")
+var errNoCPong = errors.New("no answer to CPing")
 
 // connPool holds the idle connections to a target, the last used at the end.
 type connPool struct {
@@ -30,14 +30,14 @@
 
 // ajpConn is one connection to a target.
 type ajpConn struct {
-	conn       *conn.Conn // nil once it was closed here
-	parser     *ajp.Client
-	target     *loadbalance.Target
-	call       *upstreamCall // in flight; nil while the connection is idle
-	pongBy     time.Duration // when the wait for a CPong ends; 0 none is awaited
-	unsentBody []byte        // the part of the call's body that the server has not asked for yet
-	usedAt     time.Duration
-	sentMark   int // bytes written before the call
+	conn          *conn.Conn // nil once it was closed here
+	parser        *ajp.Client
+	target        *loadbalance.Target
+	call          *upstreamCall // in flight; nil while the connection is idle
+	cpongDeadline time.Duration // when the wait for a CPong ends; 0 none is awaited
+	unsentBody    []byte        // the part of the call's body that the server has not asked for yet
+	usedAt        time.Duration
+	queuedBefore  int // bytes written before the call
 }
 
 func (u *ajpUpstream) pool(target *loadbalance.Target) *connPool {
@@ -77,79 +77,79 @@
 }
 
 // dial opens a connection for a call.
-func (u *ajpUpstream) dial(waiting *upstreamCall) {
-	u.open++
-	target := waiting.target
-	u.backend.loop.Dial(target.Address, func(c *conn.Conn, err error) { u.dialed(target, waiting, c, err) })
+func (u *ajpUpstream) dial(call *upstreamCall) {
+	u.openConns++
+	target := call.target
+	u.backend.loop.Dial(target.Address, func(c *conn.Conn, err error) { u.dialed(target, call, c, err) })
 }
 
-func (u *ajpUpstream) dialed(target *loadbalance.Target, waiting *upstreamCall, c *conn.Conn, err error) {
+func (u *ajpUpstream) dialed(target *loadbalance.Target, call *upstreamCall, c *conn.Conn, err error) {
 	b := u.backend
-	stillWaits := waiting.request.call == waiting && waiting.target == target && waiting.ajpConn == nil
+	stillWaits := call.request.call == call && call.target == target && call.ajpConn == nil
 	if err != nil {
-		u.open--
+		u.openConns--
 		b.logLimited("upstream unreachable", "peer", target.Address, "reason", err)
 		if stillWaits {
-			u.retryElsewhere(waiting, loadbalance.Fault, overload.NoConnection)
+			u.retryAtAnotherTarget(call, loadbalance.Fault, overload.NoConnection)
 		}
 		return
 	}
 	opened := &ajpConn{conn: c, parser: ajp.NewClient(b.cfg.AJP.packet()), target: target, usedAt: b.now}
 	c.MaxUnsent = maxUnsentCalls
 	c.OnData = b.parseLogged("upstream protocol error", func(text []byte) error {
-		return opened.parser.Feed(text, func(answer ajp.Reply) { u.onAnswer(opened, answer) })
+		return opened.parser.Feed(text, func(reply ajp.Reply) { u.onReply(opened, reply) })
 	})
 	c.OnClosed = func(error) { u.onClosed(opened) }
 	if !stillWaits {
 		u.release(opened)
 		return
 	}
-	u.assign(opened, waiting)
+	u.assignConn(opened, call)
 }
 
 // release makes a connection idle.
-func (u *ajpUpstream) release(free *ajpConn) {
-	if free.target.Removed {
-		u.close(free)
+func (u *ajpUpstream) release(connection *ajpConn) {
+	if connection.target.Removed {
+		u.close(connection)
 		return
 	}
-	pool := u.pool(free.target)
-	pool.idle = append(pool.idle, free)
+	pool := u.pool(connection.target)
+	pool.idle = append(pool.idle, connection)
 }
 
 // close ends a connection. The caller sees to the call that was in flight on it.
-func (u *ajpUpstream) close(closed *ajpConn) {
-	if closed.conn == nil {
+func (u *ajpUpstream) close(connection *ajpConn) {
+	if connection.conn == nil {
 		return
 	}
-	pool := u.pool(closed.target)
-	pool.idle = slices.DeleteFunc(pool.idle, func(other *ajpConn) bool { return other == closed })
-	if closed.target.Removed && len(pool.idle) == 0 {
-		delete(u.pools, closed.target)
+	pool := u.pool(connection.target)
+	pool.idle = slices.DeleteFunc(pool.idle, func(other *ajpConn) bool { return other == connection })
+	if connection.target.Removed && len(pool.idle) == 0 {
+		delete(u.pools, connection.target)
 	}
-	c := closed.conn
-	closed.conn = nil
-	u.open--
+	c := connection.conn
+	connection.conn = nil
+	u.openConns--
 	c.CloseAfterSend(conn.ErrClosedLocally)
 }
 
 // onClosed handles the end of a connection by the other side. A call of which no byte had left, or that waited for a
 // CPong, never ran; of any other nothing is proved.
-func (u *ajpUpstream) onClosed(closed *ajpConn) {
-	c := closed.conn
+func (u *ajpUpstream) onClosed(connection *ajpConn) {
+	c := connection.conn
 	if c == nil {
 		return // closed here
 	}
-	broken := closed.call
-	closed.call = nil
-	u.close(closed)
+	call := connection.call
+	connection.call = nil
+	u.close(connection)
 	switch {
-	case broken == nil:
-	case closed.pongBy > 0 || c.SentTotal() <= closed.sentMark:
-		u.retryElsewhere(broken, loadbalance.Fault, overload.NoConnection)
+	case call == nil:
+	case connection.cpongDeadline > 0 || c.SentTotal() <= connection.queuedBefore:
+		u.retryAtAnotherTarget(call, loadbalance.Fault, overload.NoConnection)
 	default:
-		u.leaveTarget(broken, loadbalance.Fault)
-		u.end(broken, overload.ConnectionLost)
+		u.releaseTarget(call, loadbalance.Fault)
+		u.endCall(call, overload.ConnectionLost)
 	}
 }
 
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -46,7 +46,7 @@
 }
 
 // fullListener is a next tier whose queue of connections is full: a dial hangs until it is let go.
-func fullListener(t *testing.T) (address string, goes func() net.Listener) {
+func fullListener(t *testing.T) (address string, release func() net.Listener) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -77,7 +77,7 @@
 func TestSilentDial(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
-	address, goes := fullListener(t)
+	address, release := fullListener(t)
 	cfg := bed.config()
 	cfg.Upstream = address
 	bed.backend.Reload(cfg)
@@ -86,7 +86,7 @@
 	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	bed.await(func() bool { return bed.backend.logLimits["upstream unreachable"] != nil })
 	go func() {
-		ln := goes()
+		ln := release()
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -119,7 +119,7 @@
 	bed.step([]string{"tier", "replies", "0000000000000001", "late"})
 	release()
 	bed.await(func() bool {
-		return bed.backend.upstream.callsInFlight() == 0 && bed.backend.upstream.connections() == 0
+		return bed.backend.upstream.callsInFlight() == 0 && bed.backend.upstream.connectionCount() == 0
 	})
 	bed.expect("tier: cancel 0000000000000001")
 	bed.step([]string{"processor", "notes", "complete", "0000000000000001", "halted", "5", "-"})
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -17,10 +17,10 @@
 	proxyMaxIdle = time.Second
 	// idleBackoff is the part of the idle time after which the proxy had dropped a connection that becomes the new
 	// maximum.
-	idleBackoff = 0.25
+	idleBackoffFactor = 0.25
 	// deadConnWindow is how soon after a call was sent the end of its connection shows that the proxy had dropped the
 	// connection before: no call takes so little.
-	deadConnWindow = 2 * time.Millisecond
+	staleConnWindow = 2 * time.Millisecond
 )
 
 // proxyUpstream makes calls to a proxy in front of the upstream tier. As long as there is room for more connections each
@@ -56,39 +56,39 @@
 	}
 }
 
-func (u *proxyUpstream) connections() int { return len(u.conns) }
+func (u *proxyUpstream) connectionCount() int { return len(u.conns) }
 
-func (u *proxyUpstream) invoke(r *request, after time.Duration) {
-	added := u.add(r, after)
+func (u *proxyUpstream) invoke(r *request, timeout time.Duration) {
+	call := u.add(r, timeout)
 	if u.address == "" {
-		u.end(added, overload.NoConnection)
+		u.endCall(call, overload.NoConnection)
 		return
 	}
-	u.place(added)
+	u.assignConn(call)
 }
 
 // place gives a call a connection: a free one, a new one, or where there is no room for more the one with the fewest
 // calls.
-func (u *proxyUpstream) place(waiting *upstreamCall) {
+func (u *proxyUpstream) assignConn(call *upstreamCall) {
 	b := u.backend
 	for i := len(u.idle) - 1; i >= 0; i-- {
-		free := u.idle[i]
-		if free.lastRequest != waiting.request.id && b.now-free.usedAt < u.maxIdle {
-			u.send(free, waiting)
+		connection := u.idle[i]
+		if connection.lastRequest != call.request.id && b.now-connection.usedAt < u.maxIdle {
+			u.send(connection, call)
 			return
 		}
 	}
 	if len(u.conns)+u.dialing < u.connectionLimit() {
-		u.queue = append(u.queue, waiting)
+		u.queue = append(u.queue, call)
 		u.dial()
 		return
 	}
-	least := u.leastLoaded(waiting.request.id)
+	least := u.leastLoaded(call.request.id)
 	if least == nil {
-		u.queue = append(u.queue, waiting) // all are being dialed or retired
+		u.queue = append(u.queue, call) // all are being dialed or retired
 		return
 	}
-	u.send(least, waiting)
+	u.send(least, call)
 }
 
 // leastLoaded returns the connection with the fewest calls that may carry the call of a request, or nil.
@@ -145,8 +145,8 @@
 func (u *proxyUpstream) dialFailed(err error) {
 	u.backend.logLimited("upstream unreachable", "reason", err)
 	if !errors.Is(err, conn.ErrDialTimeout) {
-		if waiting := u.dequeue(); waiting != nil {
-			u.end(waiting, overload.NoConnection)
+		if call := u.dequeue(); call != nil {
+			u.endCall(call, overload.NoConnection)
 		}
 	}
 	u.dialMore()
@@ -165,45 +165,45 @@
 }
 
 // release gives a connection without calls the next one of the queue, or makes it idle.
-func (u *proxyUpstream) release(free *proxyConn) {
-	if free.retired {
-		u.close(free)
+func (u *proxyUpstream) release(connection *proxyConn) {
+	if connection.retired {
+		u.close(connection)
 		return
 	}
-	if waiting := u.dequeue(); waiting != nil {
-		u.send(free, waiting)
+	if call := u.dequeue(); call != nil {
+		u.send(connection, call)
 		return
 	}
-	u.idle = append(u.idle, free)
+	u.idle = append(u.idle, connection)
 }
 
-func (u *proxyUpstream) send(carrier *proxyConn, sent *upstreamCall) {
+func (u *proxyUpstream) send(connection *proxyConn, call *upstreamCall) {
 	b := u.backend
-	r := sent.request
-	u.removeIdle(carrier)
-	sent.sentAt = b.now
-	sent.connIdle = b.now - carrier.usedAt
-	sent.sentMark = carrier.conn.QueuedTotal()
-	sent.proxyConn = carrier
-	carrier.lastRequest = r.id
-	carrier.usedAt = b.now
-	carrier.calls[r.id] = sent
-	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], r.wireID, sent.deadline-b.now, r.callBody)
-	carrier.conn.Write(b.scratch)
+	r := call.request
+	u.removeIdle(connection)
+	call.sentAt = b.now
+	call.connIdleTime = b.now - connection.usedAt
+	call.queuedBefore = connection.conn.QueuedTotal()
+	call.proxyConn = connection
+	connection.lastRequest = r.id
+	connection.usedAt = b.now
+	connection.calls[r.id] = call
+	b.scratch = upstreamproto.AppendInvoke(b.scratch[:0], r.wireID, call.deadline-b.now, r.callBody)
+	connection.conn.Write(b.scratch)
 }
 
-func (u *proxyUpstream) onReply(from *proxyConn, reply upstreamproto.Reply) {
-	answered := from.calls[reply.ID]
-	if answered == nil {
+func (u *proxyUpstream) onReply(connection *proxyConn, reply upstreamproto.Reply) {
+	call := connection.calls[reply.ID]
+	if call == nil {
 		return // given up, a duplicate, or never sent here
 	}
-	from.usedAt = u.backend.now
+	connection.usedAt = u.backend.now
 	if reply.Outcome == overload.OK {
-		u.backend.processor.replyToCall(answered.request, reply.Body)
+		u.backend.processor.replyToCall(call.request, reply.Body)
 	}
-	u.end(answered, reply.Outcome)
-	if len(from.calls) == 0 {
-		u.release(from)
+	u.endCall(call, reply.Outcome)
+	if len(connection.calls) == 0 {
+		u.release(connection)
 	}
 }
 
@@ -211,75 +211,75 @@
 // the others nothing is proved. A connection that broke right after a call was sent on it had been dropped by the proxy
 // while it was idle: from then on connections may be idle for a shorter time, as dialing one costs less than a failed
 // call.
-func (u *proxyUpstream) onClosed(closed *proxyConn) {
-	u.forget(closed)
-	for _, id := range slices.Sorted(maps.Keys(closed.calls)) {
-		broken := closed.calls[id]
-		if closed.conn.SentTotal() <= broken.sentMark {
-			delete(closed.calls, id)
-			broken.proxyConn = nil
-			u.place(broken)
+func (u *proxyUpstream) onClosed(connection *proxyConn) {
+	u.removeConn(connection)
+	for _, id := range slices.Sorted(maps.Keys(connection.calls)) {
+		call := connection.calls[id]
+		if connection.conn.SentTotal() <= call.queuedBefore {
+			delete(connection.calls, id)
+			call.proxyConn = nil
+			u.assignConn(call)
 			continue
 		}
-		if broken.sentMark > 0 && u.backend.now-broken.sentAt <= deadConnWindow {
-			u.maxIdle = min(u.maxIdle, time.Duration(idleBackoff*float64(broken.connIdle)))
+		if call.queuedBefore > 0 && u.backend.now-call.sentAt <= staleConnWindow {
+			u.maxIdle = min(u.maxIdle, time.Duration(idleBackoffFactor*float64(call.connIdleTime)))
 		}
-		u.end(broken, overload.ConnectionLost)
+		u.endCall(call, overload.ConnectionLost)
 	}
 	u.dialMore()
 }
 
-func (u *proxyUpstream) forget(gone *proxyConn) {
-	gone.retired = true
-	delete(u.conns, gone)
-	u.removeIdle(gone)
+func (u *proxyUpstream) removeConn(connection *proxyConn) {
+	connection.retired = true
+	delete(u.conns, connection)
+	u.removeIdle(connection)
 }
 
-func (u *proxyUpstream) removeIdle(used *proxyConn) {
-	u.idle = slices.DeleteFunc(u.idle, func(other *proxyConn) bool { return other == used })
+func (u *proxyUpstream) removeIdle(connection *proxyConn) {
+	u.idle = slices.DeleteFunc(u.idle, func(other *proxyConn) bool { return other == connection })
 }
 
 // close ends a connection and gives up the calls in flight on it.
-func (u *proxyUpstream) close(closed *proxyConn) {
-	u.forget(closed)
-	if len(closed.calls) > 0 {
-		closed.conn.Abort(conn.ErrClosedLocally)
+func (u *proxyUpstream) close(connection *proxyConn) {
+	u.removeConn(connection)
+	if len(connection.calls) > 0 {
+		connection.conn.Abort(conn.ErrClosedLocally)
 	} else {
-		closed.conn.CloseAfterSend(conn.ErrClosedLocally)
+		connection.conn.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
 // detach takes a call from its connection and from the calls in flight.
-func (u *proxyUpstream) detach(ended *upstreamCall) {
-	if ended.proxyConn != nil {
-		delete(ended.proxyConn.calls, ended.request.id)
+func (u *proxyUpstream) detach(call *upstreamCall) {
+	if call.proxyConn != nil {
+		delete(call.proxyConn.calls, call.request.id)
 	}
-	u.remove(ended)
+	u.remove(call)
 }
 
-func (u *proxyUpstream) end(ended *upstreamCall, outcome overload.Outcome) {
-	u.detach(ended)
-	u.backend.callEnded(ended, outcome)
+func (u *proxyUpstream) endCall(call *upstreamCall, outcome overload.Outcome) {
+	u.detach(call)
+	u.backend.reportCallEnd(call, outcome)
 }
 
 // cancel gives up the call of r, if there is one. Its reply may be on the way or never come, so its connection takes no
 // more calls.
 func (u *proxyUpstream) cancel(r *request) {
-	cancelled := r.call
-	if cancelled == nil {
+	call := r.call
+	if call == nil {
 		return
 	}
-	u.detach(cancelled)
-	carrier := cancelled.proxyConn
-	if carrier == nil {
+	u.detach(call)
+	connection := call.proxyConn
+	if connection == nil {
 		return
 	}
-	carrier.retired = true
+	connection.retired = true
 	u.backend.scratch = upstreamproto.AppendCancel(u.backend.scratch[:0], r.wireID)
-	carrier.conn.Write(u.backend.scratch)
-	if len(carrier.calls) == 0 {
-		u.forget(carrier)
-		carrier.conn.CloseAfterSend(conn.ErrClosedLocally)
+	connection.conn.Write(u.backend.scratch)
+	if len(connection.calls) == 0 {
+		u.removeConn(connection)
+		connection.conn.CloseAfterSend(conn.ErrClosedLocally)
 	}
 }
 
@@ -291,8 +291,8 @@
 	u.address = address
 	u.maxIdle = proxyMaxIdle
 	for address == "" && len(u.queue) > 0 {
-		if waiting := u.dequeue(); waiting != nil {
-			u.end(waiting, overload.NoConnection)
+		if call := u.dequeue(); call != nil {
+			u.endCall(call, overload.NoConnection)
 		}
 	}
 	for old := range u.conns { // each by itself: the order doesn't matter
@@ -316,8 +316,8 @@
 func (u *proxyUpstream) expireCalls() {
 	b := u.backend
 	var expired []uint64
-	for id, pending := range u.calls {
-		if at := pending.deadline + callGrace; b.now >= at {
+	for id, call := range u.calls {
+		if at := call.deadline + callGrace; b.now >= at {
 			expired = append(expired, id)
 		} else {
 			b.wakeBy(at)
@@ -325,13 +325,13 @@
 	}
 	slices.Sort(expired)
 	for _, id := range expired {
-		late := u.calls[id]
+		call := u.calls[id]
 		outcome := overload.TimedOut
-		if late.proxyConn == nil {
+		if call.proxyConn == nil {
 			outcome = overload.NoConnection // it was never sent
 		}
-		u.cancel(late.request)
-		u.end(late, outcome)
+		u.cancel(call.request)
+		u.endCall(call, outcome)
 	}
 }
 
