--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	ledgerComparisonInterval = 10 * time.Second // between two comparisons of the ledger with the requests that are known here
-	statsFileOpenTimeout     = 2 * time.Second  // for the disk that keeps the statistics file; the node serves without it after that
+	ledgerComparisonInterval = 10 * time.Second // between two comparisons of the ledger with the requests of the backend
+	statsFileOpenTimeout     = 2 * time.Second  // for opening the statistics file; after that the node serves without it
 )
 
-// AccountingConfig says how accounts of the requests are kept. The zero value keeps those of this process in memory.
+// AccountingConfig configures the accounts of the requests. The zero value keeps the accounts of this process in memory.
 type AccountingConfig struct {
-	File          string        // the statistics file, which outlives the process; empty for none
-	Entries       int           // how many entries the file holds; 0 for the default of package statsfile
-	MaxPeriods    int           // how many past periods are kept
-	PeriodLength  time.Duration // of each
-	MaxCustomers  int           // how many customers are distinguished
-	CustomerField string        // the header that names a customer; if empty, the number of the calling front end does
+	File          string        // the statistics file, which persists across restarts; empty for none
+	Entries       int           // the number of entries in the file; 0 for the default of package statsfile
+	MaxPeriods    int           // the number of past periods that are kept
+	PeriodLength  time.Duration // the length of each period
+	MaxCustomers  int           // the number of customers with accounts of their own
+	CustomerField string        // the header that names the customer; if empty, the number of the calling edge node is used
 }
 
-// requestAccounting keeps the accounts of all requests: each is opened when the request is read, and closed once.
+// requestAccounting keeps the accounts of all requests. An account is opened when its request is read, and closed exactly
+// once.
 type requestAccounting struct {
 	ledger         *accounting.Ledger  // nil until Serve
-	ledgerRows     []uint16            // rows in the ledger, by handler
+	ledgerRows     []uint16            // row in the ledger of each handler
 	recorder       *statsfile.Recorder // nil without a statistics file
-	nextComparison time.Duration       // when the ledger is compared next with what the backend knows
+	nextComparison time.Duration       // when the ledger is next compared with the requests of the backend
 }
 
-// ledgerRow returns the row of a handler in the ledger, that of no handler for a negative index.
+// ledgerRow returns the row of a handler in the ledger. A negative index stands for no handler; its row is 0.
 func (a *requestAccounting) ledgerRow(handler int) uint16 {
 	if handler < 0 {
 		return 0
@@ -38,8 +39,8 @@
 	return a.ledgerRows[handler]
 }
 
-// openLedger makes the ledger, with the accounts of earlier processes where the statistics file has them. Trouble with
-// the file is logged and costs no more than the file.
+// openLedger creates the ledger, with the accounts of earlier processes if the statistics file has them. An error of the
+// file is logged, and the backend serves without the file.
 func (b *Backend) openLedger() error {
 	cfg := accounting.Config{
 		MaxCustomers: b.cfg.Accounting.MaxCustomers,
@@ -67,9 +68,9 @@
 	return nil
 }
 
-// flush sends what was written in the turn that began at that time. The statistics file has
-// a mark before and after it, by which the next process knows what may have left. It returns when to retry what a peer
-// did not take, 0 for nothing left.
+// flush sends the output that was buffered in the turn that began at the given time. It appends a mark to the statistics
+// file before and after that, which shows the next process which output may have been sent. It returns after which time
+// to retry output that a peer did not accept, or 0 if all was sent.
 func (b *Backend) flush(turn time.Time) (retryAfter time.Duration) {
 	if b.recorder == nil {
 		return b.loop.Flush(turn)
@@ -85,7 +86,7 @@
 	b.recorder.Append(b.ledger, b.wallTime)
 }
 
-// closeAccounts closes the accounts of a process that exits by itself.
+// closeAccounts closes the accounts when the process exits regularly.
 func (b *Backend) closeAccounts() {
 	b.ledger.EndIncarnation(accounting.OpenAtExit, accounting.Exited)
 	if b.recorder != nil {
@@ -93,20 +94,20 @@
 	}
 }
 
-// Accounting returns the accounts of all requests, those of earlier processes included where a statistics file has
-// them. It may be called from any goroutine while Serve runs and after that.
+// Accounting returns the accounts of all requests, including those of earlier processes if a statistics file has them.
+// It may be called from any goroutine while Serve runs and after it has returned.
 func (b *Backend) Accounting() accounting.Report {
 	var report accounting.Report
 	b.runOnOwner(func() {
-		if b.ledger != nil { // Serve got that far
+		if b.ledger != nil { // Serve has opened it
 			report = b.ledger.Report(false)
 		}
 	})
 	return report
 }
 
-// AccountingRecorded reports whether the accounts are being recorded, or need not be. It may be called from any
-// goroutine while Serve runs and after that.
+// AccountingRecorded reports whether the accounts are being written to the statistics file, or true if none is
+// configured. It may be called from any goroutine while Serve runs and after it has returned.
 func (b *Backend) AccountingRecorded() bool {
 	recorded := true
 	b.runOnOwner(func() { recorded = b.recorder == nil || b.recorder.Recording() })
--- a/backend/audit.go
+++ b/backend/audit.go
@@ -7,8 +7,8 @@
 	"frosthub/internal/invariant"
 )
 
-// auditLedger has the ledger check that its sums add up, from time to time compares it with the requests that are known here,
-// and logs what differs.
+// auditLedger checks the sums of the ledger, every ledgerComparisonInterval compares its open accounts with the requests of
+// the backend, and logs the mismatches.
 func (b *Backend) auditLedger() {
 	b.ledger.Audit(b.wallTime)
 	if b.now >= b.nextComparison {
@@ -18,10 +18,11 @@
 	b.logMismatches()
 }
 
-// compareLedger compares the open accounts of the ledger with the requests that are known here.
+// compareLedger compares the open accounts of the ledger with the requests of the backend that are not answered and the
+// responses that are not delivered.
 func (b *Backend) compareLedger() {
 	b.ledger.CompareOpenRequests(b.wallTime, func(open func(accounting.Ticket, uint64)) {
-		for _, r := range b.requests { // a sum: the order does not matter
+		for _, r := range b.requests { // the comparison does not depend on the order
 			if b.hasClient(r) || r.failedOver && !r.accountClosed {
 				open(r.ticket, r.id)
 			}
@@ -34,22 +35,23 @@
 	})
 }
 
-// logMismatches logs what the ledger found not to add up.
+// logMismatches logs the mismatches that the ledger has found.
 func (b *Backend) logMismatches() {
 	for _, mismatch := range b.ledger.TakeMismatches() {
 		b.log.Error("accounting mismatch", "what", mismatch.What, "one", mismatch.Left, "other", mismatch.Right, "trail", mismatch.Trail)
-		invariant.Check(false, "figures add up: "+mismatch.What)
+		invariant.Check(false, "accounts match: "+mismatch.What)
 	}
 }
 
-// checkInvariants goes through all requests, slots and calls. A debug build does so after each batch: each unanswered
-// request holds one slot of its client's connection, and what nobody waits for runs.
+// checkInvariants checks all requests, slots, calls and accounts. A debug build calls it after each batch. Among other
+// things, each unanswered request holds one slot of its client's connection, and each request without a client runs or
+// was taken over from another node.
 func (b *Backend) checkInvariants() {
 	b.checkRequests()
 	b.compareLedger()
 	b.ledger.Audit(b.wallTime)
 	b.logMismatches()
-	invariant.Check(float64(b.results.usedBytes) <= b.memoryShare(resultCacheShare), "kept results stay within their bound")
+	invariant.Check(float64(b.results.usedBytes) <= b.memoryShare(resultCacheShare), "the result cache stays within its memory limit")
 }
 
 func (b *Backend) checkRequests() {
@@ -59,9 +61,9 @@
 			waiting++
 			invariant.Check(r.client.requests[r.slot] == r, "an unanswered request holds its slot")
 			asked := r.guard != nil || slices.Contains(b.processor.unverified, r)
-			invariant.Check(r.state != stateUnverified || asked, "an unverified request is asked for")
+			invariant.Check(r.state != stateUnverified || asked, "the processor is queried about an unverified request")
 		} else {
-			invariant.Check(r.failedOver || r.state >= stateAwaitingIntent, "a request for which nobody waits runs")
+			invariant.Check(r.failedOver || r.state >= stateAwaitingIntent, "a request without a client runs")
 		}
 		if r.call != nil {
 			calls++
@@ -72,8 +74,8 @@
 	for client := range b.frontend.clients {
 		slots += len(client.requests)
 		known := client.readStopped || client.protocol.openSlots() >= client.pendingResponses()
-		invariant.Check(known, "open slots are known to the parser")
+		invariant.Check(known, "the protocol parser counts at least the slots with pending responses")
 	}
 	invariant.Check(waiting == b.unanswered && waiting == slots, "unanswered requests hold one slot each")
-	invariant.Check(calls == b.upstream.callsInFlight(), "calls in flight are those of requests")
+	invariant.Check(calls == b.upstream.callsInFlight(), "each call in flight belongs to a request")
 }
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,11 +1,12 @@
-// Package backend serves requests on real sockets. It reads them from its clients, front ends that speak FastCGI or
-// AJP, lets package overload decide which of them run and when, has the processor run them, makes the calls of their
-// runs to the upstream tier, and answers each request exactly once.
+// Package backend serves requests on network sockets. It reads them from its clients, front ends that speak FastCGI or
+// AJP, and passes them to package overload, which decides whether and when each of them runs. The processor runs the
+// requests, the backend makes the calls of those runs to the upstream tier, and each request is answered exactly once.
 //
-// A Backend is made by New and runs in Serve; Main wraps both into a process with its signals and its configuration.
-// One goroutine, that of Serve, owns all state. It works in turns: each takes the time once, handles all that has
-// happened, hands it to the overload controller as one batch, carries out the controller's actions, and sends what was
-// written. Nothing in a turn blocks. Other goroutines reach the owner through its queue alone.
+// New creates a Backend and Serve runs it; Main wraps both into a process with signal handling and a configuration
+// file. One goroutine, the owner, which runs Serve, owns all state. It works in turns. Each turn reads the clocks once,
+// handles the input and the timers that are due, passes their events to the overload controller as one batch, carries
+// out the controller's actions, and flushes the buffered output. Nothing in a turn blocks. Other goroutines communicate
+// with the owner only through its queue.
 package backend
 
 import (
@@ -30,12 +31,12 @@
 	loop      *conn.Loop
 	listeners []*conn.Listener
 
-	// What the configuration says of the work.
+	// Derived from the configuration.
 	handlers      []handler
-	customerNames []string // names, in the order of the settings
-	canCancel     bool     // the processor takes interrupts of runs
+	customerNames []string // in the order of the settings
+	canCancel     bool     // the processor accepts interrupts of runs
 
-	// The core: the time, the decisions, the requests and their accounts.
+	// The clock, the overload controller, the requests and their accounts.
 	ownerClock
 	controllerDriver
 	requestTable
@@ -43,9 +44,9 @@
 	advice      loadAdvice
 	process     lifecycle.Process
 	drain       drainState
-	nextSweepAt time.Duration // when idle and expired things are looked for next
+	nextSweepAt time.Duration // when the next sweep for idle and expired state is due
 
-	// The parts at its edges.
+	// Components that communicate with other processes or store results.
 	frontend  frontend
 	processor processorLink
 	upstream  upstream
@@ -53,36 +54,36 @@
 	results   resultCache
 	guard     idempotencyGuard
 	cluster   cluster
-	observers [3]requestObserver // the parts that follow the ends of requests, in order
+	observers [3]requestObserver // notified when requests end, in this order
 
 	stats         Counters
-	connsRejected atomic.Int64 // connections for which there was no room; also written by the accepting goroutine
+	connsRejected atomic.Int64 // connections closed for lack of room; also written by the accepting goroutine
 	logLimits     map[string]*logthrottle.Limiter
-	scratch       []byte // for messages on their way into a connection's buffer
+	scratch       []byte // reused to encode messages before they are copied into a connection's buffer
 
 	ownerCalls chan func()
 	done       chan struct{} // closed when Serve has returned
 }
 
-// handler is what the configuration says of one handler.
+// handler is the configuration of one handler.
 type handler struct {
 	name          string
-	replayable    bool          // a request may run again without harm
-	deduplicated  bool          // its requests bring a key by which a repeat is recognized, and run once
-	repeatWindow  time.Duration // in which such a repeat may come
-	clientTimeout time.Duration // how long its clients wait
-	weight        float64       // its weight against other handlers
+	replayable    bool          // a request may safely run more than once
+	deduplicated  bool          // its requests carry a key that identifies repeats; each key runs once
+	repeatWindow  time.Duration // how long after the original a repeat is recognized
+	clientTimeout time.Duration // how long its clients wait for an answer
+	weight        float64       // its value relative to other handlers
 }
 
-// New returns a backend for a configuration. It opens nothing: that is done by Serve. A nil log stands for
-// slog.Default.
+// New returns a backend with the given configuration. It opens no files and no sockets; Serve does. If log is nil, the
+// backend logs to slog.Default.
 func New(cfg Config, log *slog.Logger) *Backend {
 	if log == nil {
 		log = slog.Default()
 	}
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur < uint64(cfg.Limits.Sockets) {
-		cfg.Limits.Sockets = int(files.Cur) // the process may hold fewer than it was told
+		cfg.Limits.Sockets = int(files.Cur) // the resource limit of the process is below the configured one
 	}
 	b := &Backend{
 		cfg:          cfg,
@@ -109,8 +110,8 @@
 	return b
 }
 
-// readSettings takes over what the settings of the overload controller say of this backend, and adapts them to what it
-// can do.
+// applySettings initializes the fields that derive from the settings of the overload controller, and removes from the
+// settings what this backend can't do.
 func (b *Backend) applySettings() {
 	settings := &b.cfg.Settings
 	b.canCancel = settings.Backend.Cancellation != overload.CancelOff
@@ -138,7 +139,7 @@
 	}
 }
 
-// withoutSkipping returns the settings of the handlers without the value of runs that go on without their call: the
+// withoutSkipValues returns a copy of the handler settings whose SkipValue is 0. A run can't skip its call here: the
 // processor has no command for that.
 func withoutSkipValues(handlers []overload.Handler) []overload.Handler {
 	handlers = slices.Clone(handlers)
@@ -148,7 +149,7 @@
 	return handlers
 }
 
-// handlerIndex returns the index of the handler of that name, -1 if there is none.
+// handlerIndex returns the index of the handler with the given name, or -1 if there is none.
 func (b *Backend) handlerIndex(name string) int {
 	return slices.IndexFunc(b.handlers, func(h handler) bool { return h.name == name })
 }
@@ -156,16 +157,16 @@
 // Logger returns the logger of the backend.
 func (b *Backend) Logger() *slog.Logger { return b.log }
 
-// Reload has new work use the addresses of another configuration: those of the processor, the upstream tier, the control
-// plane and the other nodes of the cluster. It also takes the time to stop from there. Work in flight at the old
-// addresses may finish, and a drain in progress keeps its deadlines. All other changes need a new process. Reload
-// returns at once; it may be called from any goroutine.
+// Reload applies the addresses of another configuration to new work: those of the processor, the upstream tier, the
+// control plane and the other nodes of the cluster. It also applies the stop timeout. Work in flight at the old
+// addresses may finish, and a drain in progress keeps its deadlines. All other changes take effect only in a new
+// process. Reload returns without waiting for the change; it may be called from any goroutine.
 func (b *Backend) Reload(cfg Config) { b.loop.Post(func() { b.reload(cfg) }) }
 
 func (b *Backend) reload(cfg Config) {
 	b.stats.Reloads++
 	if cfg.ControlPlane != b.cfg.ControlPlane {
-		if err := b.reporter.open(cfg.ControlPlane); err != nil { // not an address
+		if err := b.reporter.open(cfg.ControlPlane); err != nil { // not a valid address
 			b.logLimited("control plane unreachable", "reason", err)
 		}
 	}
@@ -174,7 +175,7 @@
 	b.cfg.ControlPlane = cfg.ControlPlane
 	b.cfg.StopTimeout = cfg.StopTimeout
 	b.processor.reconfigure(cfg.Processor)
-	if cfg.usesAJPUpstream() == b.cfg.usesAJPUpstream() { // else it takes a new process
+	if cfg.usesAJPUpstream() == b.cfg.usesAJPUpstream() { // changing the protocol takes a new process
 		b.cfg.AJPUpstream = cfg.AJPUpstream
 		b.upstream.reconfigure(&cfg)
 	}
@@ -182,7 +183,8 @@
 	b.log.Info("configuration reloaded", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
 }
 
-// runOnOwner has the owner call f between two turns, and waits for it. After Serve has returned, f is called at once.
+// runOnOwner has the owner goroutine call f between two turns, and returns once f has. After Serve has returned,
+// runOnOwner calls f itself.
 func (b *Backend) runOnOwner(f func()) {
 	called := make(chan struct{})
 	select {
@@ -193,7 +195,7 @@
 	}
 }
 
-// memoryShare returns that share of the memory limit in bytes, +Inf where there is no limit.
+// memoryShare returns the given share of the memory limit in bytes, or +Inf if there is no limit.
 func (b *Backend) memoryShare(share float64) float64 {
 	if b.cfg.Limits.MemoryMB <= 0 {
 		return math.Inf(1)
--- a/backend/config.go
+++ b/backend/config.go
@@ -22,46 +22,46 @@
 const (
 	configPathVariable = "PROXY_CONFIG" // the environment variable that names the configuration file
 
-	gcMemoryShare      = 0.75            // of the memory limit, which the garbage collector aims at; the rest is stacks and the program
-	defaultStopTimeout = 3 * time.Second // where the configuration states none
+	gcMemoryShare      = 0.75            // share of the memory limit that the garbage collector targets; the rest is for stacks and the program
+	defaultStopTimeout = 3 * time.Second // used if the configuration states none
 	defaultSockets     = 1024
-	minSockets         = 32 // a backend can't serve with fewer descriptors
+	minSockets         = 32 // a backend can't serve with fewer file descriptors
 )
 
-// Config is the configuration of a backend. The first part is the platform's and is read by Parse; the second part is the
-// operator's and is filled in by the program.
+// Config is the configuration of a backend. ParseConfig reads the first group of fields, the platform's, and the program
+// fills in the second group, the operator's.
 type Config struct {
 	Name         string
 	Listen       string        // the address where FastCGI clients connect
 	Processor    string        // the address of the processor, which runs requests
-	ControlPlane string        // the address that lease reports go to; empty for none
-	Upstream     string        // the address of the upstream proxy; empty for the last tier
-	Seed         uint64        // of the overload controller's random source
-	StopTimeout  time.Duration // from the notice to leave until the process is killed
+	ControlPlane string        // the address of the control plane, which receives lease reports; empty for none
+	Upstream     string        // the address of the upstream proxy; empty on nodes of the last tier
+	Seed         uint64        // for the random numbers of the overload controller and the load balancer
+	StopTimeout  time.Duration // from the termination signal until the process is killed
 	Limits       Limits
 	Settings     overload.Settings
 
 	Accounting  AccountingConfig
 	AJP         AJPConfig
-	AJPUpstream AJPUpstreamConfig // with peers, calls go there instead of to Upstream
+	AJPUpstream AJPUpstreamConfig // if it has peers, calls go to these instead of to Upstream
 	Idempotency IdempotencyConfig
-	Cluster     ClusterConfig // needs Idempotency
+	Cluster     ClusterConfig // requires Idempotency
 }
 
-// Limits are the limits of the process.
+// Limits are the resource limits of the process.
 type Limits struct {
 	Cores    float64 // 0 for no limit
 	MemoryMB float64 // in 2^20 bytes; 0 for no limit
-	Sockets  int     // descriptors
+	Sockets  int     // file descriptors
 }
 
-// configFile is the configuration file. Its keys are matched without regard to case.
+// configFile is the content of the configuration file. Its keys are matched case-insensitively.
 type configFile struct {
 	Name      string
 	Listen    string
 	Processor string
 	Control   string
-	Backend   string  // the upstream tier
+	Backend   string  // the address of the upstream proxy
 	Seed      string  // hexadecimal
 	StopMS    float64 `json:"stop_ms"`
 	Limits    struct {
@@ -72,30 +72,30 @@
 	Settings json.RawMessage
 }
 
-// LoadConfig reads the configuration file that the environment names. The stop timeout is bounded by what the platform allows,
-// see lifecycle.KillAfter. An error that wraps *fs.PathError says that the file could not be read; others say that it
-// can't be used.
+// LoadConfig reads the configuration file that the environment variable PROXY_CONFIG names. It limits the stop timeout
+// to what the platform allows, see lifecycle.KillDelay. An error that wraps *fs.PathError means that the file could not
+// be read; any other error means that its content is invalid or that the variable is not set.
 func LoadConfig() (Config, error) {
 	path := os.Getenv(configPathVariable)
 	if path == "" {
-		return Config{}, errors.New(configPathVariable + " is not set: it names the configuration file")
+		return Config{}, errors.New(configPathVariable + " is not set; it must name the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if fault := faultinject.Error(faultinject.ReadFile); fault != nil {
 		err = &os.PathError{Op: "read", Path: path, Err: fault}
 	}
 	if err != nil {
-		return Config{}, fmt.Errorf("configuration: %w", err)
+		return Config{}, fmt.Errorf("reading the configuration: %w", err)
 	}
 	c, err := ParseConfig(text)
 	if err != nil {
-		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
+		return Config{}, fmt.Errorf("parsing the configuration %s: %w", path, err)
 	}
 	c.StopTimeout = lifecycle.KillDelay(c.StopTimeout, c.longestTimeout())
 	return c, nil
 }
 
-// longestTimeout returns the longest client timeout of all handlers, 0 if none is stated.
+// longestTimeout returns the longest client timeout of all handlers, or 0 if none is configured.
 func (c *Config) longestTimeout() (longest time.Duration) {
 	for i := range c.Settings.Handlers {
 		longest = max(longest, c.Settings.Handlers[i].ClientTimeout.Or(0))
@@ -103,18 +103,19 @@
 	return longest
 }
 
-// ParseConfig reads the platform's part of a configuration from JSON. Fields that it does not know are ignored.
+// ParseConfig parses the platform's part of a configuration from JSON. It ignores unknown fields, and returns an error
+// if a required field is missing or a value is invalid.
 func ParseConfig(text []byte) (Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		return Config{}, fmt.Errorf("not understood: %w", err)
+		return Config{}, fmt.Errorf("decoding JSON: %w", err)
 	}
 	if err := file.checkRequired(); err != nil {
 		return Config{}, err
 	}
 	value, err := fastjson.ParseBytes(file.Settings)
 	if err != nil || value.Type() != fastjson.TypeObject {
-		return Config{}, errors.New(`field "settings" is no object`)
+		return Config{}, errors.New(`field "settings" is not an object`)
 	}
 	cfg := Config{
 		Name:         file.Name,
@@ -128,7 +129,7 @@
 	}
 	if file.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-			return Config{}, errors.New(`field "seed" is no hexadecimal number`)
+			return Config{}, errors.New(`field "seed" is not a hexadecimal number`)
 		}
 	}
 	if cfg.StopTimeout <= 0 {
@@ -138,12 +139,12 @@
 		cfg.Limits.Sockets = defaultSockets
 	}
 	if cfg.Limits.Sockets < minSockets {
-		return Config{}, fmt.Errorf("limits: %d sockets are too few, %d at least", cfg.Limits.Sockets, minSockets)
+		return Config{}, fmt.Errorf("limits: %d sockets are too few, at least %d are required", cfg.Limits.Sockets, minSockets)
 	}
 	return cfg, nil
 }
 
-// checkRequired returns an error if a field is missing that has no default.
+// checkRequired returns an error if a field without a default is missing.
 func (f *configFile) checkRequired() error {
 	required := []struct{ name, value string }{
 		{"name", f.Name},
@@ -159,11 +160,11 @@
 	return nil
 }
 
-// callsOverAJP reports whether calls go to AJP peers instead of the upstream proxy.
+// usesAJPUpstream reports whether calls go to AJP peers instead of the upstream proxy.
 func (c *Config) usesAJPUpstream() bool { return len(c.AJPUpstream.Balancer.Peers) > 0 }
 
-// Apply sets the limits of the Go runtime: the number of threads that run Go code, and the memory that the garbage
-// collector aims at. A program that embeds a backend among other things leaves it out.
+// Apply sets the limits of the Go runtime: the number of threads that run Go code at the same time, and the soft memory
+// limit of the garbage collector. A program that embeds a backend next to other work should not call it.
 func (l Limits) Apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -13,11 +13,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// goodConfig is a configuration file with all fields, and with some that are not known.
+// goodConfig is a valid configuration file that sets most fields and contains unknown ones.
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:4100","processor":"127.0.0.1:6100","seed":"ff","stop_ms":3200.5,` +
 	`"limits":{"cores":1.5,"memory_mb":192,"sockets":64},"settings":{"tickUs":1000,"later":[null]},"later":1}`
 
-// TestParse: all fields of a configuration are read, and those that are not known are ignored.
+// TestParse checks that ParseConfig reads the fields of a configuration and ignores unknown ones.
 func TestParse(t *testing.T) {
 	got, err := ParseConfig([]byte(goodConfig))
 	want := Config{
@@ -34,18 +34,18 @@
 	}
 }
 
-// TestParseErrors: a configuration that can't be used is rejected with one line that names what is wrong.
+// TestParseErrors checks that ParseConfig rejects an invalid configuration with an error that names the fault.
 func TestParseErrors(t *testing.T) {
 	for _, test := range []struct{ name, old, new, err string }{
-		{"empty", goodConfig, ``, "not understood: unexpected end of JSON input"},
-		{"no object", goodConfig, `[]`, "not understood: json: cannot unmarshal array"},
+		{"empty", goodConfig, ``, "decoding JSON: unexpected end of JSON input"},
+		{"no object", goodConfig, `[]`, "decoding JSON: json: cannot unmarshal array"},
 		{"no name", `"name":"n3",`, ``, `field "name" is missing`},
 		{"empty address", `"listen":"127.0.0.1:4100"`, `"listen":""`, `field "listen" is missing`},
 		{"no processor", `"processor":"127.0.0.1:6100",`, ``, `field "processor" is missing`},
 		{"null settings", `"settings":{"tickUs":1000,"later":[null]}`, `"settings":null`, `field "settings" is missing`},
-		{"settings of the wrong type", `"settings":{"tickUs":1000,"later":[null]}`, `"settings":7`, `field "settings" is no object`},
-		{"seed of the wrong type", `"seed":"ff"`, `"seed":"xyz"`, `field "seed" is no hexadecimal number`},
-		{"time of the wrong type", `"stop_ms":3200.5`, `"stop_ms":"soon"`, "not understood: json: cannot unmarshal string"},
+		{"settings of the wrong type", `"settings":{"tickUs":1000,"later":[null]}`, `"settings":7`, `field "settings" is not an object`},
+		{"seed of the wrong type", `"seed":"ff"`, `"seed":"xyz"`, `field "seed" is not a hexadecimal number`},
+		{"time of the wrong type", `"stop_ms":3200.5`, `"stop_ms":"soon"`, "decoding JSON: json: cannot unmarshal string"},
 		{"too few sockets", `"sockets":64`, `"sockets":9`, "limits: 9 sockets are too few"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestLoadErrors: what can't be read is told apart from what can't be used, since the former may pass.
+// TestLoadErrors checks that a file that can't be read is distinguished from a missing or invalid one: only a failed read
+// is retried.
 func TestLoadErrors(t *testing.T) {
 	t.Setenv(configPathVariable, "")
 	if _, err := LoadConfig(); err == nil || isUnreadable(err) {
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -8,21 +8,22 @@
 	"frosthub/internal/faultinject"
 )
 
-// reportInterval is how often this backend reports to the control plane. It drops a backend that was silent for 3 s, so
-// fifteen datagrams would have to be lost; each costs little.
+// reportInterval is the interval between reports to the control plane. The control plane drops a backend that was silent
+// for 3 s, which takes the loss of 15 datagrams in a row. Sending one costs little.
 const reportInterval = 200 * time.Millisecond
 
-// controlReporter renews the lease of this backend at the control plane. It reads no replies, so a control plane that is
-// silent changes nothing.
+// controlReporter renews the lease of this backend at the control plane. It reads no replies, so a control plane that
+// does not respond has no effect on the backend.
 type controlReporter struct {
 	address       string
-	conn          net.Conn // nil without a control plane, and while the system gives no socket
+	conn          net.Conn // nil without a control plane, or while no socket could be opened
 	nextReportAt  time.Duration
-	reportedReady bool // in the last report
+	reportedReady bool // the state in the last report
 	buf           []byte
 }
 
-// open sends reports to that address from now on. An error for what can't be an address changes nothing.
+// open directs reports to the given address from now on; an empty address stops them. If the address can't be resolved,
+// open returns an error and changes nothing.
 func (r *controlReporter) open(address string) error {
 	if address != "" {
 		if _, err := net.ResolveUDPAddr("udp", address); err != nil {
@@ -42,7 +43,7 @@
 	}
 }
 
-// report reports whether this backend is ready, when that is due and as soon as it has changed.
+// report sends a report when one is due and when the readiness of the backend has changed.
 func (r *controlReporter) report(b *Backend) {
 	if r.address == "" {
 		return
@@ -63,7 +64,7 @@
 	b.wakeBy(r.nextReportAt)
 }
 
-// dial takes a socket. The system may have none to give for a while.
+// dial opens the socket. If that fails, for instance for lack of file descriptors, it is retried after reportInterval.
 func (r *controlReporter) dial(b *Backend) {
 	conn, err := net.Dial("udp", r.address)
 	if err != nil {
@@ -74,8 +75,8 @@
 	r.conn = conn
 }
 
-// send sends one report. An error of the first write is the answer to an earlier report, to which nobody listened: this
-// one was not sent then.
+// send sends one report. It retries a failed write once: the error may be an ICMP error that an earlier report caused
+// because nothing was listening, in which case this report was not sent.
 func (r *controlReporter) send(b *Backend) {
 	r.buf = control.AppendReport(r.buf[:0], b.cfg.Name, r.reportedReady)
 	err := faultinject.Error(faultinject.Send)
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -11,36 +11,36 @@
 	"frosthub/overload"
 )
 
-// gaugeTimeout is how long a timer event waits for fresh gauges of the processor. After that the last ones have to do:
-// it is short beside the interval between timer events.
+// gaugeTimeout is how long a timer event is delayed until the processor has sent fresh gauges. After that the event
+// carries the previous gauges. The timeout is short compared with the interval between timer events.
 const gaugeTimeout = 10 * time.Millisecond
 
-// controllerDriver feeds the overload controller: the events of the turn, and the timer events, which carry gauges that
-// the processor is asked for first. It is not safe for concurrent use.
+// controllerDriver collects the input of the overload controller: the events of the turn, and the timer events. Before a
+// timer event it requests fresh gauges from the processor, which the event carries. It is not safe for concurrent use.
 type controllerDriver struct {
-	controller     *overload.Controller // nil until the processor is up
-	events         []overload.Event     // what has happened since the last batch, in order
-	nextTimerEvent time.Duration        // when the controller wants a timer event; 0 for none
-	gaugesDeadline time.Duration        // the timer event waits for gauges until then; 0 if it does not wait
-	gauges         []float64            // as the processor reported them last
+	controller     *overload.Controller // nil until the processor is ready
+	events         []overload.Event     // since the last batch, in order
+	nextTimerEvent time.Duration        // when the controller has requested a timer event; 0 for none
+	gaugesDeadline time.Duration        // until when the timer event waits for gauges; 0 if it is not waiting
+	gauges         []float64            // the last ones that the processor has sent
 }
 
-// addTimerEvent adds the timer event, with the gauges as they are known.
+// addTimerEvent adds a timer event with the latest gauges.
 func (d *controllerDriver) addTimerEvent() {
 	d.gaugesDeadline = 0
 	d.events = append(d.events, overload.Event{Kind: overload.Timer, Gauges: d.gauges})
 }
 
-// loadAdvice is what the controller last said about the node as a whole.
+// loadAdvice is the controller's latest output that concerns the whole node.
 type loadAdvice struct {
-	healthy       bool          // what health checks are answered
-	shallowChecks bool          // deep health checks are answered without asking the processor
-	loadSignal    []byte        // the load signal as it is written on answers; empty before the first
-	idleTimeout   time.Duration // idle connections are closed after this; 0 for the default
+	healthy       bool          // the answer to health checks
+	shallowChecks bool          // deep health checks are answered without querying the processor
+	loadSignal    []byte        // the load signal as written to responses; empty until the controller has set one
+	idleTimeout   time.Duration // how long a connection may be idle before it is closed; 0 for the default
 }
 
-// startController makes the controller, once the processor is up. Its first batch brings the health, the load signal and the
-// first timer event.
+// startController creates the controller once the processor is ready. The controller's actions on the first batch set the
+// health, the load signal and the time of the next timer event.
 func (b *Backend) startController(warmingUp bool, started time.Duration) {
 	settings := b.cfg.Settings
 	settings.Backend.Cold = warmingUp
@@ -49,7 +49,8 @@
 	b.addTimerEvent()
 }
 
-// onControllerTimer asks for the gauges when a timer event is due, and adds the event once they are there or are late.
+// onControllerTimer requests the gauges when a timer event is due, and adds the event once they have arrived or
+// gaugeTimeout has passed.
 func (b *Backend) onControllerTimer() {
 	switch {
 	case b.controller == nil || b.nextTimerEvent == 0 && b.gaugesDeadline == 0:
@@ -71,7 +72,8 @@
 	}
 }
 
-// runController hands the controller what has happened and carries out its actions, until these cause no more events.
+// runController passes the pending events to the controller and carries out its actions, until these cause no more
+// events.
 func (b *Backend) runController() {
 	for b.controller != nil && (b.drain.eventPending || len(b.events) > 0) {
 		if b.drain.eventPending {
@@ -86,7 +88,7 @@
 			b.applyAction(&actions[i])
 		}
 	}
-	invariant.Check(b.unanswered >= 0 && b.unanswered <= len(b.requests), "unanswered requests are among those known")
+	invariant.Check(b.unanswered >= 0 && b.unanswered <= len(b.requests), "the count of unanswered requests is within the number of requests")
 	invariant.Check(b.loop.Open.Load() <= int64(b.cfg.Limits.Sockets), "descriptors stay within their limit")
 	if invariant.Debug {
 		b.checkInvariants()
@@ -109,13 +111,13 @@
 	case overload.RemoveEntry:
 		b.removeCachedRead(action.ID)
 	default:
-		if r := b.requests[action.ID]; r != nil { // else it has ended in the same batch
+		if r := b.requests[action.ID]; r != nil { // nil if the request has ended in the same batch
 			b.applyToRequest(r, action)
 		}
 	}
 }
 
-// applyToRequest carries out an action that concerns one request.
+// applyToRequest carries out an action that applies to one request.
 func (b *Backend) applyToRequest(r *request, action *overload.Action) {
 	switch action.Kind {
 	case overload.Start:
@@ -135,19 +137,19 @@
 			b.makeCall(r, action.Duration)
 		}
 	default:
-		invariant.Check(false, "an action that this protocol has no message for")
+		invariant.Check(false, "the controller returns only actions that this backend supports")
 	}
 }
 
-// forgetResult drops a remembered result, also that of a request that has ended. A request that must run once is
-// forgotten by its own end, as one that never ran.
+// forgetResult removes the cached result of a read, also of one that has ended. A request that must run only once
+// leaves the cache when it ends without having run.
 func (b *Backend) removeCachedRead(id uint64) {
 	if entry := b.results.byID[id]; entry != nil && !entry.runsOnce {
 		b.results.drop(entry)
 	}
 }
 
-// applyStart has a held request run.
+// applyStart starts the run of a held request.
 func (b *Backend) applyStart(r *request) {
 	if !invariant.Check(r.state == stateHeld && b.isWanted(r), "a request that is started is held") {
 		return
@@ -164,7 +166,7 @@
 	b.startRun(r)
 }
 
-// applyCancel stops a run, or gives up one that waits for its intent to be durable.
+// applyCancel cancels a run, or ends a request whose intent is not durable yet.
 func (b *Backend) applyCancel(r *request) {
 	switch {
 	case r.state.runInProgress():
@@ -175,7 +177,8 @@
 	}
 }
 
-// applyReject answers a request that is shed. While the process ends, another node of the cluster may take it instead.
+// applyReject rejects a request that is shed. During shutdown it hands the request off to another node of the cluster
+// instead, if one accepts it.
 func (b *Backend) applyReject(r *request, action *overload.Action) {
 	if r.failedOver {
 		b.cluster.recordFailoverResponse(r, accounting.Shed)
@@ -185,7 +188,7 @@
 	if b.process.Phase() > lifecycle.Serving && b.cluster.handOff(r) {
 		return
 	}
-	if invariant.Check(r.state == stateHeld, "a request that is shed never ran") {
+	if invariant.Check(r.state == stateHeld, "a request that is shed has not run") {
 		b.frontend.respondShed(r, action.RetryAfter, action.NoRetry)
 	} else {
 		b.frontend.respondFailure(r, accounting.Cancelled)
@@ -193,7 +196,8 @@
 	b.finishAnswered(r)
 }
 
-// applyFail answers a request without its result. Its run goes on until it is cancelled, unless it waits for a call.
+// applyFail answers a request with a failure. The run of the request continues until it is cancelled, except that a run
+// without a client that waits for a call is cancelled at once.
 func (b *Backend) applyFail(r *request) {
 	switch {
 	case b.hasClient(r):
@@ -206,15 +210,15 @@
 	case r.failedOver && r.state < stateAwaitingIntent:
 		b.cluster.recordFailoverResponse(r, accounting.Cancelled)
 		b.releaseUnstarted(r)
-	case r.state >= stateAwaitingCall: // nobody waits for its answer, but the run waits for its call
+	case r.state >= stateAwaitingCall: // no client waits for the answer, but the run waits for a call
 		b.cancelRun(r)
 	}
 }
 
-// applyCoalesce answers a repeat from its original request, now or once that has ended.
+// applyCoalesce answers a repeat with the result of its original request, at once or when the original has ended.
 func (b *Backend) applyCoalesce(r *request) {
 	switch {
-	case !invariant.Check(r.state == stateHeld && b.isWanted(r) && r.originalID != 0, "a request that joins another is a held repeat"):
+	case !invariant.Check(r.state == stateHeld && b.isWanted(r) && r.originalID != 0, "a request that is coalesced is a held repeat"):
 	case r.guard != nil && !r.guard.replayable:
 		b.guard.join(r)
 	default:
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -11,24 +11,24 @@
 	"frosthub/lifecycle"
 )
 
-// Counters say what a backend has received, sent and answered since its start.
+// Counters count the events of a backend since its start. The fields marked "now" are current values.
 type Counters struct {
 	// Connections of clients.
-	Accepted       int64 // accepted
-	ConnsRefused   int64 // for which there was no room
+	Accepted       int64
+	ConnsRefused   int64 // closed on accept for lack of room
 	ConnsClosed    int64
-	ConnsEvicted   int64 // closed here because they were idle
-	BadConns       int64 // cut because they did not keep to the protocol
-	DiscardedBytes int64 // bytes that were discarded unread
-	Open           int64 // now: connections of all kinds
+	ConnsEvicted   int64 // closed by this backend because they were idle
+	BadConns       int64 // terminated because the client violated the protocol
+	DiscardedBytes int64 // bytes received and discarded without being parsed
+	Open           int64 // now: open connections of all kinds
 
 	// Requests.
 	Checks      int64 // health checks
 	BadRequests int64 // rejected as malformed
-	Unanswered  int64 // whose client left without its answer
-	Pending     int64 // now: without their answer
-	FailedOver  int64 // from other nodes of the cluster
-	HandedOff   int64 // to other nodes of the cluster
+	Unanswered  int64 // whose client disconnected before it was answered
+	Pending     int64 // now: not answered yet
+	FailedOver  int64 // taken over from other nodes of the cluster
+	HandedOff   int64 // handed off to other nodes of the cluster
 
 	// Runs.
 	Started int64
@@ -36,36 +36,36 @@
 	Ended   int64
 
 	// Calls to the upstream tier.
-	CallsRequested int64 // that runs have asked for
-	Calls          int64 // that were made
+	CallsRequested int64 // that runs have requested
+	Calls          int64 // that were started
 	CallsOK        int64
 	CallsFailed    int64
 
 	// The link to the processor.
-	Links      int64 // connections made
+	Links      int64 // connections established
 	LinksLost  int64
 	Rejects    int64 // commands that it rejected
 	Remarks    int64
-	Repeated   int64 // commands that were retried after a break
-	GaugesLate int64 // timer events that did not get fresh gauges
+	Repeated   int64 // commands that were retried after the link was lost
+	GaugesLate int64 // timer events for which fresh gauges did not arrive in time
 
 	// The owner.
 	Reports    int64 // to the control plane
-	Batches    int64 // handed to the overload controller
-	Events     int64 // in those
+	Batches    int64 // passed to the overload controller
+	Events     int64 // in those batches
 	Reloads    int64 // of the configuration
-	Stalls     int64 // turns that came later than they were due, by stallMin or more
-	ClockSteps int64 // steps of the time of day
-	Broken     int64 // invariants found broken
-	Violations int64 // acts that a rule forbade at the moment of the act, and that were not done
+	Stalls     int64 // turns that began late by minStall or more
+	ClockSteps int64 // steps of the wall clock
+	Broken     int64 // violations of invariants
+	Violations int64 // operations that package lifecycle forbade and that were not carried out
 
-	// Accounts, over all processes that the statistics file knows; of this process alone without one.
+	// Accounts, over all incarnations in the statistics file; without a file, of this process alone.
 	Requests   accounting.Counts
-	Mismatches int64            // sums found not to add up
-	Reasons    map[string]int64 // of the requests that are closed
+	Mismatches int64            // mismatches found in the accounts
+	Reasons    map[string]int64 // closed requests by reason
 }
 
-// Counters returns the counters. It may be called from any goroutine while Serve runs and after that.
+// Counters returns the counters. It may be called from any goroutine while Serve runs and after it has returned.
 func (b *Backend) Counters() Counters {
 	var counters Counters
 	b.runOnOwner(func() { counters = b.counters() })
@@ -74,7 +74,7 @@
 
 func (b *Backend) counters() Counters {
 	c := b.stats
-	if b.ledger != nil { // Serve has begun
+	if b.ledger != nil { // Serve has opened it
 		c.Requests = b.ledger.Total()
 		c.Mismatches = b.ledger.MismatchCount()
 		c.Reasons = sumReasons(b.ledger)
@@ -87,7 +87,7 @@
 	return c
 }
 
-// LogValue returns the counters in groups, under the words that operators search for.
+// LogValue returns the counters as groups of log attributes.
 func (c Counters) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Group("conns", "taken", c.Accepted, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed", c.ConnsEvicted,
@@ -111,7 +111,7 @@
 		slog.Any("reasons", c.reasons()))
 }
 
-// reasons returns why requests were closed, in the order of the words.
+// reasons returns the numbers of closed requests by reason, sorted by reason.
 func (c Counters) reasons() slog.Value {
 	var attrs []slog.Attr
 	for _, reason := range slices.Sorted(maps.Keys(c.Reasons)) {
@@ -120,7 +120,7 @@
 	return slog.GroupValue(attrs...)
 }
 
-// reasonsOf adds up the reasons of all rows of a ledger.
+// reasonsOf returns the numbers of closed requests by reason, summed over all rows of a ledger.
 func sumReasons(ledger *accounting.Ledger) map[string]int64 {
 	sums := map[string]int64{}
 	for _, row := range ledger.Report(false).Rows {
@@ -131,13 +131,15 @@
 	return sums
 }
 
-// recordViolation counts and logs an act that a rule forbids at this moment. The caller leaves it undone.
+// recordViolation counts and logs an operation on a request that package lifecycle forbids. The caller does not carry it
+// out.
 func (b *Backend) recordViolation(operation string, r *request, verdict lifecycle.Decision) {
 	b.stats.Violations++
 	b.log.Error("lifecycle violation prevented", "act", operation, "id", r.wireID, "reason", verdict)
 }
 
-// logLimited logs a warning, at most once a second for each kind, with the number left out since the last one.
+// logLimited logs a warning, at most once a second for each message, with the number of suppressed warnings since the
+// last one.
 func (b *Backend) logLimited(message string, args ...any) {
 	limiter := b.logLimits[message]
 	if limiter == nil {
@@ -154,7 +156,8 @@
 	b.log.Warn(message, args...)
 }
 
-// parseLogged returns a function for a connection's OnData that feeds a parser, and logs the errors of that under kind.
+// parseLogged returns a function for a connection's OnData that feeds a parser and logs its errors as warnings with the
+// given message.
 func (b *Backend) parseLogged(message string, feed func([]byte) error) func([]byte) error {
 	return func(p []byte) error {
 		err := feed(p)
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -8,8 +8,9 @@
 	"frosthub/accounting"
 )
 
-// sweep closes connections that have been idle for too long, or the longest idle ones where places run short. It
-// rejects requests that take too long to be complete, and answers deep health checks that the processor did not answer.
+// sweep closes connections that have been idle for too long, and the longest idle ones if there are too many connections.
+// It rejects requests that stay incomplete for too long, and answers deep health checks to which the processor has not
+// responded in time.
 func (f *frontend) sweep() {
 	idleTimeout := min(maxIdle, cmp.Or(f.backend.advice.idleTimeout, maxIdle))
 	for client := range f.clients {
@@ -27,12 +28,12 @@
 	case client.readStopped:
 	case !client.hasSentRequest && b.now-client.acceptedAt >= partialTimeout:
 		f.terminateConnection(client, errIncomplete)
-	case overdue: // its other requests may be good
+	case overdue: // rejects one request: the others of the connection may be valid
 		f.rejectMalformed(partial, f.openAccountWithoutID(client), 0, accounting.Incomplete, errIncomplete.Error())
 		f.updatePartialBytes(client)
 	case !client.idle():
 	case client.conn.Closing():
-		if idleTime >= idleTimeout+partialTimeout { // part of a message keeps it from its end
+		if idleTime >= idleTimeout+partialTimeout { // a partial message prevents the graceful close
 			f.terminateConnection(client, errIncomplete)
 		}
 	case idleTime >= idleTimeout:
@@ -44,12 +45,12 @@
 	}
 }
 
-// evictionThreshold returns how many connections there may be before the longest idle ones are closed.
+// evictionThreshold returns the number of connections above which the longest idle ones are closed.
 func (f *frontend) evictionThreshold() int { return int(evictionShare * float64(f.connectionLimit())) }
 
-// evict closes the longest idle connections where there are more than there should be. It is called for each new
-// connection and not only by sweep: a flood of silent clients takes all places between two sweeps, and other clients
-// would find none.
+// evict closes the longest idle connections while there are more connections than evictionThreshold. It is called for
+// each new connection and not only by sweep: between two sweeps a flood of silent clients could use up all connections
+// and lock out other clients.
 func (f *frontend) evict() {
 	var idle []*clientConn
 	excess := -f.evictionThreshold()
@@ -68,22 +69,22 @@
 	slices.SortFunc(idle, func(x, y *clientConn) int { return cmp.Compare(x.lastUsed, y.lastUsed) })
 	for _, client := range idle[:min(len(idle), excess)] {
 		f.backend.stats.ConnsEvicted++
-		if !client.hasSentRequest && client.protocol.midMessage() { // a client that never sent a complete message would stay for seconds
+		if !client.hasSentRequest && client.protocol.midMessage() { // otherwise the partial message would delay the close for seconds
 			f.stopReading(client)
 		}
 		client.conn.CloseGracefully(errEvicted)
 	}
 }
 
-// closeAllWhenIdle closes all connections, each as soon as nothing is open on it.
+// closeAllWhenIdle closes each connection as soon as no request is open on it.
 func (f *frontend) closeAllWhenIdle() {
 	for client := range f.clients {
 		client.conn.CloseGracefully(errShuttingDown)
 	}
 }
 
-// closeAllRejectingPartials closes all connections like closeAll, and does not wait for the rest of what was partly read: requests are
-// rejected, and what is only part of a message is discarded.
+// closeAllRejectingPartials closes all connections like closeAllWhenIdle, but without waiting for the rest of partially
+// read input: it rejects partially read requests and discards partial messages.
 func (f *frontend) closeAllRejectingPartials() {
 	for client := range f.clients {
 		f.rejectPartials(client)
@@ -94,7 +95,7 @@
 	}
 }
 
-// rejectPartials rejects all requests of a connection that are partly read.
+// rejectPartials rejects all partially read requests of a connection.
 func (f *frontend) rejectPartials(client *clientConn) {
 	for {
 		partial, found := client.protocol.overdue(f.backend.now)
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -8,8 +8,8 @@
 	"frosthub/backend"
 )
 
-// A program that embeds a backend parses a configuration, adds what its operator chose, and serves until its context is
-// done. Serve returns once every request that was read is answered.
+// A program that embeds a backend parses a configuration, adds the operator's settings, and serves until its context is
+// done. Serve returns once every request that it has read is answered.
 func Example() {
 	cfg, err := backend.ParseConfig([]byte(`{
 		"name": "n1",
@@ -39,7 +39,7 @@
 	// served: <nil>
 }
 
-// What is wrong with a configuration is said in one line.
+// An error for an invalid configuration names the fault in one line.
 func ExampleParseConfig() {
 	_, err := backend.ParseConfig([]byte(`{"name": "n1", "listen": "127.0.0.1:4100"}`))
 	fmt.Println(err)
--- a/backend/main.go
+++ b/backend/main.go
@@ -15,35 +15,37 @@
 )
 
 const (
-	logFlushTimeout = 50 * time.Millisecond // for the log when the process exits: its reader may stall, and the kill is near
+	logFlushTimeout = 50 * time.Millisecond // for flushing the log at exit: its reader may have stalled, and the process is killed soon
 
-	// Retries to read a configuration file that is there and that the disk did not give.
+	// Retries of a read of the configuration file that failed although the file exists.
 	configRetryInterval = 200 * time.Millisecond
 	configRetryTimeout  = 30 * time.Second // after SIGHUP
-	startupRetryTimeout = 10 * time.Second // at the start: a node has 30 s to be ready
+	startupRetryTimeout = 10 * time.Second // at startup: a node has 30 s to become ready
 )
 
-// Main runs one backend as a process, and returns when that may exit. It reads the platform's configuration, see Load,
-// and logs to standard error. SIGTERM and SIGINT drain the backend, SIGHUP has it read the configuration again, and
-// SIGUSR1 has it log its counters.
+// Main runs one backend as a process, and returns when the process may exit. It reads the platform's configuration, see
+// LoadConfig, and logs to standard error. SIGTERM and SIGINT drain the backend, SIGHUP reloads the configuration, and
+// SIGUSR1 logs the counters.
 //
-// Main calls configure to fill in the operator's part of each configuration that was read. It calls attach once with the
-// backend, before that serves, to start what runs beside it; the function that attach returns is called when the backend
-// has ended.
+// Main calls configure to fill in the operator's part of each configuration that it has read. Before the backend serves,
+// Main calls attach once with it, to start servers that run next to the backend. The stop function that attach returns
+// is called when the backend has ended. Main returns an error if the configuration can't be loaded, if attach fails, or
+// if Serve fails.
 func Main(configure func(*Config) error, attach func(*Backend) (stop func(), err error)) error {
 	signals := make(chan os.Signal, 8)
-	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1) // first of all: unhandled they end the process
+	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1) // before anything else: unhandled, they end the process
 	defer signal.Stop(signals)
-	// Both stay caught until the process has exited, also after stop: one that comes while Main returns changes nothing.
+	// SIGTERM and SIGINT stay caught until the process has exited, also after stop, so that a signal that arrives while
+	// Main returns has no effect.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM, syscall.SIGINT)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // a second one changes nothing
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT) // a second signal has no effect
 	defer stop()
 	cfg, err := loadConfigAtStart(ctx, configure)
 	if err != nil {
 		return err
 	}
 	cfg.Limits.Apply()
-	signal.Ignore(syscall.SIGPIPE) // whoever reads the log may go: that ends nothing
+	signal.Ignore(syscall.SIGPIPE) // the process that reads the log may exit; writing to it must not end this one
 	lines := asynclog.New(os.Stderr)
 	defer lines.Flush(logFlushTimeout)
 	log := slog.New(slog.NewTextHandler(lines, nil))
@@ -60,9 +62,9 @@
 	return b.Serve(ctx)
 }
 
-// handleSignals carries out what signals ask for while the backend serves, until done is closed.
+// handleSignals handles SIGHUP and SIGUSR1 while the backend serves, until done is closed.
 func (b *Backend) handleSignals(signals <-chan os.Signal, done <-chan struct{}, configure func(*Config) error) {
-	var retry <-chan time.Time // the configuration file could not be read, and is to be
+	var retry <-chan time.Time // set while a read of the configuration file has to be retried
 	var retryUntil time.Time
 	for {
 		select {
@@ -83,7 +85,7 @@
 	}
 }
 
-// load reads the platform's configuration and has the operator's part filled in.
+// loadConfig reads the platform's configuration and calls configure to fill in the operator's part.
 func loadConfig(configure func(*Config) error) (Config, error) {
 	cfg, err := LoadConfig()
 	if err == nil {
@@ -92,13 +94,13 @@
 	return cfg, err
 }
 
-// isUnreadable reports whether an error says that a file is there and the disk did not give it. That may pass.
+// isUnreadable reports whether err is a failure to read a file that exists. Such an error may be temporary.
 func isUnreadable(err error) bool {
 	var disk *fs.PathError
 	return errors.As(err, &disk) && !errors.Is(err, fs.ErrNotExist)
 }
 
-// loadAtStart reads the configuration, and retries for a while where the disk does not give it.
+// loadConfigAtStart loads the configuration, and retries for up to startupRetryTimeout while the file can't be read.
 func loadConfigAtStart(ctx context.Context, configure func(*Config) error) (Config, error) {
 	for end := time.Now().Add(startupRetryTimeout); ; time.Sleep(configRetryInterval) {
 		cfg, err := loadConfig(configure)
@@ -108,8 +110,8 @@
 	}
 }
 
-// reloadFile reads the configuration again and has the backend use it. One that can't be used changes nothing. An
-// unreadable one has to be tried again: the addresses that are in use may be gone for good.
+// reloadFile reads the configuration again and applies it. An invalid configuration changes nothing. If the file can't
+// be read, the caller has to retry, since the addresses in use may be gone for good.
 func (b *Backend) reloadFile(configure func(*Config) error) error {
 	cfg, err := loadConfig(configure)
 	if err != nil {
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// processorAgeMax is how long before this process the processor may have started. The owner's clock begins so long
-	// before the process does, which keeps every span positive.
+	// processorAgeMax is the longest time that the processor may have been running when this process starts. The owner's
+	// clock starts this long before the process, so that the start time of the processor is never negative.
 	maxProcessorAge = time.Hour
 
-	// stallMin is how late a turn must be to count as a stall. A busy machine keeps a thread waiting for less.
+	// minStall is how late a turn must begin to count as a stall. Scheduling delays of a busy machine are shorter.
 	minStall = 100 * time.Millisecond
 
-	// maxTurnInterval is the longest sleep of the owner.
+	// maxTurnInterval is the longest time between two turns.
 	maxTurnInterval = time.Second
 )
 
-// ownerClock is the time as the owner goroutine sees it. Both clocks are read once a turn, at the same moment, so that
-// everything which happens in a turn happens at one time. It is not safe for concurrent use.
+// ownerClock holds the time of the owner's current turn. The monotonic and the wall clock are read together once a turn,
+// so that all events of a turn have the same time. It is not safe for concurrent use.
 type ownerClock struct {
-	origin       time.Time     // the origin of now
-	now          time.Duration // monotonic time since start
-	wallTime     time.Duration // the same moment as a span since the start of 1970, for stamps alone
-	wakeAt       time.Duration // when the owner wakes next without news
+	origin       time.Time     // the zero of now
+	now          time.Duration // monotonic time since origin
+	wallTime     time.Duration // the same moment as time since the Unix epoch; used for timestamps only
+	wakeAt       time.Duration // when the owner begins its next turn if nothing arrives
 	heartbeat    lifecycle.EventTimeBound
 	arrivalDelay arrival.DelayEstimator
 }
 
-// clockReading is what reading the clocks has shown.
+// clockReading is the result of reading both clocks.
 type clockReading struct {
 	at    time.Time
-	step  time.Duration // by how much the time of day has stepped; 0 if it has not
-	stall time.Duration // how much later than due the turn came
+	step  time.Duration // by how much the wall clock has stepped; 0 if it has not
+	stall time.Duration // how much later than due the turn began
 }
 
-// read takes the time of this turn from both clocks.
+// readTime reads both clocks for this turn.
 func (c *ownerClock) readTime() clockReading {
 	at := time.Now()
 	c.now = at.Sub(c.origin)
@@ -48,13 +48,14 @@
 	return clockReading{at: at, step: step, stall: stall}
 }
 
-// wakeBy makes the owner wake at t at the latest.
+// wakeBy makes the owner begin its next turn at t at the latest.
 func (c *ownerClock) wakeBy(t time.Duration) { c.wakeAt = min(c.wakeAt, t) }
 
-// untilWake is how long the owner may sleep from now on.
+// untilWake returns how long the owner may sleep from now on.
 func (c *ownerClock) untilWake() time.Duration { return max(0, c.wakeAt-time.Since(c.origin)) }
 
-// readClocks takes the time of this turn, and counts and logs steps of the time of day and stalls of the process.
+// readClocks reads both clocks for this turn, and counts and logs steps of the wall clock and stalls of the process. It
+// returns the time at which the turn began.
 func (b *Backend) readClocks() time.Time {
 	reading := b.readTime()
 	if reading.step != 0 {
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -9,53 +9,54 @@
 	"frosthub/overload"
 )
 
-// Limits of the cache of results.
+// Limits of the result cache.
 const (
-	// resultCacheShare is the part of the memory limit that the cache may take.
+	// resultCacheShare is the share of the memory limit that the cache may use.
 	resultCacheShare = 0.08
-	// cacheEntryBytes is what an entry takes beside its names and its result.
+	// cacheEntryBytes is the memory that an entry takes in addition to its names and its result.
 	entryOverheadBytes = 400
-	// maxCachedResult is the size of the largest result in bytes, as the protocol of the deployment has it.
+	// maxCachedResult is the size in bytes of the largest result that the protocol of the deployment allows.
 	maxCachedResult = 4 << 10
-	// maxRecentRepeats is how many ids of the repeats of an entry are kept.
+	// maxRecentRepeats is the number of ids of recent repeats that are kept for an entry.
 	maxRecentRepeats = 8
-	// windowMargin is added to a window: both the start of a request and the time come in whole milliseconds.
+	// windowMargin is added to a repeat window, since the start time of a request and the wall clock have a resolution
+	// of 1 ms.
 	windowMargin = 2 * time.Millisecond
 )
 
-// cacheKey is what requests must have in common so that one may be answered with another's result. For a request that
-// must run once it is the idempotency key, which is its customer's own. For a read it is the object read and the body,
-// since the result is made of both. A key without a name is none.
+// cacheKey identifies requests that may be answered with each other's results. For a request that must run only once it
+// consists of the idempotency key and the customer to whom that belongs. For a read it consists of the resource and the
+// hash of the body, since the result depends on both. A request whose key has no name is not cached.
 type cacheKey struct {
 	handler        int
 	customer, name string
 	body           [sha256.Size]byte
 }
 
-// cacheEntry is a cached request. It has a result once the run of the request has succeeded.
+// cacheEntry is a cached request. It has a result once the request has succeeded.
 type cacheEntry struct {
 	id            uint64
-	recentRepeats []uint64 // ids of the last requests that repeated it
+	recentRepeats []uint64 // ids of its most recent repeats
 	key           cacheKey
-	runsOnce      bool          // it must not run again: a repeat gets what came of it, even if that is nothing
-	expiresAt     time.Duration // if it must run once, what arrived before is a repeat; if it is a read, what is read before
+	runsOnce      bool          // it must not run again: a repeat gets its outcome, even if it has no result
+	expiresAt     time.Duration // bounds the arrival time of repeats if runsOnce is set, otherwise the time at which they are read
 	ended         bool
 	succeeded     bool
 	result        []byte
 	bytes         int
 }
 
-// resultCache holds requests that others may repeat. Reads are kept as long as the overload controller says, and their
-// results may be shared. Requests that must run once are kept from their arrival until all that arrived within their
-// window was read.
+// resultCache holds requests and their results, with which it answers repeats. The overload controller decides how long a
+// read is kept. A request that must run only once is kept from its arrival until every request that arrived within its
+// repeat window was read.
 //
-// Its methods are called by the goroutine that owns the backend.
+// Its methods must be called by the owner goroutine of the backend.
 type resultCache struct {
 	backend           *Backend
 	entries           map[cacheKey]*cacheEntry
 	byID              map[uint64]*cacheEntry
 	usedBytes         int
-	readShareDuration time.Duration // how long after its end the result of a read may be shared
+	readShareDuration time.Duration // how long after a read has ended its result may be reused; 0 disables reuse
 }
 
 func (c *resultCache) init(b *Backend) {
@@ -65,7 +66,7 @@
 	c.readShareDuration = b.cfg.Settings.Backend.ReuseFor
 }
 
-// keyOf returns the cache key of a request for an object; once is its idempotency key.
+// keyOf returns the cache key of a request. The arguments after r are from its header and may be empty.
 func (c *resultCache) keyOf(r *request, resource, customer, idempotencyKey string) cacheKey {
 	switch {
 	case c.backend.handlers[r.handler].deduplicated:
@@ -76,7 +77,7 @@
 	return cacheKey{handler: r.handler, name: resource, body: sha256.Sum256(r.body)}
 }
 
-// find returns the entry that a request repeats, nil if there is none.
+// find returns the entry that a request repeats, or nil if there is none.
 func (c *resultCache) find(r *request) *cacheEntry {
 	entry := c.entries[r.cacheKey]
 	if entry == nil {
@@ -92,16 +93,16 @@
 	return entry
 }
 
-// checkRepeat marks a request that is about to be submitted to the overload controller as a repeat of the cached one, if
-// there is one. A request that must run once is cached from then on, since its repeat may come in the same batch.
+// checkRepeat marks a request that is about to be submitted to the overload controller as a repeat of a cached request, if
+// there is one. Otherwise it caches the request if that must run only once, since its repeat may arrive in the same batch.
 //
-// It returns why the request can't be admitted, or accounting.None. There may be no room to cache it, or nobody could
-// be asked whether the processor knows it, or its id is that of an earlier attempt. Each attempt has an id of its own:
-// somebody replays what an edge node sent, and the processor, which knows the id, would not be asked to run what is
-// answered from the cache.
+// It returns the reason why the request can't be admitted, or accounting.NoReason: there is no room to cache it, the
+// processor could not be queried about its id, or its id is that of an earlier attempt. Each attempt has an id of its own,
+// so a request with a known id is a replay of an edge node's message. The processor rejects known ids, but does not see
+// requests that are answered from the cache.
 func (c *resultCache) checkRepeat(r *request) accounting.Reason {
 	if r.cacheKey.name == "" {
-		return accounting.NoReason // nothing by which a repeat could be known
+		return accounting.NoReason // without a key no repeat can be recognized
 	}
 	if entry := c.find(r); entry != nil {
 		return c.linkRepeat(r, entry)
@@ -115,7 +116,7 @@
 // linkRepeat marks r as a repeat of a cached request.
 func (c *resultCache) linkRepeat(r *request, entry *cacheEntry) accounting.Reason {
 	if c.backend.canCancel && !r.verified {
-		return accounting.NotReady // nobody could be asked whether it is an edge node's
+		return accounting.NotReady // the processor could not be queried whether the request is an edge node's
 	}
 	if r.id == entry.id || slices.Contains(entry.recentRepeats, r.id) {
 		return accounting.UnknownRequest
@@ -127,7 +128,8 @@
 	return accounting.NoReason
 }
 
-// add caches a request and reports whether there was room, also for the result of one that must run once.
+// add caches a request and reports whether there was room. For a request that must run only once it reserves the room
+// for a result of maxCachedResult bytes.
 func (c *resultCache) add(r *request) bool {
 	c.drop(c.entries[r.cacheKey])
 	handler := &c.backend.handlers[r.handler]
@@ -154,8 +156,8 @@
 	return float64(c.usedBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
 }
 
-// remember follows the overload controller's decision that repeats of r may be answered with its result; for a read it
-// says for how long.
+// remember carries out the overload controller's decision that repeats of r may be answered with its result, for a read
+// during the given lifetime.
 func (c *resultCache) storeEntry(r *request, lifetime time.Duration) {
 	if r.cacheKey.name == "" || c.byID[r.id] == nil && !c.add(r) {
 		return
@@ -165,7 +167,7 @@
 	}
 }
 
-// baseBytes is what an entry takes without a result.
+// baseBytes returns the size of an entry without its result.
 func (e *cacheEntry) baseBytes() int {
 	return entryOverheadBytes + len(e.key.customer) + len(e.key.name)
 }
@@ -181,8 +183,8 @@
 	delete(c.byID, entry.id)
 }
 
-// join answers a repeat like the original request, now or when that ends. An original that is no longer cached never
-// ran.
+// join answers a repeat like its original request, at once or when the original ends. An original that is neither in
+// flight nor cached never ran.
 func (c *resultCache) join(r *request) {
 	if original := c.backend.requests[r.originalID]; original != nil {
 		r.joinOriginal()
@@ -200,7 +202,7 @@
 	c.answerFollower(r, end)
 }
 
-// answerFollower ends a repeat as the original request has ended.
+// answerFollower ends a repeat with the outcome of its original request.
 func (c *resultCache) answerFollower(r *request, original requestEnd) {
 	switch {
 	case original.outcome == overload.OK:
@@ -217,8 +219,8 @@
 	c.requestEnded(original, requestEnd{outcome: overload.Failed})
 }
 
-// requestEnded implements requestObserver. The result of an original request is kept for a while if it succeeded, and
-// its followers are answered alike.
+// requestEnded implements requestObserver. It records the outcome of an original request and ends its followers with the
+// same outcome.
 func (c *resultCache) requestEnded(original *request, end requestEnd) {
 	if entry := c.byID[original.id]; entry != nil {
 		c.recordEnd(entry, end)
@@ -226,14 +228,14 @@
 	followers := original.followers
 	original.followers = nil
 	for _, follower := range followers {
-		if c.backend.requests[follower.id] == follower { // else given up meanwhile
+		if c.backend.requests[follower.id] == follower { // else it has ended meanwhile
 			c.answerFollower(follower, end)
 		}
 	}
 }
 
-// storeEnd records in an entry how its request has ended. A read without a result is dropped. A request that must run
-// once is dropped only if it never ran: otherwise a repeat would be its second run.
+// storeEnd records in an entry how its request has ended. It drops a read without a result. It drops a request that must run
+// only once if that never ran; in any other case a repeat would be a second run.
 func (c *resultCache) recordEnd(entry *cacheEntry, end requestEnd) {
 	entry.ended = true
 	c.usedBytes -= entry.bytes
@@ -253,10 +255,10 @@
 	}
 }
 
-// sweep drops the entries that have expired. A request that must run once stays until all that arrived within its
-// window was read: what lay unread for longer than its client's timeout is rejected on arrival.
+// sweep drops the entries that have expired. A request that must run only once stays until every request that arrived
+// within its repeat window was read: a request that was unread for longer than the client timeout is rejected when read.
 func (c *resultCache) sweep() {
-	for _, entry := range c.byID { // only removals: the order doesn't matter
+	for _, entry := range c.byID { // only removes entries: the order does not matter
 		expiresAt := entry.expiresAt
 		if entry.runsOnce {
 			expiresAt += c.backend.handlers[entry.key.handler].clientTimeout
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -9,7 +9,7 @@
 	"frosthub/overload"
 )
 
-// newCacheBackend returns a backend that doesn't serve, for tests of its result cache that set the clock.
+// newCacheBackend returns a backend that does not serve, for tests of its result cache that set the clock.
 func newCacheBackend(t *testing.T, memoryMB string) *Backend {
 	t.Helper()
 	s := &testbed{t: t, listenAddress: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
@@ -20,11 +20,11 @@
 
 // Handlers of the test's settings.
 const (
-	readHandler  = 0 // reads, shared for 0.8 s
-	claimHandler = 1 // runs once, with a window of 60 s
+	readHandler  = 0 // reads, whose results are shared for 0.8 s
+	claimHandler = 1 // requests that run only once, with a repeat window of 60 s
 )
 
-// newCacheRequest returns a request that is read now and arrived some time before.
+// newCacheRequest returns a request that is read now and that arrived the duration unread earlier.
 func newCacheRequest(b *Backend, id uint64, handler int, name string, unread time.Duration) *request {
 	return &request{
 		id:        id,
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestCacheWindows checks that whether a request repeats one that must run once depends on when it arrived and not on
-// when it was read, and that the result of a read is shared until some time after its end.
+// TestCacheWindows checks that a request counts as a repeat of one that must run only once by the time when it arrived,
+// not when it was read, and that the result of a read is shared for a limited time after its end.
 func TestCacheWindows(t *testing.T) {
 	b := newCacheBackend(t, "192")
 	const second, ms = time.Second, time.Millisecond
@@ -50,8 +50,8 @@
 	}{
 		{at: 1 * second, id: 1, handler: claimHandler},
 		{at: 61*second - ms, id: 2, handler: claimHandler, repeats: 1},
-		{at: 61*second + 500*ms, id: 3, handler: claimHandler, unread: 501 * ms, repeats: 1}, // arrived in the window's last moment
-		{at: 62 * second, id: 4, handler: claimHandler, unread: second - 3*ms},               // arrived right after it
+		{at: 61*second + 500*ms, id: 3, handler: claimHandler, unread: 501 * ms, repeats: 1}, // arrived just before the end of the window
+		{at: 62 * second, id: 4, handler: claimHandler, unread: second - 3*ms},               // arrived just after the end of the window
 		{at: 62 * second, id: 5, handler: readHandler},
 		{at: 62*second + 799*ms, id: 6, handler: readHandler, repeats: 5},
 		{at: 62*second + 801*ms, id: 7, handler: readHandler, unread: 10 * ms},
@@ -71,12 +71,12 @@
 	b.now = time.Hour
 	b.results.sweep()
 	if len(b.results.byID) > 0 || len(b.results.entries) > 0 || b.results.usedBytes != 0 {
-		t.Error("not all has expired:", len(b.results.byID), len(b.results.entries), b.results.usedBytes)
+		t.Error("not all entries have expired:", len(b.results.byID), len(b.results.entries), b.results.usedBytes)
 	}
 }
 
-// TestCacheFull checks that at the limit of memory requests that must run once are rejected, and none of the cached
-// ones is dropped.
+// TestCacheFull checks that at the memory limit requests that must run only once are rejected, and that no cached one is
+// dropped.
 func TestCacheFull(t *testing.T) {
 	b := newCacheBackend(t, "1")
 	claim := func(id uint64, name int) *request { return newCacheRequest(b, id, claimHandler, fmt.Sprint(name), 0) }
@@ -87,13 +87,13 @@
 		}
 	}
 	if admitted == 0 || admitted == 100 || float64(b.results.usedBytes) > b.memoryShare(resultCacheShare) {
-		t.Error(admitted, "of 100 are admitted,", b.results.usedBytes, "bytes are kept")
+		t.Error(admitted, "of 100 requests were admitted,", b.results.usedBytes, "bytes are cached")
 	}
 	for i := range admitted {
 		id := uint64(i) + 1
 		b.results.requestEnded(claim(id, i), requestEnd{outcome: overload.Failed, mayHaveRun: true})
 		if r := claim(id+999, i); b.results.checkRepeat(r) != accounting.NoReason || r.originalID != id {
-			t.Fatal(i, "is forgotten")
+			t.Fatal(i, "is no longer cached")
 		}
 	}
 	b.results.requestWithdrawn(&request{id: 1})
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestOptionalRequestFields checks that a customer is known by its name in the settings, and that a client's timeout is
-// taken from its header.
+// TestOptionalRequestFields checks that the customer of a request is looked up in the settings by name, and that the
+// client timeout is taken from its header.
 func TestOptionalRequestFields(t *testing.T) {
 	for _, front := range []string{"fastcgi", "ajp"} {
 		t.Run(front, func(t *testing.T) {
@@ -119,10 +119,10 @@
 			s.backend.runOnOwner(func() {
 				known, unknown := s.backend.requests[1], s.backend.requests[2]
 				if known == nil || known.arrival.Customer != 1 || known.arrival.Remaining <= 0 || known.arrival.Remaining > 700*time.Millisecond {
-					t.Error("a known customer with a timeout:", known)
+					t.Error("request of a configured customer with a timeout:", known)
 				}
 				if unknown == nil || unknown.arrival.Customer != -1 || unknown.arrival.Remaining != 0 {
-					t.Error("a customer that the settings don't have:", unknown)
+					t.Error("request of a customer that is not in the settings:", unknown)
 				}
 			})
 		})
--- a/backend/signal_test.go
+++ b/backend/signal_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSignals: a configuration is read again at SIGHUP, one that can't be used changes nothing, SIGTERM ends well.
+// TestSignals checks that SIGHUP reloads the configuration, that an invalid configuration changes nothing, and that Main
+// returns without an error after SIGTERM.
 func TestSignals(t *testing.T) {
 	bed := newTestbed(t)
 	bed.options = map[string]string{"stop_ms": "500"}
--- a/backend/test_client_test.go
+++ b/backend/test_client_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// testClient is one connection of a client whose answers are read one by one.
+// testClient is one FastCGI connection of a client whose responses are read one at a time.
 type testClient struct {
 	t      *testing.T
 	conn   *net.TCPConn
@@ -37,7 +37,8 @@
 	}
 }
 
-// readAnswer reads a whole answer: its slot and first line; "end" is the orderly end of the connection.
+// readAnswer reads a complete response and returns its slot and first line, or "end" if the connection was closed
+// gracefully.
 func (c *testClient) readAnswer() string {
 	text := ""
 	for {
@@ -67,7 +68,7 @@
 	c.t.Helper()
 	for _, want := range all {
 		if got := c.readAnswer(); got != want {
-			c.t.Errorf("%q, not %q", got, want)
+			c.t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
--- a/backend/testbed_await_test.go
+++ b/backend/testbed_await_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// eventTimeout bounds the wait for an event that must come. A machine may stall for long, and only a test that fails
-// waits so long.
+// eventTimeout bounds the wait for an expected event. It is long because a machine may stall; only a failing test waits
+// for all of it.
 const eventTimeout = time.Minute
 
-// newReadyTestbed returns a testbed whose backend serves, with its processor up.
+// newReadyTestbed returns a testbed whose backend serves and whose processor is ready.
 func newReadyTestbed(t *testing.T, options map[string]string) *testbed {
 	bed := newTestbed(t)
 	bed.start(withLongTimeouts(options))
@@ -24,14 +24,15 @@
 	return bed
 }
 
-// withLongTimeouts returns options by which clients wait for a minute: no clock decides a crossing.
+// withLongTimeouts returns options with timeouts of a minute, so that no timeout interferes with a test of crossing
+// messages.
 func withLongTimeouts(options map[string]string) map[string]string {
 	all := map[string]string{"timeout": "60000000", "target": "60000000", "grace": "60000000"}
 	maps.Copy(all, options)
 	return all
 }
 
-// takeLine takes the first line that begins so, if a party has printed one.
+// takeLine removes and returns the first printed line with the prefix, if there is one.
 func (bed *testbed) takeLine(prefix string) (line string, ok bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -44,28 +45,28 @@
 	return "", false
 }
 
-// expect waits until a party has printed the line, and takes it.
+// expect waits until a party has printed the line, and removes it.
 func (bed *testbed) expect(line string) {
 	bed.t.Helper()
 	got := ""
 	if !bed.eventually(func() (ok bool) { got, ok = bed.takeLine(line); return ok }) {
 		bed.mu.Lock()
 		defer bed.mu.Unlock()
-		bed.t.Fatalf("no %q, but %q", line, bed.printed)
+		bed.t.Fatalf("no line %q among %q", line, bed.printed)
 	}
 	if got != line {
-		bed.t.Fatalf("%q, not %q", got, line)
+		bed.t.Fatalf("got %q, want %q", got, line)
 	}
 }
 
-// expectNone fails the test if a party has printed a line that begins so.
+// expectNone fails the test if a party has printed a line with the prefix.
 func (bed *testbed) expectNone(prefix string) {
 	bed.t.Helper()
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	for _, line := range bed.printed {
 		if strings.HasPrefix(line, prefix) {
-			bed.t.Errorf("%q", line)
+			bed.t.Errorf("unexpected %q", line)
 		}
 	}
 }
@@ -79,7 +80,7 @@
 	return false
 }
 
-// holdOwner keeps the owner at a gate until the returned function is called.
+// holdOwner blocks the owner until the returned function is called. The owner then calls the functions in then.
 func (bed *testbed) holdOwner(then ...func()) (release func()) {
 	gate, held := make(chan struct{}), make(chan struct{})
 	bed.backend.loop.Post(func() {
@@ -93,7 +94,7 @@
 	return sync.OnceFunc(func() { close(gate) })
 }
 
-// runInTurn has the owner call f, and waits until the turn of that is over.
+// runInTurn has the owner call f, and waits until that turn is over.
 func (bed *testbed) runInTurn(f func()) {
 	done := make(chan struct{})
 	bed.backend.loop.Post(func() { f(); bed.backend.loop.Post(func() { close(done) }) })
@@ -103,14 +104,14 @@
 	}
 }
 
-// startRun sends a request, and waits until it runs.
+// startRun sends a request whose id is its slot, and waits until its run has begun.
 func (bed *testbed) startRun(client *testClient, slot uint16) {
 	bed.t.Helper()
 	client.send(fastcgiRequest(slot, nil))
 	bed.expect(fmt.Sprintf("processor: begin %016x status \"\"", slot))
 }
 
-// serveRequest has the connection be verified: a request of it is run and answered.
+// serveRequest runs a request to its answer, which verifies the client's connection.
 func (bed *testbed) serveRequest(client *testClient, slot uint16) {
 	bed.t.Helper()
 	bed.startRun(client, slot)
@@ -118,7 +119,7 @@
 	client.expect(fmt.Sprintf("%d Status: 200 OK", slot))
 }
 
-// completeRun has the processor say that the run of a slot's request ended well.
+// completeRun makes the processor report that the run of the request in a slot has succeeded.
 func (bed *testbed) completeRun(slot uint16) {
 	bed.step([]string{"processor", "notes", "complete", fmt.Sprintf("%016x", slot), "ok", "5", "done"})
 }
@@ -128,15 +129,15 @@
 	bed.expect("backend: ended: <nil>")
 }
 
-// awaitOwnerInput waits until something waits for the owner, which is held.
+// awaitOwnerInput waits until input is queued for the owner, which is blocked.
 func (bed *testbed) awaitOwnerInput() {
 	bed.t.Helper()
 	if !bed.eventually(func() bool { return !bed.backend.loop.Idle() }) {
-		bed.t.Fatal("nothing arrives")
+		bed.t.Fatal("no input arrived for the owner")
 	}
 }
 
-// awaitPartialRequests waits until so many connections hold a request that is not whole.
+// awaitPartialRequests waits until n connections hold an incomplete request and no complete one.
 func (bed *testbed) awaitPartialRequests(n int) {
 	bed.t.Helper()
 	bed.await(func() bool {
@@ -150,13 +151,13 @@
 	})
 }
 
-// awaitUnverified waits until the processor is asked for so many requests.
+// awaitUnverified waits until n requests await verification by the processor.
 func (bed *testbed) awaitUnverified(n int) {
 	bed.t.Helper()
 	bed.await(func() bool { return len(bed.backend.processor.unverified) == n })
 }
 
-// await waits until the owner finds f to be true.
+// await waits until f, called by the owner, returns true.
 func (bed *testbed) await(f func() bool) {
 	bed.t.Helper()
 	if !bed.eventually(func() bool {
@@ -164,6 +165,6 @@
 		bed.runInTurn(func() { holds = f() })
 		return holds
 	}) {
-		bed.t.Fatal("it does not come about")
+		bed.t.Fatal("the awaited condition did not become true")
 	}
 }
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -20,40 +20,40 @@
 )
 
 const (
-	quietPeriod = 40 * time.Millisecond // nothing must happen for so long before a step is over
-	stepTimeout = 5 * time.Second       // for what is expected to follow a step: machines stall at times
+	quietPeriod = 40 * time.Millisecond // a step is over when nothing was printed for this long
+	stepTimeout = 5 * time.Second       // for the output expected after a step; long, since test machines stall at times
 )
 
-// testbed has a backend and stand-ins for all that it talks to. Each of them prints what it receives.
+// testbed runs a backend with fakes of all processes that it communicates with. Each fake prints what it receives.
 type testbed struct {
 	t         *testing.T
 	mu        sync.Mutex
-	printed   []string // "party: text", in the order in which each party saw them
+	printed   []string // "party: text", in the order in which each party received the texts
 	printedAt time.Time
 
 	backend     *Backend
-	options     map[string]string // of the backend's configuration
+	options     map[string]string // of the backend's configuration, see configText
 	shutDown    context.CancelFunc
 	incarnation atomic.Int32  // of the backend
-	ownerGate   chan struct{} // holds the owner
+	ownerGate   chan struct{} // while it is open, the owner is blocked
 
 	processor   *fakeServer
 	upstream    *fakeServer
-	fakeServers []*fakeServer   // those two, and those before they moved
-	noticeCount int             // sent by the processor
-	knownIDs    map[string]bool // of requests that were begun; false: the processor knows no such request
+	fakeServers []*fakeServer   // processor and upstream, after those that moveStep has replaced
+	noticeCount int             // notices sent by the processor
+	knownIDs    map[string]bool // by request id; true if the run was begun, false if the processor rejects the id
 	control     net.PacketConn
 
 	clients       map[string]*clientSocket
 	listenAddress string
-	useAJP        bool // clients speak AJP
+	useAJP        bool // clients use AJP
 	ajpAddress    string
 
 	disk     *fake.Disk  // of the store
 	diskGate *sync.Mutex // held while the disk stalls
 }
 
-// newTestbed returns a testbed whose backend is not started.
+// newTestbed returns a testbed whose backend is not started yet.
 func newTestbed(t *testing.T) *testbed {
 	return &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}}
 }
@@ -75,7 +75,8 @@
 	}
 }
 
-// lookUpID reports whether an id was begun, and whether it is to be rejected.
+// lookUpID reports whether the run of an id was begun, and whether the processor rejects the id. If begins is set, the run
+// begins now.
 func (bed *testbed) lookUpID(id string, begins bool) (begun, rejected bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -86,8 +87,8 @@
 	return begun, known && !begun
 }
 
-// awaitQuiet waits until so many lines are printed and nothing happens any more, and returns them by party. A negative
-// number says that the trace is being written: nothing tells what is still to come.
+// awaitQuiet waits until the expected number of lines was printed and no more follow, and returns them sorted by party. A
+// negative number means that the expected number is unknown, because the trace is being written; it then waits longer.
 func (bed *testbed) awaitQuiet(expected int) []string {
 	start := time.Now()
 	period := quietPeriod
@@ -132,7 +133,7 @@
 "invariants":{"answerSlackUs":80000,"drainGraceUs":%s,"fallMultiple":8},
 "limits":{"maxRetryAfterUs":1000000,"retryAfter":true}}}`
 
-// configText returns the configuration of the present stand-ins.
+// configText returns a configuration with the addresses of the current fakes.
 func (bed *testbed) configText() []byte {
 	option := func(name, missing string) string {
 		if value, ok := bed.options[name]; ok {
@@ -165,7 +166,8 @@
 	return cfg
 }
 
-// startPeers has new stand-ins listen. What they print begins with prefix.
+// startPeers starts new fakes of the processor, the upstream tier and the control plane. Their party names begin with
+// prefix.
 func (bed *testbed) startPeers(prefix string) {
 	bed.processor = newFakeServer(bed, prefix+"processor")
 	bed.upstream = newFakeServer(bed, prefix+"tier")
@@ -195,18 +197,18 @@
 	}
 }
 
-// useDisk has the next backend keep its store on a disk.
+// useDisk makes the next backend keep its store on the given disk.
 func (bed *testbed) useDisk(disk *fake.Disk) {
 	gate := &sync.Mutex{}
 	bed.disk = disk
 	bed.diskGate = gate
 	disk.Slow = func(string, int) {
-		gate.Lock() // held while it stalls
+		gate.Lock() // blocks while the disk stalls
 		defer gate.Unlock()
 	}
 }
 
-// crash has the backend be gone with all that was not on its disk, and another one start in its place.
+// crash ends the backend, discards everything that was not durable on its disk, and starts another backend in its place.
 func (bed *testbed) crash() {
 	bed.incarnation.Add(1)
 	bed.disk.CutPower()
@@ -227,8 +229,8 @@
 	bed.start(bed.options)
 }
 
-// start starts a backend. Options are those of configText, "last" for one of the last tier, "keep" for one with a
-// store, and "ajp" and "secret" for one that serves AJP.
+// start starts a backend. Options are those of configText, "last" for a backend of the last tier, "keep" for one with an
+// idempotency store, and "ajp" and "secret" for one that serves AJP.
 func (bed *testbed) start(options map[string]string) {
 	bed.options = options
 	if options["keep"] != "" && bed.disk == nil {
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -19,24 +19,26 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestTraces plays the steps of each trace file against a backend on loopback. What follows a step in the file is what
-// the stand-ins print then.
+// TestTraces plays the steps of each trace file against a backend on the loopback interface. The lines after a step are
+// the output of the fakes that is expected after it.
 func TestTraces(t *testing.T) {
 	golden.Files(t, 4, func(t *testing.T, text string) string {
 		return newTestbed(t).play(text)
 	})
 }
 
-// ajpTraces are the traces that must tell the same decisions over AJP. The others are of FastCGI's own: its records and
-// slots, bad ones, floods of them, requests partly sent, many on one connection. In link and pause a first request waits
-// for the processor to say whether it knows it, and over AJP each of theirs is one.
+// ajpTraces are the traces that must show the same decisions over AJP. Most of the others test features of FastCGI:
+// records and slots, malformed ones, floods, partial requests, many requests on one connection. In the traces link and
+// pause the first request of each connection waits for its verification by the processor; over AJP every request would,
+// since each has a connection of its own.
 var ajpTraces = []string{"answers", "calls", "drain", "due", "forgotten", "life", "lost", "no-halt", "reload", "repeats", "spoilt", "tier"}
 
-// TestTracesOverAJP plays traces over the other protocol. What differs is left out of both: connections that end (each
-// request has its own), answers to aborts (there are none), reasons (an abort is the end of a connection).
+// TestTracesOverAJP plays traces over AJP. It ignores the lines that differ between the protocols: closed connections
+// (over AJP each request has its own), responses to aborts (AJP has none), and reasons (an abort over AJP is the end of
+// the connection).
 func TestTracesOverAJP(t *testing.T) {
 	if flag.Lookup("update").Value.String() == "true" {
-		t.Skip("the traces are those of FastCGI")
+		t.Skip("the trace files are recorded over FastCGI")
 	}
 	for _, name := range ajpTraces {
 		t.Run(name, func(t *testing.T) {
@@ -47,7 +49,7 @@
 			}
 			want := withoutFastCGI(string(text))
 			diff := ""
-			for range 4 { // as with the others: a machine stalls at times
+			for range 4 { // retried like TestTraces, since test machines stall at times
 				bed := newTestbed(t)
 				bed.useAJP = true
 				if diff = cmp.Diff(want, withoutFastCGI(bed.play(want))); diff == "" {
@@ -59,7 +61,7 @@
 	}
 }
 
-// withoutFastCGI returns a trace without what is different over AJP.
+// withoutFastCGI returns a trace without the lines that differ over AJP.
 func withoutFastCGI(trace string) string {
 	var out strings.Builder
 	for line := range strings.Lines(trace) {
@@ -73,7 +75,7 @@
 	return out.String()
 }
 
-// play plays the steps of a trace, and returns it as it went.
+// play plays the steps of a trace, and returns the trace with the output that was printed.
 func (bed *testbed) play(trace string) string {
 	return golden.Steps(trace, func(line string, expected int) []string {
 		bed.step(strings.Fields(line))
@@ -81,7 +83,7 @@
 	})
 }
 
-// steps are the first words of steps and what they do, given the words after that.
+// steps maps the first word of a step to its function, which takes the remaining words.
 var stepHandlers = map[string]func(bed *testbed, words []string){
 	"start":     func(bed *testbed, words []string) { bed.start(parseOptions(words)) },
 	"wait":      func(_ *testbed, words []string) { time.Sleep(parseDuration(words[0])) },
@@ -106,7 +108,7 @@
 func (bed *testbed) step(words []string) {
 	play := stepHandlers[words[0]]
 	if play == nil {
-		bed.t.Fatal("unknown step", words)
+		bed.t.Fatal("unknown step:", words)
 	}
 	play(bed, words[1:])
 }
@@ -116,7 +118,7 @@
 	return d
 }
 
-// parseOptions reads words of the form name=value; "_" stands for a space, and 2048*x for so many of x.
+// parseOptions parses words of the form name=value. In a value "_" stands for a space, and 2048*x for 2048 times x.
 func parseOptions(words []string) map[string]string {
 	options := map[string]string{}
 	for _, word := range words {
@@ -131,7 +133,7 @@
 	return options
 }
 
-// unescape returns words as one text, with its escapes as in a Go string.
+// unescape joins words with spaces and interprets escape sequences as in a Go string.
 func (bed *testbed) unescape(words []string) string {
 	text, err := strconv.Unquote(`"` + strings.Join(words, " ") + `"`)
 	if err != nil {
@@ -140,7 +142,7 @@
 	return text
 }
 
-// diskStep has the disk stall, go on or fail.
+// diskStep makes the disk stall, resume or fail.
 func (bed *testbed) diskStep(words []string) {
 	switch words[0] {
 	case "holds":
@@ -152,18 +154,18 @@
 	}
 }
 
-// move has all that the backend talks to be elsewhere from now on.
+// move starts new fakes and reloads the configuration with their addresses.
 func (bed *testbed) moveStep([]string) {
 	bed.startPeers("new ")
 	bed.backend.Reload(bed.config())
 }
 
-// pause has the owner stall, as on a machine that does; what is sent to it stays unread.
+// pause blocks the owner for a time, as when the machine stalls; its input stays unread.
 func (bed *testbed) pauseStep(words []string) {
 	bed.backend.loop.Post(func() { time.Sleep(parseDuration(words[0])) })
 }
 
-// ownerStep has the owner stall between "holds" and "goes"; what is sent meanwhile is one batch.
+// ownerStep blocks the owner from "holds" until "goes"; the input that arrives meanwhile becomes one batch.
 func (bed *testbed) ownerStep(words []string) {
 	if words[0] != "holds" {
 		close(bed.ownerGate)
@@ -178,7 +180,8 @@
 	<-held
 }
 
-// crowd opens connections that carry nothing. Its words are how many, and how many may stay.
+// crowd opens connections and sends nothing on them. Its words are the number of connections, and the number that
+// may stay open.
 func (bed *testbed) openIdleConns(words []string) {
 	n, _ := strconv.Atoi(words[0])
 	limit, _ := strconv.Atoi(words[1])
@@ -204,7 +207,8 @@
 	}
 }
 
-// many sends so many requests, each with an id, a caller and a connection of its own. Half of the connections stay open.
+// many sends the given number of requests, each with an id, a caller and a connection of its own. It leaves half of
+// the connections open.
 func (bed *testbed) sendMany(words []string) {
 	n, _ := strconv.Atoi(words[0])
 	done := 0
@@ -231,7 +235,7 @@
 	bed.print("many", "%d of %d done", done, n)
 }
 
-// printKept prints how much the backend holds of each kind.
+// printKept prints how many requests, connections and other objects the backend holds.
 func (bed *testbed) printKept([]string) {
 	b := bed.backend
 	b.loop.Post(func() {
@@ -250,7 +254,7 @@
 	bed.print("counters", "%s", bed.reasons())
 }
 
-// reasons returns the reasons of closed requests, or what is wrong with the accounts.
+// reasons returns the numbers of closed requests by reason, or the mismatch if the accounts have one.
 func (bed *testbed) reasons() string {
 	report := bed.backend.Accounting()
 	if wrong := report.Check(); wrong != "" {
@@ -265,19 +269,19 @@
 	return fmt.Sprintf("reasons %v", reasons)
 }
 
-// movedPeerStep plays a step of the stand-ins as they were before they moved.
+// movedPeerStep plays a step of a fake that moveStep has replaced.
 func (bed *testbed) movedPeerStep(words []string) {
 	peer := map[string]*fakeServer{"processor": bed.fakeServers[0], "tier": bed.fakeServers[1]}[words[0]]
 	bed.peerStep(peer, words[1:])
 }
 
-// peerStep plays a step of the processor or the upstream tier.
+// peerStep plays a step of the fake of the processor or the upstream tier.
 func (bed *testbed) peerStep(peer *fakeServer, words []string) {
 	verb, rest := words[0], words[1:]
 	switch verb {
 	case "says":
 		peer.write(bed.unescape(rest) + "\r\n")
-	case "notes": // a numbered notice: the word before its number, the rest, and a body
+	case "notes": // a numbered notice: its first word, its arguments, and a body
 		bed.noticeCount++
 		last := len(rest) - 1
 		body := bed.unescape(rest[last:])
@@ -285,7 +289,7 @@
 	case "replies":
 		body := bed.unescape(rest[1:])
 		peer.write(fmt.Sprintf("%s ok %d\r\n%s\r\n", rest[0], len(body), body))
-	case "misses": // it knows no such request
+	case "misses": // the processor rejects this id from now on
 		bed.mu.Lock()
 		bed.knownIDs[rest[0]] = false
 		bed.mu.Unlock()
@@ -302,14 +306,14 @@
 	}
 }
 
-// set sets one of the peer's ways: on, unless the words say otherwise.
+// set sets a mode of the fake to true if words is empty or starts with "on", otherwise to false.
 func (p *fakeServer) setMode(mode *bool, words []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	*mode = len(words) == 0 || words[0] == "on"
 }
 
-// clientStep plays a step of a client. Its words are the client's name, what it does, the slot, and options.
+// clientStep plays a step of a client. Its words are the client's name, a verb, the slot, and options.
 func (bed *testbed) clientStep(words []string) {
 	name, verb := words[0], words[1]
 	slot := uint16(1)
@@ -325,7 +329,7 @@
 	if client.conn == nil {
 		return
 	}
-	if verb == "aborts" && bed.useAJP { // the end of its connection is the abort
+	if verb == "aborts" && bed.useAJP { // over AJP a client aborts by closing its connection
 		_ = client.conn.Close()
 		delete(bed.clients, fmt.Sprint(name, "/", slot))
 		return
@@ -333,7 +337,7 @@
 	_, _ = client.conn.Write([]byte(bed.clientText(verb, slot, words)))
 }
 
-// closeClient ends all connections of a client.
+// closeClient closes all connections of a client.
 func (bed *testbed) closeClient(name string) {
 	for key, client := range bed.clients {
 		if key == name || strings.HasPrefix(key, name+"/") {
@@ -343,7 +347,7 @@
 	}
 }
 
-// clientText returns what a client sends.
+// clientText returns the bytes that a client sends for a verb.
 func (bed *testbed) clientText(verb string, slot uint16, words []string) string {
 	request := fastcgiRequest
 	if bed.useAJP {
@@ -362,15 +366,15 @@
 	case "checks":
 		query := strings.Join(words[3:], "&")
 		text = request(slot, map[string]string{"secret": "s3cret", "SCRIPT_NAME": "/_health", "QUERY_STRING": query})
-	case "fills": // all slots, each with a whole request of its own
+	case "fills": // all slots, each with a complete request
 		for i := range uint16(32) {
 			text += request(i+1, map[string]string{"HTTP_X_REQUEST_ID": fmt.Sprintf("%016x", 4096+int(i))})
 		}
-	case "starts": // so many requests that never come whole
+	case "starts": // a number of requests that stay incomplete
 		for i := range slot {
 			text += beginText(i+1) + fake.FastCGIRecord(paramsRecord, i+1, strings.Repeat("x", 4000))
 		}
-	case "half": // a request over AJP whose body stops in its middle
+	case "half": // a request over AJP whose body is cut short
 		whole := ajpRequest(slot, map[string]string{"body": "a body that is cut"})
 		text = whole[:len(whole)-9]
 	case "aborts":
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -8,37 +8,37 @@
 	"frosthub/overload"
 )
 
-// Limits of calls to the upstream tier, whichever protocol carries them.
+// Limits of calls to the upstream tier, for both protocols.
 const (
-	// callGrace is how long past its timeout a call is waited for: the server that runs it should report the timeout
-	// first.
+	// callGrace is added to the timeout of a call, so that the server that runs the call can report the timeout first.
 	callGrace = 20 * time.Millisecond
-	// upstreamConnShare is the part of the descriptors that connections to the upstream tier may take.
+	// upstreamConnShare is the share of the file descriptors that connections to the upstream tier may use.
 	upstreamConnShare = 0.125
-	// maxUnsentCalls is how many bytes of calls may wait on one connection.
+	// maxUnsentCalls is the limit on unsent bytes of calls on one connection.
 	maxUnsentCalls = 256 << 10
 )
 
-// upstream makes the calls that runs need from the upstream tier. The overload controller decides which calls are made; an
-// upstream only carries them. All methods are called by the goroutine that owns the backend.
+// upstream makes the calls of runs to the upstream tier. The overload controller decides which calls are made; an
+// upstream only transports them. All methods must be called by the owner goroutine of the backend.
 type upstream interface {
-	// connectionLimit is the number of connections that the upstream may hold.
+	// connectionLimit returns the number of connections that the upstream may hold.
 	connectionLimit() int
-	// invoke makes the call of r, which times out after the given time.
+	// invoke makes the call of r with the given timeout.
 	invoke(r *request, after time.Duration)
-	// cancel gives up the call of r, if there is one.
+	// cancel aborts the call of r, if there is one, and does not report its end.
 	cancel(r *request)
-	// reconfigure sends new calls to the addresses of another configuration. Calls in flight may finish where they are.
+	// reconfigure directs new calls to the addresses of another configuration. Calls in flight may finish on their
+	// connections.
 	reconfigure(cfg *Config)
-	// onTimer does what is due and asks the backend to wake up for the rest.
+	// onTimer handles the timeouts that are due and schedules a turn of the owner for the others.
 	onTimer()
-	// callsInFlight is the number of calls in flight.
+	// callsInFlight returns the number of calls in flight.
 	callsInFlight() int
-	// connections is the number of connections to the upstream tier.
+	// connections returns the number of connections to the upstream tier.
 	connectionCount() int
 }
 
-// upstreamCall is a call in flight.
+// upstreamCall is the call of a run, from its start to its end.
 type upstreamCall struct {
 	request   *request
 	startedAt time.Duration
@@ -46,18 +46,18 @@
 
 	// Over the proxy protocol.
 	proxyConn    *proxyConn    // nil while the call waits for a connection
-	sentAt       time.Duration // when it was written
-	connIdleTime time.Duration // how long the connection had been idle before
-	queuedBefore int           // bytes written on the connection before
+	sentAt       time.Duration // when the call was written to the connection
+	connIdleTime time.Duration // how long the connection had been idle before the call
+	queuedBefore int           // bytes queued on the connection before the call
 
 	// Over AJP.
 	target        *loadbalance.Target
-	ajpConn       *ajpConn              // nil while the connection is dialed
-	tried         []*loadbalance.Target // targets at which the call is proved never to have run
-	provenOutcome overload.Outcome      // what the last of them proved
+	ajpConn       *ajpConn              // nil while the connection is being dialed
+	tried         []*loadbalance.Target // targets that are proved not to have run the call
+	provenOutcome overload.Outcome      // the outcome at the last of these targets
 }
 
-// upstreamCalls are the calls in flight of an upstream, by the id of their request. Both upstreams embed it.
+// upstreamCalls holds the calls in flight of an upstream, by request id. Both upstreams embed it.
 type upstreamCalls struct {
 	backend *Backend
 	calls   map[uint64]*upstreamCall
@@ -67,14 +67,14 @@
 	return upstreamCalls{backend: b, calls: map[uint64]*upstreamCall{}}
 }
 
-// connectionLimit is the number of connections to the upstream tier that the limit on descriptors leaves.
+// connectionLimit returns the number of connections to the upstream tier that the limit on file descriptors allows.
 func (u *upstreamCalls) connectionLimit() int {
 	return max(1, int(upstreamConnShare*float64(u.backend.cfg.Limits.Sockets)))
 }
 
 func (u *upstreamCalls) callsInFlight() int { return len(u.calls) }
 
-// add puts the run of r on hold until its call has ended.
+// add records a new call of r, whose run waits until the call has ended.
 func (u *upstreamCalls) add(r *request, timeout time.Duration) *upstreamCall {
 	b := u.backend
 	b.stats.Calls++
@@ -85,7 +85,7 @@
 	return call
 }
 
-// remove forgets a call without reporting its end.
+// remove removes a call without reporting its end to the overload controller.
 func (u *upstreamCalls) remove(call *upstreamCall) {
 	r := call.request
 	delete(u.calls, r.id)
@@ -93,8 +93,8 @@
 	r.awaitCall()
 }
 
-// call makes the call of r if that is allowed: a call that was made before and may have had its effect is not retried
-// where that does harm.
+// call makes the call of r if package lifecycle allows it: a call whose earlier attempt may have had its effect is
+// retried only if the handler is replayable.
 func (b *Backend) makeCall(r *request, timeout time.Duration) {
 	command := lifecycle.Command{
 		Idempotent: b.handlers[r.handler].replayable,
@@ -109,7 +109,7 @@
 	b.upstream.invoke(r, timeout)
 }
 
-// callEnded reports the end of a call to the overload controller.
+// reportCallEnd reports the end of a call to the overload controller.
 func (b *Backend) reportCallEnd(call *upstreamCall, outcome overload.Outcome) {
 	r := call.request
 	r.callFailed = outcome != overload.OK
@@ -128,7 +128,7 @@
 	})
 }
 
-// provesCallOutcome reports whether a call that ended so is known to have had its effect or known to have had none.
+// provesCallOutcome reports whether the outcome of a call proves that the call had its effect, or proves that it did not.
 func isOutcomeProven(outcome overload.Outcome) bool {
 	switch outcome {
 	case overload.OK, overload.Overloaded, overload.NeverRan, overload.NoConnection:
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -14,22 +14,22 @@
 	"frosthub/overload"
 )
 
-// AJPUpstreamConfig is an upstream tier of several servers that speak AJP. Without peers in Balancer there is none.
+// AJPUpstreamConfig configures an upstream tier of several servers that speak AJP. It is unused if Balancer has no peers.
 type AJPUpstreamConfig struct {
 	Balancer loadbalance.Config
-	Secret   string // sent with each call; empty: none
+	Secret   string // sent with each call; empty for none
 }
 
-// ajpUpstream makes calls over AJP to the targets that the load balancer picks. A call is retried at another target
-// only where it is proved never to have run. A call that may have run is the overload controller's to retry.
+// ajpUpstream makes calls over AJP to the targets that the load balancer picks. It retries a call at another target only
+// if the call is proved never to have run. For a call that may have run, the overload controller decides about a retry.
 type ajpUpstream struct {
 	upstreamCalls
 	balancer  *loadbalance.Balancer
 	pools     map[*loadbalance.Target]*connPool
-	openConns int // connections, counting those being dialed
+	openConns int // connections, including those being dialed
 }
 
-// dontRetryName is the header by which a server says that no other server would take the request either.
+// dontRetryName is the response header with which a server states that other servers would reject the request too.
 var dontRetryHeader = []byte("X-Dont-Retry")
 
 func newAJPUpstream(b *Backend) *ajpUpstream {
@@ -44,10 +44,11 @@
 
 func (u *ajpUpstream) connectionCount() int { return u.openConns }
 
-func (u *ajpUpstream) invoke(r *request, timeout time.Duration) { u.pickTarget(u.add(r, timeout)) }
+func (u *ajpUpstream) invoke(r *request, timeout time.Duration) { u.assignTarget(u.add(r, timeout)) }
 
-// place has the load balancer pick a target for a call and gives the call a connection there.
-func (u *ajpUpstream) pickTarget(call *upstreamCall) {
+// assignTarget picks a target for a call with the load balancer, and assigns the call a connection to it. It ends the
+// call if there is no target or no room for another connection.
+func (u *ajpUpstream) assignTarget(call *upstreamCall) {
 	call.target = u.balancer.Pick(u.backend.now, call.request.stickyRoute, call.tried...)
 	if call.target == nil {
 		u.endCall(call, cmp.Or(call.provenOutcome, overload.Overloaded))
@@ -65,8 +66,8 @@
 	u.dial(call)
 }
 
-// assign has a connection carry a call. Where it was idle for a while, or its target may be down, the target is asked
-// first whether it is there.
+// assign sends a call on a connection. If the connection was idle for cpingIdleThreshold or the target may be down, it
+// sends a CPing first, and the call once the target has answered that.
 func (u *ajpUpstream) assignConn(connection *ajpConn, call *upstreamCall) {
 	b := u.backend
 	connection.call = call
@@ -81,7 +82,7 @@
 	connection.conn.Write(b.scratch)
 }
 
-// send writes the call of a connection.
+// send writes the call that is assigned to a connection.
 func (u *ajpUpstream) send(connection *ajpConn) {
 	b := u.backend
 	r := connection.call.request
@@ -89,7 +90,7 @@
 	connection.usedAt = b.now
 	connection.queuedBefore = connection.conn.QueuedTotal()
 	connection.parser.AwaitingResponse = true
-	left := max(1, (connection.call.deadline - b.now).Milliseconds())
+	remaining := max(1, (connection.call.deadline - b.now).Milliseconds())
 	forward := ajp.ForwardRequest{
 		Path:   "/invoke/" + b.handlers[r.handler].name,
 		Secret: b.cfg.AJPUpstream.Secret,
@@ -97,7 +98,7 @@
 		Headers: []ajp.Header{
 			{Name: "X-Request-Id", Value: r.wireID},
 			{Name: "X-Request-Start", Value: strconv.FormatInt(b.wallTime.Milliseconds(), 10)},
-			{Name: "X-Timeout-Ms", Value: strconv.FormatInt(left, 10)},
+			{Name: "X-Timeout-Ms", Value: strconv.FormatInt(remaining, 10)},
 			{Name: "X-Caller", Value: strconv.Itoa(r.arrival.EdgeNode)},
 			{Name: "X-Memory-Kb", Value: strconv.FormatFloat(r.arrival.SizeKB, 'f', -1, 64)},
 			{Name: "X-Rank", Value: strconv.FormatFloat(r.arrival.ValueRank, 'f', -1, 64)},
@@ -109,7 +110,7 @@
 	connection.conn.Write(b.scratch)
 }
 
-// onAnswer handles a message of a server.
+// onReply handles a message from a server.
 func (u *ajpUpstream) onReply(connection *ajpConn, reply ajp.Reply) {
 	b := u.backend
 	call := connection.call
@@ -128,7 +129,7 @@
 		return
 	}
 	if call == nil {
-		return // given up: the connection is being closed
+		return // the call was abandoned: the connection is being closed
 	}
 	connection.call = nil
 	connection.usedAt = b.now
@@ -141,7 +142,7 @@
 	u.handleStatus(call, &reply)
 }
 
-// endAnswered ends a call, or retries it at another target, as the answer's status says.
+// handleStatus ends a call or retries it at another target, depending on the status of the reply.
 func (u *ajpUpstream) handleStatus(call *upstreamCall, reply *ajp.Reply) {
 	switch reply.Status {
 	case 200:
@@ -173,33 +174,33 @@
 	return forbidden
 }
 
-// leaveTarget tells the load balancer how a call ended at its target.
+// releaseTarget reports the outcome of a call at its target to the load balancer.
 func (u *ajpUpstream) releaseTarget(call *upstreamCall, outcome loadbalance.Outcome) {
 	u.balancer.Done(u.backend.now, call.target, outcome)
 	call.target = nil
 	call.ajpConn = nil
 }
 
-// retryElsewhere follows the proof that a call never ran at its target: another target may have it.
-func (u *ajpUpstream) retryAtAnotherTarget(call *upstreamCall, outcome loadbalance.Outcome, provenOutcome overload.Outcome) {
+// retryElsewhere retries a call that is proved never to have run at its target. After the deadline it ends the call.
+func (u *ajpUpstream) retryAtAnotherTarget(call *upstreamCall, outcome loadbalance.Outcome, proven overload.Outcome) {
 	call.tried = append(call.tried, call.target)
-	call.provenOutcome = provenOutcome
+	call.provenOutcome = proven
 	u.releaseTarget(call, outcome)
 	if u.backend.now >= call.deadline {
-		u.endCall(call, provenOutcome)
+		u.endCall(call, proven)
 		return
 	}
-	u.pickTarget(call)
+	u.assignTarget(call)
 }
 
 func (u *ajpUpstream) endCall(call *upstreamCall, outcome overload.Outcome) {
-	invariant.Check(call.target == nil, "a call that ends is at no target")
+	invariant.Check(call.target == nil, "a call has released its target before it ends")
 	u.remove(call)
 	u.backend.reportCallEnd(call, outcome)
 }
 
-// drop takes a call of which nothing is known from its target and closes its connection: AJP has no other way to abort
-// a call.
+// abandonCall releases the target of a call whose outcome is unknown, and closes the connection: AJP has no other way to
+// abort a call.
 func (u *ajpUpstream) abandonCall(call *upstreamCall, outcome loadbalance.Outcome) {
 	connection := call.ajpConn
 	if call.target != nil {
@@ -224,7 +225,7 @@
 	balancer := cfg.AJPUpstream.Balancer
 	balancer.Seed = u.backend.cfg.Seed
 	u.balancer.Update(balancer)
-	for target, pool := range u.pools { // each by itself: the order doesn't matter
+	for target, pool := range u.pools { // the order does not matter
 		if !target.Removed {
 			continue
 		}
@@ -236,14 +237,15 @@
 
 func (u *ajpUpstream) onTimer() {
 	for _, id := range slices.Sorted(maps.Keys(u.calls)) {
-		if call := u.calls[id]; call != nil { // else ended by the end of an earlier one
+		if call := u.calls[id]; call != nil { // nil if the end of an earlier call has ended it
 			u.expireCall(call)
 		}
 	}
 	u.closeIdle()
 }
 
-// expireCall gives up a call whose time has passed, and the connection of a call whose target doesn't answer CPing.
+// expireCall ends a call whose deadline and callGrace have passed. If the target has not answered a CPing in time, it
+// closes the connection and retries the call at another target.
 func (u *ajpUpstream) expireCall(call *upstreamCall) {
 	b := u.backend
 	connection := call.ajpConn
@@ -251,7 +253,7 @@
 	switch {
 	case b.now >= call.deadline+callGrace:
 		outcome := loadbalance.TimedOut
-		if connection == nil || awaitsPong { // it was never sent
+		if connection == nil || awaitsPong { // the call was never sent
 			outcome = loadbalance.Fault
 		}
 		u.abandonCall(call, outcome)
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -11,33 +11,33 @@
 	"frosthub/overload"
 )
 
-// Times of connections to AJP servers.
+// Timeouts of connections to AJP servers.
 const (
-	// trustIdle is how long a connection may be idle and be used without asking first whether the server is there.
+	// trustIdle is how long a connection may have been idle and still be used without a CPing.
 	cpingIdleThreshold = time.Second
-	// pongTimeout is how long that answer is waited for: giving it takes the server no work.
+	// cpongTimeout is the timeout for the answer to a CPing, which takes the server hardly any work.
 	cpongTimeout = 100 * time.Millisecond
 	// ajpMaxIdle is how long a connection may be idle before it is closed.
 	ajpMaxIdle = 30 * time.Second
 )
 
-var errNoCPong = errors.New("no answer to CPing")
+var errNoCPong = errors.New("no CPong within the timeout")
 
-// connPool holds the idle connections to a target, the last used at the end.
+// connPool holds the idle connections to a target, ordered by last use, the most recent at the end.
 type connPool struct {
 	idle []*ajpConn
 }
 
 // ajpConn is one connection to a target.
 type ajpConn struct {
-	conn          *conn.Conn // nil once it was closed here
+	conn          *conn.Conn // nil once this side has closed it
 	parser        *ajp.Client
 	target        *loadbalance.Target
-	call          *upstreamCall // in flight; nil while the connection is idle
-	cpongDeadline time.Duration // when the wait for a CPong ends; 0 none is awaited
-	unsentBody    []byte        // the part of the call's body that the server has not asked for yet
+	call          *upstreamCall // the call in flight; nil while the connection is idle
+	cpongDeadline time.Duration // when the wait for a CPong ends; 0 if none is pending
+	unsentBody    []byte        // the part of the call's body that the server has not requested yet
 	usedAt        time.Duration
-	queuedBefore  int // bytes written before the call
+	queuedBefore  int // bytes queued before the call
 }
 
 func (u *ajpUpstream) pool(target *loadbalance.Target) *connPool {
@@ -49,7 +49,7 @@
 	return pool
 }
 
-// takeIdle takes the connection to a target that was used last out of its pool. It returns nil if none is idle.
+// takeIdle removes the most recently used connection to a target from its pool and returns it, or nil if none is idle.
 func (u *ajpUpstream) takeIdle(target *loadbalance.Target) *ajpConn {
 	pool := u.pool(target)
 	last := len(pool.idle) - 1
@@ -61,10 +61,11 @@
 	return taken
 }
 
-// closeOldest makes room by closing the connection that has been idle for longest, and reports whether there was one.
+// closeOldest closes the connection that has been idle for longest, to make room for another. It reports whether there
+// was one.
 func (u *ajpUpstream) closeOldest() bool {
 	var oldest *ajpConn
-	for _, pool := range u.pools { // which of several equal ones doesn't matter
+	for _, pool := range u.pools { // which of several equally old ones is closed does not matter
 		if len(pool.idle) > 0 && (oldest == nil || pool.idle[0].usedAt < oldest.usedAt) {
 			oldest = pool.idle[0]
 		}
@@ -76,7 +77,7 @@
 	return true
 }
 
-// dial opens a connection for a call.
+// dial opens a connection to the target of a call.
 func (u *ajpUpstream) dial(call *upstreamCall) {
 	u.openConns++
 	target := call.target
@@ -107,7 +108,7 @@
 	u.assignConn(opened, call)
 }
 
-// release makes a connection idle.
+// release returns a connection to the pool of its target, or closes it if the target was removed.
 func (u *ajpUpstream) release(connection *ajpConn) {
 	if connection.target.Removed {
 		u.close(connection)
@@ -117,7 +118,7 @@
 	pool.idle = append(pool.idle, connection)
 }
 
-// close ends a connection. The caller sees to the call that was in flight on it.
+// close closes a connection. The caller handles the call that was in flight on it.
 func (u *ajpUpstream) close(connection *ajpConn) {
 	if connection.conn == nil {
 		return
@@ -133,12 +134,12 @@
 	c.CloseAfterSend(conn.ErrClosedLocally)
 }
 
-// onClosed handles the end of a connection by the other side. A call of which no byte had left, or that waited for a
-// CPong, never ran; of any other nothing is proved.
+// onClosed handles a connection that the peer has closed or that has failed. If no byte of its call was sent, or the call
+// was waiting for a CPong, the call never ran. Otherwise its outcome is unknown.
 func (u *ajpUpstream) onClosed(connection *ajpConn) {
 	c := connection.conn
 	if c == nil {
-		return // closed here
+		return // closed by this side
 	}
 	call := connection.call
 	connection.call = nil
@@ -155,7 +156,7 @@
 
 // closeIdle closes the connections that have been idle for too long.
 func (u *ajpUpstream) closeIdle() {
-	for _, pool := range u.pools { // each by itself: the order doesn't matter
+	for _, pool := range u.pools { // the order does not matter
 		for len(pool.idle) > 0 && u.backend.now-pool.idle[0].usedAt >= ajpMaxIdle {
 			u.close(pool.idle[0])
 		}
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -14,7 +14,8 @@
 	"frosthub/overload"
 )
 
-// TestSlowDial: a connection that stands only after its call was given up carries another one, and never that call.
+// TestSlowDial checks that a connection that is established only after its call was cancelled carries the next call, and
+// that the cancelled call is never sent.
 func TestSlowDial(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -23,15 +24,15 @@
 	bed.runInTurn(func() {
 		r := bed.backend.requests[1]
 		bed.backend.processor.onCallRequest(r, []byte("what"))
-		bed.backend.runController() // its call is being dialled for
+		bed.backend.runController() // dials a connection for its call
 		if !bed.eventually(func() bool {
 			bed.upstream.mu.Lock()
 			defer bed.upstream.mu.Unlock()
 			return len(bed.upstream.conns) == 1
 		}) {
-			t.Error("nobody dials")
+			t.Error("the backend does not dial")
 		}
-		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
+		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection is established, but the owner has not handled that yet
 	})
 	client.expect("1" + failedLine)
 	bed.await(func() bool { return bed.backend.upstream.callsInFlight() == 0 })
@@ -45,7 +46,8 @@
 	client.expect("2" + succeededLine)
 }
 
-// fullListener is a next tier whose queue of connections is full: a dial hangs until it is let go.
+// fullListener returns the address of an upstream tier whose accept queue is full, so that dials hang. After a call of
+// release the caller can accept connections from the returned listener.
 func fullListener(t *testing.T) (address string, release func() net.Listener) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err == nil {
@@ -64,7 +66,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	for { // until one hangs
+	for { // until a dial times out
 		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
 		if err != nil {
 			return ln.Addr().String(), func() net.Listener { return ln }
@@ -73,7 +75,7 @@
 	}
 }
 
-// TestSilentDial: a dial that nobody answers does not end its call while that has time.
+// TestSilentDial checks that a dial timeout does not end the call before its own timeout.
 func TestSilentDial(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -105,8 +107,8 @@
 	client.expect("1" + succeededLine)
 }
 
-// TestReplyCrossesCancel: the reply to a call that is given up in the same moment goes nowhere, and the connection that
-// carried it carries no other call.
+// TestReplyCrossesCancel checks that a reply that crosses the cancellation of its call is discarded, and that the
+// connection is closed and carries no other call.
 func TestReplyCrossesCancel(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -115,7 +117,7 @@
 	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	bed.expect(`tier: invoke 0000000000000001 "what"`)
 	release := bed.holdOwner()
-	bed.backend.loop.Post(func() { bed.backend.frontend.abortRequest(bed.backend.requests[1].client, 1) }) // as an abort that is read first
+	bed.backend.loop.Post(func() { bed.backend.frontend.abortRequest(bed.backend.requests[1].client, 1) }) // as an abort from the client that is read before the reply
 	bed.step([]string{"tier", "replies", "0000000000000001", "late"})
 	release()
 	bed.await(func() bool {
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -13,38 +13,38 @@
 
 const (
 	// proxyMaxIdle is how long a connection may be idle and still be used. Proxies close idle connections after 10 s,
-	// some far sooner: this side closes first.
+	// some much earlier; this limit lets this side close first.
 	proxyMaxIdle = time.Second
-	// idleBackoff is the part of the idle time after which the proxy had dropped a connection that becomes the new
-	// maximum.
+	// idleBackoffFactor determines the new limit on the idle time when the proxy has dropped an idle connection: this
+	// part of the time for which that connection was idle.
 	idleBackoffFactor = 0.25
-	// deadConnWindow is how soon after a call was sent the end of its connection shows that the proxy had dropped the
-	// connection before: no call takes so little.
+	// staleConnWindow is how long after a call was sent the end of its connection is taken as a sign that the proxy had
+	// dropped the connection before. No call completes in so short a time.
 	staleConnWindow = 2 * time.Millisecond
 )
 
-// proxyUpstream makes calls to a proxy in front of the upstream tier. As long as there is room for more connections each
-// carries one call at a time, so that a malformed reply, a reset or a reply that never comes costs one call. A
-// connection on which such a thing happened is retired. That covers a proxy that breaks one call in many; where the
-// proxy is sound it costs descriptors.
+// proxyUpstream makes calls to a proxy in front of the upstream tier. While the limit allows more connections, each
+// carries one call at a time, so that a malformed reply, a reset or a missing reply affects one call only. A connection
+// with such a fault is retired. This limits the damage of a proxy that breaks occasional calls; with a faultless proxy it
+// only costs file descriptors.
 type proxyUpstream struct {
 	upstreamCalls
 	address string
-	maxIdle time.Duration // a connection that was idle for longer isn't used
+	maxIdle time.Duration // a connection that was idle for longer is not used
 	conns   map[*proxyConn]struct{}
-	idle    []*proxyConn    // free connections, the last used at the end
-	queue   []*upstreamCall // calls that wait for a connection, in order
-	dialing int             // connections being dialed for the queue
+	idle    []*proxyConn    // connections without calls, ordered by last use, the most recent at the end
+	queue   []*upstreamCall // calls that wait for a connection, first in first out
+	dialing int             // number of connections being dialed for the queue
 }
 
 // proxyConn is one connection to the proxy.
 type proxyConn struct {
 	conn        *conn.Conn
-	calls       map[uint64]*upstreamCall // in flight on it, by the id of the request
-	lastRequest uint64                   // request whose call it carried last: a duplicate of that reply may follow
+	calls       map[uint64]*upstreamCall // in flight on the connection, by request id
+	lastRequest uint64                   // request of the last call: a duplicate of its reply may still arrive
 	usedAt      time.Duration
-	retired     bool          // takes no more calls
-	closeAt     time.Duration // when it is closed whatever is in flight; 0 never
+	retired     bool          // carries no further calls
+	closeAt     time.Duration // when it is closed, even with calls in flight; 0 for never
 }
 
 func newProxyUpstream(b *Backend) *proxyUpstream {
@@ -67,8 +67,8 @@
 	u.assignConn(call)
 }
 
-// place gives a call a connection: a free one, a new one, or where there is no room for more the one with the fewest
-// calls.
+// assignConn sends a call on an idle connection. If there is none, it queues the call and dials a new connection, or at
+// the connection limit sends the call on the connection with the fewest calls.
 func (u *proxyUpstream) assignConn(call *upstreamCall) {
 	b := u.backend
 	for i := len(u.idle) - 1; i >= 0; i-- {
@@ -85,16 +85,16 @@
 	}
 	least := u.leastLoaded(call.request.id)
 	if least == nil {
-		u.queue = append(u.queue, call) // all are being dialed or retired
+		u.queue = append(u.queue, call) // all connections are being dialed, are retired or had this request last
 		return
 	}
 	u.send(least, call)
 }
 
-// leastLoaded returns the connection with the fewest calls that may carry the call of a request, or nil.
+// leastLoaded returns the connection with the fewest calls among those that may carry a call of the request, or nil.
 func (u *proxyUpstream) leastLoaded(requestID uint64) *proxyConn {
 	var least *proxyConn
-	for candidate := range u.conns { // which of several equal ones doesn't matter
+	for candidate := range u.conns { // which of several equally loaded ones is used does not matter
 		if candidate.retired || candidate.lastRequest == requestID {
 			continue
 		}
@@ -111,7 +111,7 @@
 	u.backend.loop.Dial(address, func(c *conn.Conn, err error) { u.dialed(address, c, err) })
 }
 
-// dialMore dials if more calls wait than connections are being dialed.
+// dialMore dials a connection if more calls are queued than connections are being dialed.
 func (u *proxyUpstream) dialMore() {
 	if len(u.queue) > u.dialing {
 		u.dial()
@@ -120,7 +120,7 @@
 
 func (u *proxyUpstream) dialed(address string, c *conn.Conn, err error) {
 	u.dialing--
-	if address != u.address { // replaced meanwhile
+	if address != u.address { // the address was replaced during the dial
 		if err == nil {
 			c.CloseAfterSend(conn.ErrClosedLocally)
 		}
@@ -140,8 +140,8 @@
 	u.release(opened)
 }
 
-// dialFailed ends the call for which the connection was dialed. After a timeout of the dial the calls wait for another
-// dial instead, as long as their own timeouts allow.
+// dialFailed ends the first call of the queue, for which the connection was dialed. After a dial timeout the call stays
+// queued for another dial instead, until its own timeout.
 func (u *proxyUpstream) dialFailed(err error) {
 	u.backend.logLimited("upstream unreachable", "reason", err)
 	if !errors.Is(err, conn.ErrDialTimeout) {
@@ -152,7 +152,7 @@
 	u.dialMore()
 }
 
-// dequeue removes and returns the first call of the queue that still waits, nil if there is none.
+// dequeue removes and returns the first call of the queue that has not ended, or nil if there is none.
 func (u *proxyUpstream) dequeue() *upstreamCall {
 	for len(u.queue) > 0 {
 		first := u.queue[0]
@@ -164,7 +164,8 @@
 	return nil
 }
 
-// release gives a connection without calls the next one of the queue, or makes it idle.
+// release sends the next call of the queue on a connection without calls, or marks the connection idle. It closes a
+// retired connection.
 func (u *proxyUpstream) release(connection *proxyConn) {
 	if connection.retired {
 		u.close(connection)
@@ -195,7 +196,7 @@
 func (u *proxyUpstream) onReply(connection *proxyConn, reply upstreamproto.Reply) {
 	call := connection.calls[reply.ID]
 	if call == nil {
-		return // given up, a duplicate, or never sent here
+		return // a cancelled call, a duplicate reply, or an id that was never sent on this connection
 	}
 	connection.usedAt = u.backend.now
 	if reply.Outcome == overload.OK {
@@ -207,10 +208,10 @@
 	}
 }
 
-// onClosed handles the end of a connection. A call of which no byte had left never ran and gets another connection; of
-// the others nothing is proved. A connection that broke right after a call was sent on it had been dropped by the proxy
-// while it was idle: from then on connections may be idle for a shorter time, as dialing one costs less than a failed
-// call.
+// onClosed handles the end of a connection. A call of which no byte was sent never ran and is sent on another connection;
+// the outcome of the other calls is unknown. If the connection ended right after a call was sent on it, the proxy had
+// dropped it while it was idle. The limit on the idle time is then lowered, since dialing a connection costs less than a
+// failed call.
 func (u *proxyUpstream) onClosed(connection *proxyConn) {
 	u.removeConn(connection)
 	for _, id := range slices.Sorted(maps.Keys(connection.calls)) {
@@ -239,7 +240,7 @@
 	u.idle = slices.DeleteFunc(u.idle, func(other *proxyConn) bool { return other == connection })
 }
 
-// close ends a connection and gives up the calls in flight on it.
+// close closes a connection. If calls are in flight on it, it aborts the connection, and onClosed ends these calls.
 func (u *proxyUpstream) close(connection *proxyConn) {
 	u.removeConn(connection)
 	if len(connection.calls) > 0 {
@@ -249,7 +250,7 @@
 	}
 }
 
-// detach takes a call from its connection and from the calls in flight.
+// detach removes a call from its connection and from the calls in flight.
 func (u *proxyUpstream) detach(call *upstreamCall) {
 	if call.proxyConn != nil {
 		delete(call.proxyConn.calls, call.request.id)
@@ -262,8 +263,8 @@
 	u.backend.reportCallEnd(call, outcome)
 }
 
-// cancel gives up the call of r, if there is one. Its reply may be on the way or never come, so its connection takes no
-// more calls.
+// cancel cancels the call of r, if there is one. The reply may still arrive or be missing for good, so the connection
+// is retired.
 func (u *proxyUpstream) cancel(r *request) {
 	call := r.call
 	if call == nil {
@@ -295,7 +296,7 @@
 			u.endCall(call, overload.NoConnection)
 		}
 	}
-	for old := range u.conns { // each by itself: the order doesn't matter
+	for old := range u.conns { // the order does not matter
 		old.retired = true
 		if old.closeAt == 0 {
 			old.closeAt = u.backend.now + oldAddressGrace
@@ -312,7 +313,7 @@
 	u.closeRetired()
 }
 
-// expireCalls gives up the calls whose time has passed.
+// expireCalls cancels and ends the calls whose deadline and callGrace have passed.
 func (u *proxyUpstream) expireCalls() {
 	b := u.backend
 	var expired []uint64
@@ -328,14 +329,14 @@
 		call := u.calls[id]
 		outcome := overload.TimedOut
 		if call.proxyConn == nil {
-			outcome = overload.NoConnection // it was never sent
+			outcome = overload.NoConnection // the call was never sent
 		}
 		u.cancel(call.request)
 		u.endCall(call, outcome)
 	}
 }
 
-// closeIdle closes the connections that were idle for too long.
+// closeIdle closes the connections that were idle for maxIdle or longer.
 func (u *proxyUpstream) closeIdle() {
 	b := u.backend
 	for len(u.idle) > 0 && b.now-u.idle[0].usedAt >= u.maxIdle {
@@ -346,10 +347,10 @@
 	}
 }
 
-// closeRetired closes the connections to replaced addresses whose time has passed.
+// closeRetired closes the connections to replaced addresses at their closeAt time.
 func (u *proxyUpstream) closeRetired() {
 	b := u.backend
-	for old := range u.conns { // each by itself: the order doesn't matter
+	for old := range u.conns { // the order does not matter
 		switch {
 		case old.closeAt == 0:
 		case b.now >= old.closeAt:
