--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -12,7 +12,8 @@
 	statsFileOpenTimeout     = 2 * time.Second  // for opening the statistics file; after that the node serves without it
 )
 
-// AccountingConfig configures the accounts of the requests. The zero value keeps the accounts of this process in memory.
+// AccountingConfig configures the accounts of the requests. The zero value keeps the accounts of this process in
+// memory.
 type AccountingConfig struct {
 	File          string        // the statistics file, which persists across restarts; empty for none
 	Entries       int           // the number of entries in the file; 0 for the default of package statsfile
@@ -22,8 +23,8 @@
 	CustomerField string        // the header that names the customer; if empty, the number of the calling edge node is used
 }
 
-// requestAccounting keeps the accounts of all requests. An account is opened when its request is read, and closed exactly
-// once.
+// requestAccounting keeps the accounts of all requests. An account is opened when its request is read, and closed
+// exactly once.
 type requestAccounting struct {
 	ledger         *accounting.Ledger  // nil until Serve
 	ledgerRows     []uint16            // row in the ledger of each handler
@@ -39,8 +40,8 @@
 	return a.ledgerRows[handler]
 }
 
-// openLedger creates the ledger, with the accounts of earlier processes if the statistics file has them. An error of the
-// file is logged, and the backend serves without the file.
+// openLedger creates the ledger, with the accounts of earlier processes if the statistics file has them. An error of
+// the file is logged, and the backend serves without the file.
 func (b *Backend) openLedger() error {
 	cfg := accounting.Config{
 		MaxCustomers: b.cfg.Accounting.MaxCustomers,
@@ -68,9 +69,9 @@
 	return nil
 }
 
-// flush sends the output that was buffered in the turn that began at the given time. It appends a mark to the statistics
-// file before and after that, which shows the next process which output may have been sent. It returns after which time
-// to retry output that a peer did not accept, or 0 if all was sent.
+// flush sends the output that was buffered in the turn that began at the given time. It appends a mark to the
+// statistics file before and after that, which shows the next process which output may have been sent. It returns after
+// which time to retry output that a peer did not accept, or 0 if all was sent.
 func (b *Backend) flush(turn time.Time) (retryAfter time.Duration) {
 	if b.recorder == nil {
 		return b.loop.Flush(turn)
--- a/backend/audit.go
+++ b/backend/audit.go
@@ -7,8 +7,8 @@
 	"frosthub/internal/invariant"
 )
 
-// auditLedger checks the sums of the ledger, every ledgerComparisonInterval compares its open accounts with the requests of
-// the backend, and logs the mismatches.
+// auditLedger checks the sums of the ledger, every ledgerComparisonInterval compares its open accounts with the
+// requests of the backend, and logs the mismatches.
 func (b *Backend) auditLedger() {
 	b.ledger.Audit(b.wallTime)
 	if b.now >= b.nextComparison {
@@ -60,8 +60,8 @@
 		if b.hasClient(r) {
 			waiting++
 			invariant.Check(r.client.requests[r.slot] == r, "an unanswered request holds its slot")
-			asked := r.guard != nil || slices.Contains(b.processor.unverified, r)
-			invariant.Check(r.state != stateUnverified || asked, "the processor is queried about an unverified request")
+			queryPending := r.guard != nil || slices.Contains(b.processor.unverified, r)
+			invariant.Check(r.state != stateUnverified || queryPending, "the processor is queried about an unverified request")
 		} else {
 			invariant.Check(r.failedOver || r.state >= stateAwaitingIntent, "a request without a client runs")
 		}
@@ -73,8 +73,8 @@
 	slots := 0
 	for client := range b.frontend.clients {
 		slots += len(client.requests)
-		known := client.readStopped || client.protocol.openSlots() >= client.pendingResponses()
-		invariant.Check(known, "the protocol parser counts at least the slots with pending responses")
+		slotsOpen := client.readStopped || client.protocol.openSlots() >= client.pendingResponses()
+		invariant.Check(slotsOpen, "the protocol parser counts at least the slots with pending responses")
 	}
 	invariant.Check(waiting == b.unanswered && waiting == slots, "unanswered requests hold one slot each")
 	invariant.Check(calls == b.upstream.callsInFlight(), "each call in flight belongs to a request")
--- a/backend/config.go
+++ b/backend/config.go
@@ -22,14 +22,14 @@
 const (
 	configPathVariable = "PROXY_CONFIG" // the environment variable that names the configuration file
 
-	gcMemoryShare      = 0.75            // share of the memory limit that the garbage collector targets; the rest is for stacks and the program
+	gcMemoryShare      = 0.75            // of the memory limit, for the garbage collector; the rest is for stacks and the program
 	defaultStopTimeout = 3 * time.Second // used if the configuration states none
 	defaultSockets     = 1024
 	minSockets         = 32 // a backend can't serve with fewer file descriptors
 )
 
-// Config is the configuration of a backend. ParseConfig reads the first group of fields, the platform's, and the program
-// fills in the second group, the operator's.
+// Config is the configuration of a backend. ParseConfig reads the first group of fields, the platform's, and the
+// program fills in the second group, the operator's.
 type Config struct {
 	Name         string
 	Listen       string        // the address where FastCGI clients connect
--- a/backend/config_test.go
+++ b/backend/config_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestLoadErrors checks that a file that can't be read is distinguished from a missing or invalid one: only a failed read
-// is retried.
+// TestLoadErrors checks that a file that can't be read is distinguished from a missing or invalid one: only a failed
+// read is retried.
 func TestLoadErrors(t *testing.T) {
 	t.Setenv(configPathVariable, "")
 	if _, err := LoadConfig(); err == nil || isUnreadable(err) {
--- a/backend/control_reporter.go
+++ b/backend/control_reporter.go
@@ -8,8 +8,8 @@
 	"frosthub/internal/faultinject"
 )
 
-// reportInterval is the interval between reports to the control plane. The control plane drops a backend that was silent
-// for 3 s, which takes the loss of 15 datagrams in a row. Sending one costs little.
+// reportInterval is the interval between reports to the control plane. The control plane drops a backend that was
+// silent for 3 s, which takes the loss of 15 datagrams in a row. Sending one costs little.
 const reportInterval = 200 * time.Millisecond
 
 // controlReporter renews the lease of this backend at the control plane. It reads no replies, so a control plane that
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -15,8 +15,9 @@
 // carries the previous gauges. The timeout is short compared with the interval between timer events.
 const gaugeTimeout = 10 * time.Millisecond
 
-// controllerDriver collects the input of the overload controller: the events of the turn, and the timer events. Before a
-// timer event it requests fresh gauges from the processor, which the event carries. It is not safe for concurrent use.
+// controllerDriver collects the input of the overload controller: the events of the turn, and the timer events. Before
+// a timer event it requests fresh gauges from the processor, which the event carries. It is not safe for concurrent
+// use.
 type controllerDriver struct {
 	controller     *overload.Controller // nil until the processor is ready
 	events         []overload.Event     // since the last batch, in order
@@ -39,8 +40,8 @@
 	idleTimeout   time.Duration // how long a connection may be idle before it is closed; 0 for the default
 }
 
-// startController creates the controller once the processor is ready. The controller's actions on the first batch set the
-// health, the load signal and the time of the next timer event.
+// startController creates the controller once the processor is ready. The controller's actions on the first batch set
+// the health, the load signal and the time of the next timer event.
 func (b *Backend) startController(warmingUp bool, started time.Duration) {
 	settings := b.cfg.Settings
 	settings.Backend.Cold = warmingUp
@@ -95,7 +96,7 @@
 	}
 }
 
-// apply carries out one action of the controller.
+// applyAction carries out one action of the controller.
 func (b *Backend) applyAction(action *overload.Action) {
 	switch action.Kind {
 	case overload.Health:
@@ -141,7 +142,7 @@
 	}
 }
 
-// forgetResult removes the cached result of a read, also of one that has ended. A request that must run only once
+// removeCachedRead removes the cached result of a read, also of one that has ended. A request that must run only once
 // leaves the cache when it ends without having run.
 func (b *Backend) removeCachedRead(id uint64) {
 	if entry := b.results.byID[id]; entry != nil && !entry.runsOnce {
@@ -154,8 +155,8 @@
 	if !invariant.Check(r.state == stateHeld && b.isWanted(r), "a request that is started is held") {
 		return
 	}
-	if verdict := b.process.CheckStart(r.readAt); verdict != lifecycle.Allowed && !r.failedOver {
-		b.recordViolation("start", r, verdict)
+	if decision := b.process.CheckStart(r.readAt); decision != lifecycle.Allowed && !r.failedOver {
+		b.recordViolation("start", r, decision)
 		b.runEnded(r, overload.NeverRan, accounting.NotReady, 0, nil)
 		return
 	}
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -120,7 +120,7 @@
 	return slog.GroupValue(attrs...)
 }
 
-// reasonsOf returns the numbers of closed requests by reason, summed over all rows of a ledger.
+// sumReasons returns the numbers of closed requests by reason, summed over all rows of a ledger.
 func sumReasons(ledger *accounting.Ledger) map[string]int64 {
 	sums := map[string]int64{}
 	for _, row := range ledger.Report(false).Rows {
@@ -131,11 +131,11 @@
 	return sums
 }
 
-// recordViolation counts and logs an operation on a request that package lifecycle forbids. The caller does not carry it
-// out.
-func (b *Backend) recordViolation(operation string, r *request, verdict lifecycle.Decision) {
+// recordViolation counts and logs an operation on a request that package lifecycle forbids. The caller does not carry
+// it out.
+func (b *Backend) recordViolation(operation string, r *request, decision lifecycle.Decision) {
 	b.stats.Violations++
-	b.log.Error("lifecycle violation prevented", "act", operation, "id", r.wireID, "reason", verdict)
+	b.log.Error("lifecycle violation prevented", "act", operation, "id", r.wireID, "reason", decision)
 }
 
 // logLimited logs a warning, at most once a second for each message, with the number of suppressed warnings since the
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -8,9 +8,9 @@
 	"frosthub/accounting"
 )
 
-// sweep closes connections that have been idle for too long, and the longest idle ones if there are too many connections.
-// It rejects requests that stay incomplete for too long, and answers deep health checks to which the processor has not
-// responded in time.
+// sweep closes connections that have been idle for too long, and the longest idle ones if there are too many
+// connections. It rejects requests that stay incomplete for too long, and answers deep health checks to which the
+// processor has not responded in time.
 func (f *frontend) sweep() {
 	idleTimeout := min(maxIdle, cmp.Or(f.backend.advice.idleTimeout, maxIdle))
 	for client := range f.clients {
@@ -69,7 +69,7 @@
 	slices.SortFunc(idle, func(x, y *clientConn) int { return cmp.Compare(x.lastUsed, y.lastUsed) })
 	for _, client := range idle[:min(len(idle), excess)] {
 		f.backend.stats.ConnsEvicted++
-		if !client.hasSentRequest && client.protocol.midMessage() { // otherwise the partial message would delay the close for seconds
+		if !client.hasSentRequest && client.protocol.midMessage() { // else its partial message delays the close for seconds
 			f.stopReading(client)
 		}
 		client.conn.CloseGracefully(errEvicted)
--- a/backend/main.go
+++ b/backend/main.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	logFlushTimeout = 50 * time.Millisecond // for flushing the log at exit: its reader may have stalled, and the process is killed soon
+	logFlushTimeout = 50 * time.Millisecond // at exit: the reader of the log may have stalled, and the process is killed soon
 
 	// Retries of a read of the configuration file that failed although the file exists.
 	configRetryInterval = 200 * time.Millisecond
@@ -27,10 +27,10 @@
 // LoadConfig, and logs to standard error. SIGTERM and SIGINT drain the backend, SIGHUP reloads the configuration, and
 // SIGUSR1 logs the counters.
 //
-// Main calls configure to fill in the operator's part of each configuration that it has read. Before the backend serves,
-// Main calls attach once with it, to start servers that run next to the backend. The stop function that attach returns
-// is called when the backend has ended. Main returns an error if the configuration can't be loaded, if attach fails, or
-// if Serve fails.
+// Main calls configure to fill in the operator's part of each configuration that it has read. Before the backend
+// serves, Main calls attach once with it, to start servers that run next to the backend. The stop function that attach
+// returns is called when the backend has ended. Main returns an error if the configuration can't be loaded, if attach
+// fails, or if Serve fails.
 func Main(configure func(*Config) error, attach func(*Backend) (stop func(), err error)) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1) // before anything else: unhandled, they end the process
@@ -46,9 +46,9 @@
 	}
 	cfg.Limits.Apply()
 	signal.Ignore(syscall.SIGPIPE) // the process that reads the log may exit; writing to it must not end this one
-	lines := asynclog.New(os.Stderr)
-	defer lines.Flush(logFlushTimeout)
-	log := slog.New(slog.NewTextHandler(lines, nil))
+	logWriter := asynclog.New(os.Stderr)
+	defer logWriter.Flush(logFlushTimeout)
+	log := slog.New(slog.NewTextHandler(logWriter, nil))
 	conn.Prepare(log)
 	b := New(cfg, log)
 	detach, err := attach(b)
@@ -96,15 +96,15 @@
 
 // isUnreadable reports whether err is a failure to read a file that exists. Such an error may be temporary.
 func isUnreadable(err error) bool {
-	var disk *fs.PathError
-	return errors.As(err, &disk) && !errors.Is(err, fs.ErrNotExist)
+	var pathError *fs.PathError
+	return errors.As(err, &pathError) && !errors.Is(err, fs.ErrNotExist)
 }
 
 // loadConfigAtStart loads the configuration, and retries for up to startupRetryTimeout while the file can't be read.
 func loadConfigAtStart(ctx context.Context, configure func(*Config) error) (Config, error) {
-	for end := time.Now().Add(startupRetryTimeout); ; time.Sleep(configRetryInterval) {
+	for deadline := time.Now().Add(startupRetryTimeout); ; time.Sleep(configRetryInterval) {
 		cfg, err := loadConfig(configure)
-		if !isUnreadable(err) || ctx.Err() != nil || time.Now().After(end) {
+		if !isUnreadable(err) || ctx.Err() != nil || time.Now().After(deadline) {
 			return cfg, err
 		}
 	}
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// processorAgeMax is the longest time that the processor may have been running when this process starts. The owner's
+	// maxProcessorAge is the longest time that the processor may have been running when this process starts. The owner's
 	// clock starts this long before the process, so that the start time of the processor is never negative.
 	maxProcessorAge = time.Hour
 
@@ -20,8 +20,8 @@
 	maxTurnInterval = time.Second
 )
 
-// ownerClock holds the time of the owner's current turn. The monotonic and the wall clock are read together once a turn,
-// so that all events of a turn have the same time. It is not safe for concurrent use.
+// ownerClock holds the time of the owner's current turn. The monotonic and the wall clock are read together once a
+// turn, so that all events of a turn have the same time. It is not safe for concurrent use.
 type ownerClock struct {
 	origin       time.Time     // the zero of now
 	now          time.Duration // monotonic time since origin
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -13,7 +13,7 @@
 const (
 	// resultCacheShare is the share of the memory limit that the cache may use.
 	resultCacheShare = 0.08
-	// cacheEntryBytes is the memory that an entry takes in addition to its names and its result.
+	// entryOverheadBytes is the memory that an entry takes in addition to its names and its result.
 	entryOverheadBytes = 400
 	// maxCachedResult is the size in bytes of the largest result that the protocol of the deployment allows.
 	maxCachedResult = 4 << 10
@@ -39,16 +39,16 @@
 	recentRepeats []uint64 // ids of its most recent repeats
 	key           cacheKey
 	runsOnce      bool          // it must not run again: a repeat gets its outcome, even if it has no result
-	expiresAt     time.Duration // bounds the arrival time of repeats if runsOnce is set, otherwise the time at which they are read
+	expiresAt     time.Duration // a repeat must arrive (if runsOnce) or be read (otherwise) before this
 	ended         bool
 	succeeded     bool
 	result        []byte
 	bytes         int
 }
 
-// resultCache holds requests and their results, with which it answers repeats. The overload controller decides how long a
-// read is kept. A request that must run only once is kept from its arrival until every request that arrived within its
-// repeat window was read.
+// resultCache holds requests and their results, with which it answers repeats. The overload controller decides how long
+// a read is kept. A request that must run only once is kept from its arrival until every request that arrived within
+// its repeat window was read.
 //
 // Its methods must be called by the owner goroutine of the backend.
 type resultCache struct {
@@ -93,13 +93,14 @@
 	return entry
 }
 
-// checkRepeat marks a request that is about to be submitted to the overload controller as a repeat of a cached request, if
-// there is one. Otherwise it caches the request if that must run only once, since its repeat may arrive in the same batch.
+// checkRepeat marks a request that is about to be submitted to the overload controller as a repeat of a cached request,
+// if there is one. Otherwise it caches the request if that must run only once, since its repeat may arrive in the same
+// batch.
 //
 // It returns the reason why the request can't be admitted, or accounting.NoReason: there is no room to cache it, the
-// processor could not be queried about its id, or its id is that of an earlier attempt. Each attempt has an id of its own,
-// so a request with a known id is a replay of an edge node's message. The processor rejects known ids, but does not see
-// requests that are answered from the cache.
+// processor could not be queried about its id, or its id is that of an earlier attempt. Each attempt has an id of its
+// own, so a request with a known id is a replay of an edge node's message. The processor rejects known ids, but does
+// not see requests that are answered from the cache.
 func (c *resultCache) checkRepeat(r *request) accounting.Reason {
 	if r.cacheKey.name == "" {
 		return accounting.NoReason // without a key no repeat can be recognized
@@ -156,8 +157,8 @@
 	return float64(c.usedBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
 }
 
-// remember carries out the overload controller's decision that repeats of r may be answered with its result, for a read
-// during the given lifetime.
+// storeEntry carries out the overload controller's decision that repeats of r may be answered with its result, for a
+// read during the given lifetime.
 func (c *resultCache) storeEntry(r *request, lifetime time.Duration) {
 	if r.cacheKey.name == "" || c.byID[r.id] == nil && !c.add(r) {
 		return
@@ -219,8 +220,8 @@
 	c.requestEnded(original, requestEnd{outcome: overload.Failed})
 }
 
-// requestEnded implements requestObserver. It records the outcome of an original request and ends its followers with the
-// same outcome.
+// requestEnded implements requestObserver. It records the outcome of an original request and ends its followers with
+// the same outcome.
 func (c *resultCache) requestEnded(original *request, end requestEnd) {
 	if entry := c.byID[original.id]; entry != nil {
 		c.recordEnd(entry, end)
@@ -234,8 +235,8 @@
 	}
 }
 
-// storeEnd records in an entry how its request has ended. It drops a read without a result. It drops a request that must run
-// only once if that never ran; in any other case a repeat would be a second run.
+// recordEnd records in an entry how its request has ended. It drops a read without a result. It drops a request that
+// must run only once if that never ran; in any other case a repeat would be a second run.
 func (c *resultCache) recordEnd(entry *cacheEntry, end requestEnd) {
 	entry.ended = true
 	c.usedBytes -= entry.bytes
@@ -256,7 +257,8 @@
 }
 
 // sweep drops the entries that have expired. A request that must run only once stays until every request that arrived
-// within its repeat window was read: a request that was unread for longer than the client timeout is rejected when read.
+// within its repeat window was read: a request that was unread for longer than the client timeout is rejected when
+// read.
 func (c *resultCache) sweep() {
 	for _, entry := range c.byID { // only removes entries: the order does not matter
 		expiresAt := entry.expiresAt
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestCacheFull checks that at the memory limit requests that must run only once are rejected, and that no cached one is
-// dropped.
+// TestCacheFull checks that at the memory limit requests that must run only once are rejected, and that no cached one
+// is dropped.
 func TestCacheFull(t *testing.T) {
 	b := newCacheBackend(t, "1")
 	claim := func(id uint64, name int) *request { return newCacheRequest(b, id, claimHandler, fmt.Sprint(name), 0) }
--- a/backend/signal_test.go
+++ b/backend/signal_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSignals checks that SIGHUP reloads the configuration, that an invalid configuration changes nothing, and that Main
-// returns without an error after SIGTERM.
+// TestSignals checks that SIGHUP reloads the configuration, that an invalid configuration changes nothing, and that
+// Main returns without an error after SIGTERM.
 func TestSignals(t *testing.T) {
 	bed := newTestbed(t)
 	bed.options = map[string]string{"stop_ms": "500"}
@@ -29,8 +29,8 @@
 		ended <- Main(func(*Config) error { return nil }, func(*Backend) (func(), error) { return func() {}, nil })
 	}()
 	got := bed.awaitQuiet(2)
-	complete := bed.configText()
-	for _, bad := range [][]byte{nil, complete[:len(complete)/2], []byte("[]"), []byte(`{"name":"n3"}`)} {
+	validConfig := bed.configText()
+	for _, bad := range [][]byte{nil, validConfig[:len(validConfig)/2], []byte("[]"), []byte(`{"name":"n3"}`)} {
 		write(bad)
 		_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 		got = append(got, bed.awaitQuiet(0)...)
--- a/backend/testbed_await_test.go
+++ b/backend/testbed_await_test.go
@@ -66,7 +66,7 @@
 	defer bed.mu.Unlock()
 	for _, line := range bed.printed {
 		if strings.HasPrefix(line, prefix) {
-			bed.t.Errorf("unexpected %q", line)
+			bed.t.Errorf("%q", line)
 		}
 	}
 }
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// lookUpID reports whether the run of an id was begun, and whether the processor rejects the id. If begins is set, the run
-// begins now.
+// lookUpID reports whether the run of an id was begun, and whether the processor rejects the id. If begins is set, the
+// run begins now.
 func (bed *testbed) lookUpID(id string, begins bool) (begun, rejected bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -87,8 +87,9 @@
 	return begun, known && !begun
 }
 
-// awaitQuiet waits until the expected number of lines was printed and no more follow, and returns them sorted by party. A
-// negative number means that the expected number is unknown, because the trace is being written; it then waits longer.
+// awaitQuiet waits until the expected number of lines was printed and no more follow, and returns them sorted by party.
+// A negative number means that the expected number is unknown, because the trace is being written; it then waits
+// longer.
 func (bed *testbed) awaitQuiet(expected int) []string {
 	start := time.Now()
 	period := quietPeriod
@@ -135,11 +136,11 @@
 
 // configText returns a configuration with the addresses of the current fakes.
 func (bed *testbed) configText() []byte {
-	option := func(name, missing string) string {
+	option := func(name, defaultValue string) string {
 		if value, ok := bed.options[name]; ok {
 			return value
 		}
-		return missing
+		return defaultValue
 	}
 	upstream := bed.upstream.listener.Addr().String()
 	if bed.options["last"] != "" {
@@ -208,7 +209,8 @@
 	}
 }
 
-// crash ends the backend, discards everything that was not durable on its disk, and starts another backend in its place.
+// crash ends the backend, discards everything that was not durable on its disk, and starts another backend in its
+// place.
 func (bed *testbed) crash() {
 	bed.incarnation.Add(1)
 	bed.disk.CutPower()
@@ -229,8 +231,8 @@
 	bed.start(bed.options)
 }
 
-// start starts a backend. Options are those of configText, "last" for a backend of the last tier, "keep" for one with an
-// idempotency store, and "ajp" and "secret" for one that serves AJP.
+// start starts a backend. Options are those of configText, "last" for a backend of the last tier, "keep" for one with
+// an idempotency store, and "ajp" and "secret" for one that serves AJP.
 func (bed *testbed) start(options map[string]string) {
 	bed.options = options
 	if options["keep"] != "" && bed.disk == nil {
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -83,7 +83,7 @@
 	})
 }
 
-// steps maps the first word of a step to its function, which takes the remaining words.
+// stepHandlers maps the first word of a step to its function, which takes the remaining words.
 var stepHandlers = map[string]func(bed *testbed, words []string){
 	"start":     func(bed *testbed, words []string) { bed.start(parseOptions(words)) },
 	"wait":      func(_ *testbed, words []string) { time.Sleep(parseDuration(words[0])) },
@@ -106,11 +106,11 @@
 
 // step plays one step.
 func (bed *testbed) step(words []string) {
-	play := stepHandlers[words[0]]
-	if play == nil {
+	handler := stepHandlers[words[0]]
+	if handler == nil {
 		bed.t.Fatal("unknown step:", words)
 	}
-	play(bed, words[1:])
+	handler(bed, words[1:])
 }
 
 func parseDuration(word string) time.Duration {
@@ -154,13 +154,13 @@
 	}
 }
 
-// move starts new fakes and reloads the configuration with their addresses.
+// moveStep starts new fakes and reloads the configuration with their addresses.
 func (bed *testbed) moveStep([]string) {
 	bed.startPeers("new ")
 	bed.backend.Reload(bed.config())
 }
 
-// pause blocks the owner for a time, as when the machine stalls; its input stays unread.
+// pauseStep blocks the owner for a time, as when the machine stalls; its input stays unread.
 func (bed *testbed) pauseStep(words []string) {
 	bed.backend.loop.Post(func() { time.Sleep(parseDuration(words[0])) })
 }
@@ -180,8 +180,8 @@
 	<-held
 }
 
-// crowd opens connections and sends nothing on them. Its words are the number of connections, and the number that
-// may stay open.
+// openIdleConns opens connections and sends nothing on them. Its words are the number of connections, and the number
+// that may stay open.
 func (bed *testbed) openIdleConns(words []string) {
 	n, _ := strconv.Atoi(words[0])
 	limit, _ := strconv.Atoi(words[1])
@@ -207,7 +207,7 @@
 	}
 }
 
-// many sends the given number of requests, each with an id, a caller and a connection of its own. It leaves half of
+// sendMany sends the given number of requests, each with an id, a caller and a connection of its own. It leaves half of
 // the connections open.
 func (bed *testbed) sendMany(words []string) {
 	n, _ := strconv.Atoi(words[0])
@@ -306,7 +306,7 @@
 	}
 }
 
-// set sets a mode of the fake to true if words is empty or starts with "on", otherwise to false.
+// setMode sets a mode of the fake to true if words is empty or starts with "on", otherwise to false.
 func (p *fakeServer) setMode(mode *bool, words []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -34,7 +34,7 @@
 	onTimer()
 	// callsInFlight returns the number of calls in flight.
 	callsInFlight() int
-	// connections returns the number of connections to the upstream tier.
+	// connectionCount returns the number of connections to the upstream tier.
 	connectionCount() int
 }
 
@@ -93,7 +93,7 @@
 	r.awaitCall()
 }
 
-// call makes the call of r if package lifecycle allows it: a call whose earlier attempt may have had its effect is
+// makeCall makes the call of r if package lifecycle allows it: a call whose earlier attempt may have had its effect is
 // retried only if the handler is replayable.
 func (b *Backend) makeCall(r *request, timeout time.Duration) {
 	command := lifecycle.Command{
@@ -101,8 +101,8 @@
 		NeverRan:   !r.callOutcomeUnknown,
 		Wanted:     b.isWanted(r),
 	}
-	if verdict := lifecycle.CheckRetry(command); verdict != lifecycle.Allowed {
-		b.recordViolation("call", r, verdict)
+	if decision := lifecycle.CheckRetry(command); decision != lifecycle.Allowed {
+		b.recordViolation("call", r, decision)
 		b.events = append(b.events, overload.Event{Kind: overload.CallEnded, ID: r.id, Outcome: overload.NoConnection})
 		return
 	}
@@ -128,7 +128,7 @@
 	})
 }
 
-// provesCallOutcome reports whether the outcome of a call proves that the call had its effect, or proves that it did not.
+// isOutcomeProven reports whether the outcome of a call proves that the call had its effect, or proves that it did not.
 func isOutcomeProven(outcome overload.Outcome) bool {
 	switch outcome {
 	case overload.OK, overload.Overloaded, overload.NeverRan, overload.NoConnection:
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -14,14 +14,16 @@
 	"frosthub/overload"
 )
 
-// AJPUpstreamConfig configures an upstream tier of several servers that speak AJP. It is unused if Balancer has no peers.
+// AJPUpstreamConfig configures an upstream tier of several servers that speak AJP. It is unused if Balancer has no
+// peers.
 type AJPUpstreamConfig struct {
 	Balancer loadbalance.Config
 	Secret   string // sent with each call; empty for none
 }
 
-// ajpUpstream makes calls over AJP to the targets that the load balancer picks. It retries a call at another target only
-// if the call is proved never to have run. For a call that may have run, the overload controller decides about a retry.
+// ajpUpstream makes calls over AJP to the targets that the load balancer picks. It retries a call at another target
+// only if the call is proved never to have run. For a call that may have run, the overload controller decides about a
+// retry.
 type ajpUpstream struct {
 	upstreamCalls
 	balancer  *loadbalance.Balancer
@@ -29,7 +31,7 @@
 	openConns int // connections, including those being dialed
 }
 
-// dontRetryName is the response header with which a server states that other servers would reject the request too.
+// dontRetryHeader is the response header with which a server states that other servers would reject the request too.
 var dontRetryHeader = []byte("X-Dont-Retry")
 
 func newAJPUpstream(b *Backend) *ajpUpstream {
@@ -66,8 +68,8 @@
 	u.dial(call)
 }
 
-// assign sends a call on a connection. If the connection was idle for cpingIdleThreshold or the target may be down, it
-// sends a CPing first, and the call once the target has answered that.
+// assignConn sends a call on a connection. If the connection was idle for cpingIdleThreshold or the target may be down,
+// it sends a CPing first, and the call once the target has answered that.
 func (u *ajpUpstream) assignConn(connection *ajpConn, call *upstreamCall) {
 	b := u.backend
 	connection.call = call
@@ -181,7 +183,8 @@
 	call.ajpConn = nil
 }
 
-// retryElsewhere retries a call that is proved never to have run at its target. After the deadline it ends the call.
+// retryAtAnotherTarget retries a call that is proved never to have run at its target. After the deadline it ends the
+// call.
 func (u *ajpUpstream) retryAtAnotherTarget(call *upstreamCall, outcome loadbalance.Outcome, proven overload.Outcome) {
 	call.tried = append(call.tried, call.target)
 	call.provenOutcome = proven
@@ -199,8 +202,8 @@
 	u.backend.reportCallEnd(call, outcome)
 }
 
-// abandonCall releases the target of a call whose outcome is unknown, and closes the connection: AJP has no other way to
-// abort a call.
+// abandonCall releases the target of a call whose outcome is unknown, and closes the connection: AJP has no other way
+// to abort a call.
 func (u *ajpUpstream) abandonCall(call *upstreamCall, outcome loadbalance.Outcome) {
 	connection := call.ajpConn
 	if call.target != nil {
@@ -249,23 +252,23 @@
 func (u *ajpUpstream) expireCall(call *upstreamCall) {
 	b := u.backend
 	connection := call.ajpConn
-	awaitsPong := connection != nil && connection.cpongDeadline > 0
+	awaitsCPong := connection != nil && connection.cpongDeadline > 0
 	switch {
 	case b.now >= call.deadline+callGrace:
 		outcome := loadbalance.TimedOut
-		if connection == nil || awaitsPong { // the call was never sent
+		if connection == nil || awaitsCPong { // the call was never sent
 			outcome = loadbalance.Fault
 		}
 		u.abandonCall(call, outcome)
 		u.endCall(call, overload.TimedOut)
-	case awaitsPong && b.now >= connection.cpongDeadline:
+	case awaitsCPong && b.now >= connection.cpongDeadline:
 		b.logLimited("upstream unreachable", "peer", connection.target.Address, "reason", errNoCPong)
 		connection.call = nil
 		u.close(connection)
 		u.retryAtAnotherTarget(call, loadbalance.Fault, overload.NoConnection)
 	default:
 		b.wakeBy(call.deadline + callGrace)
-		if awaitsPong {
+		if awaitsCPong {
 			b.wakeBy(connection.cpongDeadline)
 		}
 	}
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -13,7 +13,7 @@
 
 // Timeouts of connections to AJP servers.
 const (
-	// trustIdle is how long a connection may have been idle and still be used without a CPing.
+	// cpingIdleThreshold is how long a connection may have been idle and still be used without a CPing.
 	cpingIdleThreshold = time.Second
 	// cpongTimeout is the timeout for the answer to a CPing, which takes the server hardly any work.
 	cpongTimeout = 100 * time.Millisecond
@@ -86,11 +86,11 @@
 
 func (u *ajpUpstream) dialed(target *loadbalance.Target, call *upstreamCall, c *conn.Conn, err error) {
 	b := u.backend
-	stillWaits := call.request.call == call && call.target == target && call.ajpConn == nil
+	stillWaiting := call.request.call == call && call.target == target && call.ajpConn == nil
 	if err != nil {
 		u.openConns--
 		b.logLimited("upstream unreachable", "peer", target.Address, "reason", err)
-		if stillWaits {
+		if stillWaiting {
 			u.retryAtAnotherTarget(call, loadbalance.Fault, overload.NoConnection)
 		}
 		return
@@ -101,7 +101,7 @@
 		return opened.parser.Feed(text, func(reply ajp.Reply) { u.onReply(opened, reply) })
 	})
 	c.OnClosed = func(error) { u.onClosed(opened) }
-	if !stillWaits {
+	if !stillWaiting {
 		u.release(opened)
 		return
 	}
@@ -134,8 +134,8 @@
 	c.CloseAfterSend(conn.ErrClosedLocally)
 }
 
-// onClosed handles a connection that the peer has closed or that has failed. If no byte of its call was sent, or the call
-// was waiting for a CPong, the call never ran. Otherwise its outcome is unknown.
+// onClosed handles a connection that the peer has closed or that has failed. If no byte of its call was sent, or the
+// call was waiting for a CPong, the call never ran. Otherwise its outcome is unknown.
 func (u *ajpUpstream) onClosed(connection *ajpConn) {
 	c := connection.conn
 	if c == nil {
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -14,8 +14,8 @@
 	"frosthub/overload"
 )
 
-// TestSlowDial checks that a connection that is established only after its call was cancelled carries the next call, and
-// that the cancelled call is never sent.
+// TestSlowDial checks that a connection that is established only after its call was cancelled carries the next call,
+// and that the cancelled call is never sent.
 func TestSlowDial(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -32,7 +32,8 @@
 		}) {
 			t.Error("the backend does not dial")
 		}
-		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection is established, but the owner has not handled that yet
+		// The connection is established, but the owner has not handled that yet.
+		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil)
 	})
 	client.expect("1" + failedLine)
 	bed.await(func() bool { return bed.backend.upstream.callsInFlight() == 0 })
@@ -117,7 +118,8 @@
 	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	bed.expect(`tier: invoke 0000000000000001 "what"`)
 	release := bed.holdOwner()
-	bed.backend.loop.Post(func() { bed.backend.frontend.abortRequest(bed.backend.requests[1].client, 1) }) // as an abort from the client that is read before the reply
+	// Stands for an abort from the client that is read before the reply.
+	bed.backend.loop.Post(func() { bed.backend.frontend.abortRequest(bed.backend.requests[1].client, 1) })
 	bed.step([]string{"tier", "replies", "0000000000000001", "late"})
 	release()
 	bed.await(func() bool {
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -25,8 +25,8 @@
 
 // proxyUpstream makes calls to a proxy in front of the upstream tier. While the limit allows more connections, each
 // carries one call at a time, so that a malformed reply, a reset or a missing reply affects one call only. A connection
-// with such a fault is retired. This limits the damage of a proxy that breaks occasional calls; with a faultless proxy it
-// only costs file descriptors.
+// with such a fault is retired. This limits the damage of a proxy that breaks occasional calls; with a faultless proxy
+// it only costs file descriptors.
 type proxyUpstream struct {
 	upstreamCalls
 	address string
@@ -208,10 +208,10 @@
 	}
 }
 
-// onClosed handles the end of a connection. A call of which no byte was sent never ran and is sent on another connection;
-// the outcome of the other calls is unknown. If the connection ended right after a call was sent on it, the proxy had
-// dropped it while it was idle. The limit on the idle time is then lowered, since dialing a connection costs less than a
-// failed call.
+// onClosed handles the end of a connection. A call of which no byte was sent never ran and is sent on another
+// connection; the outcome of the other calls is unknown. If the connection ended right after a call was sent on it, the
+// proxy had dropped it while it was idle. The limit on the idle time is then lowered, since dialing a connection costs
+// less than a failed call.
 func (u *proxyUpstream) onClosed(connection *proxyConn) {
 	u.removeConn(connection)
 	for _, id := range slices.Sorted(maps.Keys(connection.calls)) {
