--- a/backend/counters.go
+++ b/backend/counters.go
@@ -146,12 +146,12 @@
 		limiter = &logthrottle.Limiter{}
 		b.logLimits[message] = limiter
 	}
-	leftOut, ok := limiter.Allow()
+	suppressed, ok := limiter.Allow()
 	if !ok {
 		return
 	}
-	if leftOut > 0 {
-		args = append(args, "left_out", leftOut)
+	if suppressed > 0 {
+		args = append(args, "left_out", suppressed)
 	}
 	b.log.Warn(message, args...)
 }
