--- a/backend/audit.go
+++ b/backend/audit.go
@@ -38,7 +38,8 @@
 // logMismatches logs the mismatches that the ledger has found.
 func (b *Backend) logMismatches() {
 	for _, mismatch := range b.ledger.TakeMismatches() {
-		b.log.Error("accounting mismatch", "what", mismatch.What, "one", mismatch.Left, "other", mismatch.Right, "trail", mismatch.Trail)
+		b.log.Error("accounting mismatch", "mismatch", mismatch.What, "left", mismatch.Left, "right", mismatch.Right,
+			"trail", mismatch.Trail)
 		invariant.Check(false, "accounts match: "+mismatch.What)
 	}
 }
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -180,7 +180,8 @@
 		b.upstream.reconfigure(&cfg)
 	}
 	b.cluster.reconfigure(cfg.Cluster)
-	b.log.Info("configuration reloaded", "processor", cfg.Processor, "next_tier", cfg.Upstream, "control", cfg.ControlPlane)
+	b.log.Info("configuration reloaded", "processor", cfg.Processor, "upstream", cfg.Upstream,
+		"control_plane", cfg.ControlPlane)
 }
 
 // runOnOwner has the owner goroutine call f between two turns, and returns once f has. After Serve has returned,
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -46,7 +46,7 @@
 	settings := b.cfg.Settings
 	settings.Backend.Cold = warmingUp
 	b.controller = overload.New(b.cfg.Seed, settings, started)
-	b.log.Info("processor ready", "cold", warmingUp, "age", (b.now - started).Round(time.Millisecond))
+	b.log.Info("processor ready", "cold", warmingUp, "processor_age", (b.now - started).Round(time.Millisecond))
 	b.addTimerEvent()
 }
 
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -90,25 +90,25 @@
 // LogValue returns the counters as groups of log attributes.
 func (c Counters) LogValue() slog.Value {
 	return slog.GroupValue(
-		slog.Group("conns", "taken", c.Accepted, "no_room", c.ConnsRefused, "closed", c.ConnsClosed, "trimmed", c.ConnsEvicted,
-			"bad", c.BadConns, "open", c.Open, "dropped_bytes", c.DiscardedBytes),
-		slog.Group("reqs", "taken", c.Requests.Received, "served", c.Requests.Served, "refused", c.Requests.Rejected,
-			"failed", c.Requests.Failed, "open", c.Requests.Open, "differs", c.Mismatches, "owed", c.Pending,
-			"bad", c.BadRequests, "checks", c.Checks, "unanswered", c.Unanswered),
-		slog.Group("runs", "begun", c.Started, "stopped", c.Stopped, "ended", c.Ended, "repeated", c.Repeated,
-			"taken", c.FailedOver, "handed", c.HandedOff),
-		slog.Group("calls", "asked", c.CallsRequested, "made", c.Calls, "ok", c.CallsOK, "failed", c.CallsFailed),
-		slog.Group("link", "made", c.Links, "lost", c.LinksLost, "rejects", c.Rejects, "remarks", c.Remarks,
-			"gauges_late", c.GaugesLate),
-		slog.Int64("reports", c.Reports),
+		slog.Group("connections", "accepted", c.Accepted, "rejected", c.ConnsRefused, "closed", c.ConnsClosed,
+			"evicted", c.ConnsEvicted, "protocol_errors", c.BadConns, "open", c.Open, "discarded_bytes", c.DiscardedBytes),
+		slog.Group("requests", "received", c.Requests.Received, "served", c.Requests.Served, "rejected", c.Requests.Rejected,
+			"failed", c.Requests.Failed, "open", c.Requests.Open, "mismatches", c.Mismatches, "pending", c.Pending,
+			"malformed", c.BadRequests, "health_checks", c.Checks, "unanswered", c.Unanswered),
+		slog.Group("runs", "started", c.Started, "cancelled", c.Stopped, "ended", c.Ended, "retried_commands", c.Repeated,
+			"taken_over", c.FailedOver, "handed_off", c.HandedOff),
+		slog.Group("calls", "requested", c.CallsRequested, "started", c.Calls, "succeeded", c.CallsOK, "failed", c.CallsFailed),
+		slog.Group("processor_link", "established", c.Links, "lost", c.LinksLost, "rejected_commands", c.Rejects,
+			"remarks", c.Remarks, "late_gauges", c.GaugesLate),
+		slog.Int64("control_reports", c.Reports),
 		slog.Int64("batches", c.Batches),
 		slog.Int64("events", c.Events),
 		slog.Int64("reloads", c.Reloads),
 		slog.Int64("stalls", c.Stalls),
 		slog.Int64("clock_steps", c.ClockSteps),
-		slog.Int64("broken", c.Broken),
-		slog.Int64("violations", c.Violations),
-		slog.Any("reasons", c.reasons()))
+		slog.Int64("invariant_violations", c.Broken),
+		slog.Int64("lifecycle_violations", c.Violations),
+		slog.Any("close_reasons", c.reasons()))
 }
 
 // reasons returns the numbers of closed requests by reason, sorted by reason.
@@ -135,7 +135,7 @@
 // it out.
 func (b *Backend) recordViolation(operation string, r *request, decision lifecycle.Decision) {
 	b.stats.Violations++
-	b.log.Error("lifecycle violation prevented", "act", operation, "id", r.wireID, "reason", decision)
+	b.log.Error("lifecycle violation prevented", "operation", operation, "id", r.wireID, "reason", decision)
 }
 
 // logLimited logs a warning, at most once a second for each message, with the number of suppressed warnings since the
@@ -151,7 +151,7 @@
 		return
 	}
 	if suppressed > 0 {
-		args = append(args, "left_out", suppressed)
+		args = append(args, "suppressed", suppressed)
 	}
 	b.log.Warn(message, args...)
 }
--- a/backend/owner_clock.go
+++ b/backend/owner_clock.go
@@ -60,11 +60,11 @@
 	reading := b.readTime()
 	if reading.step != 0 {
 		b.stats.ClockSteps++
-		b.logLimited("wall clock stepped", "by", reading.step)
+		b.logLimited("wall clock stepped", "step", reading.step)
 	}
 	if reading.stall >= minStall {
 		b.stats.Stalls++
-		b.logLimited("process stalled", "for", reading.stall)
+		b.logLimited("process stalled", "delay", reading.stall)
 	}
 	return reading.at
 }
--- a/cmd/frosthub/failover_test.go
+++ b/cmd/frosthub/failover_test.go
@@ -150,7 +150,7 @@
 		if err := node.Drain(); err != nil {
 			t.Error(err)
 		}
-		failovers += firstCounter(t, node.Log(), "runs.taken")
+		failovers += firstCounter(t, node.Log(), "runs.taken_over")
 	}
 	args := []string{"figures", "--by", "front"}
 	for _, node := range cluster.nodes {
--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -28,7 +28,7 @@
 		if err := node.Drain(); err != nil {
 			t.Fatal(err)
 		}
-		handed += firstCounter(t, node.Log(), "runs.handed")
+		handed += firstCounter(t, node.Log(), "runs.handed_off")
 		if err := node.Start(); err != nil {
 			t.Fatal(err)
 		}
