--- a/cmd/frosthub/accounting_test.go
+++ b/cmd/frosthub/accounting_test.go
@@ -25,11 +25,11 @@
 	drainCount = flag.Int("drains", 20, "number of drains under load; 300 outside CI")
 )
 
-// ledgerEntry is what a node's ledger says of a request.
+// ledgerEntry is the state of a request according to a node's ledger.
 type ledgerEntry struct {
-	sent      bool // its response was written completely
+	sent      bool // the response was written completely
 	closed    bool
-	uncertain bool              // its outcome is unknown
+	uncertain bool              // the outcome is unknown
 	reason    accounting.Reason // of the response or the close
 }
 
@@ -52,7 +52,7 @@
 		switch change.Kind {
 		case accounting.EntryOpen:
 			if _, duplicate := entries[change.ID]; duplicate && change.ID != 0 {
-				t.Errorf("%016x is entered twice", change.ID)
+				t.Errorf("request %016x has two entries in the ledger", change.ID)
 			}
 			slots[change.Slot] = change.ID
 			entries[change.ID] = ledgerEntry{}
@@ -72,7 +72,7 @@
 	return entries, ledger
 }
 
-// consistent reports whether a ledger entry agrees with the outcome that the edge node saw. entered is whether the ledger has one.
+// consistent reports whether a ledger entry agrees with the outcome that the edge node has recorded. Without an entry in the ledger, entered is false.
 func consistent(outcome fake.Outcome, entry ledgerEntry, entered bool) bool {
 	var want accounting.Category
 	switch outcome {
@@ -84,7 +84,7 @@
 		want = accounting.Failed
 	case fake.Aborted:
 		return entry.closed && entry.reason == accounting.Aborted
-	case fake.Sent, fake.NotSent: // no response: never entered, or closed without one
+	case fake.Sent, fake.NotSent: // without a response: no entry, or one that was closed without a response
 		return !entered || !entry.sent
 	default:
 		return false
@@ -92,7 +92,7 @@
 	return entered && (entry.sent || entry.uncertain) && entry.reason.Category() == want
 }
 
-// TestKillsAndDrains kills and drains nodes under load and compares their ledgers with the edge nodes' tallies, request by request and in total.
+// TestKillsAndDrains kills and drains nodes under load. Their ledgers must agree with the tallies of the edge nodes, request by request and in total.
 func TestKillsAndDrains(t *testing.T) {
 	const nodes = 4
 	for i := range nodes {
@@ -103,45 +103,45 @@
 	}
 }
 
-// killsAndDrains runs one node of TestKillsAndDrains.
+// killsAndDrains runs TestKillsAndDrains for one node.
 func killsAndDrains(t *testing.T, kills, drains int, seed uint64) {
 	r := &accountingRun{
 		testNode: newTestNode(t, 2, constantWork(2*time.Millisecond), "ajp listen FRONT\nfigures file FIGURES\nfigures trail 65536\n"+
 			"figures periods 60 every 1s\nfigures customers 8\n"),
 		random: rand.New(rand.NewPCG(seed, 7)),
 	}
-	for left := kills + drains; left > 0; left-- {
-		kill := r.random.IntN(left) < kills
+	for remaining := kills + drains; remaining > 0; remaining-- {
+		kill := r.random.IntN(remaining) < kills
 		if kill {
 			kills--
 		}
 		outcomes := r.runIncarnation(kill)
 		r.verifyIncarnation(outcomes, kill)
 	}
-	t.Logf("%d incarnations, %+v; unknown outcomes %d, %d an incarnation at most", r.incarnations, r.totals, r.uncertain, r.maxUncertain)
+	t.Logf("%d incarnations, %+v; unknown outcomes: %d, at most %d in one incarnation", r.incarnations, r.totals, r.uncertain, r.maxUncertain)
 	if r.totals.Served < int64(20*r.incarnations) || r.totals.Failed == 0 {
-		t.Error("too few requests were sent to prove anything")
+		t.Error("too few requests were served, or none failed")
 	}
 	if r.incarnations <= maxReportedIncarnations {
 		r.verifyReport()
 	}
 }
 
-// maxReportedIncarnations is the number of incarnations whose requests with an unknown outcome are reported one by one.
+// maxReportedIncarnations is the number of incarnations up to which the report lists each request with an unknown outcome.
 const maxReportedIncarnations = 50
 
-// accountingRun is a node that is killed and drained under load, and what its edge nodes have seen.
+// accountingRun is a node that is killed and drained under load, with the totals that its edge nodes have recorded.
 type accountingRun struct {
 	*testNode
 	random       *rand.Rand
 	incarnations int
-	totals       accounting.Counts // by the edge nodes' tallies
-	uncertain    int               // requests whose outcome the node does not know
-	maxUncertain int               // of one incarnation
-	settlements  strings.Builder   // the outcomes of these, as lines of a tally file
+	totals       accounting.Counts // according to the tallies of the edge nodes
+	uncertain    int               // requests whose outcome is unknown to the node
+	maxUncertain int               // the largest number in one incarnation
+	settlements  strings.Builder   // outcomes of the uncertain requests, as lines of a tally file
 }
 
-// runIncarnation starts the node, sends requests, kills or drains the node, and returns the outcomes that the edge nodes saw.
+// runIncarnation starts the node, sends requests, kills or drains the node, and returns the outcomes that the edge nodes have recorded.
 func (r *accountingRun) runIncarnation(kill bool) map[uint64]fake.Outcome {
 	r.t.Helper()
 	r.start()
@@ -152,11 +152,11 @@
 	var loads sync.WaitGroup
 	r.startLoads(ctx, tally, &loads)
 	time.Sleep(time.Duration(50+r.random.IntN(200)) * time.Millisecond)
-	end := r.process.Drain
+	endProcess := r.process.Drain
 	if kill {
-		end = r.process.Kill
+		endProcess = r.process.Kill
 	}
-	if err := end(); err != nil {
+	if err := endProcess(); err != nil {
 		r.t.Fatal(err, r.process.Log())
 	}
 	stop()
@@ -197,7 +197,8 @@
 	})
 }
 
-// verifyIncarnation compares the ledger of the last incarnation with the outcomes that the edge nodes saw, and the processor's runs.
+// verifyIncarnation compares the ledger of the last incarnation with the outcomes that the edge nodes have recorded, and checks that no request ran
+// twice at the processor.
 func (r *accountingRun) verifyIncarnation(outcomes map[uint64]fake.Outcome, killed bool) {
 	r.t.Helper()
 	entries, ledger := readLedger(r.t, r.accountingPath)
@@ -216,7 +217,7 @@
 	expected := r.verifyEntries(outcomes, entries)
 	for id, runs := range r.processor.Runs() {
 		if runs > 1 {
-			r.t.Errorf("%016x ran %d times", id, runs)
+			r.t.Errorf("request %016x ran %d times", id, runs)
 		}
 	}
 	r.processor.Reset()
@@ -230,19 +231,19 @@
 		}
 	}
 	if recorded != expected {
-		r.t.Errorf("incarnation %d: the node has %+v, the edge nodes %+v", r.incarnations, recorded, expected)
+		r.t.Errorf("incarnation %d: the ledger has %+v, the tallies of the edge nodes have %+v", r.incarnations, recorded, expected)
 	}
 	r.totals = r.totals.Plus(expected)
 }
 
-// verifyEntries compares each ledger entry with the outcome that an edge node saw, and returns the counts that follow from the outcomes.
+// verifyEntries compares each ledger entry with the outcome that the edge node has recorded, and returns the counts that follow from the outcomes.
 func (r *accountingRun) verifyEntries(outcomes map[uint64]fake.Outcome, entries map[uint64]ledgerEntry) accounting.Counts {
 	r.t.Helper()
 	var expected accounting.Counts
 	for id, outcome := range outcomes {
 		entry, entered := entries[id]
 		if !consistent(outcome, entry, entered) {
-			r.t.Errorf("incarnation %d: %016x is %s for the edge node, %+v in the ledger (%v)", r.incarnations, id, outcome, entry, entered)
+			r.t.Errorf("incarnation %d: request %016x: outcome %s at the edge node, ledger entry %+v (exists: %v)", r.incarnations, id, outcome, entry, entered)
 		}
 		if !entered {
 			continue
@@ -265,13 +266,13 @@
 	}
 	for id := range entries {
 		if _, sent := outcomes[id]; !sent {
-			r.t.Errorf("incarnation %d: %016x was never sent", r.incarnations, id)
+			r.t.Errorf("incarnation %d: the ledger has request %016x, which no edge node has sent", r.incarnations, id)
 		}
 	}
 	return expected
 }
 
-// verifyReport compares the program's report over all incarnations, with the unknown outcomes settled by the edge nodes' tally.
+// verifyReport compares the program's report on all incarnations with the totals of the edge nodes, after their tally has settled the unknown outcomes.
 func (r *accountingRun) verifyReport() {
 	r.t.Helper()
 	tallyPath := filepath.Join(r.process.Dir, "tally")
@@ -291,25 +292,25 @@
 		r.t.Fatal(err)
 	}
 	if len(reports) != 1 {
-		r.t.Fatalf("%d reports of one node", len(reports))
+		r.t.Fatalf("the program prints %d reports on one node", len(reports))
 	}
 	report := reports[0]
 	if report.Report.Total != r.totals || len(report.DoubtIDs) > 0 || report.Difference != "" {
-		r.t.Errorf("the report says %+v, unknown outcomes %v, %q; the edge nodes %+v", report.Report.Total, report.DoubtIDs, report.Difference, r.totals)
+		r.t.Errorf("the report has %+v, unknown outcomes %v, difference %q; the edge nodes have %+v", report.Report.Total, report.DoubtIDs, report.Difference, r.totals)
 	}
 }
 
 var (
-	costPairs   = flag.Int("pairs", 0, "pairs of runs that measure the cost of accounting")
-	edgeCallers = flag.Int("callers", 20, "edge nodes that send requests in these runs")
-	baseline    = flag.String("baseline", "", "a program to compare with, instead of this one without accounting")
-	bare        = flag.Bool("bare", false, "run this program without accounting too, as the platform starts it")
+	costPairs   = flag.Int("pairs", 0, "number of paired runs that measure the cost of accounting")
+	edgeCallers = flag.Int("callers", 20, "number of edge nodes that send requests in the runs that measure the cost of accounting")
+	baseline    = flag.String("baseline", "", "path of a program to compare with, instead of this program without accounting")
+	bare        = flag.Bool("bare", false, "measure this program without accounting as well, started as the platform starts it")
 )
 
-// TestAccountingCost measures the CPU time per request with all of accounting on and off, side by side.
+// TestAccountingCost measures the CPU time per request with all of the accounting and without it, in two nodes side by side.
 func TestAccountingCost(t *testing.T) {
 	if *costPairs == 0 {
-		t.Skip("asked for by -pairs")
+		t.Skip("runs only with -pairs")
 	}
 	withConf := "figures file FIGURES\nfigures periods 1440 every 1m\nfigures customers 64\n"
 	otherBinary := binary
@@ -324,7 +325,7 @@
 		process := node.process
 		process.Binary, process.WithoutCommands = program, program != binary || *bare
 		node.start()
-		before, err := process.CPU() // not counting the start
+		before, err := process.CPU() // excludes the start of the process
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -348,11 +349,11 @@
 	for range *costPairs {
 		var on, off float64
 		var kb [2]int64
-		var both sync.WaitGroup // side by side, so that other load on the machine affects both alike
+		var both sync.WaitGroup // at the same time, so that other load on the machine affects both alike
 		both.Go(func() { on, kb[0] = cost(binary, withConf) })
 		both.Go(func() { off, kb[1] = cost(otherBinary, "") })
 		both.Wait()
-		t.Logf("with accounting %.1f us a request, without %.1f: %.3f; %d and %d KB", on, off, on/off, kb[0], kb[1])
+		t.Logf("CPU time per request with accounting %.1f us, without %.1f us, ratio %.3f; peak resident memory %d and %d KB", on, off, on/off, kb[0], kb[1])
 		ratios = append(ratios, on/off)
 	}
 	slices.Sort(ratios)
--- a/cmd/frosthub/ajp_test.go
+++ b/cmd/frosthub/ajp_test.go
@@ -16,9 +16,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-var ajpPairs = flag.Int("ajppairs", 0, "pairs of runs that compare AJP with FastCGI at 110% of capacity")
+var ajpPairs = flag.Int("ajppairs", 0, "number of paired runs that compare AJP with FastCGI at 110% of capacity")
 
-// TestClaimsDuringDrain sends claims over AJP around the start of a drain: each runs at most once and is answered once, or never starts.
+// TestClaimsDuringDrain sends claims over AJP before and after the start of a drain. Each claim must run at most once and get one response, or not
+// run at all.
 func TestClaimsDuringDrain(t *testing.T) {
 	const drains, claims = 4, 100
 	outcomes := map[fake.Outcome]int{}
@@ -28,10 +29,10 @@
 		node.start()
 		tally := fake.NewTally()
 		client := fake.NewAJPClient(node.ajpAddress)
-		var all sync.WaitGroup
+		var senders sync.WaitGroup
 		start := time.Now()
 		for i := range claims {
-			all.Go(func() { // one each 10 ms; the drain starts in the first half
+			senders.Go(func() { // one claim every 10 ms; the drain starts within the first half
 				time.Sleep(time.Until(start.Add(time.Duration(i) * 10 * time.Millisecond)))
 				request := fake.Request{ID: uint64(i + 1), Handler: "file-claim", Start: time.Now().UnixMilli(), CostMS: 5, Body: "hail"}
 				tally.Set(request.ID, fake.Sent)
@@ -42,7 +43,7 @@
 		if err := node.process.Drain(); err != nil {
 			t.Fatal(err, node.process.Log())
 		}
-		all.Wait()
+		senders.Wait()
 		client.Close()
 		entries, _ := readLedger(t, node.accountingPath)
 		runs := node.processor.Runs()
@@ -50,29 +51,30 @@
 			outcomes[outcome]++
 			entry, entered := entries[id]
 			if runs[id] > 1 || !consistent(outcome, entry, entered) || outcome == fake.Wrong || outcome == fake.Rejected && runs[id] > 0 {
-				t.Errorf("claim %d: %s for the front end, %+v in the ledger, ran %d times", id, outcome, entry, runs[id])
+				t.Errorf("claim %d: outcome %s at the front end, ledger entry %+v, ran %d times", id, outcome, entry, runs[id])
 			}
 			if (outcome == fake.Sent || outcome == fake.NotSent) && runs[id] > 0 {
-				t.Errorf("claim %d ran, and its front end has no response: %+v", id, entry)
+				t.Errorf("claim %d ran, but its front end has no response: ledger entry %+v", id, entry)
 			}
 		}
 	}
 	t.Log(outcomes)
 	if outcomes[fake.Served] < drains*20 || outcomes[fake.Rejected]+outcomes[fake.NotSent] == 0 {
-		t.Error("too few outcomes to prove anything: ", outcomes)
+		t.Error("too few claims were served, or none was rejected or left unsent: ", outcomes)
 	}
 }
 
-// TestFrontEndsEquivalent compares the service level over AJP and over FastCGI at 110% of capacity, alone and half of the load each.
+// TestFrontEndsEquivalent compares the service level over AJP and over FastCGI at 110% of capacity, with one protocol for all requests and with half
+// of the requests over each.
 func TestFrontEndsEquivalent(t *testing.T) {
 	if *ajpPairs == 0 {
-		t.Skip("asked for by -ajppairs")
+		t.Skip("runs only with -ajppairs")
 	}
 	const (
 		cores = 2
 		work  = 20 * time.Millisecond
 	)
-	serve := func(seed uint64, share float64) (all, overAJP, overFastCGI float64) {
+	measure := func(seed uint64, share float64) (serviceLevel, overAJP, overFastCGI float64) {
 		node := newTestNode(t, cores, func(id uint64, _ string) time.Duration {
 			return time.Duration((0.5 + float64(id%1000)/1000) * float64(work))
 		}, "ajp listen FRONT\n")
@@ -89,52 +91,52 @@
 			Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
 		}
 		tally := fake.NewTally()
-		all = load.Run(ctx, seed, tally, func(id uint64) fake.Client {
+		serviceLevel = load.Run(ctx, seed, tally, func(id uint64) fake.Client {
 			if float64(id>>32)/math.MaxUint32 < share {
 				return ajpClient
 			}
 			return fastcgiClient
 		})
-		var served, asked [2]float64
+		var served, sent [2]float64
 		for id, outcome := range tally.All() {
-			front := 0
+			protocol := 0
 			if float64(id>>32)/math.MaxUint32 < share {
-				front = 1
+				protocol = 1
 			}
-			asked[front]++
+			sent[protocol]++
 			if outcome == fake.Served {
-				served[front]++
+				served[protocol]++
 			}
 		}
-		return all, served[1] / asked[1], served[0] / asked[0]
+		return serviceLevel, served[1] / sent[1], served[0] / sent[0]
 	}
 	var differences, mixedDifferences []float64
 	for i := range *ajpPairs {
 		var ajpService, fastcgiService, mixedService, mixedAJP, mixedFastCGI float64
-		var all sync.WaitGroup // side by side, so that other load on the machine affects all alike
-		all.Go(func() { ajpService, _, _ = serve(uint64(i), 1) })
-		all.Go(func() { fastcgiService, _, _ = serve(uint64(i), 0) })
-		all.Go(func() { mixedService, mixedAJP, mixedFastCGI = serve(uint64(i), 0.5) })
-		all.Wait()
-		t.Logf("service over AJP %.3f, over FastCGI %.3f, half and half %.3f: share served %.3f and %.3f", ajpService, fastcgiService, mixedService, mixedAJP, mixedFastCGI)
+		var runs sync.WaitGroup // at the same time, so that other load on the machine affects all alike
+		runs.Go(func() { ajpService, _, _ = measure(uint64(i), 1) })
+		runs.Go(func() { fastcgiService, _, _ = measure(uint64(i), 0) })
+		runs.Go(func() { mixedService, mixedAJP, mixedFastCGI = measure(uint64(i), 0.5) })
+		runs.Wait()
+		t.Logf("service level over AJP %.3f, over FastCGI %.3f, half over each %.3f, where the served shares are %.3f and %.3f", ajpService, fastcgiService, mixedService, mixedAJP, mixedFastCGI)
 		differences, mixedDifferences = append(differences, ajpService-fastcgiService), append(mixedDifferences, mixedAJP-mixedFastCGI)
 	}
-	interval := func(node []float64) (mean, halfWidth float64) {
-		mean, deviation := stat.MeanStdDev(node, nil)
-		count := float64(len(node))
+	interval := func(values []float64) (mean, halfWidth float64) {
+		mean, deviation := stat.MeanStdDev(values, nil)
+		count := float64(len(values))
 		return mean, distuv.StudentsT{Mu: 0, Sigma: 1, Nu: count - 1}.Quantile(0.975) * deviation / math.Sqrt(count)
 	}
 	mean, halfWidth := interval(differences)
-	t.Logf("AJP less FastCGI: %.4f +- %.4f (95%%)", mean, halfWidth)
-	if *ajpPairs >= 8 && math.Abs(mean)+halfWidth > 0.02 { // fewer pairs prove little
-		t.Error("the difference is not within 0.02")
+	t.Logf("service level over AJP minus FastCGI: %.4f +- %.4f (95%%)", mean, halfWidth)
+	if *ajpPairs >= 8 && math.Abs(mean)+halfWidth > 0.02 { // the interval is too wide with fewer pairs
+		t.Error("the difference of the service levels is not within 0.02")
 	}
 	mean, halfWidth = interval(mixedDifferences)
-	t.Logf("half and half, share served over AJP less over FastCGI: %.4f +- %.4f", mean, halfWidth)
+	t.Logf("half over each, served share over AJP minus FastCGI: %.4f +- %.4f", mean, halfWidth)
 }
 
-// TestIdleConnections opens a thousand idle AJP connections on 512 descriptors: there is room for connections in use, over AJP and FastCGI, and
-// CPing is answered all the while.
+// TestIdleConnections opens a thousand idle AJP connections to a node that may use 512 sockets. The node must still serve requests over AJP and
+// FastCGI and answer CPing.
 func TestIdleConnections(t *testing.T) {
 	node := newTestNode(t, 2, constantWork(time.Millisecond), "ajp listen FRONT\n")
 	node.process.Sockets = 512
@@ -157,7 +159,7 @@
 		})
 	}
 	pongs := 0
-	for len(idle) < 1000 { // 400 a second: more than the node can keep, less than it can close
+	for len(idle) < 1000 { // 400 connections per second: more than the node can keep open, fewer than it can close
 		time.Sleep(10 * time.Millisecond)
 		for range 4 {
 			conn, err := net.Dial("tcp", node.ajpAddress)
@@ -165,7 +167,7 @@
 				t.Fatal(err)
 			}
 			idle = append(idle, conn)
-			_, _ = conn.Write([]byte{0x12, 0x34, 0, 1, 10}) // CPing, as a front end sends it
+			_, _ = conn.Write([]byte{0x12, 0x34, 0, 1, 10}) // a CPing message
 			_ = conn.SetReadDeadline(time.Now().Add(time.Second))
 			if n, err := conn.Read(make([]byte, 5)); err == nil && n == 5 {
 				pongs++
@@ -175,28 +177,28 @@
 	stop()
 	loads.Wait()
 	for i, tally := range tallies {
-		asked := len(tally.All())
-		t.Logf("client %d: %d of %d served beside a thousand idle connections", i, tally.Count(fake.Served), asked)
-		if tally.Count(fake.Served) < asked*95/100 || asked < 100 {
+		sent := len(tally.All())
+		t.Logf("client %d: %d of %d requests served beside a thousand idle connections", i, tally.Count(fake.Served), sent)
+		if tally.Count(fake.Served) < sent*95/100 || sent < 100 {
 			t.Error(node.process.Log())
 		}
 	}
-	t.Log(pongs, "of 1000 received CPong")
+	t.Log(pongs, "of 1000 connections received CPong")
 	if pongs < 950 {
-		t.Error("CPing is not answered")
+		t.Error("too few connections received CPong")
 	}
 }
 
-// TestAJPCost measures the CPU time per request over AJP and over FastCGI, side by side.
+// TestAJPCost measures the CPU time per request over AJP and over FastCGI, in two nodes side by side.
 func TestAJPCost(t *testing.T) {
 	if *costPairs == 0 {
-		t.Skip("asked for by -pairs")
+		t.Skip("runs only with -pairs")
 	}
-	cost := func(over func(node *testNode) fake.Client) float64 {
+	cost := func(newClient func(node *testNode) fake.Client) float64 {
 		node := newTestNode(t, 8, constantWork(200*time.Microsecond), "ajp listen FRONT\n")
 		node.start()
 		defer node.kill()
-		client := over(node)
+		client := newClient(node)
 		defer client.Close()
 		tally := fake.NewTally()
 		before, err := node.process.CPU()
@@ -217,15 +219,15 @@
 	}
 	var ratios []float64
 	for range *costPairs {
-		var over, beside float64
+		var ajpCost, fastcgiCost float64
 		var both sync.WaitGroup
-		both.Go(func() { over = cost(func(node *testNode) fake.Client { return fake.NewAJPClient(node.ajpAddress) }) })
+		both.Go(func() { ajpCost = cost(func(node *testNode) fake.Client { return fake.NewAJPClient(node.ajpAddress) }) })
 		both.Go(func() {
-			beside = cost(func(node *testNode) fake.Client { return fake.NewFastCGIClient(node.process.Listen) })
+			fastcgiCost = cost(func(node *testNode) fake.Client { return fake.NewFastCGIClient(node.process.Listen) })
 		})
 		both.Wait()
-		t.Logf("over AJP %.1f us a request, over FastCGI %.1f", over, beside)
-		ratios = append(ratios, over/beside)
+		t.Logf("CPU time per request over AJP %.1f us, over FastCGI %.1f us", ajpCost, fastcgiCost)
+		ratios = append(ratios, ajpCost/fastcgiCost)
 	}
 	slices.Sort(ratios)
 	t.Logf("ratios %.3f, median %.3f", ratios, ratios[len(ratios)/2])
--- a/cmd/frosthub/cluster_load_test.go
+++ b/cmd/frosthub/cluster_load_test.go
@@ -13,9 +13,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-var clusterPairs = flag.Int("clusterpairs", 0, "pairs of runs that compare a cluster with nodes alone")
+var clusterPairs = flag.Int("clusterpairs", 0, "number of paired runs that compare a cluster with standalone nodes")
 
-// retryingClient returns a client that knows all nodes.
+// retryingClient returns a client that retries at all nodes of the cluster.
 func (c *testCluster) retryingClient() *fake.RetryingClient {
 	retrying := &fake.RetryingClient{MaxAttempts: 4, Pause: 5 * time.Millisecond}
 	for _, client := range c.clients {
@@ -24,7 +24,7 @@
 	return retrying
 }
 
-// cpuTime returns the CPU time that all nodes have used.
+// cpuTime returns the total CPU time that the nodes have used.
 func (c *testCluster) cpuTime() (total time.Duration) {
 	for _, node := range c.nodes {
 		used, err := node.CPU()
@@ -36,7 +36,7 @@
 	return total
 }
 
-// mixedLoad returns an open load of distinct requests.
+// mixedLoad returns an open load of distinct requests, whose handlers have the values 1, 2 and 3.
 func mixedLoad(rate float64, cost time.Duration, handlers ...string) fake.OpenLoad {
 	return fake.OpenLoad{
 		Rate: rate, Handlers: handlers, CostMS: cost.Seconds() * 1000, Target: time.Second, Timeout: 2900 * time.Millisecond,
@@ -44,17 +44,17 @@
 	}
 }
 
-// TestClusterLoad measures the service level of five nodes at 110% of their capacity while one dies or is slow to reach, as a cluster and alone
-// under the same arrivals.
+// TestClusterLoad measures the service level of five nodes at 110% of their capacity after one has been killed or its links have become slow. It
+// compares a cluster with standalone nodes under the same arrivals.
 func TestClusterLoad(t *testing.T) {
 	if *clusterPairs == 0 {
-		t.Skip("asked for by -clusterpairs")
+		t.Skip("runs only with -clusterpairs")
 	}
-	const work = 40 * time.Millisecond // 50 requests a second and node
+	const work = 40 * time.Millisecond // 50 requests per second on each node
 	handlers := []string{"status", "status", "status", "field-update", "file-claim"}
 	for _, fault := range []string{"one of five dies", "a slow node"} {
 		for pair := range *clusterPairs {
-			var got [2]float64
+			var serviceLevels [2]float64
 			for i, clustered := range []bool{false, true} {
 				cluster := newTestCluster(t, 5, work, clustered)
 				load := mixedLoad(1.1*250, work, handlers...)
@@ -75,25 +75,26 @@
 					}
 					cluster.processors[0].Reset()
 				}
-				got[i] = run(uint64(pair), 10*time.Second)
+				serviceLevels[i] = run(uint64(pair), 10*time.Second)
 				duplicates := 0
 				for _, n := range cluster.effects() {
 					if n > 1 {
 						duplicates++
 					}
 				}
-				t.Logf("%s, cluster %v: service %.3f; ran twice %d", fault, clustered, got[i], duplicates)
+				t.Logf("%s, cluster %v: service level %.3f; requests that ran more than once: %d", fault, clustered, serviceLevels[i], duplicates)
 				cluster.killAll()
 			}
-			t.Logf("%s: ratio %.3f", fault, got[1]/got[0])
+			t.Logf("%s: service level of the cluster relative to standalone nodes %.3f", fault, serviceLevels[1]/serviceLevels[0])
 		}
 	}
 }
 
-// TestClusterMemory runs at least ten times as many claims as results are kept: memory stays as it was after the first tenth.
+// TestClusterMemory runs at least ten times as many claims as the nodes keep results. After the second tenth of the claims, resident memory must not
+// grow by more than a quarter.
 func TestClusterMemory(t *testing.T) {
 	if *clusterClaims == 0 {
-		t.Skip("asked for by -clusterclaims")
+		t.Skip("runs only with -clusterclaims")
 	}
 	const kept = 2000
 	cluster := prepareCluster(t, 3, time.Millisecond)
@@ -131,19 +132,19 @@
 		served += totals.Served
 		after = append(after, resident())
 	}
-	t.Logf("%d claims served, results kept %d; resident memory of three nodes in MB after each tenth: %v", served, kept, after)
+	t.Logf("%d claims served, at most %d results kept; resident memory of three nodes in MB after each tenth: %v", served, kept, after)
 	if after[9] > after[1]*5/4 {
-		t.Error("memory grows")
+		t.Error("resident memory has grown by more than a quarter")
 	}
 }
 
-var clusterClaims = flag.Int("clusterclaims", 0, "claims run to measure the memory of a cluster")
+var clusterClaims = flag.Int("clusterclaims", 0, "number of claims that measure the memory of a cluster")
 
-// TestClusterCost measures what a cluster costs without faults: CPU time per request over all nodes, and latency, compared with nodes alone, by
-// the share of guarded requests.
+// TestClusterCost measures the cost of a cluster without faults: the CPU time per request over all nodes and the latency, compared with standalone
+// nodes, for several shares of guarded requests.
 func TestClusterCost(t *testing.T) {
 	if *clusterPairs == 0 {
-		t.Skip("asked for by -clusterpairs")
+		t.Skip("runs only with -clusterpairs")
 	}
 	const work = 4 * time.Millisecond
 	for _, test := range []struct {
@@ -163,11 +164,11 @@
 				stop()
 				cpu[i] = float64((cluster.cpuTime() - before).Microseconds()) / float64(histogram.TotalCount())
 				median[i] = float64(histogram.ValueAtQuantile(50)) / 1000
-				t.Logf("guarded %s, cluster %v: %d served, CPU time %.0f us a request over three nodes, latency median %.1f ms, 99th percentile %.1f ms",
+				t.Logf("guarded share %s, cluster %v: %d served, CPU time per request over three nodes %.0f us, latency median %.1f ms, 99th percentile %.1f ms",
 					test.share, clustered, histogram.TotalCount(), cpu[i], median[i], float64(histogram.ValueAtQuantile(99))/1000)
 				cluster.killAll()
 			}
-			t.Logf("guarded %s: CPU time %.2f, latency %+.1f ms", test.share, cpu[1]/cpu[0], median[1]-median[0])
+			t.Logf("guarded share %s: ratio of CPU time %.2f, difference of median latency %+.1f ms", test.share, cpu[1]/cpu[0], median[1]-median[0])
 		}
 	}
 }
--- a/cmd/frosthub/cluster_test.go
+++ b/cmd/frosthub/cluster_test.go
@@ -15,17 +15,17 @@
 	"frosthub/internal/harness"
 )
 
-// waitForLog waits until the node's log contains a text.
+// waitForLog waits until the node's log contains the text, and fails the test if it does not within the given time.
 func (c *testCluster) waitForLog(node int, text string, within time.Duration) {
 	c.t.Helper()
 	for end := time.Now().Add(within); !strings.Contains(c.nodes[node].Log(), text); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			c.t.Fatalf("n%d does not log %q:\n%s", node+1, text, c.nodes[node].Log())
+			c.t.Fatalf("n%d has not logged %q:\n%s", node+1, text, c.nodes[node].Log())
 		}
 	}
 }
 
-// losePower kills all nodes and processors at once.
+// losePower kills all nodes and resets all processors.
 func (c *testCluster) losePower() {
 	c.t.Helper()
 	for _, node := range c.nodes {
@@ -38,7 +38,7 @@
 	}
 }
 
-// replaceStore gives a node a new, empty idempotency log.
+// replaceStore replaces the idempotency log of a node with an empty one.
 func (c *testCluster) replaceStore(node int) {
 	c.t.Helper()
 	store := filepath.Join(c.nodes[node].Dir, "keep")
@@ -50,19 +50,19 @@
 	}
 }
 
-// testCluster is the nodes of one cluster, each with a processor of its own.
+// testCluster holds the nodes of one cluster, each with its own processor.
 type testCluster struct {
 	t          *testing.T
 	nodes      []*harness.Process
 	processors []*fake.Processor
 	clients    []*fake.FastCGIClient
-	links      [][]*faultproxy.Link // from one node to another
+	links      [][]*faultproxy.Link // by the index of the sending and of the receiving node
 
-	peerAddresses []string // for the other nodes
-	baseConf      []string // the operator's files of nodes alone
+	peerAddresses []string // addresses at which the nodes listen for their peers
+	baseConf      []string // operator's files without the directives of the cluster
 }
 
-// newTestCluster starts nodes, as a cluster or each alone.
+// newTestCluster starts n nodes, as a cluster or as standalone nodes.
 func newTestCluster(t *testing.T, n int, work time.Duration, clustered bool) *testCluster {
 	t.Helper()
 	cluster := prepareCluster(t, n, work)
@@ -79,7 +79,7 @@
 	return cluster
 }
 
-// prepareCluster returns nodes, processors and links that are not started. Each node is configured to run alone.
+// prepareCluster returns n nodes that are not started, with their processors and links. Each node is configured as a standalone node.
 func prepareCluster(t *testing.T, n int, work time.Duration) *testCluster {
 	t.Helper()
 	cluster := &testCluster{t: t}
@@ -127,7 +127,7 @@
 	return cluster
 }
 
-// setMembers configures a node's cluster: its members, and the former members during a change.
+// setMembers writes the members of the cluster, and the former members during a change, to the operator's file of a node.
 func (c *testCluster) setMembers(node int, members, former []int) {
 	conf := c.baseConf[node] + "cluster name north\ncluster promise yes\ncluster replay field-update by body\ncluster listen " + c.peerAddresses[node] + "\n"
 	for directive, list := range map[string][]int{"member": members, "former": former} {
@@ -138,7 +138,7 @@
 	c.nodes[node].Conf = conf
 }
 
-// start starts nodes, and returns once they serve requests.
+// start starts the given nodes, and returns once they serve requests.
 func (c *testCluster) start(nodes ...int) {
 	c.t.Helper()
 	for _, i := range nodes {
@@ -158,7 +158,7 @@
 	}
 }
 
-// startLoad runs a load against all nodes until the returned function is called, which waits for its end.
+// startLoad runs a load against all nodes in the background. The returned function stops the load and waits for its end.
 func (c *testCluster) startLoad(load *harness.ClaimLoad, seed uint64) (stop func()) {
 	ctx, cancel := context.WithCancel(c.t.Context())
 	done := make(chan struct{})
@@ -172,7 +172,7 @@
 	}
 }
 
-// effects returns how often each body was started, over all processors.
+// effects returns the number of times that each body was started, summed over all processors.
 func (c *testCluster) effects() map[string]int {
 	effects := map[string]int{}
 	for _, processor := range c.processors {
@@ -183,7 +183,7 @@
 	return effects
 }
 
-// verify fails the test with each violation that a load has seen, and returns its totals.
+// verify reports each violation that a load has recorded as a test error, and returns the totals of the load.
 func (c *testCluster) verify(load *harness.ClaimLoad) harness.ClaimTotals {
 	c.t.Helper()
 	totals, violations := load.Verify(c.effects())
--- a/cmd/frosthub/drain_test.go
+++ b/cmd/frosthub/drain_test.go
@@ -10,12 +10,12 @@
 	"frosthub/internal/harness"
 )
 
-// drainNodes is the number of nodes that drain side by side, as many as in the incident that this test reproduces.
+// drainNodes is the number of nodes that drain at the same time, the same as in the incident that TestDrainAnswersAll reproduces.
 const drainNodes = 5
 
-// TestDrainAnswersAll drains real processes while edge nodes that have not been notified go on sending on connections with many requests each, some
-// of which run until the process ends. Every request written completely before the end of its connection must get a response. The edge nodes' own
-// log decides: a node's accounting cannot have what the node never recorded.
+// TestDrainAnswersAll drains real processes while edge nodes that have not been notified continue to send on connections with many requests each,
+// some of which run until the process ends. Every request that was written completely before the end of its connection must get a response. The test
+// relies on the edge nodes' log, because the accounting of a node lacks requests that the node has not recorded.
 func TestDrainAnswersAll(t *testing.T) {
 	for i := range drainNodes {
 		t.Run(fmt.Sprint("node ", i), func(t *testing.T) {
@@ -29,7 +29,7 @@
 			node := newTestNode(t, 8, work, "")
 			node.process.ProcessorCores, node.process.StopMS = 8, 1500
 			node.start()
-			ledger := harness.NewExchangeLog()
+			exchanges := harness.NewExchangeLog()
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			var callers sync.WaitGroup
@@ -38,7 +38,7 @@
 					Name: "n1", Address: node.process.Listen, Conns: 4, Interval: 4 * time.Millisecond, Slots: 24, CostMS: 1, Body: "a field",
 					Handlers:   []string{"status", "status", "status", "status", "status", "status", "status", "status", "status", "file-claim"},
 					SplitShare: 0.2, SplitPause: 10 * time.Millisecond,
-				}.Run(ctx, ledger, uint64(i))
+				}.Run(ctx, exchanges, uint64(i))
 			})
 			time.Sleep(time.Duration(300+37*i) * time.Millisecond)
 			if err := node.process.Drain(); err != nil {
@@ -46,13 +46,13 @@
 			}
 			stop()
 			callers.Wait()
-			lost := ledger.Violations()
-			for _, line := range lost[:min(len(lost), 5)] {
+			violations := exchanges.Violations()
+			for _, line := range violations[:min(len(violations), 5)] {
 				t.Error(line)
 			}
-			t.Logf("%d requests, %d violations, %d crossed the end of their connection", len(ledger.All()), len(lost), ledger.CrossedClose())
-			if len(ledger.All()) < 100 {
-				t.Error("too few requests were sent to prove anything")
+			t.Logf("%d requests, %d violations, %d requests crossed the end of their connection", len(exchanges.All()), len(violations), exchanges.CrossedClose())
+			if len(exchanges.All()) < 100 {
+				t.Error("too few requests were sent for a valid result")
 			}
 		})
 	}
--- a/cmd/frosthub/failover_latency_test.go
+++ b/cmd/frosthub/failover_latency_test.go
@@ -13,25 +13,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-var failoverRounds = flag.Int("rounds", 2, "kills of a node with requests in flight that measure the time to failover")
+var failoverRounds = flag.Int("rounds", 2, "kills of a node with requests in flight, for each case of the failover latency test")
 
-// failoverStats counts what became of the requests in flight at a killed node that were retried at the others at once.
+// failoverStats holds the outcomes of requests that were in flight at a killed node and were retried at its peers at once.
 type failoverStats struct {
-	queued        int // accepted and not started
+	queued        int // not started before the kill
 	queuedServed  int
-	running       int // started
+	running       int // started before the kill
 	runningServed int
 	duplicates    int                     // bodies that ran more than once
 	latency       *hdrhistogram.Histogram // from the kill to the response, in microseconds
 }
 
-// inFlightRequests is the number of requests in flight at the node that is killed.
+// inFlightRequests is the number of requests that are in flight when the node is killed.
 const inFlightRequests = 10
 
-// killInFlight kills a node with requests of a handler in flight, and its processor unless that lives on, and adds up what becomes of them.
+// killInFlight kills a node while requests for the handler are in flight, and its processor too unless processorLives is set. It retries the
+// requests at the peers and adds their outcomes to stats.
 func (c *testCluster) killInFlight(handler string, processorLives bool, round int, stats *failoverStats) {
 	c.t.Helper()
-	f := &inFlight{testCluster: c, handler: handler, round: round}
+	f := &inFlightRound{testCluster: c, handler: handler, round: round}
 	f.warmUp()
 	senders := f.sendUntilStarted()
 	if err := c.nodes[0].Kill(); err != nil {
@@ -50,18 +51,20 @@
 	}
 }
 
-// inFlight is the requests of one round that are in flight at the first node when it is killed.
-type inFlight struct {
+// inFlightRound sends the requests of one round, which are in flight at the first node when it is killed.
+type inFlightRound struct {
 	*testCluster
 	handler string
 	round   int
 }
 
-// body returns the body of a request.
-func (f *inFlight) body(i int) string { return fmt.Sprintf("%s %d of round %d", f.handler, i, f.round) }
+// body returns the body of the i-th request.
+func (f *inFlightRound) body(i int) string {
+	return fmt.Sprintf("%s %d of round %d", f.handler, i, f.round)
+}
 
-// send sends a request to a node under the given ID, and reports whether it was served.
-func (f *inFlight) send(node, i int, id uint64) bool {
+// send sends the i-th request to a node under the given ID and reports whether it was served.
+func (f *inFlightRound) send(node, i int, id uint64) bool {
 	request := fake.Request{
 		ID:      id,
 		Handler: f.handler,
@@ -74,8 +77,8 @@
 	return outcome == fake.Served && response.Status == 200
 }
 
-// startedRuns returns the number of requests that the first node's processor has started.
-func (f *inFlight) startedRuns() int {
+// startedRuns returns the number of different requests for the handler that the first node's processor has started.
+func (f *inFlightRound) startedRuns() int {
 	count := 0
 	for body := range f.processors[0].Effects() {
 		if strings.HasPrefix(body, f.handler) {
@@ -85,8 +88,8 @@
 	return count
 }
 
-// warmUp sends other requests until the first node has learned its processor's capacity.
-func (f *inFlight) warmUp() {
+// warmUp sends other requests to the first node, so that its estimate of the processor's capacity settles.
+func (f *inFlightRound) warmUp() {
 	var senders sync.WaitGroup
 	for i := range 4 {
 		senders.Go(func() {
@@ -98,8 +101,8 @@
 	senders.Wait()
 }
 
-// sendUntilStarted sends the requests to the first node, and returns once the first runs and the others are queued.
-func (f *inFlight) sendUntilStarted() *sync.WaitGroup {
+// sendUntilStarted sends the requests to the first node, and returns once one of them runs and the others are queued.
+func (f *inFlightRound) sendUntilStarted() *sync.WaitGroup {
 	warmupRuns := f.startedRuns()
 	senders := &sync.WaitGroup{}
 	for i := range inFlightRequests {
@@ -115,8 +118,8 @@
 	return senders
 }
 
-// retryAll retries the requests at the other nodes until the client's timeout.
-func (f *inFlight) retryAll(killedAt time.Time, stats *failoverStats) {
+// retryAll retries the requests at the peers until they are served or the client timeout has passed, and records their outcomes in stats.
+func (f *inFlightRound) retryAll(killedAt time.Time, stats *failoverStats) {
 	before := f.effects()
 	var mu sync.Mutex
 	var senders sync.WaitGroup
@@ -132,8 +135,8 @@
 	senders.Wait()
 }
 
-// retry retries a request at one node after the other, and reports whether it was served.
-func (f *inFlight) retry(i int, killedAt time.Time) bool {
+// retry retries the i-th request at one peer after the other and reports whether it was served.
+func (f *inFlightRound) retry(i int, killedAt time.Time) bool {
 	for attempt := 0; time.Since(killedAt) < 3*time.Second; attempt++ {
 		if f.send(1+(i+attempt)%4, i, uint64(5000+100*i+attempt)) {
 			return true
@@ -143,7 +146,7 @@
 	return false
 }
 
-// record records what became of a request: whether it had been started before the kill, whether it was served, and how long after the kill.
+// record records the outcome of a request: whether it had started before the kill, whether it was served, and how long after the kill.
 func (s *failoverStats) record(started, served bool, latency time.Duration) {
 	servedCount := 0
 	if served {
@@ -159,14 +162,14 @@
 	}
 }
 
-// TestFailoverLatency kills a node with requests running and queued. Those retried at the other nodes at once are served within the client's
-// timeout, except claims that had started at a processor that is lost too.
+// TestFailoverLatency kills a node with running and queued requests, which are retried at the peers at once. They must be served within the client
+// timeout, except claims that had started on a processor that failed together with the node.
 func TestFailoverLatency(t *testing.T) {
 	for _, test := range []struct {
 		handler        string
 		processorLives bool
-		alone          bool    // nodes alone, for comparison
-		minQueued      float64 // minimum share served of those queued, and of those started
+		standalone     bool    // without a cluster, for comparison
+		minQueued      float64 // minimum served share of the queued requests; minRunning is that of the running ones
 		minRunning     float64
 	}{
 		{"file-claim", false, false, 0.95, 0},
@@ -176,22 +179,22 @@
 		{"file-claim", true, true, 0, 0},
 		{"field-update", false, true, 0, 0},
 	} {
-		if test.alone && !*compareAlone {
+		if test.standalone && !*compareStandalone {
 			continue
 		}
 		stats := failoverStats{latency: hdrhistogram.New(1, 10_000_000, 3)}
 		for round := range *failoverRounds {
-			cluster := newTestCluster(t, 5, 100*time.Millisecond, !test.alone)
+			cluster := newTestCluster(t, 5, 100*time.Millisecond, !test.standalone)
 			cluster.killInFlight(test.handler, test.processorLives, round, &stats)
 			cluster.killAll()
 		}
 		t.Logf("%s, processor lives %v, cluster %v: queued %d, served %d; started %d, served %d; ran twice %d; from kill to response median %s, max %s",
-			test.handler, test.processorLives, !test.alone, stats.queued, stats.queuedServed, stats.running, stats.runningServed, stats.duplicates,
+			test.handler, test.processorLives, !test.standalone, stats.queued, stats.queuedServed, stats.running, stats.runningServed, stats.duplicates,
 			time.Duration(stats.latency.ValueAtQuantile(50))*time.Microsecond, time.Duration(stats.latency.Max())*time.Microsecond)
 		if stats.queued < *failoverRounds || stats.running == 0 {
-			t.Error("no request was in flight")
+			t.Error("too few requests were in flight")
 		}
-		if !test.alone && test.handler == "file-claim" && stats.duplicates > 0 {
+		if !test.standalone && test.handler == "file-claim" && stats.duplicates > 0 {
 			t.Error("claims ran twice")
 		}
 		if float64(stats.queuedServed) < test.minQueued*float64(stats.queued) || float64(stats.runningServed) < test.minRunning*float64(stats.running) {
--- a/cmd/frosthub/failover_test.go
+++ b/cmd/frosthub/failover_test.go
@@ -17,9 +17,9 @@
 	"frosthub/internal/harness"
 )
 
-var failoverFaults = flag.Int("faults", 24, "faults injected into a cluster of five under load; 500 outside CI")
+var failoverFaults = flag.Int("faults", 24, "number of faults injected into a cluster of five nodes under load; 500 outside CI")
 
-// injectFault injects a random fault, ends it, and returns its kind. Without a cluster only single nodes are stopped or killed.
+// injectFault injects a random fault, ends it, and returns its kind. For standalone nodes, the faults are limited to stopping or killing one node.
 func (c *testCluster) injectFault(random *rand.Rand, clustered bool) string {
 	c.t.Helper()
 	victim := random.IntN(5)
@@ -39,7 +39,7 @@
 		return "stopped"
 	case 1, 2, 3:
 		c.kill(victim)
-		if kind == 1 { // with its processor
+		if kind == 1 { // the processor fails together with the node
 			c.processors[victim].Reset()
 		}
 		randomPause(random, 500)
@@ -55,11 +55,12 @@
 	return c.injectLinkFault(random, victim)
 }
 
-// randomPause sleeps for 100 ms and a random time of less than maxMS.
+// randomPause sleeps for 100 ms plus a random time of less than maxMS milliseconds.
 func randomPause(random *rand.Rand, maxMS int) {
 	time.Sleep(time.Duration(100+random.IntN(maxMS)) * time.Millisecond)
 }
 
+// kill kills the given nodes.
 func (c *testCluster) kill(nodes ...int) {
 	c.t.Helper()
 	for _, i := range nodes {
@@ -79,14 +80,14 @@
 	}
 }
 
-// linkFault is a fault of the links between a node and the other nodes.
+// linkFault is a kind of fault in the links between a node and its peers.
 type linkFault int
 
 const (
 	linkCut linkFault = iota
 	linkStalled
 	linkSlow
-	linkFaults // number of faults
+	linkFaults // number of kinds
 )
 
 var linkFaultNames = [...]string{
@@ -95,8 +96,8 @@
 	linkSlow:    "slow links",
 }
 
-// injectLinkFault injects a random fault into the links to and from a node, ends it, and returns its kind. The node's processor and edge
-// nodes still reach it.
+// injectLinkFault injects a random fault into the links between a node and its peers, ends it, and returns its kind. The connections to the node's
+// processor and edge nodes are not affected.
 func (c *testCluster) injectLinkFault(random *rand.Rand, victim int) string {
 	c.t.Helper()
 	fault := linkFault(random.IntN(int(linkFaults)))
@@ -114,7 +115,7 @@
 		}
 	}
 	randomPause(random, 900)
-	if fault == linkStalled && random.IntN(2) == 0 { // messages that were stalled then reach a later incarnation
+	if fault == linkStalled && random.IntN(2) == 0 { // the stalled messages reach a later incarnation
 		c.kill(victim)
 		c.restart(victim)
 	}
@@ -125,6 +126,7 @@
 	return linkFaultNames[fault]
 }
 
+// inject starts the fault on one link.
 func (f linkFault) inject(random *rand.Rand, link *faultproxy.Link) {
 	switch f {
 	case linkCut:
@@ -136,8 +138,8 @@
 	}
 }
 
-// TestFailover kills nodes of a cluster of five with and without their processors, stops them and cuts them off, while claims are retried at any
-// node: no claim runs twice, and whoever is served gets the first result.
+// TestFailover stops, kills and disconnects nodes of a cluster of five, with and without their processors, while callers retry claims at any node.
+// No claim may run twice, and each retry that is served must get the first result.
 func TestFailover(t *testing.T) {
 	cluster := newTestCluster(t, 5, 6*time.Millisecond, true)
 	defer cluster.killAll()
@@ -160,14 +162,14 @@
 	if err != nil || !strings.Contains(string(out), "taken-over") {
 		t.Error(err, string(out))
 	}
-	t.Logf("%v: %+v; failovers in the last incarnations %d", kinds, totals, failovers)
+	t.Logf("faults %v: %+v; requests taken over by the last incarnations: %d", kinds, totals, failovers)
 	if totals.Served < 15*(*failoverFaults) || totals.Interrupted == 0 {
-		t.Error("too few requests were sent to prove anything")
+		t.Error("too few requests were served, or none was interrupted")
 	}
 }
 
-// runFaults runs a load of claims against all nodes during the given number of faults, and returns its totals, the violations and the faults by
-// kind.
+// runFaults injects the given number of faults while a load of claims runs against all nodes. It returns the totals of the load, the violations and
+// the number of faults by kind.
 func (c *testCluster) runFaults(faults int, seed uint64, clustered bool) (harness.ClaimTotals, []string, map[string]int) {
 	random := rand.New(rand.NewPCG(seed, 12))
 	load := &harness.ClaimLoad{
@@ -191,12 +193,12 @@
 	return totals, violations, kinds
 }
 
-var compareAlone = flag.Bool("against", false, "run the same faults on nodes alone and on a cluster")
+var compareStandalone = flag.Bool("against", false, "inject the same faults into standalone nodes and into a cluster")
 
-// TestFailoverComparison measures the same faults on nodes alone and on a cluster.
+// TestFailoverComparison injects the same faults into standalone nodes and into a cluster, and logs the outcomes of both.
 func TestFailoverComparison(t *testing.T) {
-	if !*compareAlone {
-		t.Skip("asked for by -against")
+	if !*compareStandalone {
+		t.Skip("runs only with -against")
 	}
 	for _, clustered := range []bool{false, true} {
 		cluster := newTestCluster(t, 5, 6*time.Millisecond, clustered)
@@ -212,7 +214,8 @@
 	}
 }
 
-// TestConcurrentDuplicates sends the same claim to two nodes at once and to a third a little later: it runs once, and all get its result.
+// TestConcurrentDuplicates sends the same claim to two nodes at once and to a third 5 ms later. The claim must run once, and all three senders must
+// get its result.
 func TestConcurrentDuplicates(t *testing.T) {
 	cluster := newTestCluster(t, 5, 10*time.Millisecond, true)
 	defer cluster.killAll()
@@ -224,10 +227,10 @@
 				if sender == 2 {
 					time.Sleep(5 * time.Millisecond)
 				}
-				for try := 0; try < 50 && answers[i][sender] == ""; try++ { // rejections are retried
-					time.Sleep(time.Duration(min(try, 1)) * 20 * time.Millisecond)
+				for attempt := 0; attempt < 50 && answers[i][sender] == ""; attempt++ { // rejections are retried
+					time.Sleep(time.Duration(min(attempt, 1)) * 20 * time.Millisecond)
 					request := fake.Request{
-						ID: uint64(1000*i + 100*sender + try + 1), Handler: "file-claim", Caller: sender, Start: time.Now().UnixMilli(),
+						ID: uint64(1000*i + 100*sender + attempt + 1), Handler: "file-claim", Caller: sender, Start: time.Now().UnixMilli(),
 						Body: fmt.Sprint("claim ", i), CostMS: 10,
 					}
 					started := time.Now()
@@ -236,7 +239,7 @@
 						answers[i][sender] = response.Body
 					}
 					if took := time.Since(started); took > time.Second {
-						t.Errorf("claim %d: node %d takes %s", i, (i+sender)%5+1, took)
+						t.Errorf("claim %d: node %d responded after %s", i, (i+sender)%5+1, took)
 					}
 				}
 			})
@@ -245,7 +248,7 @@
 	}
 	for i, answer := range answers {
 		if answer[0] == "" || answer[1] != answer[0] || answer[2] != answer[0] {
-			t.Errorf("claim %d: %q", i, answer)
+			t.Errorf("claim %d: the responses differ or are missing: %q", i, answer)
 		}
 	}
 	for key, n := range cluster.effects() {
@@ -255,7 +258,7 @@
 	}
 }
 
-// TestZoneFailure kills all nodes of a zone with their processors: the others take over their requests, and no claim runs twice.
+// TestZoneFailure kills all nodes of a zone together with their processors. The other nodes must take over the requests, and no claim may run twice.
 func TestZoneFailure(t *testing.T) {
 	cluster := newTestCluster(t, 6, 6*time.Millisecond, true) // two nodes in each zone
 	defer cluster.killAll()
@@ -282,6 +285,6 @@
 	totals := cluster.verify(load)
 	t.Logf("%+v", totals)
 	if totals.Served < 300 || totals.OutcomeUnknown > 30 {
-		t.Error("too few were served, or more outcomes are unknown than requests were in flight")
+		t.Error("too few requests were served, or more outcomes are unknown than requests were in flight")
 	}
 }
--- a/cmd/frosthub/idempotency_cost_test.go
+++ b/cmd/frosthub/idempotency_cost_test.go
@@ -18,16 +18,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-var idempotencyPairs = flag.Int("keeppairs", 0, "rounds that measure the cost of the idempotency guard")
+var idempotencyPairs = flag.Int("keeppairs", 0, "rounds of the measurements of the idempotency guard")
 
-// idempotencyCostTime is how long each measurement takes.
+// idempotencyCostTime is the duration of each measurement.
 const idempotencyCostTime = 3 * time.Second
 
-// TestIdempotencyCost measures what the idempotency guard costs: CPU time per request, throughput, latency and commits per request, with the guard
-// off, on, with commits gathered, and on a disk whose fsync takes 5 ms; on a processor with two busy cores, and with 32 runs at a time.
+// TestIdempotencyCost measures the cost of the idempotency guard: CPU time per request, throughput, latency and commits per request. It compares
+// no guard, the guard, the guard with gathered commits, and the guard on a disk whose fsync takes 5 ms, on processors with 2 and with 32 cores.
 func TestIdempotencyCost(t *testing.T) {
 	if *idempotencyPairs == 0 {
-		t.Skip("asked for by -keeppairs")
+		t.Skip("runs only with -keeppairs")
 	}
 	for _, test := range []idempotencyCost{
 		{"two cores, 4 ms", 2, 4 * time.Millisecond},
@@ -37,7 +37,7 @@
 	}
 }
 
-// idempotencyCost is a processor under which the cost of the idempotency guard is measured.
+// idempotencyCost describes a processor with which the cost of the idempotency guard is measured.
 type idempotencyCost struct {
 	name  string
 	cores int
@@ -53,26 +53,27 @@
 	p99     time.Duration
 }
 
+// run measures all variants of the guard as often as the flag -keeppairs demands, and logs the ratios of guarded to unguarded requests.
 func (c idempotencyCost) run(t *testing.T) {
 	const guard = "keep dir KEEP\nkeep handler file-claim by body\n"
 	var ratios, rates []float64
 	for range *idempotencyPairs {
-		off := c.measure(t, "")
-		on := c.measure(t, guard)
+		unguarded := c.measure(t, "")
+		guarded := c.measure(t, guard)
 		gathered := c.measure(t, guard+"keep gather 10ms\n")
 		slowDisk := c.measureSlowDisk(t)
-		ratio := on.cpu / off.cpu
-		rate := on.rate / off.rate
-		t.Logf("off %+v\non  %+v\non, commits 10 ms apart %+v\n5ms %+v\ncpu %.3f rate %.3f", off, on, gathered, slowDisk, ratio, rate)
+		ratio := guarded.cpu / unguarded.cpu
+		rate := guarded.rate / unguarded.rate
+		t.Logf("unguarded %+v\nguarded   %+v\nguarded, commits 10 ms apart %+v\nguarded, fsync 5 ms %+v\nratio of CPU time %.3f, of throughput %.3f", unguarded, guarded, gathered, slowDisk, ratio, rate)
 		ratios = append(ratios, ratio)
 		rates = append(rates, rate)
 	}
 	slices.Sort(ratios)
 	slices.Sort(rates)
-	t.Logf("cpu ratios %.3f, median %.3f; rates %.3f, median %.3f", ratios, ratios[len(ratios)/2], rates, rates[len(rates)/2])
+	t.Logf("ratios of CPU time %.3f, median %.3f; of throughput %.3f, median %.3f", ratios, ratios[len(ratios)/2], rates, rates[len(rates)/2])
 }
 
-// measure measures a node with the given lines in its operator's file.
+// measure measures a node whose operator's file has the given lines.
 func (c idempotencyCost) measure(t *testing.T, conf string) costMeasurement {
 	t.Helper()
 	node, _ := newIdempotentNode(t, float64(c.cores), constantWork(c.work), conf+"admin listen ADMIN\n")
@@ -99,7 +100,7 @@
 	return result
 }
 
-// adminStats returns a node's idempotency statistics, zero if the node has no guard.
+// adminStats returns the idempotency statistics of the node with the given admin address. They are zero if the node has no guard.
 func adminStats(admin string) backend.IdempotencyStats {
 	var stats backend.IdempotencyStats
 	if response, err := http.Get("http://" + admin + "/keep"); err == nil {
@@ -109,7 +110,7 @@
 	return stats
 }
 
-// measureSlowDisk measures a guard whose disk takes 5 ms to sync.
+// measureSlowDisk measures a node within the test process, whose fsync takes 5 ms.
 func (c idempotencyCost) measureSlowDisk(t *testing.T) costMeasurement {
 	t.Helper()
 	processor, err := fake.NewProcessor(float64(c.cores), constantWork(c.work))
@@ -118,8 +119,8 @@
 	}
 	defer processor.Close()
 	disk := fake.NewDisk()
-	disk.Slow = func(what string, _ int) {
-		if what == "fsync" {
+	disk.Slow = func(operation string, _ int) {
+		if operation == "fsync" {
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
@@ -132,7 +133,7 @@
 	return newCostMeasurement(served, latency, *stats)
 }
 
-// runLoad sends claims to a node, and returns the number served and their latencies in microseconds.
+// runLoad sends claims to a node for idempotencyCostTime, and returns the number of served claims and the latencies in microseconds.
 func (c idempotencyCost) runLoad(t *testing.T, address string, processor *fake.Processor) (served float64, latency *hdrhistogram.Histogram) {
 	t.Helper()
 	latency = hdrhistogram.New(1, 10_000_000, 3)
@@ -157,6 +158,7 @@
 	return float64(totals.Served), latency
 }
 
+// newCostMeasurement returns the results of a load; it leaves the CPU time at 0.
 func newCostMeasurement(served float64, latency *hdrhistogram.Histogram, stats backend.IdempotencyStats) costMeasurement {
 	return costMeasurement{
 		rate:    served / idempotencyCostTime.Seconds(),
--- a/cmd/frosthub/idempotency_start_test.go
+++ b/cmd/frosthub/idempotency_start_test.go
@@ -13,9 +13,10 @@
 	"frosthub/internal/wal"
 )
 
-var idempotencyKeys = flag.Int("keepkeys", 20000, "keys in the log that a node starts with; 1000000 outside CI")
+var idempotencyKeys = flag.Int("keepkeys", 20000, "number of keys in the idempotency log that a node reads at its start; 1000000 outside CI")
 
-// fillStore writes an idempotency log with the given number of keys, the newest entries of them with results and the rest as fingerprints.
+// fillStore writes an idempotency log with the given number of keys. The newest ones, as many as entries, keep their results; the others become
+// fingerprints.
 func fillStore(t *testing.T, dir string, entries, keys, segmentKeys int) {
 	t.Helper()
 	config := idempotency.Config{
@@ -45,15 +46,15 @@
 	}
 }
 
-// TestIdempotencyStartTime measures how long a node takes to read an empty and a small log, compared with an earlier program, and a log with ten
-// and twenty times as many keys as it may keep.
+// TestIdempotencyStartTime measures how long a node takes to read its idempotency log at the start. It compares an empty and a small log with an
+// earlier program, and reads logs with 1, 10 and 20 times as many keys as the node may keep.
 func TestIdempotencyStartTime(t *testing.T) {
 	if *idempotencyPairs == 0 || *baseline == "" {
-		t.Skip("asked for by -keeppairs and -baseline")
+		t.Skip("runs only with -keeppairs and -baseline")
 	}
 	const entries = 20000
 	conf := idempotencyConf + fmt.Sprintf("keep entries %d\nkeep bytes %d\n", entries, entries*100+1<<20)
-	start := func(program string, keys int) (time.Duration, int) {
+	timeToRead := func(program string, keys int) (time.Duration, int) {
 		node, dir := newIdempotentNode(t, 2, constantWork(time.Millisecond), conf)
 		if keys > 0 {
 			fillStore(t, dir, max(entries, keys), keys, entries/8)
@@ -82,21 +83,21 @@
 	for _, keys := range []int{0, 500} {
 		var ratios []float64
 		for range *idempotencyPairs {
-			now, _ := start(binary, keys)
-			before, _ := start(*baseline, keys)
-			ratios = append(ratios, now.Seconds()/before.Seconds())
+			current, _ := timeToRead(binary, keys)
+			earlier, _ := timeToRead(*baseline, keys)
+			ratios = append(ratios, current.Seconds()/earlier.Seconds())
 		}
 		slices.Sort(ratios)
 		t.Logf("%d keys: time to read the log, relative to the earlier program: %.2f, median %.2f", keys, ratios, ratios[len(ratios)/2])
 	}
 	for _, keys := range []int{entries, 10 * entries, 20 * entries} {
-		took, mb := start(binary, keys)
-		t.Logf("%d keys, %d are kept: read within %s, peak %d MB", keys, entries, took, mb)
+		took, mb := timeToRead(binary, keys)
+		t.Logf("%d keys, limit %d: log read within %s, peak resident memory %d MB", keys, entries, took, mb)
 	}
 }
 
-// TestIdempotencyStartManyKeys starts a node with many kept keys: it serves replayable requests at once, rejects guarded ones until the keys are
-// read, and then knows each key.
+// TestIdempotencyStartManyKeys starts a node with many keys in its idempotency log. It must serve replayable requests within a second. It
+// rejects guarded requests until it has read the log, and must then have all keys.
 func TestIdempotencyStartManyKeys(t *testing.T) {
 	node, dir := newIdempotentNode(t, 2, constantWork(time.Millisecond), idempotencyConf+fmt.Sprintf("keep entries %d\nkeep bytes %d\n", *idempotencyKeys+1000, *idempotencyKeys*100+1<<20))
 	fillStore(t, dir, *idempotencyKeys+1000, *idempotencyKeys, *idempotencyKeys/8+16)
@@ -109,7 +110,7 @@
 	rejected := 0
 	for n := uint64(1); len(first) < 2; n++ {
 		if time.Since(started) > time.Minute {
-			t.Fatal("not served: ", first, node.process.Log())
+			t.Fatal("requests of a handler are not served; served so far: ", first, node.process.Log())
 		}
 		for i, handler := range []string{"status", "file-claim"} {
 			if first[handler] > 0 {
@@ -132,6 +133,6 @@
 		t.Error(node.process.Log())
 	}
 	if first["status"] > time.Second {
-		t.Error("replayable requests had to wait")
+		t.Error("replayable requests were not served within a second")
 	}
 }
--- a/cmd/frosthub/idempotency_test.go
+++ b/cmd/frosthub/idempotency_test.go
@@ -20,12 +20,12 @@
 	"frosthub/internal/wal"
 )
 
-var idempotencyKills = flag.Int("keepkills", 30, "kills of nodes that guard claims under retries; 500 outside CI")
+var idempotencyKills = flag.Int("keepkills", 30, "kills of nodes that guard claims while callers retry them; 500 outside CI")
 
-// idempotencyConf is the operator's file of a node that guards claims; KEEP stands for the directory of its log.
+// idempotencyConf is the operator's file of a node that guards claims. newIdempotentNode replaces KEEP with the directory of the idempotency log.
 const idempotencyConf = "ajp listen FRONT\nfigures file FIGURES\nfigures trail 65536\nkeep dir KEEP\nkeep handler file-claim by body\n"
 
-// newIdempotentNode returns a node with an empty idempotency log, not started, and the log's directory.
+// newIdempotentNode returns a node that is not started, with an empty idempotency log, and the directory of the log.
 func newIdempotentNode(t *testing.T, cores float64, work func(uint64, string) time.Duration, conf string) (node *testNode, dir string) {
 	t.Helper()
 	node = newTestNode(t, cores, work, conf)
@@ -37,8 +37,8 @@
 	return node, dir
 }
 
-// TestIdempotencyOverKills kills and drains nodes while claims are retried over FastCGI and AJP under new request IDs: no claim runs twice, and each
-// retry of a served claim gets the first result.
+// TestIdempotencyOverKills kills and drains nodes while callers retry claims over FastCGI and AJP under new request IDs. No claim may run twice, and
+// each retry of a served claim must get the first result.
 func TestIdempotencyOverKills(t *testing.T) {
 	const nodes = 3
 	for i := range nodes {
@@ -49,7 +49,7 @@
 	}
 }
 
-// idempotencyOverKills runs one node of TestIdempotencyOverKills.
+// idempotencyOverKills runs TestIdempotencyOverKills for one node.
 func idempotencyOverKills(t *testing.T, kills int, seed uint64) {
 	node, dir := newIdempotentNode(t, 2, constantWork(4*time.Millisecond), idempotencyConf)
 	random := rand.New(rand.NewPCG(seed, 11))
@@ -102,9 +102,9 @@
 	for _, violation := range violations {
 		t.Error(violation)
 	}
-	t.Logf("%d kills, %d of them drains: %+v", kills, drains, totals)
+	t.Logf("%d restarts, %d of them after a drain: %+v", kills, drains, totals)
 	if totals.Served < 20*kills || totals.Answers < 2*totals.Served || totals.Interrupted == 0 {
-		t.Error("too few requests were sent to prove anything")
+		t.Error("too few claims were served or retried, or none was interrupted")
 	}
 	out, err := exec.Command(binary, "keep", "check", "--conf", filepath.Join(node.process.Dir, "frosthub.conf"), dir).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), fmt.Sprintf("%d incarnations", kills+1)) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// startInProcess starts a node within the test process, with its idempotency log on a fake disk. A nil disk means no log.
+// startInProcess starts a node within the test process, with its idempotency log on a fake disk. Without a disk, the node does not guard requests.
 func startInProcess(t *testing.T, processor *fake.Processor, disk *fake.Disk, keyPart backend.KeyPart, cores int) (server *backend.Backend, address string) {
 	t.Helper()
 	address, err := harness.FreeAddress()
@@ -139,20 +139,20 @@
 	}
 	server = backend.New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		if err := server.Serve(ctx); err != nil {
 			t.Error(err)
 		}
 	}()
-	t.Cleanup(func() { stop(); <-ended })
+	t.Cleanup(func() { stop(); <-done })
 	waitReady(t, address)
 	return server, address
 }
 
-// TestIdempotencyDiskStall stalls the disk for two seconds at 110% of capacity. Service may suffer, but each request gets one response in time,
-// nothing runs twice, and replayable requests go on.
+// TestIdempotencyDiskStall stalls the disk for two seconds at 110% of capacity. The service level may fall, but each request must get one response
+// before the client timeout, none may run twice, and replayable requests must still be served.
 func TestIdempotencyDiskStall(t *testing.T) {
 	processor, err := fake.NewProcessor(2, constantWork(8*time.Millisecond))
 	if err != nil {
@@ -163,8 +163,8 @@
 	var stall sync.Once
 	var mu sync.Mutex
 	var stalledAt time.Time
-	disk.Slow = func(what string, n int) {
-		if n > 200 && what == "fsync" {
+	disk.Slow = func(operation string, count int) {
+		if count > 200 && operation == "fsync" {
 			stall.Do(func() {
 				mu.Lock()
 				stalledAt = time.Now()
@@ -179,20 +179,20 @@
 	client := fake.NewFastCGIClient(address)
 	defer client.Close()
 	tally := fake.NewTally()
-	stream := fake.OpenLoad{
+	load := fake.OpenLoad{
 		Rate: 1.1 * 250, Handlers: []string{"status", "file-claim"}, CostMS: 8, Target: time.Second,
 		Timeout: 3100 * time.Millisecond, Value: map[string]float64{"status": 1, "file-claim": 3},
 	}
 	var replayable, claims int
-	share := stream.Run(ctx, 1, tally, func(id uint64) fake.Client { return client })
+	serviceLevel := load.Run(ctx, 1, tally, func(id uint64) fake.Client { return client })
 	mu.Lock()
 	defer mu.Unlock()
 	if stalledAt.IsZero() {
-		t.Fatal("the disk never stalled")
+		t.Fatal("the disk has not stalled")
 	}
 	for id, handler := range processor.Handlers() {
 		if processor.Runs()[id] > 1 {
-			t.Errorf("%016x ran twice", id)
+			t.Errorf("request %016x ran more than once", id)
 		}
 		if handler == "status" {
 			replayable++
@@ -200,11 +200,11 @@
 			claims++
 		}
 	}
-	t.Logf("service %.3f; served %d, rejected %d, failed %d; started %d replayable and %d guarded", share, tally.Count(fake.Served),
+	t.Logf("service level %.3f; served %d, rejected %d, failed %d; started %d replayable and %d guarded", serviceLevel, tally.Count(fake.Served),
 		tally.Count(fake.Rejected), tally.Count(fake.Failed), replayable, claims)
-	for _, bad := range []fake.Outcome{fake.Sent, fake.NotSent, fake.Wrong} {
-		if n := tally.Count(bad); n > 0 {
-			t.Errorf("%d requests: %s", n, bad)
+	for _, unexpected := range []fake.Outcome{fake.Sent, fake.NotSent, fake.Wrong} {
+		if n := tally.Count(unexpected); n > 0 {
+			t.Errorf("%d requests have the outcome %s", n, unexpected)
 		}
 	}
 	if replayable < 200 || claims < 50 {
@@ -212,7 +212,8 @@
 	}
 }
 
-// TestIdempotencyBounded runs ten times as many claims as may be kept: memory, entries and disk stay within their limits.
+// TestIdempotencyBounded runs ten times as many claims as the node may keep. The files of its idempotency log must
+// not exceed 400 KB; the node's peak resident memory is logged.
 func TestIdempotencyBounded(t *testing.T) {
 	node, dir := newIdempotentNode(t, 8, constantWork(100*time.Microsecond), idempotencyConf+"keep entries 400\nkeep bytes 20000\nkeep lifetime 1s\nkeep horizon 2s\nkeep gather 50us\n")
 	node.start()
@@ -242,12 +243,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, n := range names {
-		content, _ := disk.Read(n)
+	for _, name := range names {
+		content, _ := disk.Read(name)
 		size += int64(len(content))
 	}
-	t.Logf("%+v; %d files, %d bytes on the disk, %d KB of memory", totals, len(names), size, node.process.MaxResident())
+	t.Logf("%+v; on the disk: %d files, %d bytes; peak resident memory %d KB", totals, len(names), size, node.process.MaxResident())
 	if totals.Served < 10*400 || size > 400_000 || len(names) > 70 {
-		t.Error("too few claims were served, or too much is kept on the disk")
+		t.Error("too few claims were served, or the idempotency log exceeds its limits on the disk")
 	}
 }
--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -8,8 +8,8 @@
 	"frosthub/internal/harness"
 )
 
-// TestRollingRestart restarts all nodes of a cluster one after the other under load. Each hands its queued claims over to another node, and the
-// caller gets the result from the node that is draining.
+// TestRollingRestart restarts all nodes of a cluster one after the other under load. A draining node must hand its queued claims over to a peer, and
+// still return their results to the callers.
 func TestRollingRestart(t *testing.T) {
 	cluster := newTestCluster(t, 3, 25*time.Millisecond, true)
 	defer cluster.killAll()
@@ -22,13 +22,13 @@
 		CostMS:  25,
 	}
 	stop := cluster.startLoad(load, 5)
-	handed := 0
+	handedOver := 0
 	for _, node := range cluster.nodes {
 		time.Sleep(400 * time.Millisecond)
 		if err := node.Drain(); err != nil {
 			t.Fatal(err)
 		}
-		handed += firstCounter(t, node.Log(), "runs.handed")
+		handedOver += firstCounter(t, node.Log(), "runs.handed")
 		if err := node.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -36,14 +36,14 @@
 	time.Sleep(500 * time.Millisecond)
 	stop()
 	totals := cluster.verify(load)
-	t.Logf("%+v; handed over %d", totals, handed)
-	if totals.Served < 200 || handed == 0 {
-		t.Error("too few requests were sent, or nothing was handed over")
+	t.Logf("%+v; claims handed over: %d", totals, handedOver)
+	if totals.Served < 200 || handedOver == 0 {
+		t.Error("too few requests were served, or no claim was handed over")
 	}
 }
 
-// TestMembershipChange replaces the members n1 to n3 by n3 to n5 under load and kills one on the way: no claim runs twice, none that ran is
-// forgotten, and a change that comes too early is not adopted.
+// TestMembershipChange replaces the members n1 to n3 with n3 to n5 under load and kills n3 during the change. No claim may run twice, the results of
+// earlier claims must still be returned, and the nodes must reject steps of the change that come too early.
 func TestMembershipChange(t *testing.T) {
 	cluster := prepareCluster(t, 5, 6*time.Millisecond)
 	defer cluster.killAll()
@@ -51,12 +51,12 @@
 	for i := range cluster.baseConf {
 		cluster.baseConf[i] += fmt.Sprintf("keep horizon %s\n", retryHorizon)
 	}
-	before := []int{0, 1, 2}
-	after := []int{2, 3, 4}
-	for _, i := range before {
-		cluster.setMembers(i, before, nil)
+	formerMembers := []int{0, 1, 2}
+	newMembers := []int{2, 3, 4}
+	for _, i := range formerMembers {
+		cluster.setMembers(i, formerMembers, nil)
 	}
-	cluster.start(before...)
+	cluster.start(formerMembers...)
 	load := &harness.ClaimLoad{
 		Handler:      "file-claim",
 		Callers:      20,
@@ -73,7 +73,7 @@
 			cluster.waitForLog(i, text, 15*time.Second)
 		}
 	}
-	change := func(members, former []int, nodes ...int) {
+	reload := func(members, former []int, nodes ...int) {
 		t.Helper()
 		for _, i := range nodes {
 			cluster.setMembers(i, members, former)
@@ -83,24 +83,24 @@
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
-	change(after, nil, 0) // without the former members
+	reload(newMembers, nil, 0) // rejected: the list of former members is missing
 	waitForLog("must stand beside the new one", 0)
 	for _, i := range []int{3, 4} {
-		cluster.setMembers(i, after, before)
-		if err := cluster.nodes[i].Start(); err != nil { // it serves claims once the other nodes know it
+		cluster.setMembers(i, newMembers, formerMembers)
+		if err := cluster.nodes[i].Start(); err != nil { // a new node serves claims once the former members have the new list
 			t.Fatal(err)
 		}
 	}
-	change(after, before, 0, 1)
+	reload(newMembers, formerMembers, 0, 1)
 	time.Sleep(300 * time.Millisecond)
-	change(after, nil, 0) // n3 has still adopted only the former list
+	reload(newMembers, nil, 0) // rejected: n3 has not adopted the new list
 	waitForLog("not known to go by the new list", 0)
 	if err := cluster.nodes[2].Kill(); err != nil {
 		t.Fatal(err)
 	}
-	cluster.setMembers(2, after, before)
+	cluster.setMembers(2, newMembers, formerMembers)
 	cluster.start(2)
-	change(after, nil, 0, 1, 2, 3, 4)
+	reload(newMembers, nil, 0, 1, 2, 3, 4)
 	waitForLog("may still be asked for again", 0, 1, 2, 3, 4)
 	waitForLog("now=3 before=0", 0, 1, 2, 3, 4)
 	for _, i := range []int{0, 1} {
@@ -109,7 +109,7 @@
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
-	if err := cluster.nodes[4].Kill(); err != nil { // its claims fail over to n3 and n4
+	if err := cluster.nodes[4].Kill(); err != nil { // n3 and n4 take over its claims
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond)
@@ -117,6 +117,6 @@
 	totals := cluster.verify(load)
 	t.Logf("%+v", totals)
 	if totals.Served < 500 {
-		t.Error("too few requests were sent to prove anything")
+		t.Error("too few requests were served for a valid result")
 	}
 }
--- a/cmd/frosthub/node_test.go
+++ b/cmd/frosthub/node_test.go
@@ -20,7 +20,7 @@
 // binary is the path of the program under test.
 var binary string
 
-// TestMain builds the program, with assertions if the tests are built with them.
+// TestMain builds the program, with the tag debug if the tests are built with it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "frosthub-test-")
@@ -29,7 +29,7 @@
 	}
 	binary = filepath.Join(dir, "frosthub")
 	tags := "release"
-	if invariant.Debug { // the program stops at a broken invariant, as the test does
+	if invariant.Debug { // the program then stops at a broken invariant, as the tests do
 		tags = "debug"
 	}
 	if out, err := exec.Command("go", "build", "-tags", tags, "-o", binary, ".").CombinedOutput(); err != nil {
@@ -41,7 +41,7 @@
 	os.Exit(code)
 }
 
-// testNode is a node with a fake processor, an address for AJP and a file for accounting.
+// testNode is a node with a fake processor, an AJP address and an accounting file.
 type testNode struct {
 	t                          *testing.T
 	processor                  *fake.Processor
@@ -49,12 +49,13 @@
 	ajpAddress, accountingPath string
 }
 
-// constantWork returns a processor's work function with the same work for each request.
+// constantWork returns a work function for fake processors that gives every request the same work.
 func constantWork(work time.Duration) func(uint64, string) time.Duration {
 	return func(uint64, string) time.Duration { return work }
 }
 
-// newTestNode returns a node that is not started. FRONT and FIGURES in the operator's file stand for its AJP address and its accounting file.
+// newTestNode returns a node that is not started. It replaces FRONT and FIGURES in the operator's file with the AJP address and the path of the
+// accounting file.
 func newTestNode(t *testing.T, cores float64, work func(uint64, string) time.Duration, conf string) *testNode {
 	t.Helper()
 	node := &testNode{t: t}
@@ -90,7 +91,7 @@
 // kill kills the node.
 func (n *testNode) kill() { _ = n.process.Kill() }
 
-// waitReady waits until the node at the address runs requests.
+// waitReady waits until the node at the address serves a claim, and fails the test after 20 seconds.
 func waitReady(t *testing.T, address string) {
 	t.Helper()
 	client := fake.NewFastCGIClient(address)
@@ -102,7 +103,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("it does not serve")
+	t.Fatal("the node does not serve")
 }
 
 // requestServed sends one request over a new connection and reports whether it was served.
@@ -129,20 +130,20 @@
 	return bytes.Contains(received.Bytes(), []byte("Status: 200 OK"))
 }
 
-// waitFor waits until the condition holds, and fails the test if that takes too long.
-func waitFor(t *testing.T, what string, condition func() bool) {
+// waitFor waits until the condition holds, and fails the test with the given message after 20 seconds.
+func waitFor(t *testing.T, message string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
 
-// tail returns the end of a log.
-func tail(log string) string { return log[max(0, len(log)-2000):] }
+// logTail returns the last 2000 bytes of a log.
+func logTail(log string) string { return log[max(0, len(log)-2000):] }
 
-// firstCounter returns a counter's value in the first drained process of a log, which logs its counters when it ends.
+// firstCounter returns a counter's value from the first line of a log with counters. A process logs its counters when it ends after a drain.
 func firstCounter(t *testing.T, log, name string) int {
 	t.Helper()
 	_, rest, _ := strings.Cut(log, "counters."+name+"=")
--- a/cmd/frosthub/power_loss_test.go
+++ b/cmd/frosthub/power_loss_test.go
@@ -18,7 +18,8 @@
 	"frosthub/internal/invariant"
 )
 
-// buildPowerLossBinary builds the program with disks that record what a loss of power would leave, and returns its path.
+// buildPowerLossBinary builds the program with the tag powerloss, with which its disks record the data that a loss of power would leave, and
+// returns its path.
 func buildPowerLossBinary(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "frosthub-powerloss")
@@ -32,7 +33,7 @@
 	return path
 }
 
-// newPowerLossCluster starts a cluster of such programs.
+// newPowerLossCluster starts a cluster of nodes that run the program built by buildPowerLossBinary.
 func newPowerLossCluster(t *testing.T, nodes int, extraConf string) *testCluster {
 	t.Helper()
 	cluster := prepareCluster(t, nodes, 6*time.Millisecond)
@@ -43,16 +44,16 @@
 	}
 	for i, node := range cluster.nodes {
 		node.Binary = program
-		cluster.baseConf[i] += extraConf + "keep made-field X-First-Made\n" // otherwise a node that lost its disk rejects all claims for the horizon
+		cluster.baseConf[i] += extraConf + "keep made-field X-First-Made\n" // without it a node that lost its disk rejects all claims for the retry horizon
 		cluster.setMembers(i, all, nil)
 	}
 	cluster.start(all...)
 	return cluster
 }
 
-// TestPowerLoss cuts the power of all seven nodes and their processors at once under load, again and again. Each disk keeps its durable data and
-// some of the rest; one node recovers late, one with an older copy of its disk, and now and then power is lost again during the recovery. The
-// older disk is detected, no claim runs twice, and responses stay the same.
+// TestPowerLoss repeatedly cuts the power of all seven nodes and their processors at once under load. Each disk keeps its durable data and a random
+// part of the rest. In each round one node restarts late and one with an older copy of its disk; in every third round power fails again during
+// the recovery. The older disk must be detected, no claim may run twice, and retries must get the first result.
 func TestPowerLoss(t *testing.T) {
 	const nodes = 7
 	cluster := newPowerLossCluster(t, nodes, "")
@@ -71,17 +72,17 @@
 	stop := cluster.startLoad(load, 6)
 	losePower := func() {
 		cluster.losePower()
-		cluster.cutDisks(random)
+		cluster.dropUnsyncedData(random)
 	}
 	outdatedCount := 0
 	for round := range *powerLosses {
-		restored := random.IntN(nodes)
-		late := (restored + 1 + random.IntN(nodes-1)) % nodes
-		store, backup := filepath.Join(cluster.nodes[restored].Dir, "keep"), filepath.Join(t.TempDir(), "copy")
-		copyFiles(t, backup, store) // while the node runs: a torn end is as after a crash
+		restoredNode := random.IntN(nodes)
+		lateNode := (restoredNode + 1 + random.IntN(nodes-1)) % nodes
+		store, backup := filepath.Join(cluster.nodes[restoredNode].Dir, "keep"), filepath.Join(t.TempDir(), "copy")
+		copyFiles(t, backup, store) // the node is running, so the copy may end in a torn record, as after a crash
 		time.Sleep(1200 * time.Millisecond)
 		losePower()
-		if round%3 == 2 { // once more, during the recovery
+		if round%3 == 2 { // power fails again during the recovery
 			for _, i := range random.Perm(nodes) {
 				if err := cluster.nodes[i].Launch(); err != nil {
 					t.Fatal(err)
@@ -95,9 +96,9 @@
 			t.Fatal(err)
 		}
 		copyFiles(t, store, backup)
-		before := len(cluster.nodes[restored].Log())
+		before := len(cluster.nodes[restoredNode].Log())
 		for _, i := range random.Perm(nodes) {
-			if i != late {
+			if i != lateNode {
 				time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 				if err := cluster.nodes[i].Start(); err != nil {
 					t.Fatal(err)
@@ -105,30 +106,30 @@
 			}
 		}
 		time.Sleep(600 * time.Millisecond)
-		if err := cluster.nodes[late].Start(); err != nil {
+		if err := cluster.nodes[lateNode].Start(); err != nil {
 			t.Fatal(err)
 		}
-		if !outdated { // nothing was written since the copy
+		if !outdated { // nothing has been written since the copy
 			continue
 		}
 		found := false
 		for end := time.Now().Add(5 * time.Second); !found && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			found = strings.Contains(cluster.nodes[restored].Log()[before:], "store older than peers know")
+			found = strings.Contains(cluster.nodes[restoredNode].Log()[before:], "store older than peers know")
 		}
 		if outdatedCount++; !found {
-			t.Errorf("round %d: n%d trusts an older disk (n%d recovers late):\n%s", round, restored+1, late+1, cluster.nodes[restored].Log()[before:])
+			t.Errorf("round %d: n%d does not detect its older disk (n%d restarts late):\n%s", round, restoredNode+1, lateNode+1, cluster.nodes[restoredNode].Log()[before:])
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 	stop()
 	totals := cluster.verify(load)
-	t.Logf("%+v; %d power losses, %d older disks", totals, *powerLosses, outdatedCount)
+	t.Logf("%+v; power losses: %d, of which with an older disk: %d", totals, *powerLosses, outdatedCount)
 	if totals.Served < 50*(*powerLosses) || outdatedCount == 0 {
-		t.Error("too few requests were sent to prove anything")
+		t.Error("too few requests were served, or no older disk was restored")
 	}
 }
 
-// copyFiles copies the files of a directory, except those that are removed meanwhile.
+// copyFiles copies the files of a directory, except those that are removed during the copy.
 func copyFiles(t *testing.T, to, from string) {
 	t.Helper()
 	entries, err := os.ReadDir(from)
@@ -152,7 +153,7 @@
 	}
 }
 
-// logBytes returns the size of an idempotency log's segments.
+// logBytes returns the total size in bytes of the segments of an idempotency log.
 func logBytes(t *testing.T, dir string) (total int64) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -169,10 +170,10 @@
 	return total
 }
 
-var powerLosses = flag.Int("losses", 4, "power losses of all nodes; CI runs them twice; 300 outside")
+var powerLosses = flag.Int("losses", 4, "power losses of all nodes; CI runs the test twice; 300 outside CI")
 
-// cutDisks reduces the logs of all nodes to what a loss of power could have left.
-func (c *testCluster) cutDisks(random *rand.Rand) {
+// dropUnsyncedData reduces each node's idempotency log to its durable data and a random part of the rest, as a loss of power could leave it.
+func (c *testCluster) dropUnsyncedData(random *rand.Rand) {
 	c.t.Helper()
 	for _, node := range c.nodes {
 		if err := harness.CutPower(filepath.Join(node.Dir, "keep"), random); err != nil {
@@ -181,8 +182,8 @@
 	}
 }
 
-// TestPartialRecovery cuts the power of seven nodes twice, and twice more during each recovery, while their results expire within seconds, so that
-// segments turn into fingerprints all the time; then three of them never recover. No claim runs twice, and the remaining four serve.
+// TestPartialRecovery cuts the power of seven nodes twice, and twice more during each recovery. Results expire within seconds, so that segments
+// are continually reduced to fingerprints. Then three nodes fail for good. No claim may run twice, and the remaining four nodes must serve.
 func TestPartialRecovery(t *testing.T) {
 	const nodes = 7
 	cluster := newPowerLossCluster(t, nodes, "keep lifetime 4s\nkeep horizon 16s\n")
@@ -200,9 +201,9 @@
 	stop := cluster.startLoad(load, 31)
 	for range 2 {
 		time.Sleep(2500 * time.Millisecond)
-		for range 2 { // power is back for a moment
+		for range 2 { // power returns only for a moment
 			cluster.losePower()
-			cluster.cutDisks(random)
+			cluster.dropUnsyncedData(random)
 			for _, i := range random.Perm(nodes) {
 				if err := cluster.nodes[i].Launch(); err != nil {
 					t.Fatal(err)
@@ -211,7 +212,7 @@
 			}
 		}
 		cluster.losePower()
-		cluster.cutDisks(random)
+		cluster.dropUnsyncedData(random)
 		for _, i := range random.Perm(nodes) {
 			if err := cluster.nodes[i].Start(); err != nil {
 				t.Fatal(err)
@@ -234,7 +235,7 @@
 		}
 		cluster.processors[i].Reset()
 	}
-	half := &harness.ClaimLoad{
+	fourNodeLoad := &harness.ClaimLoad{
 		Handler:       "file-claim",
 		SendCreatedAt: true,
 		Callers:       30,
@@ -244,16 +245,17 @@
 	}
 	ctx, done := context.WithTimeout(t.Context(), 2*time.Second)
 	defer done()
-	half.Run(ctx, 32, func(n uint64) fake.Client { return cluster.clients[n>>40%4] })
-	all7, remaining := cluster.verify(load), cluster.verify(half)
-	t.Logf("%+v; with four nodes %+v; %d segments are fingerprints", all7, remaining, retired)
-	if all7.Served < 300 || remaining.Served < 10 || retired == 0 {
-		t.Error("too few requests were served, or nothing has expired")
+	fourNodeLoad.Run(ctx, 32, func(n uint64) fake.Client { return cluster.clients[n>>40%4] })
+	allNodes, fourNodes := cluster.verify(load), cluster.verify(fourNodeLoad)
+	t.Logf("all nodes: %+v; four nodes: %+v; segments reduced to fingerprints: %d", allNodes, fourNodes, retired)
+	if allNodes.Served < 300 || fourNodes.Served < 10 || retired == 0 {
+		t.Error("too few requests were served, or no segment has expired")
 	}
 }
 
-// TestDegradedRecovery recovers five nodes from a loss of power with clocks an hour behind and ahead, a full disk, a read-only one and a slow one,
-// while ten times the callers send requests; then all lose power again, with sound disks. No claim runs twice, and responses stay the same.
+// TestDegradedRecovery cuts the power of five nodes four times. In every other round they recover with clocks an hour behind and ahead, a full disk,
+// a read-only one and a slow one; in between the disks and clocks are sound. Right after the second start ten times as many callers send requests
+// for a second. No claim may run twice, and retries must get the first result.
 func TestDegradedRecovery(t *testing.T) {
 	const nodes = 5
 	cluster := newPowerLossCluster(t, nodes, "")
@@ -283,11 +285,11 @@
 	for round := range 4 {
 		time.Sleep(500 * time.Millisecond)
 		cluster.losePower()
-		cluster.cutDisks(random)
+		cluster.dropUnsyncedData(random)
 		for i, node := range cluster.nodes {
 			node.ClockOffset = 0
 			faultPath := filepath.Join(node.Dir, "keep", ".fault")
-			_ = os.Remove(faultPath) // there may be none
+			_ = os.Remove(faultPath) // the file may not exist
 			if round%2 == 1 {
 				continue
 			}
@@ -304,18 +306,18 @@
 			}
 		}
 		if round == 1 {
-			end := cluster.startLoad(flood, 22)
+			stopFlood := cluster.startLoad(flood, 22)
 			time.Sleep(time.Second)
-			end()
+			stopFlood()
 		}
 	}
 	time.Sleep(time.Second)
 	stop()
-	for _, l := range []*harness.ClaimLoad{load, flood} {
-		totals := cluster.verify(l)
+	for _, claimLoad := range []*harness.ClaimLoad{load, flood} {
+		totals := cluster.verify(claimLoad)
 		t.Logf("%+v", totals)
 		if totals.Served < 50 {
-			t.Error("too few requests were served to prove anything")
+			t.Error("too few requests were served for a valid result")
 		}
 	}
 }
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -15,8 +15,8 @@
 	"frosthub/internal/harness"
 )
 
-// TestRepeatedStartFailures leaves a store over which three starts in a row have died: the node sets it aside and recovers without it. No claim
-// runs twice for that, and the other nodes still return what they have recorded.
+// TestRepeatedStartFailures restarts a node whose store records three failed starts in a row. The node must set the store aside and recover from its
+// peers. No claim may run twice, and the peers must still return the results that they have recorded.
 func TestRepeatedStartFailures(t *testing.T) {
 	cluster := newTestCluster(t, 3, 5*time.Millisecond, true)
 	defer cluster.killAll()
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	store := filepath.Join(cluster.nodes[0].Dir, "keep")
-	if err := os.WriteFile(filepath.Join(store, "reading"), []byte("3\n"), 0o600); err != nil { // as three failed starts leave it
+	if err := os.WriteFile(filepath.Join(store, "reading"), []byte("3\n"), 0o600); err != nil { // the file counts failed starts
 		t.Fatal(err)
 	}
 	cluster.start(0)
@@ -50,20 +50,20 @@
 		Timeout: 2 * time.Second,
 		CostMS:  5,
 	}
-	repeated.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[n>>40%3] }) // the same keys
+	repeated.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[n>>40%3] }) // the same seed gives the same keys
 	first, _ := load.Verify(cluster.effects())
 	totals := cluster.verify(repeated)
 	t.Logf("%+v; %+v", first, totals)
 	if totals.Served < totals.Keys*9/10 {
-		t.Error("the other nodes do not return what they have recorded")
+		t.Error("the peers do not return the results that they have recorded")
 	}
 	if _, err := os.Stat(filepath.Join(store, "reading")); err == nil {
-		t.Error("the successful start is counted as failed")
+		t.Error("the successful start is still counted as failed")
 	}
 }
 
-// TestDiskLoss recovers a node of five with an empty disk under load, until the others have sent it again what it had. Then a second node is lost
-// for good: what only these two and one more had recorded is still returned, by the last of them and by the recovered node.
+// TestDiskLoss restarts one of five nodes with an empty disk under load and waits until the peers have sent its records again. Then a second node
+// fails for good. Results that were recorded on these two nodes and only one more must still be returned, by the third node and the recovered one.
 func TestDiskLoss(t *testing.T) {
 	cluster := newTestCluster(t, 5, 5*time.Millisecond, true)
 	defer cluster.killAll()
@@ -103,7 +103,7 @@
 	cluster.start(0)
 	for end := time.Now().Add(15 * time.Second); !strings.Contains(node.Log(), `by="all others"`); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the other nodes never sent its records again: ", node.Log())
+			t.Fatal("the peers have not sent the records of the node again: ", node.Log())
 		}
 	}
 	took := time.Since(started)
@@ -122,7 +122,7 @@
 		Timeout: 2 * time.Second,
 		CostMS:  5,
 	}
-	repeated.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[[...]int{0, 2, 3, 4}[n>>40%4]] }) // the same keys
+	repeated.Run(t.Context(), 3, func(n uint64) fake.Client { return cluster.clients[[...]int{0, 2, 3, 4}[n>>40%4]] }) // the same seed gives the same keys
 	first, _ := before.Verify(cluster.effects())
 	totals, violations := repeated.Verify(cluster.effects())
 	_, loadViolations := load.Verify(cluster.effects())
@@ -131,12 +131,13 @@
 	}
 	t.Logf("%+v; %+v; records sent again within %s", first, totals, took)
 	if first.Served < 450 || totals.Served != first.Keys {
-		t.Error("the remaining nodes do not return all results")
+		t.Error("the remaining nodes do not return all recorded results")
 	}
 }
 
-// TestStaggeredRecovery cuts the power of three nodes, one of which loses its disk. That node alone runs and answers no claim; with a second one
-// it answers what that one knows; the third has the rest. A node that never recovers is forgotten by an operator's command.
+// TestStaggeredRecovery cuts the power of three nodes, of which the first loses its disk, and restarts them one by one. The first node alone must
+// not run or answer claims; together with the second it must return the results recorded there. The third stays down until an operator's command
+// removes it from the recovery; the remaining two must then serve new claims.
 func TestStaggeredRecovery(t *testing.T) {
 	cluster := prepareCluster(t, 3, 5*time.Millisecond)
 	defer cluster.killAll()
@@ -165,13 +166,13 @@
 		return load
 	}
 	first := runLoad(1, 20, 0, 1, 2)
-	before := cluster.effects()
+	effectsBefore := cluster.effects()
 	cluster.losePower()
 	cluster.replaceStore(0)
 	if err := cluster.nodes[0].Start(); err != nil {
 		t.Fatal(err)
 	}
-	alone := &harness.ClaimLoad{
+	firstNodeLoad := &harness.ClaimLoad{
 		Handler: "file-claim",
 		Callers: 10,
 		Keys:    1,
@@ -179,41 +180,41 @@
 		Timeout: time.Second,
 		CostMS:  5,
 	}
-	alone.Run(t.Context(), 1, func(uint64) fake.Client { return cluster.clients[0] })
-	if totals, _ := alone.Verify(nil); totals.Served > 0 || totals.OutcomeUnknown > 0 || len(cluster.effects()) > len(before) {
-		t.Errorf("a node with an empty disk, alone, answers or runs claims: %+v", totals)
+	firstNodeLoad.Run(t.Context(), 1, func(uint64) fake.Client { return cluster.clients[0] })
+	if totals, _ := firstNodeLoad.Verify(nil); totals.Served > 0 || totals.OutcomeUnknown > 0 || len(cluster.effects()) > len(effectsBefore) {
+		t.Errorf("a node with an empty disk answers or runs claims without its peers: %+v", totals)
 	}
 	if err := cluster.nodes[1].Start(); err != nil {
 		t.Fatal(err)
 	}
 	cluster.waitForLog(0, `by=n2`, 15*time.Second)
 	if log := cluster.nodes[0].Log(); strings.Contains(log, `by="all others"`) {
-		t.Error("one of two nodes counts as all others: ", log)
+		t.Error("the recovery counts one of two peers as all peers: ", log)
 	}
-	twoOfThree := runLoad(1, 20, 0, 1) // the same keys: both return what n2 has recorded
-	t.Logf("all %+v; two of three recovered %+v", cluster.verify(first), cluster.verify(twoOfThree))
-	recovery := func(i int, args ...string) string {
+	repeated := runLoad(1, 20, 0, 1) // the same keys as in the first load: both nodes return the results recorded by n2
+	t.Logf("all nodes: %+v; two of three nodes after the recovery: %+v", cluster.verify(first), cluster.verify(repeated))
+	recoveryCommand := func(i int, args ...string) string {
 		out, _ := exec.Command(binary, append(append([]string{"recovery"}, args...), "--admin", admin[i])...).CombinedOutput()
 		return string(out)
 	}
-	waitFor(t, "n1 does not hear n2", func() bool { return believedAlive(t, admin[0], "n2") })
-	if out := recovery(0, "forget", "n2", "--yes"); !strings.Contains(out, "alive") {
-		t.Error("a live node is forgotten: ", out)
+	waitFor(t, "n1 does not list n2 as alive", func() bool { return memberAlive(t, admin[0], "n2") })
+	if out := recoveryCommand(0, "forget", "n2", "--yes"); !strings.Contains(out, "alive") {
+		t.Error("the command forgets a live node: ", out)
 	}
-	if out := recovery(1, "trust", "--yes"); !strings.Contains(out, "recorded") { // only the node with the empty disk could confirm it
+	if out := recoveryCommand(1, "trust", "--yes"); !strings.Contains(out, "recorded") { // the only peer that is up has an empty disk, so no peer confirms the records of n2
 		t.Error(out)
 	}
-	if out := recovery(0, "forget", "n3", "--yes"); !strings.Contains(out, "recorded") {
+	if out := recoveryCommand(0, "forget", "n3", "--yes"); !strings.Contains(out, "recorded") {
 		t.Error(out)
 	}
 	cluster.waitForLog(0, `by="all others"`, 10*time.Second)
-	if out := recovery(0); !strings.Contains(out, "serving") || !strings.Contains(out, "n2") {
+	if out := recoveryCommand(0); !strings.Contains(out, "serving") || !strings.Contains(out, "n2") {
 		t.Error(out)
 	}
-	if totals := cluster.verify(runLoad(2, 20, 0, 1)); totals.Served != totals.Keys { // new keys
+	if totals := cluster.verify(runLoad(2, 20, 0, 1)); totals.Served != totals.Keys { // another seed gives new keys
 		t.Errorf("%+v", totals)
 	}
-	cluster.start(2) // although it is forgotten
+	cluster.start(2) // a forgotten node may return
 	cluster.waitForLog(0, "back=n3", 5*time.Second)
 	if totals := cluster.verify(runLoad(2, 20, 0, 1, 2)); totals.Served != totals.Keys {
 		t.Errorf("%+v", totals)
@@ -225,8 +226,8 @@
 	}
 }
 
-// believedAlive reports whether the node with that admin address takes another one for alive.
-func believedAlive(t *testing.T, admin, name string) bool {
+// memberAlive reports whether the node with the given admin address lists the named member as alive.
+func memberAlive(t *testing.T, admin, name string) bool {
 	t.Helper()
 	response, err := http.Get("http://" + admin + "/cluster")
 	if err != nil {
@@ -247,13 +248,13 @@
 	return false
 }
 
-var earlierBinary = flag.String("earlier", "", "an earlier program with clusters, for fleets of two versions")
+var earlierBinary = flag.String("earlier", "", "path of an earlier program that supports clusters, for the test with mixed versions")
 
-// TestMixedVersions runs an earlier program on two nodes of five while nodes are killed and one loses its disk: no claim runs twice, and the node
-// with the empty disk serves in part until all nodes are known to be new.
+// TestMixedVersions runs an earlier program on two of five nodes while nodes are killed and one loses its disk. No claim may run twice, and the node
+// with the empty disk must stay degraded until all peers run the current program.
 func TestMixedVersions(t *testing.T) {
 	if *earlierBinary == "" {
-		t.Skip("asked for by -earlier")
+		t.Skip("runs only with -earlier")
 	}
 	cluster := prepareCluster(t, 5, 5*time.Millisecond)
 	defer cluster.killAll()
@@ -287,7 +288,7 @@
 	}
 	time.Sleep(2 * time.Second)
 	if strings.Contains(cluster.nodes[0].Log(), `by="all others"`) {
-		t.Error("the recovery is complete while older programs run: ", cluster.nodes[0].Log())
+		t.Error("the recovery is complete although peers run the earlier program: ", cluster.nodes[0].Log())
 	}
 	for _, i := range []int{3, 4} {
 		if err := cluster.nodes[i].Kill(); err != nil {
--- a/cmd/frosthub/restart_test.go
+++ b/cmd/frosthub/restart_test.go
@@ -20,51 +20,51 @@
 	"golang.org/x/sys/unix"
 )
 
-var restarts = flag.Int("restarts", 5, "restarts of each kind; 100 outside CI")
+var restarts = flag.Int("restarts", 5, "number of restarts in each case; 100 outside CI")
 
-// TestSignalDuringStart sends SIGTERM while the program is starting: it ends without an error, before it serves.
+// TestSignalDuringStart sends SIGTERM while the program reads its configuration. The program must exit without an error and without serving.
 func TestSignalDuringStart(t *testing.T) {
 	t.Parallel()
 	node := newTestNode(t, 1, constantWork(time.Millisecond), "")
-	config := filepath.Join(node.process.Dir, "gate")
-	if err := syscall.Mkfifo(config, 0o600); err != nil {
+	configPipe := filepath.Join(node.process.Dir, "gate")
+	if err := syscall.Mkfifo(configPipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	node.process.ConfigPipe = config
+	node.process.ConfigPipe = configPipe
 	if err := node.process.Launch(); err != nil {
 		t.Fatal(err)
 	}
-	gate, err := os.OpenFile(config, os.O_WRONLY, 0) // the program waits for its configuration
+	pipe, err := os.OpenFile(configPipe, os.O_WRONLY, 0) // returns once the program has opened the pipe and waits for its configuration
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := node.process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the program does not handle the signal", func() bool { return handledSignals(t, node.process.PID()) })
+	waitFor(t, "the program has not handled the signal", func() bool { return handledSignals(t, node.process.PID()) })
 	text, err := node.process.Config()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = gate.Write(text)
-	if err := gate.Close(); err != nil {
+	_, _ = pipe.Write(text)
+	if err := pipe.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := node.process.Drain(); err != nil {
 		t.Error(err, node.process.Log())
 	}
 	if strings.Contains(node.process.Log(), "msg=serving") {
-		t.Error("it began to serve:", node.process.Log())
+		t.Error("the program started to serve:", node.process.Log())
 	}
 }
 
-// handledSignals reports whether a process has no signal pending and all of its threads sleep: then it has done all that a signal leads
-// to until it hears of something else.
+// handledSignals reports whether a process has no pending signal and all of its threads sleep. It has then finished its reaction to earlier signals
+// and waits for another event.
 func handledSignals(t *testing.T, pid int) bool {
 	t.Helper()
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
 	if err != nil || len(threads) == 0 {
-		t.Fatal("no threads: ", err)
+		t.Fatal("the process has no threads: ", err)
 	}
 	for _, thread := range threads {
 		status, err := os.ReadFile(thread)
@@ -89,13 +89,14 @@
 	return true
 }
 
-// TestDescriptorExhaustion takes the process's file descriptors away three times: it goes on at little cost, and serves again once there are some.
+// TestDescriptorExhaustion lowers the process's limit of file descriptors below those in use, three times. The process must continue without using
+// much more memory, and serve again once the limit is raised.
 func TestDescriptorExhaustion(t *testing.T) {
 	t.Parallel()
 	node := newTestNode(t, 1, constantWork(time.Millisecond), "")
 	node.start()
 	t.Cleanup(node.kill)
-	waitFor(t, "it does not serve", func() bool { return requestServed(node.process.Listen, 1) })
+	waitFor(t, "the node does not serve", func() bool { return requestServed(node.process.Listen, 1) })
 	pid := node.process.PID()
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
@@ -106,16 +107,16 @@
 		t.Fatal(err)
 	}
 	for episode := range 3 {
-		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+		openFiles, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(len(open)) - 3, Max: limit.Max}, nil); err != nil {
+		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(len(openFiles)) - 3, Max: limit.Max}, nil); err != nil {
 			t.Fatal(err)
 		}
 		logged := strings.Count(node.process.Log(), "too many open files")
 		var waiting []net.Conn
-		waitFor(t, "descriptors are not exhausted", func() bool {
+		waitFor(t, "the program has not logged that its descriptors are exhausted", func() bool {
 			if conn, err := net.Dial("tcp", node.process.Listen); err == nil {
 				waiting = append(waiting, conn)
 			}
@@ -124,23 +125,23 @@
 		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "it does not serve again", func() bool { return requestServed(node.process.Listen, uint64(2+episode)) })
+		waitFor(t, "the node does not serve again", func() bool { return requestServed(node.process.Listen, uint64(2+episode)) })
 		for _, conn := range waiting {
 			_ = conn.Close()
 		}
 	}
-	if now, err := node.process.Resident(); err != nil || now > resident+16<<10 {
-		t.Error("resident memory is", now, "KB, and was", resident, err)
+	if current, err := node.process.Resident(); err != nil || current > resident+16<<10 {
+		t.Error("resident memory in KB is", current, "and was at first", resident, err)
 	}
 	if err := node.process.Drain(); err != nil {
 		t.Error(err, node.process.Log())
 	}
 }
 
-// maxRestartTime is how long nine in ten restarts may take.
+// maxRestartTime is the limit of the 90th percentile of the times to serve.
 const maxRestartTime = 10 * time.Second
 
-// TestRestarts measures how long a restarted node takes to serve a request.
+// TestRestarts measures the time from the start of a node to its first served request.
 func TestRestarts(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -159,11 +160,11 @@
 			var times []time.Duration
 			for i := range *restarts {
 				times = append(times, timeToServe(t, node, test.lateProcessor, uint64(1000+i)))
-				end := node.process.Kill
+				endProcess := node.process.Kill
 				if i%2 == 0 {
-					end = node.process.Drain
+					endProcess = node.process.Drain
 				}
-				if err := end(); err != nil {
+				if err := endProcess(); err != nil {
 					t.Error(err, node.process.Log())
 				}
 			}
@@ -171,25 +172,25 @@
 			count := len(times)
 			t.Logf("%d restarts: min %v, median %v, 90th percentile %v, max %v", count, times[0], times[count/2], times[count*9/10], times[count-1])
 			if ninetieth := times[(count*9-1)/10]; ninetieth > maxRestartTime {
-				t.Error("nine in ten take", ninetieth)
+				t.Error("90% of the restarts take up to", ninetieth)
 			}
 		})
 	}
 }
 
-// occupyCores keeps all cores busy until the end of the test.
+// occupyCores keeps all cores busy until the test ends.
 func occupyCores(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	for range runtime.NumCPU() {
 		go func() {
-			for ctx.Err() == nil { // spin
+			for ctx.Err() == nil { // busy loop
 			}
 		}()
 	}
 }
 
-// timeToServe starts a node, and its processor after it if that is late, and returns how long it takes to serve a request.
+// timeToServe starts a node and returns the time until it serves a request. With lateProcessor it starts a new processor once the node listens.
 func timeToServe(t *testing.T, node *testNode, lateProcessor bool, id uint64) time.Duration {
 	t.Helper()
 	if lateProcessor {
@@ -204,7 +205,7 @@
 		t.Fatal(err)
 	}
 	if lateProcessor {
-		waitFor(t, "it does not listen", func() bool {
+		waitFor(t, "the node does not listen", func() bool {
 			conn, err := net.Dial("tcp", node.process.Listen)
 			if err == nil {
 				_ = conn.Close()
@@ -217,6 +218,6 @@
 		}
 		t.Cleanup(processor.Close)
 	}
-	waitFor(t, "it does not serve", func() bool { return requestServed(node.process.Listen, id) })
+	waitFor(t, "the node does not serve", func() bool { return requestServed(node.process.Listen, id) })
 	return time.Since(started)
 }
--- a/cmd/frosthub/soak_test.go
+++ b/cmd/frosthub/soak_test.go
@@ -18,24 +18,24 @@
 )
 
 var (
-	soaks     = flag.Int("soaks", 1, "seeds of the fault soak; dozens outside CI")
-	soakNodes = flag.Int("soaknodes", 10, "real processes of a soak; 10 to 40")
-	soakFor   = flag.Duration("soakfor", 6*time.Second, "for how long faults begin")
-	soakSeed  = flag.Uint64("soakseed", 1, "the first seed")
+	soaks     = flag.Int("soaks", 1, "number of fault soaks, each with the next seed; dozens outside CI")
+	soakNodes = flag.Int("soaknodes", 10, "number of processes in a soak; 10 to 40")
+	soakFor   = flag.Duration("soakfor", 6*time.Second, "time within which the faults of a soak begin")
+	soakSeed  = flag.Uint64("soakseed", 1, "seed of the first soak")
 )
 
 const (
 	soakTimeout       = 3 * time.Second        // the client timeout in the settings
 	soakGrace         = 500 * time.Millisecond // after the start of a drain
-	soakKillAfter     = 3 * time.Second        // after the start of a drain, as the platform allows for that timeout
-	soakFaultsPerNode = 8                      // per node
+	soakKillAfter     = 3 * time.Second        // after the start of a drain, the time that the platform allows with soakTimeout
+	soakFaultsPerNode = 8                      // number of faults
 	soakMemoryMB      = 64                     // memory limit of a process
-	lateSlack         = 400 * time.Millisecond // of a response: 80 ms by the settings, 50 ms for sockets, and a machine shared by forty processes
-	graceSlack        = 50 * time.Millisecond  // of a run after the grace period: for sockets
-	recoveryTimeout   = 20 * time.Second       // for a node to serve once all faults are over
+	lateSlack         = 400 * time.Millisecond // of a response: 80 ms by the settings, 50 ms for sockets, the rest for a machine that up to 40 processes share
+	graceSlack        = 50 * time.Millisecond  // of a run after the grace period, for delays in sockets
+	recoveryTimeout   = 20 * time.Second       // for a node to serve again after the last fault has ended
 )
 
-// soakBinary builds the program with the tag faults and returns its path.
+// soakBinary builds the program with the tags faults and debug, and returns its path.
 var soakBinary = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(binary), "frosthub-faults")
 	out, err := exec.Command("go", "build", "-tags", "faults,debug", "-o", path, ".").CombinedOutput()
@@ -45,8 +45,8 @@
 	return path, err
 })
 
-// TestFaultSoak injects overlapping random faults into real processes under load from edge nodes, and checks what the edge nodes, processors and
-// upstreams saw.
+// TestFaultSoak injects overlapping random faults into real processes under load from edge nodes. It checks the records of the edge nodes, processors
+// and upstreams: each request must get its response in time, and no claim may run twice.
 func TestFaultSoak(t *testing.T) {
 	program, err := soakBinary()
 	if err != nil {
@@ -67,7 +67,7 @@
 	exchanges *harness.ExchangeLog
 }
 
-// run starts the nodes, injects the planned faults under load, drains the nodes and verifies what was seen.
+// run starts the nodes, injects the planned faults under load, drains the nodes and verifies the records.
 func (s *soak) run() {
 	s.exchanges = harness.NewExchangeLog()
 	s.startNodes()
@@ -101,7 +101,7 @@
 	}
 }
 
-// startNodes starts all nodes.
+// startNodes starts all nodes side by side.
 func (s *soak) startNodes() {
 	work := func(id uint64, handler string) time.Duration {
 		if id%50 == 0 {
@@ -131,7 +131,7 @@
 	starting.Wait()
 }
 
-// edgeNode returns an edge node that sends requests to a node, directly or through a proxy.
+// edgeNode returns an edge node that sends requests to the given node, directly if proxy is nil.
 func (s *soak) edgeNode(node *harness.Node, proxy *faultproxy.Proxy, conns int) harness.EdgeNode {
 	return harness.EdgeNode{
 		Name: node.Name, Address: node.Process.Listen, Proxy: proxy, Conns: conns, Interval: 40 * time.Millisecond, Slots: 24, CostMS: 10,
@@ -140,32 +140,32 @@
 	}
 }
 
-// verifyRecovery checks that each node serves once all faults are over and has stayed within its memory.
+// verifyRecovery checks that each node serves again after the last fault and has stayed within its memory limit.
 func (s *soak) verifyRecovery() {
 	for i, node := range s.nodes {
 		id, end := s.seed<<32+uint64(i)<<16+1, time.Now().Add(recoveryTimeout)
 		for ; !requestServed(node.Process.Listen, id); id += 2 {
 			if time.Now().After(end) {
-				s.Errorf("%s does not serve again: %s", node.Name, tail(node.Process.Log()))
+				s.Errorf("%s does not serve again: %s", node.Name, logTail(node.Process.Log()))
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		if kb, err := node.Process.PeakResident(); err != nil || kb > soakMemoryMB<<10 {
-			s.Errorf("%s: peak memory is %d KB, and the limit %d MB: %v", node.Name, kb, soakMemoryMB, err)
+			s.Errorf("%s: peak resident memory is %d KB, the limit %d MB: %v", node.Name, kb, soakMemoryMB, err)
 		}
 	}
 }
 
-// verify checks what was seen during the run.
+// verify checks the records of the run.
 func (s *soak) verify() {
 	s.reportViolations("lost", s.exchanges.Violations())
 	s.verifyNodes()
 	s.verifyExchanges()
-	s.logObserved()
+	s.logObservedFaults()
 }
 
-// verifyNodes checks that no claim ran twice, that each process ended as it must, and that none has logged a broken rule.
+// verifyNodes checks that no claim ran or made its call twice, that each process ended as expected, and that none has logged a violation.
 func (s *soak) verifyNodes() {
 	var duplicates, processViolations, logged []string
 	for _, node := range s.nodes {
@@ -188,7 +188,7 @@
 	s.reportViolations("log", logged)
 }
 
-// loggedViolations returns panics and broken rules from a node's log.
+// loggedViolations returns the panics and violations that a node has logged.
 func loggedViolations(node *harness.Node) []string {
 	var violations []string
 	log := node.Process.Log()
@@ -206,8 +206,8 @@
 	return violations
 }
 
-// verifyExchanges checks that responses came in time, that nothing ran that was sent after the grace period of a drain, and that enough
-// requests were served.
+// verifyExchanges checks that responses arrived in time, that no request sent after the grace period of a drain ran, and that enough requests were
+// served.
 func (s *soak) verifyExchanges() {
 	byName := map[string]*harness.Node{}
 	firstStarts := map[string]map[uint64]time.Time{} // by node and request
@@ -229,23 +229,23 @@
 			took := exchange.RespondedAt.Sub(exchange.SentAt) - node.Paused(exchange.SentAt, exchange.RespondedAt)
 			slowest = max(slowest, took)
 			if took > soakTimeout+lateSlack {
-				late = append(late, fmt.Sprintf("%s %016x: answered after %v", exchange.Node, exchange.ID, took))
+				late = append(late, fmt.Sprintf("%s %016x: response after %v", exchange.Node, exchange.ID, took))
 			}
 		}
 		startedAt, ran := firstStarts[exchange.Node][exchange.ID]
 		for _, drain := range node.Drains() {
 			if ran && ranAfterGrace(exchange.SentAt, startedAt, drain) {
 				age := exchange.SentAt.Sub(drain.NotifiedAt)
-				afterGrace = append(afterGrace, fmt.Sprintf("%s %016x: sent %v after the start of the drain, and run", exchange.Node, exchange.ID, age))
+				afterGrace = append(afterGrace, fmt.Sprintf("%s %016x: ran although sent %v after the start of the drain", exchange.Node, exchange.ID, age))
 			}
 		}
 	}
 	s.reportViolations("late", late)
 	s.reportViolations("run after the grace period", afterGrace)
-	s.Logf("seed %d: %d requests %v, unanswered %v, crossed %d, slowest response %v", s.seed, len(all), outcomes, excuses,
+	s.Logf("seed %d: %d requests, outcomes %v; without a response, by excuse: %v; crossed the end of their connection: %d; slowest response %v", s.seed, len(all), outcomes, excuses,
 		s.exchanges.CrossedClose(), slowest)
 	if outcomes[fake.Served]*4 < len(all) {
-		s.Error("too few requests were served to prove anything")
+		s.Error("too few requests were served for a valid result")
 	}
 }
 
@@ -256,32 +256,32 @@
 	return sentAfterGrace && startedDuringDrain
 }
 
-// logObserved logs how many faults the nodes have noticed: a fault that no node noticed was none.
-func (s *soak) logObserved() {
-	seen := map[string]int{}
+// logObservedFaults logs how often the nodes have logged each kind of fault. A kind that is missing in the list had no effect in this run.
+func (s *soak) logObservedFaults() {
+	observed := map[string]int{}
 	for _, node := range s.nodes {
 		for line := range strings.Lines(node.Process.Log()) {
-			for _, what := range []string{
+			for _, message := range []string{
 				"wall clock stepped", "process stalled", "processor link lost", "accept failed", "upstream protocol error", "upstream unreachable",
 				"configuration rejected", "configuration reloaded", "processor command retried", "request unanswered", "to=draining",
 				"request cancelled at shutdown deadline", "processor unreachable",
 			} {
-				if strings.Contains(line, what) {
-					seen[what]++
+				if strings.Contains(line, message) {
+					observed[message]++
 				}
 			}
 		}
 	}
-	s.Log("observed faults:", seen)
+	s.Log("log lines of the nodes about faults:", observed)
 }
 
-// reportViolations fails the test with the first violations of a rule and their number.
+// reportViolations fails the test with the first five violations of a rule and their number.
 func (s *soak) reportViolations(rule string, violations []string) {
 	slices.Sort(violations)
 	for _, line := range violations[:min(len(violations), 5)] {
 		s.Errorf("%s: %s", rule, line)
 	}
 	if len(violations) > 5 {
-		s.Errorf("%s: %d in all", rule, len(violations))
+		s.Errorf("%s: %d violations in all", rule, len(violations))
 	}
 }
--- a/cmd/frosthub/upstream_test.go
+++ b/cmd/frosthub/upstream_test.go
@@ -14,21 +14,21 @@
 	"frosthub/internal/fake"
 )
 
-var upstreamCalls = flag.Int("calls", 900, "calls with random faults; 10000 outside CI")
+var upstreamCalls = flag.Int("calls", 900, "number of calls with random faults; 10000 outside CI")
 
-// upstreamRig is a node with an upstream of AJP servers.
-type upstreamRig struct {
+// upstreamFixture is a node whose upstream consists of fake AJP servers.
+type upstreamFixture struct {
 	*testNode
 	servers []*fake.AJPServer
 	client  *fake.FastCGIClient
 }
 
-// newUpstreamRig starts a node with that many AJP servers. Each request makes a call.
-func newUpstreamRig(t *testing.T, servers int) *upstreamRig {
+// newUpstreamFixture starts a node with the given number of AJP servers. Each request makes one call.
+func newUpstreamFixture(t *testing.T, servers int) *upstreamFixture {
 	t.Helper()
 	node := newTestNode(t, 8, constantWork(time.Millisecond), "")
 	node.processor.MakesCall = func(uint64, string) bool { return true }
-	upstream := &upstreamRig{testNode: node}
+	upstream := &upstreamFixture{testNode: node}
 	for range servers {
 		server, err := fake.NewAJPServer(3 * time.Millisecond)
 		if err != nil {
@@ -50,8 +50,8 @@
 	return upstream
 }
 
-// conf returns the operator's file for the given servers.
-func (u *upstreamRig) conf(servers []*fake.AJPServer) string {
+// conf returns an operator's file that lists the given servers.
+func (u *upstreamFixture) conf(servers []*fake.AJPServer) string {
 	var conf strings.Builder
 	for i, server := range servers {
 		fmt.Fprintf(&conf, "next-tier ajp %s route=w%d\n", server.Address(), i)
@@ -59,15 +59,15 @@
 	return conf.String()
 }
 
-// send sends n requests one after the other, from an ID on, and returns how many were served. A rejected request never ran and is retried, as edge
-// nodes do.
-func (u *upstreamRig) send(from uint64, n int, handler string) (served int) {
+// send sends n requests one after the other, with consecutive IDs, and returns the number of served ones. Like an edge node it retries rejected
+// requests, which have not run.
+func (u *upstreamFixture) send(from uint64, n int, handler string) (served int) {
 	for i := range n {
 		request := fake.Request{ID: from + uint64(i), Handler: handler, Start: time.Now().UnixMilli(), CostMS: 1, Body: "a policy"}
 		outcome := u.client.Send(&request, 4*time.Second)
-		for try := uint64(1); outcome == fake.Rejected && try < 20; try++ {
+		for attempt := uint64(1); outcome == fake.Rejected && attempt < 20; attempt++ {
 			time.Sleep(20 * time.Millisecond)
-			request.ID, request.Start = from+uint64(i)+try<<32, time.Now().UnixMilli()
+			request.ID, request.Start = from+uint64(i)+attempt<<32, time.Now().UnixMilli()
 			outcome = u.client.Send(&request, 4*time.Second)
 		}
 		if outcome == fake.Served {
@@ -77,8 +77,8 @@
 	return served
 }
 
-// callCounts returns how often the call of each request has run, over all servers.
-func (u *upstreamRig) callCounts() map[uint64]int {
+// callCounts returns the number of times that the call of each request has run, summed over all servers.
+func (u *upstreamFixture) callCounts() map[uint64]int {
 	counts := map[uint64]int{}
 	for _, server := range u.servers {
 		for id, n := range server.CallCounts() {
@@ -88,17 +88,17 @@
 	return counts
 }
 
-// TestUpstreamCalls injects faults into the upstream: calls go to a server that works; a call that is proved never to have run is retried at
-// another server, one that may have run only if it may run again.
+// TestUpstreamCalls injects faults into the upstream. The node must send calls to servers that work. It must retry a call at another server if the
+// call has certainly not run, and otherwise only if the call may run twice.
 func TestUpstreamCalls(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		fault         fake.Fault
-		claims, reads int // minimum served of ten
+		claims, reads int // minimum number served of ten
 	}{
 		{"no fault", fake.NoFault, 10, 10},
 		{"rejects", fake.Rejects, 10, 10},
-		{"resets before", fake.ResetBefore, 7, 7}, // the node can't know that it did not run
+		{"resets before", fake.ResetBefore, 7, 7}, // the node cannot tell whether the call has run
 		{"resets after", fake.ResetAfter, 7, 7},
 		{"truncated response", fake.TruncatedResponse, 7, 7},
 		{"wrong length", fake.WrongLength, 7, 7},
@@ -107,12 +107,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			upstream := newUpstreamRig(t, 3)
+			upstream := newUpstreamFixture(t, 3)
 			upstream.servers[1].SetFault(test.fault)
 			claims := upstream.send(100, 10, "file-claim")
 			reads := upstream.send(200, 10, "status")
 			if claims < test.claims || reads < test.reads {
-				t.Errorf("%d claims and %d reads of ten are served; %s", claims, reads, upstream.process.Log())
+				t.Errorf("%d of ten claims and %d of ten reads are served; %s", claims, reads, upstream.process.Log())
 			}
 			for id, n := range upstream.callCounts() {
 				if n > 1 && uint32(id) < 200 {
@@ -128,16 +128,16 @@
 	t.Run("reload", upstreamReload)
 }
 
-// upstreamServerStopped stops one of three servers: the others get its calls, and it gets calls again after its restart.
+// upstreamServerStopped stops one of three servers. The others must receive its calls, and the server must receive calls again after its restart.
 func upstreamServerStopped(t *testing.T) {
 	t.Parallel()
-	upstream := newUpstreamRig(t, 3)
+	upstream := newUpstreamFixture(t, 3)
 	upstream.servers[0].Stop()
 	if n := upstream.send(1, 20, "file-claim"); n != 20 {
 		t.Error(n, "of 20 served with one server stopped: ", upstream.process.Log())
 	}
 	if upstream.servers[1].Received()+upstream.servers[2].Received() != 20 {
-		t.Error("the running servers did not receive each call once")
+		t.Error("the running servers have not received each call exactly once")
 	}
 	if err := upstream.servers[0].Restart(); err != nil {
 		t.Fatal(err)
@@ -150,15 +150,15 @@
 	}
 }
 
-// upstreamStopped stops all servers: requests fail soon, and are served again after the restart.
+// upstreamStopped stops all servers. Requests must fail fast, and must be served again after the restart.
 func upstreamStopped(t *testing.T) {
 	t.Parallel()
-	upstream := newUpstreamRig(t, 2)
+	upstream := newUpstreamFixture(t, 2)
 	upstream.servers[0].Stop()
 	upstream.servers[1].Stop()
 	start := time.Now()
 	if n := upstream.send(1, 5, "file-claim"); n != 0 || time.Since(start) > 3*time.Second {
-		t.Error(n, "served with all servers stopped, in ", time.Since(start))
+		t.Error(n, "requests served with all servers stopped, in ", time.Since(start))
 	}
 	for _, server := range upstream.servers {
 		if err := server.Restart(); err != nil {
@@ -167,18 +167,18 @@
 	}
 	for end := time.Now().Add(10 * time.Second); upstream.send(uint64(time.Now().UnixNano()), 1, "file-claim") == 0; {
 		if time.Now().After(end) {
-			t.Fatal("all servers are restarted and nothing is served")
+			t.Fatal("no request is served after the restart of all servers")
 		}
 	}
 }
 
-// upstreamWithoutPong has a server that does not answer CPing: calls go to the other one.
+// upstreamWithoutPong makes one of two servers ignore CPing. The node must send the calls to the other one.
 func upstreamWithoutPong(t *testing.T) {
 	t.Parallel()
-	upstream := newUpstreamRig(t, 2)
+	upstream := newUpstreamFixture(t, 2)
 	upstream.send(1, 4, "file-claim")
 	upstream.servers[0].SetFault(fake.NoPong)
-	time.Sleep(1100 * time.Millisecond) // connections idle for over a second are pinged first
+	time.Sleep(1100 * time.Millisecond) // the node sends CPing on a connection that has been idle for over a second
 	if n := upstream.send(10, 6, "file-claim"); n < 5 {
 		t.Error(n, "of 6 served beside a server that does not answer CPing")
 	}
@@ -192,12 +192,12 @@
 	}
 }
 
-// upstreamRandomFaults draws faults for a tenth of the calls: no call of a claim runs twice.
+// upstreamRandomFaults injects random faults into a tenth of the calls. No call of a claim may run twice.
 func upstreamRandomFaults(t *testing.T) {
 	t.Parallel()
-	upstream := newUpstreamRig(t, 4)
+	upstream := newUpstreamFixture(t, 4)
 	for i, server := range upstream.servers {
-		server.Fault = func(id uint64) fake.Fault { // for a tenth of the calls, another at each server
+		server.Fault = func(id uint64) fake.Fault { // a fault for a tenth of the calls, not the same calls at each server
 			if hash := (id ^ id>>17) * 2654435761 >> uint(3*i); hash%10 == 0 {
 				return []fake.Fault{fake.ResetBefore, fake.ResetAfter, fake.TruncatedResponse, fake.WrongLength, fake.Rejects}[hash/10%5]
 			}
@@ -214,9 +214,9 @@
 	}.Run(ctx, 9, tally, func(uint64) fake.Client { return upstream.client })
 	calls := 0
 	duplicates := 0
-	claims := upstream.processor.Handlers()
+	handlers := upstream.processor.Handlers()
 	for id, n := range upstream.callCounts() {
-		if claims[id] == "file-claim" && n > 1 {
+		if handlers[id] == "file-claim" && n > 1 {
 			t.Errorf("the call of claim %d ran %d times", id, n)
 		}
 		calls++
@@ -224,28 +224,28 @@
 			duplicates++
 		}
 	}
-	asked := len(tally.All())
-	t.Logf("%d requests, %d served; %d calls ran, %d of reads twice", asked, tally.Count(fake.Served), calls, duplicates)
-	if tally.Count(fake.Served) < asked*80/100 || tally.Count(fake.Wrong) > 0 {
+	sent := len(tally.All())
+	t.Logf("%d requests, %d served; %d calls ran, %d of them more than once", sent, tally.Count(fake.Served), calls, duplicates)
+	if tally.Count(fake.Served) < sent*80/100 || tally.Count(fake.Wrong) > 0 {
 		t.Error(upstream.process.Log())
 	}
 }
 
-// upstreamReload removes and adds servers by reloads under load: requests are served all the while.
+// upstreamReload removes and adds servers by reloads under load. At least 98% of the requests must be served.
 func upstreamReload(t *testing.T) {
 	t.Parallel()
-	upstream := newUpstreamRig(t, 3)
+	upstream := newUpstreamFixture(t, 3)
 	ctx, stop := context.WithCancel(t.Context())
 	tally := fake.NewTally()
-	loaded := make(chan struct{})
+	loadDone := make(chan struct{})
 	go func() {
 		fake.OpenLoad{
 			Rate: 150, Handlers: []string{"file-claim"}, CostMS: 1, Target: time.Second, Timeout: 4 * time.Second,
 			Body: "x",
 		}.Run(ctx, 5, tally, func(uint64) fake.Client { return upstream.client })
-		close(loaded)
+		close(loadDone)
 	}()
-	for i := range 6 { // one server is removed from the file, another is added again
+	for i := range 6 { // removes one server from the file and adds the previously removed one
 		time.Sleep(200 * time.Millisecond)
 		remaining := append(append([]*fake.AJPServer{}, upstream.servers[:i%3]...), upstream.servers[i%3+1:]...)
 		if err := os.WriteFile(filepath.Join(upstream.process.Dir, "frosthub.conf"), []byte(upstream.conf(remaining)), 0o600); err != nil {
@@ -256,10 +256,10 @@
 		}
 	}
 	stop()
-	<-loaded
+	<-loadDone
 	outcomes := tally.All()
 	if n := tally.Count(fake.Served); n < len(outcomes)*98/100 {
-		t.Errorf("%d of %d are served over six reloads: %s", n, len(outcomes), upstream.process.Log())
+		t.Errorf("%d of %d requests are served over six reloads: %s", n, len(outcomes), upstream.process.Log())
 	}
 	for id, n := range upstream.callCounts() {
 		if n > 1 {
