--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -84,7 +84,7 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	reload(newMembers, nil, 0) // rejected: the list of former members is missing
-	waitForLog("must stand beside the new one", 0)
+	waitForLog("must first be used together with the previous list", 0)
 	for _, i := range []int{3, 4} {
 		cluster.setMembers(i, newMembers, formerMembers)
 		if err := cluster.nodes[i].Start(); err != nil { // a new node serves claims once the former members have the new list
@@ -94,15 +94,15 @@
 	reload(newMembers, formerMembers, 0, 1)
 	time.Sleep(300 * time.Millisecond)
 	reload(newMembers, nil, 0) // rejected: n3 has not adopted the new list
-	waitForLog("not known to go by the new list", 0)
+	waitForLog("not known to use the new member list", 0)
 	if err := cluster.nodes[2].Kill(); err != nil {
 		t.Fatal(err)
 	}
 	cluster.setMembers(2, newMembers, formerMembers)
 	cluster.start(2)
 	reload(newMembers, nil, 0, 1, 2, 3, 4)
-	waitForLog("may still be asked for again", 0, 1, 2, 3, 4)
-	waitForLog("now=3 before=0", 0, 1, 2, 3, 4)
+	waitForLog("may still retry requests that ran under the previous member list", 0, 1, 2, 3, 4)
+	waitForLog(`msg="membership changed" members=3 previous_members=0`, 0, 1, 2, 3, 4)
 	for _, i := range []int{0, 1} {
 		if err := cluster.nodes[i].Drain(); err != nil {
 			t.Fatal(err)
--- a/cmd/frosthub/power_loss_test.go
+++ b/cmd/frosthub/power_loss_test.go
@@ -114,7 +114,7 @@
 		}
 		found := false
 		for end := time.Now().Add(5 * time.Second); !found && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			found = strings.Contains(cluster.nodes[restoredNode].Log()[before:], "store older than peers know")
+			found = strings.Contains(cluster.nodes[restoredNode].Log()[before:], "store is older than the state that peers recorded")
 		}
 		if outdatedCount++; !found {
 			t.Errorf("round %d: n%d does not detect its older disk (n%d restarts late):\n%s", round, restoredNode+1, lateNode+1, cluster.nodes[restoredNode].Log()[before:])
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	cluster.start(0)
-	if log := cluster.nodes[0].Log(); !strings.Contains(log, "starts died over it") || !strings.Contains(log, "serving in part") {
+	if log := cluster.nodes[0].Log(); !strings.Contains(log, "earlier processes died while loading the store") || !strings.Contains(log, "serving in part") {
 		t.Error(log)
 	}
 	repeated := &harness.ClaimLoad{
@@ -101,7 +101,7 @@
 	}
 	started := time.Now()
 	cluster.start(0)
-	for end := time.Now().Add(15 * time.Second); !strings.Contains(node.Log(), `by="all others"`); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(15 * time.Second); !strings.Contains(node.Log(), `source="all others"`); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the peers have not sent the records of the node again: ", node.Log())
 		}
@@ -187,8 +187,8 @@
 	if err := cluster.nodes[1].Start(); err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitForLog(0, `by=n2`, 15*time.Second)
-	if log := cluster.nodes[0].Log(); strings.Contains(log, `by="all others"`) {
+	cluster.waitForLog(0, `source=n2`, 15*time.Second)
+	if log := cluster.nodes[0].Log(); strings.Contains(log, `source="all others"`) {
 		t.Error("the recovery counts one of two peers as all peers: ", log)
 	}
 	repeated := runLoad(1, 20, 0, 1) // the same keys as in the first load: both nodes return the results recorded by n2
@@ -207,7 +207,7 @@
 	if out := recoveryCommand(0, "forget", "n3", "--yes"); !strings.Contains(out, "recorded") {
 		t.Error(out)
 	}
-	cluster.waitForLog(0, `by="all others"`, 10*time.Second)
+	cluster.waitForLog(0, `source="all others"`, 10*time.Second)
 	if out := recoveryCommand(0); !strings.Contains(out, "serving") || !strings.Contains(out, "n2") {
 		t.Error(out)
 	}
@@ -215,7 +215,7 @@
 		t.Errorf("%+v", totals)
 	}
 	cluster.start(2) // a forgotten node may return
-	cluster.waitForLog(0, "back=n3", 5*time.Second)
+	cluster.waitForLog(0, "returned_node=n3", 5*time.Second)
 	if totals := cluster.verify(runLoad(2, 20, 0, 1, 2)); totals.Served != totals.Keys {
 		t.Errorf("%+v", totals)
 	}
@@ -287,7 +287,7 @@
 		}
 	}
 	time.Sleep(2 * time.Second)
-	if strings.Contains(cluster.nodes[0].Log(), `by="all others"`) {
+	if strings.Contains(cluster.nodes[0].Log(), `source="all others"`) {
 		t.Error("the recovery is complete although peers run the earlier program: ", cluster.nodes[0].Log())
 	}
 	for _, i := range []int{3, 4} {
@@ -297,7 +297,7 @@
 		cluster.nodes[i].Binary = binary
 		cluster.start(i)
 	}
-	cluster.waitForLog(0, `by="all others"`, 20*time.Second)
+	cluster.waitForLog(0, `source="all others"`, 20*time.Second)
 	stop()
 	totals := cluster.verify(load)
 	t.Logf("%+v", totals)
