--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -80,7 +80,7 @@
 // applyOpenResult applies the result of openFile to the recorder and returns the ledger to continue with.
 func (r *Recorder) applyOpenResult(result openResult, fresh *accounting.Ledger, at time.Duration) *accounting.Ledger {
 	for _, err := range result.errs {
-		r.log.Error("figures file failed", "file", r.path, "error", err, "kept_as", result.keptAs)
+		r.log.Error("figures file failed", "file", r.path, "error", err, "quarantined_as", result.keptAs)
 	}
 	r.file = result.file
 	r.lock = result.lock
@@ -201,7 +201,7 @@
 	case result.err != nil && r.Recording():
 		r.abandonFile(ledger, result.err, now)
 	case result.err != nil:
-		r.log.Error("figures file failed", "file", r.path, "error", result.err, "retry_in", retryInterval)
+		r.log.Error("figures file failed", "file", r.path, "error", result.err, "retry_after", retryInterval)
 	}
 }
 
@@ -219,7 +219,7 @@
 
 // abandonFile releases a file that failed. The ledger continues in memory.
 func (r *Recorder) abandonFile(ledger *accounting.Ledger, err error, now time.Duration) {
-	r.log.Error("figures file failed", "file", r.path, "error", err, "retry_in", retryInterval)
+	r.log.Error("figures file failed", "file", r.path, "error", err, "retry_after", retryInterval)
 	r.file.unmap()
 	r.file = nil
 	r.nextTask = now + retryInterval
