--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -203,7 +203,7 @@
 	gate := &sync.Mutex{}
 	bed.disk = disk
 	bed.diskGate = gate
-	disk.Slow = func(string, int) {
+	disk.BeforeOperation = func(string, int) {
 		gate.Lock() // blocks while the disk stalls
 		defer gate.Unlock()
 	}
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -22,7 +22,7 @@
 // TestTraces plays the steps of each trace file against a backend on the loopback interface. The lines after a step are
 // the output of the fakes that is expected after it.
 func TestTraces(t *testing.T) {
-	golden.Files(t, 4, func(t *testing.T, text string) string {
+	golden.CheckTraces(t, 4, func(t *testing.T, text string) string {
 		return newTestbed(t).play(text)
 	})
 }
@@ -77,7 +77,7 @@
 
 // play plays the steps of a trace, and returns the trace with the output that was printed.
 func (bed *testbed) play(trace string) string {
-	return golden.Steps(trace, func(line string, expected int) []string {
+	return golden.ReplaySteps(trace, func(line string, expected int) []string {
 		bed.step(strings.Fields(line))
 		return bed.awaitQuiet(expected)
 	})
--- a/cmd/frosthub/accounting_test.go
+++ b/cmd/frosthub/accounting_test.go
@@ -168,16 +168,16 @@
 func (r *accountingRun) startLoads(ctx context.Context, tally *fake.Tally, loads *sync.WaitGroup) {
 	handlers := []string{"status", "field-update", "file-claim"}
 	fastcgiLoad := fake.EdgeLoad{
-		Address:  r.process.Listen,
-		Conns:    6,
-		Interval: 6 * time.Millisecond,
-		Slots:    24,
-		Callers:  20,
-		Handlers: handlers,
-		Abort:    0.05,
-		Close:    0.02,
-		Bad:      0.02,
-		Body:     "a field",
+		Address:             r.process.Listen,
+		Conns:               6,
+		Interval:            6 * time.Millisecond,
+		Slots:               24,
+		Callers:             20,
+		Handlers:            handlers,
+		AbortShare:          0.05,
+		CloseShare:          0.02,
+		UnknownHandlerShare: 0.02,
+		Body:                "a field",
 	}
 	ajpLoad := fake.OpenLoad{
 		Rate:     250,
--- a/cmd/frosthub/ajp_test.go
+++ b/cmd/frosthub/ajp_test.go
@@ -88,7 +88,7 @@
 		load := fake.OpenLoad{
 			Rate: 1.1 * cores / work.Seconds(), Handlers: []string{"status", "field-update", "file-claim"},
 			CostMS: 20, Target: time.Second, Timeout: 3 * time.Second, Body: "a field",
-			Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
+			HandlerValues: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
 		}
 		tally := fake.NewTally()
 		serviceLevel = load.Run(ctx, seed, tally, func(id uint64) fake.Client {
--- a/cmd/frosthub/cluster_load_test.go
+++ b/cmd/frosthub/cluster_load_test.go
@@ -40,7 +40,7 @@
 func mixedLoad(rate float64, cost time.Duration, handlers ...string) fake.OpenLoad {
 	return fake.OpenLoad{
 		Rate: rate, Handlers: handlers, CostMS: cost.Seconds() * 1000, Target: time.Second, Timeout: 2900 * time.Millisecond,
-		Value: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
+		HandlerValues: map[string]float64{"status": 1, "field-update": 2, "file-claim": 3},
 	}
 }
 
@@ -129,7 +129,7 @@
 		for _, violation := range violations {
 			t.Error(violation)
 		}
-		served += totals.Served
+		served += totals.ServedKeys
 		after = append(after, resident())
 	}
 	t.Logf("%d claims served, at most %d results kept; resident memory of three nodes in MB after each tenth: %v", served, kept, after)
--- a/cmd/frosthub/cluster_test.go
+++ b/cmd/frosthub/cluster_test.go
@@ -119,7 +119,7 @@
 		}
 		cluster.nodes = append(cluster.nodes, &harness.Process{
 			Binary: binary, Dir: dir, Name: name, Listen: address, Processor: cluster.processors[i].Address(), StopMS: 800,
-			Conf: cluster.baseConf[i],
+			OperatorFile: cluster.baseConf[i],
 		})
 		cluster.clients = append(cluster.clients, fake.NewFastCGIClient(address))
 		t.Cleanup(cluster.clients[i].Close)
@@ -135,7 +135,7 @@
 			conf += fmt.Sprintf("cluster %s n%d %s zone=z%d processor=%s\n", directive, member+1, c.links[node][member].Address(), member%3, c.processors[member].Address())
 		}
 	}
-	c.nodes[node].Conf = conf
+	c.nodes[node].OperatorFile = conf
 }
 
 // start starts the given nodes, and returns once they serve requests.
--- a/cmd/frosthub/failover_test.go
+++ b/cmd/frosthub/failover_test.go
@@ -163,7 +163,7 @@
 		t.Error(err, string(out))
 	}
 	t.Logf("faults %v: %+v; requests taken over by the last incarnations: %d", kinds, totals, failovers)
-	if totals.Served < 15*(*failoverFaults) || totals.Interrupted == 0 {
+	if totals.ServedKeys < 15*(*failoverFaults) || totals.Interrupted == 0 {
 		t.Error("too few requests were served, or none was interrupted")
 	}
 }
@@ -284,7 +284,7 @@
 	stop()
 	totals := cluster.verify(load)
 	t.Logf("%+v", totals)
-	if totals.Served < 300 || totals.OutcomeUnknown > 30 {
+	if totals.ServedKeys < 300 || totals.OutcomeUnknown > 30 {
 		t.Error("too few requests were served, or more outcomes are unknown than requests were in flight")
 	}
 }
--- a/cmd/frosthub/idempotency_cost_test.go
+++ b/cmd/frosthub/idempotency_cost_test.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	node.process.Conf = strings.ReplaceAll(node.process.Conf, "ADMIN", admin)
+	node.process.OperatorFile = strings.ReplaceAll(node.process.OperatorFile, "ADMIN", admin)
 	node.process.ProcessorCores = c.cores
 	node.start()
 	defer node.kill()
@@ -119,7 +119,7 @@
 	}
 	defer processor.Close()
 	disk := fake.NewDisk()
-	disk.Slow = func(operation string, _ int) {
+	disk.BeforeOperation = func(operation string, _ int) {
 		if operation == "fsync" {
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -155,7 +155,7 @@
 	defer client.Close()
 	load.Run(ctx, 1, func(uint64) fake.Client { return client })
 	totals, _ := load.Verify(processor.Effects())
-	return float64(totals.Served), latency
+	return float64(totals.ServedKeys), latency
 }
 
 // newCostMeasurement returns the results of a load; it leaves the CPU time at 0.
--- a/cmd/frosthub/idempotency_test.go
+++ b/cmd/frosthub/idempotency_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	node = newTestNode(t, cores, work, conf)
 	dir = filepath.Join(node.process.Dir, "keep")
-	node.process.Conf = strings.ReplaceAll(node.process.Conf, "KEEP", dir)
+	node.process.OperatorFile = strings.ReplaceAll(node.process.OperatorFile, "KEEP", dir)
 	if out, err := exec.Command(binary, "keep", "init", "--box", "n1", dir).CombinedOutput(); err != nil {
 		t.Fatal(string(out))
 	}
@@ -103,7 +103,7 @@
 		t.Error(violation)
 	}
 	t.Logf("%d restarts, %d of them after a drain: %+v", kills, drains, totals)
-	if totals.Served < 20*kills || totals.Answers < 2*totals.Served || totals.Interrupted == 0 {
+	if totals.ServedKeys < 20*kills || totals.ServedAttempts < 2*totals.ServedKeys || totals.Interrupted == 0 {
 		t.Error("too few claims were served or retried, or none was interrupted")
 	}
 	out, err := exec.Command(binary, "keep", "check", "--conf", filepath.Join(node.process.Dir, "frosthub.conf"), dir).CombinedOutput()
@@ -163,7 +163,7 @@
 	var stall sync.Once
 	var mu sync.Mutex
 	var stalledAt time.Time
-	disk.Slow = func(operation string, count int) {
+	disk.BeforeOperation = func(operation string, count int) {
 		if count > 200 && operation == "fsync" {
 			stall.Do(func() {
 				mu.Lock()
@@ -181,7 +181,7 @@
 	tally := fake.NewTally()
 	load := fake.OpenLoad{
 		Rate: 1.1 * 250, Handlers: []string{"status", "file-claim"}, CostMS: 8, Target: time.Second,
-		Timeout: 3100 * time.Millisecond, Value: map[string]float64{"status": 1, "file-claim": 3},
+		Timeout: 3100 * time.Millisecond, HandlerValues: map[string]float64{"status": 1, "file-claim": 3},
 	}
 	var replayable, claims int
 	serviceLevel := load.Run(ctx, 1, tally, func(id uint64) fake.Client { return client })
@@ -248,7 +248,7 @@
 		size += int64(len(content))
 	}
 	t.Logf("%+v; on the disk: %d files, %d bytes; peak resident memory %d KB", totals, len(names), size, node.process.MaxResident())
-	if totals.Served < 10*400 || size > 400_000 || len(names) > 70 {
+	if totals.ServedKeys < 10*400 || size > 400_000 || len(names) > 70 {
 		t.Error("too few claims were served, or the idempotency log exceeds its limits on the disk")
 	}
 }
--- a/cmd/frosthub/membership_test.go
+++ b/cmd/frosthub/membership_test.go
@@ -37,7 +37,7 @@
 	stop()
 	totals := cluster.verify(load)
 	t.Logf("%+v; claims handed over: %d", totals, handedOver)
-	if totals.Served < 200 || handedOver == 0 {
+	if totals.ServedKeys < 200 || handedOver == 0 {
 		t.Error("too few requests were served, or no claim was handed over")
 	}
 }
@@ -116,7 +116,7 @@
 	stop()
 	totals := cluster.verify(load)
 	t.Logf("%+v", totals)
-	if totals.Served < 500 {
+	if totals.ServedKeys < 500 {
 		t.Error("too few requests were served for a valid result")
 	}
 }
--- a/cmd/frosthub/node_test.go
+++ b/cmd/frosthub/node_test.go
@@ -75,7 +75,7 @@
 	node.accountingPath = filepath.Join(dir, "figures")
 	node.process = &harness.Process{
 		Binary: binary, Dir: dir, Listen: address, Processor: node.processor.Address(), StopMS: 500,
-		Conf: strings.NewReplacer("FRONT", node.ajpAddress, "FIGURES", node.accountingPath).Replace(conf),
+		OperatorFile: strings.NewReplacer("FRONT", node.ajpAddress, "FIGURES", node.accountingPath).Replace(conf),
 	}
 	return node
 }
--- a/cmd/frosthub/power_loss_test.go
+++ b/cmd/frosthub/power_loss_test.go
@@ -124,7 +124,7 @@
 	stop()
 	totals := cluster.verify(load)
 	t.Logf("%+v; power losses: %d, of which with an older disk: %d", totals, *powerLosses, outdatedCount)
-	if totals.Served < 50*(*powerLosses) || outdatedCount == 0 {
+	if totals.ServedKeys < 50*(*powerLosses) || outdatedCount == 0 {
 		t.Error("too few requests were served, or no older disk was restored")
 	}
 }
@@ -248,7 +248,7 @@
 	fourNodeLoad.Run(ctx, 32, func(n uint64) fake.Client { return cluster.clients[n>>40%4] })
 	allNodes, fourNodes := cluster.verify(load), cluster.verify(fourNodeLoad)
 	t.Logf("all nodes: %+v; four nodes: %+v; segments reduced to fingerprints: %d", allNodes, fourNodes, retired)
-	if allNodes.Served < 300 || fourNodes.Served < 10 || retired == 0 {
+	if allNodes.ServedKeys < 300 || fourNodes.ServedKeys < 10 || retired == 0 {
 		t.Error("too few requests were served, or no segment has expired")
 	}
 }
@@ -316,7 +316,7 @@
 	for _, claimLoad := range []*harness.ClaimLoad{load, flood} {
 		totals := cluster.verify(claimLoad)
 		t.Logf("%+v", totals)
-		if totals.Served < 50 {
+		if totals.ServedKeys < 50 {
 			t.Error("too few requests were served for a valid result")
 		}
 	}
--- a/cmd/frosthub/recovery_test.go
+++ b/cmd/frosthub/recovery_test.go
@@ -54,7 +54,7 @@
 	first, _ := load.Verify(cluster.effects())
 	totals := cluster.verify(repeated)
 	t.Logf("%+v; %+v", first, totals)
-	if totals.Served < totals.Keys*9/10 {
+	if totals.ServedKeys < totals.Keys*9/10 {
 		t.Error("the peers do not return the results that they have recorded")
 	}
 	if _, err := os.Stat(filepath.Join(store, "reading")); err == nil {
@@ -130,7 +130,7 @@
 		t.Error(violation)
 	}
 	t.Logf("%+v; %+v; records sent again within %s", first, totals, took)
-	if first.Served < 450 || totals.Served != first.Keys {
+	if first.ServedKeys < 450 || totals.ServedKeys != first.Keys {
 		t.Error("the remaining nodes do not return all recorded results")
 	}
 }
@@ -181,7 +181,7 @@
 		CostMS:  5,
 	}
 	firstNodeLoad.Run(t.Context(), 1, func(uint64) fake.Client { return cluster.clients[0] })
-	if totals, _ := firstNodeLoad.Verify(nil); totals.Served > 0 || totals.OutcomeUnknown > 0 || len(cluster.effects()) > len(effectsBefore) {
+	if totals, _ := firstNodeLoad.Verify(nil); totals.ServedKeys > 0 || totals.OutcomeUnknown > 0 || len(cluster.effects()) > len(effectsBefore) {
 		t.Errorf("a node with an empty disk answers or runs claims without its peers: %+v", totals)
 	}
 	if err := cluster.nodes[1].Start(); err != nil {
@@ -211,12 +211,12 @@
 	if out := recoveryCommand(0); !strings.Contains(out, "serving") || !strings.Contains(out, "n2") {
 		t.Error(out)
 	}
-	if totals := cluster.verify(runLoad(2, 20, 0, 1)); totals.Served != totals.Keys { // another seed gives new keys
+	if totals := cluster.verify(runLoad(2, 20, 0, 1)); totals.ServedKeys != totals.Keys { // another seed gives new keys
 		t.Errorf("%+v", totals)
 	}
 	cluster.start(2) // a forgotten node may return
 	cluster.waitForLog(0, "returned_node=n3", 5*time.Second)
-	if totals := cluster.verify(runLoad(2, 20, 0, 1, 2)); totals.Served != totals.Keys {
+	if totals := cluster.verify(runLoad(2, 20, 0, 1, 2)); totals.ServedKeys != totals.Keys {
 		t.Errorf("%+v", totals)
 	}
 	for key, n := range cluster.effects() {
--- a/cmd/frosthub/upstream_test.go
+++ b/cmd/frosthub/upstream_test.go
@@ -37,7 +37,7 @@
 		upstream.servers = append(upstream.servers, server)
 	}
 	upstream.process.StopMS = 1000
-	upstream.process.Conf = upstream.conf(upstream.servers)
+	upstream.process.OperatorFile = upstream.conf(upstream.servers)
 	upstream.start()
 	upstream.client = fake.NewFastCGIClient(upstream.process.Listen)
 	t.Cleanup(func() {
--- a/failover/sim_outcome_test.go
+++ b/failover/sim_outcome_test.go
@@ -94,11 +94,11 @@
 		run.result = nil
 	}
 	c.history = append(c.history, harness.HistoryEvent{
-		Key:    string(decision.Key[:]),
-		Ran:    true,
-		Result: string(run.result),
-		Asked:  int64(c.Now),
-		Heard:  int64(c.Now),
+		Key:        string(decision.Key[:]),
+		Ran:        true,
+		Result:     string(run.result),
+		InvokedAt:  int64(c.Now),
+		ReturnedAt: int64(c.Now),
 	})
 	incarnation := n.incarnation
 	c.After(c.randomUpTo(20*time.Millisecond), func() {
@@ -138,10 +138,10 @@
 		return
 	}
 	c.history = append(c.history, harness.HistoryEvent{
-		Key:    string(decision.Key[:]),
-		Served: served,
-		Result: string(decision.Result),
-		Asked:  int64(at),
-		Heard:  int64(c.Now),
+		Key:        string(decision.Key[:]),
+		Served:     served,
+		Result:     string(decision.Result),
+		InvokedAt:  int64(at),
+		ReturnedAt: int64(c.Now),
 	})
 }
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-func TestParser(t *testing.T) { golden.Parser(t, openStream) }
+func TestParser(t *testing.T) { golden.CheckParser(t, openStream) }
 
-func FuzzParser(f *testing.F) { golden.Fuzz(f, openStream) }
+func FuzzParser(f *testing.F) { golden.FuzzParser(f, openStream) }
 
 // TestRoundTrip checks that each side decodes the messages of the other, for
 // various sizes of packets and bodies.
--- a/internal/fake/disk.go
+++ b/internal/fake/disk.go
@@ -21,9 +21,9 @@
 // a file system may leave: any sectors and any length of unsynced data, and any prefix of the unsynced name changes. Its methods except
 // Put are safe for concurrent use.
 type Disk struct {
-	PowerBudget int                                // number of operations until the power is cut; negative: never
-	Fail        func(operation, name string) error // returns the error of an operation on a file; may be nil
-	Slow        func(operation string, number int) // called before each operation, without the lock; may be nil
+	PowerBudget     int                                // number of operations until the power is cut; negative: never
+	OperationError  func(operation, name string) error // returns the error of an operation on a file; may be nil
+	BeforeOperation func(operation string, number int) // called before each operation, without the lock; may be nil
 
 	mu         sync.Mutex
 	operations int
@@ -63,7 +63,7 @@
 // operation. The caller holds the mutex.
 func (d *Disk) beginOperation(operation, name string) (interrupted bool, err error) {
 	d.operations++
-	if slow := d.Slow; slow != nil {
+	if slow := d.BeforeOperation; slow != nil {
 		d.mu.Unlock() // other operations may proceed while this one waits
 		slow(operation, d.operations)
 		d.mu.Lock()
@@ -77,8 +77,8 @@
 			return true, ErrPowerLost
 		}
 	}
-	if d.Fail != nil {
-		return false, d.Fail(operation, name)
+	if d.OperationError != nil {
+		return false, d.OperationError(operation, name)
 	}
 	return false, nil
 }
--- a/internal/fake/edge_load.go
+++ b/internal/fake/edge_load.go
@@ -21,17 +21,17 @@
 
 // EdgeLoad generates the load of an edge node over several multiplexed FastCGI connections.
 type EdgeLoad struct {
-	Address  string
-	Conns    int           // number of connections; each is reopened when it ends
-	Interval time.Duration // mean time between requests of a connection
-	Slots    int           // maximum of open requests on a connection
-	Handlers []string
-	Abort    float64 // share of requests that are aborted after up to 2 ms
-	Close    float64 // share of requests after which the connection is half-closed while its requests are open
-	Bad      float64 // share of requests that name a handler that does not exist
-	CostMS   float64
-	Body     string
-	Callers  int // number of different edge node numbers in the requests; 1 if 0
+	Address             string
+	Conns               int           // number of connections; each is reopened when it ends
+	Interval            time.Duration // mean time between requests of a connection
+	Slots               int           // maximum of open requests on a connection
+	Handlers            []string
+	AbortShare          float64 // share of requests that are aborted after up to 2 ms
+	CloseShare          float64 // share of requests after which the connection is half-closed while its requests are open
+	UnknownHandlerShare float64 // share of requests that name a handler that does not exist
+	CostMS              float64
+	Body                string
+	Callers             int // number of different edge node numbers in the requests; 1 if 0
 }
 
 // Run sends requests until the context is done, waits for the open ones, and returns when all connections have ended. It records the
@@ -84,10 +84,10 @@
 			return err
 		}
 		switch action := random.Float64(); {
-		case action < l.Abort:
+		case action < l.AbortShare:
 			time.Sleep(time.Duration(random.IntN(3)) * time.Millisecond)
 			_, _ = io.WriteString(conn, FastCGIAbort(slot))
-		case action < l.Abort+l.Close:
+		case action < l.AbortShare+l.CloseShare:
 			c.closeAndWait()
 			return nil
 		}
@@ -104,7 +104,7 @@
 		CostMS:  l.CostMS,
 		Body:    l.Body,
 	}
-	if random.Float64() < l.Bad {
+	if random.Float64() < l.UnknownHandlerShare {
 		request.Handler = "none-such"
 	}
 	return request
--- a/internal/fake/open_load.go
+++ b/internal/fake/open_load.go
@@ -10,14 +10,14 @@
 
 // OpenLoad generates open-loop load: requests arrive at random times with a given mean rate, independently of responses to earlier ones.
 type OpenLoad struct {
-	Rate      float64 // mean arrivals per second
-	Handlers  []string
-	CostMS    float64
-	Target    time.Duration // latency objective: a later response has no value
-	Timeout   time.Duration
-	Body      string              // body of all requests; if empty, each request's body is its ID
-	Value     map[string]float64  // value of a served request, by handler
-	OnLatency func(time.Duration) // called with the latency of each request served within Target, one call at a time; may be nil
+	Rate          float64 // mean arrivals per second
+	Handlers      []string
+	CostMS        float64
+	Target        time.Duration // latency objective: a later response has no value
+	Timeout       time.Duration
+	Body          string              // body of all requests; if empty, each request's body is its ID
+	HandlerValues map[string]float64  // value of a served request, by handler
+	OnLatency     func(time.Duration) // called with the latency of each request served within Target, one call at a time; may be nil
 }
 
 // Run sends requests until the context is done, waits for all responses, and returns the service level: the value of the requests that
@@ -39,7 +39,7 @@
 			return served / requested
 		case <-time.After(time.Until(start.Add(arrival))):
 		}
-		value := l.Value[request.Handler]
+		value := l.HandlerValues[request.Handler]
 		requested += value
 		tally.Set(request.ID, Sent)
 		requests.Go(func() {
--- a/internal/fastcgi/fastcgi_test.go
+++ b/internal/fastcgi/fastcgi_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-func TestParser(t *testing.T) { golden.Parser(t, openStream) }
+func TestParser(t *testing.T) { golden.CheckParser(t, openStream) }
 
-func FuzzParser(f *testing.F) { golden.Fuzz(f, openStream) }
+func FuzzParser(f *testing.F) { golden.FuzzParser(f, openStream) }
 
 // TestResponse checks the records of a response.
 func TestResponse(t *testing.T) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -19,10 +19,10 @@
 
 var update = flag.Bool("update", false, "rewrite the traces; review the changes before committing them")
 
-// Files runs a subtest for each trace of the package. replay returns the text of a trace with the output that the code produces now. A
+// CheckTraces runs a subtest for each trace of the package. replay returns the text of a trace with the output that the code produces now. A
 // machine that stalls for longer than a trace tolerates can change the output of a test in real time. A trace whose output differs is
 // therefore replayed, up to the given number of attempts in total; a fault in the code differs in each of them.
-func Files(t *testing.T, attempts int, replay func(t *testing.T, text string) string) {
+func CheckTraces(t *testing.T, attempts int, replay func(t *testing.T, text string) string) {
 	t.Helper()
 	files, err := filepath.Glob(traceFiles)
 	if err != nil || len(files) == 0 {
@@ -65,10 +65,10 @@
 // UnknownOutputLines is the number of output lines that Steps passes while traces are rewritten.
 const UnknownOutputLines = -1
 
-// Steps replays a trace in which each line is an input and the indented lines below it are its output. It calls step for each input with
+// ReplaySteps replays a trace in which each line is an input and the indented lines below it are its output. It calls step for each input with
 // the line, without its comment, and the number of its output lines in the trace, or UnknownOutputLines. It returns the trace with the
 // output of step.
-func Steps(text string, step func(line string, outputLines int) []string) string {
+func ReplaySteps(text string, step func(line string, outputLines int) []string) string {
 	var out strings.Builder
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	for i, line := range lines {
--- a/internal/golden/parser.go
+++ b/internal/golden/parser.go
@@ -14,13 +14,13 @@
 // ParserFactory creates a parser and returns a function that feeds it with input. The parser's messages are passed to print.
 type ParserFactory func(print func(format string, args ...any)) (feed func([]byte) error)
 
-// Parser checks a parser against the traces of the package. Each input line is a sequence of Go string literals, which are concatenated.
+// CheckParser checks a parser against the traces of the package. Each input line is a sequence of Go string literals, which are concatenated.
 // The parser must produce the same output whether it is fed with the whole input or with single bytes.
-func Parser(t *testing.T, newParser ParserFactory) {
+func CheckParser(t *testing.T, newParser ParserFactory) {
 	t.Helper()
-	Files(t, 1, func(t *testing.T, text string) string {
+	CheckTraces(t, 1, func(t *testing.T, text string) string {
 		t.Helper()
-		return Steps(text, func(line string, _ int) []string {
+		return ReplaySteps(text, func(line string, _ int) []string {
 			input := unquote(t, line)
 			output := feedAll(newParser, input)
 			singleBytes := make([][]byte, len(input))
@@ -35,9 +35,9 @@
 	})
 }
 
-// Fuzz checks that a parser produces the same output for arbitrary input as a whole and split in two. The seed corpus consists of the
+// FuzzParser checks that a parser produces the same output for arbitrary input as a whole and split in two. The seed corpus consists of the
 // inputs of the traces.
-func Fuzz(f *testing.F, newParser ParserFactory) {
+func FuzzParser(f *testing.F, newParser ParserFactory) {
 	f.Helper()
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, input []byte, cut uint16) {
--- a/internal/harness/claim_load.go
+++ b/internal/harness/claim_load.go
@@ -46,7 +46,7 @@
 
 // ClaimRecord holds the results of all attempts of a key, as its callers received them.
 type ClaimRecord struct {
-	First       string // result of the first attempt that was served
+	FirstResult string // result of the first attempt that was served
 	Served      int    // attempts served
 	Failed      int    // attempts with an error response
 	Rejected    int    // attempts rejected
@@ -122,7 +122,7 @@
 func (l *ClaimLoad) attempt(random *rand.Rand, key string, clientFor func(uint64) fake.Client) int {
 	l.mu.Lock()
 	record := l.records[key]
-	servedBefore := record.First != ""
+	servedBefore := record.FirstResult != ""
 	l.mu.Unlock()
 	number := random.Uint64()
 	sentAt := time.Now()
@@ -151,11 +151,11 @@
 		return status
 	}
 	l.history = append(l.history, HistoryEvent{
-		Key:    key,
-		Served: status == http.StatusOK,
-		Result: response.Body,
-		Asked:  sentAt.UnixNano(),
-		Heard:  time.Now().UnixNano(),
+		Key:        key,
+		Served:     status == http.StatusOK,
+		Result:     response.Body,
+		InvokedAt:  sentAt.UnixNano(),
+		ReturnedAt: time.Now().UnixNano(),
 	})
 	if status == http.StatusOK {
 		l.recordServed(record, key, response.Body, sentAt)
@@ -186,11 +186,11 @@
 // recordServed records the result of a served attempt. A result that differs from the key's first result is a violation. The caller
 // holds the mutex.
 func (l *ClaimLoad) recordServed(record *ClaimRecord, key, result string, sentAt time.Time) {
-	if record.First == "" {
-		record.First = result
+	if record.FirstResult == "" {
+		record.FirstResult = result
 	}
-	if record.First != result {
-		l.violations = append(l.violations, fmt.Sprintf("%s: first result %q, later result %q", key, record.First, result))
+	if record.FirstResult != result {
+		l.violations = append(l.violations, fmt.Sprintf("%s: first result %q, later result %q", key, record.FirstResult, result))
 	}
 	record.Served++
 	if l.OnLatency != nil {
@@ -206,16 +206,16 @@
 	lastReceivedAt := map[string]int64{}
 	results := map[string]string{}
 	for _, event := range l.history {
-		if at, ok := firstSentAt[event.Key]; !ok || event.Asked < at {
-			firstSentAt[event.Key] = event.Asked
+		if at, ok := firstSentAt[event.Key]; !ok || event.InvokedAt < at {
+			firstSentAt[event.Key] = event.InvokedAt
 		}
 		if event.Served && results[event.Key] == "" {
 			results[event.Key] = event.Result
 		}
-		lastReceivedAt[event.Key] = max(lastReceivedAt[event.Key], event.Heard)
+		lastReceivedAt[event.Key] = max(lastReceivedAt[event.Key], event.ReturnedAt)
 	}
 	for key, at := range firstSentAt { // the callers cannot observe the time of the run more precisely
-		events = append(events, HistoryEvent{Key: key, Ran: true, Result: results[key], Asked: min(at, l.firstRunAt), Heard: lastReceivedAt[key]})
+		events = append(events, HistoryEvent{Key: key, Ran: true, Result: results[key], InvokedAt: min(at, l.firstRunAt), ReturnedAt: lastReceivedAt[key]})
 	}
 	return Linearizable(events)
 }
@@ -223,8 +223,8 @@
 // ClaimTotals counts the keys and attempts of a ClaimLoad by their results.
 type ClaimTotals struct {
 	Keys           int
-	Served         int // keys that were served
-	Answers        int // attempts that were served
+	ServedKeys     int // keys that were served
+	ServedAttempts int // attempts that were served
 	OutcomeUnknown int // keys that failed and were never served
 	Rejected       int // attempts that were rejected
 	Interrupted    int // attempts that timed out or whose connection ended
@@ -242,7 +242,7 @@
 	var totals ClaimTotals
 	for key, record := range l.records {
 		totals.Keys++
-		totals.Answers += record.Served
+		totals.ServedAttempts += record.Served
 		totals.Rejected += record.Rejected
 		totals.Interrupted += record.Interrupted
 		switch runs := effects[key]; {
@@ -252,7 +252,7 @@
 			violations = append(violations, fmt.Sprintf("%s: served, but it never ran", key))
 		}
 		if record.Served > 0 {
-			totals.Served++
+			totals.ServedKeys++
 		} else if record.Failed > 0 {
 			totals.OutcomeUnknown++
 		}
--- a/internal/harness/fault_plan.go
+++ b/internal/harness/fault_plan.go
@@ -49,17 +49,17 @@
 
 // PlannedFault is one fault of a plan.
 type PlannedFault struct {
-	At    time.Duration // since the start of the test
-	For   time.Duration // duration; 0 if the fault is instantaneous
-	Node  int
-	Kind  FaultKind
-	Clock time.Duration // clock offset of FaultClock
-	Call  string        // system call and error of FaultSyscall, in the fault file syntax of builds with the tag faults
+	At          time.Duration // since the start of the test
+	Duration    time.Duration // duration; 0 if the fault is instantaneous
+	Node        int
+	Kind        FaultKind
+	ClockOffset time.Duration // clock offset of FaultClock
+	Syscall     string        // system call and error of FaultSyscall, in the fault file syntax of builds with the tag faults
 }
 
 // String describes the fault in one line.
 func (f PlannedFault) String() string {
-	return fmt.Sprintf("%v +%v node %d %v %v%s", f.At, f.For, f.Node, f.Kind, f.Clock, f.Call)
+	return fmt.Sprintf("%v +%v node %d %v %v%s", f.At, f.Duration, f.Node, f.Kind, f.ClockOffset, f.Syscall)
 }
 
 // drainShare is the share of faults that are replaced by drains, because most of the rules under test concern drains.
@@ -109,18 +109,18 @@
 	if random.Float64() < drainShare {
 		fault.Kind = FaultDrain
 	}
-	fault.For = time.Duration((0.05 + random.Float64()) * float64(time.Second))
+	fault.Duration = time.Duration((0.05 + random.Float64()) * float64(time.Second))
 	switch fault.Kind {
 	case FaultDrain, FaultKill, FaultLinkReset, FaultEdgeReset, FaultReconfigure:
-		fault.For = 0
+		fault.Duration = 0
 	case FaultClock:
-		fault.Clock = clockOffsets[random.IntN(len(clockOffsets))]
+		fault.ClockOffset = clockOffsets[random.IntN(len(clockOffsets))]
 	case FaultSyscall:
-		fault.Call = syscallFaults[random.IntN(len(syscallFaults))]
+		fault.Syscall = syscallFaults[random.IntN(len(syscallFaults))]
 	case FaultEdgeDelay:
-		fault.For *= 2
+		fault.Duration *= 2
 	case FaultPause:
-		fault.For /= 2
+		fault.Duration /= 2
 	}
 	return fault
 }
--- a/internal/harness/history.go
+++ b/internal/harness/history.go
@@ -10,11 +10,11 @@
 
 // HistoryEvent is one operation on a key: the start of a run, or a request with its response. All times are of the same clock.
 type HistoryEvent struct {
-	Key          string
-	Ran          bool // set for a run, not for a response
-	Served       bool // for a response: it carries a result, not an error
-	Result       string
-	Asked, Heard int64 // times at which the operation was invoked and returned
+	Key                   string
+	Ran                   bool // set for a run, not for a response
+	Served                bool // for a response: it carries a result, not an error
+	Result                string
+	InvokedAt, ReturnedAt int64 // times at which the operation was invoked and returned
 }
 
 // keyState is the state of a key in the sequential specification of the linearizability check.
@@ -40,7 +40,7 @@
 func Linearizable(events []HistoryEvent) (violation string, ok bool) {
 	histories := map[string][]porcupine.Operation{}
 	for i, event := range events {
-		operation := porcupine.Operation{ClientId: i, Input: event, Call: event.Asked, Return: event.Heard}
+		operation := porcupine.Operation{ClientId: i, Input: event, Call: event.InvokedAt, Return: event.ReturnedAt}
 		histories[event.Key] = append(histories[event.Key], operation)
 	}
 	model := porcupine.Model{
--- a/internal/harness/inject.go
+++ b/internal/harness/inject.go
@@ -25,16 +25,16 @@
 	case FaultKill:
 		n.Kill()
 	case FaultPause:
-		n.Pause(fault.For)
+		n.Pause(fault.Duration)
 	case FaultClock:
-		n.injectProcessFault("clock "+fault.Clock.String(), fault.For)
+		n.injectProcessFault("clock "+fault.ClockOffset.String(), fault.Duration)
 	case FaultSyscall:
-		n.injectProcessFault(fault.Call, fault.For)
+		n.injectProcessFault(fault.Syscall, fault.Duration)
 	case FaultDescriptors:
-		n.exhaustDescriptors(fault.For)
+		n.exhaustDescriptors(fault.Duration)
 	case FaultUpstream:
 		n.Upstream.SetFailureShare(upstreamFailureShare)
-		time.Sleep(fault.For)
+		time.Sleep(fault.Duration)
 		n.Upstream.SetFailureShare(0)
 	case FaultReconfigure:
 		n.reconfigure()
@@ -53,17 +53,17 @@
 		processorProxy.Reset()
 	case FaultLinkStall:
 		processorProxy.Stall(true)
-		time.Sleep(fault.For)
+		time.Sleep(fault.Duration)
 		processorProxy.Stall(false)
 	case FaultEdgeReset:
 		n.EdgeProxy.Reset()
 	case FaultEdgeDelay:
-		n.EdgeProxy.Delay(fault.For / edgeDelayDivisor)
-		time.Sleep(fault.For)
+		n.EdgeProxy.Delay(fault.Duration / edgeDelayDivisor)
+		time.Sleep(fault.Duration)
 		n.EdgeProxy.Delay(0)
 	case FaultEdgeStall:
 		n.EdgeProxy.Stall(true)
-		time.Sleep(fault.For)
+		time.Sleep(fault.Duration)
 		n.EdgeProxy.Stall(false)
 	}
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -26,7 +26,7 @@
 	Processor       string
 	Upstream        string
 	StopMS          int
-	Conf            string // content of the operator's file; empty: there is none
+	OperatorFile    string // content of the operator's file; empty: there is none
 	Cores           float64
 	Sockets         int           // 1024 if 0
 	ProcessorCores  int           // cores of the processor in the settings; 2 if 0
@@ -95,7 +95,7 @@
 	if p.WithoutCommands {
 		args = nil
 	}
-	if p.Conf != "" {
+	if p.OperatorFile != "" {
 		if err := p.writeOperatorFile(); err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 func (p *Process) faultPath() string { return filepath.Join(p.Dir, "faults") }
 
 func (p *Process) writeOperatorFile() error {
-	return os.WriteFile(p.operatorPath(), []byte(p.Conf), 0o600)
+	return os.WriteFile(p.operatorPath(), []byte(p.OperatorFile), 0o600)
 }
 
 // InjectFaults replaces the active faults of a process that is built with the tag faults. Each line is one fault, such as "clock 2s" or
--- a/internal/processor/processor_test.go
+++ b/internal/processor/processor_test.go
@@ -25,9 +25,9 @@
 	}).Feed
 }
 
-func TestParser(t *testing.T) { golden.Parser(t, openStream) }
+func TestParser(t *testing.T) { golden.CheckParser(t, openStream) }
 
-func FuzzParser(f *testing.F) { golden.Fuzz(f, openStream) }
+func FuzzParser(f *testing.F) { golden.FuzzParser(f, openStream) }
 
 // TestCommands checks the encoding of the commands.
 func TestCommands(t *testing.T) {
--- a/internal/wal/damage_test.go
+++ b/internal/wal/damage_test.go
@@ -115,7 +115,7 @@
 	disk := filledDisk(t)
 	store, writer := reopen(t, disk, baseTime+61*time.Second)
 	errInjected := errors.New("no space left")
-	disk.Fail = func(operation, _ string) error {
+	disk.OperationError = func(operation, _ string) error {
 		if operation == failing {
 			return errInjected
 		}
@@ -147,7 +147,7 @@
 	}
 	_ = log.Close(time.Second) // the log has already ended
 
-	disk.Fail = nil
+	disk.OperationError = nil
 	lastSeqOnDisk := uint64(0)
 	_, err := wal.Read(disk, "n1", idempotency.New(testConfig), func(record idempotency.LogEntry) error {
 		lastSeqOnDisk = max(lastSeqOnDisk, record.Seq)
--- a/overload/trace_test.go
+++ b/overload/trace_test.go
@@ -13,7 +13,7 @@
 // TestTraces plays the events of each trace file and compares the resulting actions with those in the file. A line
 // that begins with "set" changes a setting, a line that begins with a time is an event, and the indented lines below
 // it are the actions. # starts a comment, and an empty line ends a batch.
-func TestTraces(t *testing.T) { golden.Files(t, 1, playTrace) }
+func TestTraces(t *testing.T) { golden.CheckTraces(t, 1, playTrace) }
 
 // maxUnsummarizedBatch is the largest number of events in a batch for which each action is printed. In larger
 // batches, consecutive actions of the same kind are printed as a count.
