--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -37,7 +37,7 @@
 // voteOnUnknown returns the vote on a recorded start without an outcome.
 func (n *Node) voteOnUnknown(key idempotency.Key) Vote {
 	switch {
-	case n.store.MayBeExpired(key): // the request may have ended at a peer that has expired it
+	case n.store.MayBeExpired(key): // the request may have finished, and its record have expired
 		return VoteExpired
 	case !n.store.HasFullHistory(key): // the disk may have lost the outcome
 		return VoteAbstain
@@ -168,7 +168,7 @@
 	case reservation == nil:
 		reply.Vote = VoteSuperseded
 	case reservation.ballot != message.Ballot && disabledRule != ruleStartBallot,
-		reservation.transferred: // the records of peers are not a vote of this node
+		reservation.transferred: // this node itself has granted the key to no ballot
 		reply.Vote = VoteSuperseded
 		reply.Holder = reservation.ballot
 	case reservation.startDurable:
@@ -205,9 +205,9 @@
 	return outcome.Decision == idempotency.Wait
 }
 
-// handleFinish records how a request ended, or releases its key. An outcome is
-// recorded whichever ballot this node has granted, since it proves that the
-// request ran.
+// handleFinish records the outcome of a request, or releases its key. An
+// outcome is recorded whichever ballot this node has granted, since it proves
+// that the request ran.
 func (n *Node) handleFinish(from string, message *Message) {
 	reservation := n.reservations.get(message.Key)
 	if message.Replayable && message.Outcome == idempotency.EntryResult {
--- a/failover/acquire.go
+++ b/failover/acquire.go
@@ -47,8 +47,8 @@
 	n.letDuplicatesJoin(claim)
 }
 
-// releaseGrants releases the grants of members to a claim that ends without the
-// key.
+// releaseGrants releases the grants that members gave to a claim that stops
+// requesting the key.
 func (n *Node) releaseGrants(claim *claim) {
 	if claim.state != claimAcquiring {
 		return
--- a/failover/claim.go
+++ b/failover/claim.go
@@ -10,8 +10,8 @@
 // claimState is the state of a claim.
 //
 // The transitions, with the functions that make them (a claim is created in
-// claimAcquiring or claimQuerying, or for relayOutcome; settle removes it in any
-// state):
+// claimAcquiring or claimQuerying, or for relayOutcome, and may be removed in
+// any state):
 //
 //	from                           to               by
 //	(new), Acquiring, Starting,    claimAcquiring   acquire
@@ -89,8 +89,9 @@
 	// originalID is the request that runs, or is to run, on this node; 0 if
 	// there is none.
 	originalID uint64
-	// originalDecided: a decision on the original request has been returned in
-	// reply to Claim.
+	// originalDecided: the decision idempotency.Fresh, idempotency.Duplicate or
+	// TakenOver on the original request has been queued or is no longer needed.
+	// Later decisions answer or reject the request.
 	originalDecided bool
 	// takenOver: originalID identifies a request of another node.
 	takenOver bool
@@ -128,7 +129,7 @@
 	c.originalID = 0
 }
 
-// currentWork returns the request with its remaining time updated.
+// currentWork returns the work of a claim with its remaining time updated.
 func (n *Node) currentWork(claim *claim) Work {
 	work := claim.work
 	work.Left = int64(claim.deadline - n.now)
@@ -231,8 +232,9 @@
 	return 0
 }
 
-// Join makes a duplicate wait for the outcome of its original request. The
-// decision is idempotency.Fresh if the original request has already ended.
+// Join reports that a duplicate, which Claim has already recorded, waits for
+// the outcome of its original request. The decision is idempotency.Fresh if
+// this node no longer has a claim for the key.
 func (n *Node) Join(now time.Duration, key idempotency.Key, id uint64) {
 	n.advance(now)
 	if n.claims[key] == nil {
--- a/failover/config.go
+++ b/failover/config.go
@@ -50,8 +50,8 @@
 	defaultSuspectAfter    = 300 * time.Millisecond
 	defaultRetryInterval   = 60 * time.Millisecond
 	defaultMaxReservations = 4096
-	// A few requests per core of a node. Any more would queue here although
-	// other members may be able to run them sooner.
+	// defaultMaxInFlight is a few requests per core of a node. Any more would
+	// queue on this node although other members may be able to run them sooner.
 	defaultMaxInFlight    = 64
 	defaultMaxResultBytes = 1 << 20
 )
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -99,7 +99,7 @@
 		// longer get one.
 		n.becomeHolder(claim)
 	case !n.enoughVotes(claim, &totals): // wait for more votes
-	case totals.expired: // the request has ended, although some members have no record of it
+	case totals.expired: // the request has finished, although some members have no record of it
 		n.releaseGrants(claim)
 		n.settle(claim, idempotency.ResultExpired, nil)
 	case !totals.finishing && n.outcomeLost(&totals):
--- a/failover/finish.go
+++ b/failover/finish.go
@@ -28,7 +28,7 @@
 	case claimAcquiring, claimHeld, claimStarting:
 		claim.originalID = 0
 		n.finish(claim, idempotency.EntryNeverRan, nil)
-	case claimRunning, claimFinishing: // it runs or has run: Finish reports its outcome
+	case claimRunning, claimFinishing: // the request runs or has run: Finish reports its outcome
 	}
 }
 
@@ -39,9 +39,9 @@
 	}
 }
 
-// Finish reports how a started request has ended. After a majority has recorded
-// a result, the decision idempotency.Completed permits the response; other
-// kinds cause no decision.
+// Finish reports the outcome of a started request. After a majority has
+// recorded a result, the decision idempotency.Completed permits the response;
+// other kinds of outcome cause no decision.
 func (n *Node) Finish(now time.Duration, key idempotency.Key, id uint64, kind idempotency.EntryKind, result []byte) {
 	n.advance(now)
 	claim := n.claims[key]
@@ -158,7 +158,7 @@
 // answered afterwards.
 func (n *Node) relayOutcome(claim *claim, runBallot Ballot, kind idempotency.EntryKind, result []byte) {
 	n.releaseGrants(claim)
-	if claim.takenOver { // it was never admitted on this node: its holder had started it
+	if claim.takenOver { // the request was never admitted on this node, because its holder had started it
 		claim.takenOver = false
 		claim.originalID = 0
 	}
--- a/failover/message.go
+++ b/failover/message.go
@@ -85,13 +85,13 @@
 	// not recorded. If Outcome is set, the member is writing the outcome to
 	// disk.
 	VoteRunning Vote = 4
-	// VoteFinished means that the request has ended with Outcome and Result.
+	// VoteFinished means that the request has finished with Outcome and Result.
 	VoteFinished Vote = 5
 	// VoteOutcomeUnknown means that the request was started and its outcome is
 	// lost.
 	VoteOutcomeUnknown Vote = 6
-	// VoteExpired means that the request has ended and its result is no longer
-	// kept.
+	// VoteExpired means that the request has finished and its result is no
+	// longer kept.
 	VoteExpired Vote = 7
 	// VoteAbstain means that the member has lost records, which may include
 	// those of the key.
@@ -138,8 +138,8 @@
 	Vote Vote
 	// Holder (replies) is the ballot to which the sender has granted the key.
 	Holder Ballot
-	// Outcome (MsgFinish, MsgCompleted, VoteFinished, VoteRunning) is how the
-	// request ended; 0 if the sender has no outcome.
+	// Outcome (MsgFinish, MsgCompleted, VoteFinished, VoteRunning) is the kind
+	// of the request's outcome; 0 if the sender has no outcome.
 	Outcome idempotency.EntryKind
 	// Result is the response if Outcome is idempotency.EntryResult.
 	Result []byte
@@ -150,10 +150,11 @@
 	// durable effect. Another node may therefore run it when its holder is
 	// lost.
 	Replayable bool
-	// Run (MsgStart) is the ID of the request at the holder's processor.
+	// Run (MsgStart) is the ID of the request at the holder's processor, which
+	// is the component that executes requests.
 	Run uint64
-	// Notice (MsgStart) is the number of the last notice that the holder has
-	// read from its processor.
+	// Notice (MsgStart) is the sequence number of the last notice (message of
+	// the processor) that the holder has read from its processor.
 	Notice uint64
 	// Fences (replies) lists members of the group whose votes from earlier
 	// incarnations must not be counted together with this vote.
@@ -176,7 +177,9 @@
 	Left int64
 	// Cost is the expected execution time in nanoseconds.
 	Cost int64
+	// Size is the memory of the request while it is queued, in kilobytes.
 	Size float64
+	// Rank is the rank of the request by value among all requests, 0 to 1.
 	Rank float64
 	// Weight is the weight of the handler. Requests with the highest weight are
 	// taken over first.
@@ -196,7 +199,7 @@
 	// Made is the time at which the client created the request; see
 	// Message.Made.
 	Made time.Duration
-	// Work (TakenOver) is the request, which this node now holds.
+	// Work (TakenOver) is the work of the request, which this node now holds.
 	Work *Work
 	idempotency.Outcome
 }
--- a/failover/node.go
+++ b/failover/node.go
@@ -67,12 +67,12 @@
 // New returns a node that records reservations in the store. The seed
 // determines its random numbers: two nodes with equal seeds and equal events
 // behave identically.
-func New(cfg Config, store *idempotency.Store, peers FailureDetector, seed uint64, now time.Duration) *Node {
+func New(cfg Config, store *idempotency.Store, detector FailureDetector, seed uint64, now time.Duration) *Node {
 	cfg = cfg.withDefaults()
 	return &Node{
 		cfg:                 cfg,
 		store:               store,
-		detector:            peers,
+		detector:            detector,
 		now:                 now,
 		random:              prng.New(seed),
 		configurationDigest: cfg.roster().configurationDigest(),
--- a/failover/processor.go
+++ b/failover/processor.go
@@ -11,7 +11,8 @@
 type ProcessorQuery struct {
 	Node string
 	// Notice is the number of the last notice that the node had certainly read
-	// from its processor when it started the first of the requests.
+	// from its processor when it started the first of the requests whose
+	// outcomes are queried. See Message.Notice.
 	Notice uint64
 }
 
--- a/failover/reservation.go
+++ b/failover/reservation.go
@@ -24,7 +24,7 @@
 	startDurable bool
 	// finishing: the outcome is being written to disk.
 	finishing bool
-	// finished (replayable): the request has ended with result.
+	// finished (replayable): the request has finished with result.
 	finished bool
 	result   []byte
 
@@ -173,8 +173,7 @@
 	}
 }
 
-// tickReservations runs the due actions of each reservation, in order of
-// creation.
+// tickReservations runs the timers of each reservation, in order of creation.
 func (n *Node) tickReservations() {
 	reservations := n.reservations.order
 	n.reservations.order = nil // collects reservations that are created meanwhile
--- a/failover/status.go
+++ b/failover/status.go
@@ -11,8 +11,9 @@
 type RequestStatus struct {
 	Key     string `json:"key"` // in hexadecimal
 	Handler string `json:"handler"`
-	// Role is the role of the node: "holds", "waits" (another node holds the
-	// key) or "notes" (the node records the request for its holder).
+	// Role is the role of the node: "holds" (the node holds or requests the
+	// key), "waits" (another node holds the key, or the node queries the group)
+	// or "notes" (the node records the request for its holder).
 	Role string `json:"part"`
 	// State is the name of the state of the request.
 	State  string `json:"step"`
@@ -93,8 +94,8 @@
 type Stats struct {
 	// Held is the number of keys that this node holds or requests.
 	Held int `json:"held"`
-	// Waiting is the number of keys that another node holds for requests on
-	// this node.
+	// Waiting is the number of keys that this node neither holds nor requests,
+	// and for whose outcome it waits or queries the group.
 	Waiting int `json:"waiting"`
 	// Reservations is the number of keys that this node records for their
 	// holders.
--- a/failover/takeover.go
+++ b/failover/takeover.go
@@ -22,7 +22,7 @@
 }
 
 // checkHolder marks the reservation of a request that has not started for
-// take-over if its holder is suspected and this node is the successor.
+// take-over if its holder is suspected and this node is to be the successor.
 func (n *Node) checkHolder(reservation *reservation) {
 	if !n.suspects(reservation.ballot) {
 		reservation.suspectedSince = 0
--- a/failover/wait.go
+++ b/failover/wait.go
@@ -54,7 +54,8 @@
 }
 
 // stopWaiting admits replayable requests that have waited long enough for
-// another node, and reports whether it did.
+// another node, and reports whether it did. While this node is draining, it
+// admits them at once.
 func (n *Node) stopWaiting(claim *claim) bool {
 	if !claim.replayable {
 		return false
@@ -81,7 +82,7 @@
 	}
 }
 
-// tickClaims runs the due actions of each claim, in order of creation.
+// tickClaims runs the timers of each claim, in order of creation.
 func (n *Node) tickClaims() {
 	claims := n.claimOrder
 	n.claimOrder = nil // collects claims that are created meanwhile
@@ -110,7 +111,7 @@
 	case claimFinishing:
 		switch {
 		case n.now-claim.enteredAt > finishTimeout:
-			claim.originalID = 0 // answered when its client timeout expired
+			claim.originalID = 0 // the request was answered when its client timeout expired
 			n.settle(claim, NoQuorum, nil)
 		case retry:
 			n.broadcastFinish(claim)
