--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -10,7 +10,7 @@
 //	store      identifies the store: a text with the name of the node, the time of creation, a
 //	           random mark and a checksum. Only Init creates it, because an empty directory may be a
 //	           disk that was lost or is not mounted.
-//	N.log      the log records of segment N, in 16 decimal digits, starting at 1.
+//	N.log      the log records of segment N. N has 16 decimal digits and starts at 1.
 //	N.prints   the fingerprints of segment N, which has been retired.
 //	lock       locked while a process uses the store.
 //	reading    the number of consecutive starts that did not finish reading the store. A start that
@@ -29,12 +29,12 @@
 //
 //	offset  size
 //	0       4     magic, "FREK"
-//	4       4     length of the data after the header
+//	4       4     length of the payload, which is the data after the header
 //	8       4     number of records
 //	12      4     lower half of the checksum of the bytes 0 to 11 and 16 to 23, with segment number 0
 //	              in the salt
 //	16      8     sequence number of the first record; the following records have the next numbers
-//	24      8     checksum of the bytes 0 to 23 and of all data after the header
+//	24      8     checksum of the bytes 0 to 23 and of the payload
 //	32            the records
 //	              a byte 0xff
 //
@@ -57,7 +57,8 @@
 //	32      8     time of its last record about a key
 //	40      8     number of keys
 //	48      8     time before which history was lost, 0 if none was
-//	56      8     1 if an operator accepted the lost history, else 0
+//	56      8     1 if all history losses up to this segment were ended, because an operator accepted
+//	              them or other nodes supplied the history, else 0
 //	64      8     checksum of the bytes 0 to 63 and of the filter
 //	72            the filter as package bloom marshals it, empty if no key has expired
 //
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -15,7 +15,7 @@
 const (
 	frameHeaderSize  = 32
 	recordHeaderSize = 29
-	maxPayloadSize   = 64 << 20 // more than any frame that is written has
+	maxPayloadSize   = 64 << 20 // larger than the payload of any frame that is written
 	sectorSize       = 512      // a disk writes whole sectors, in any order until a sync
 )
 
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -30,7 +30,8 @@
 	Damage []string
 	// Leftover are the names of files that an earlier incarnation should have removed.
 	Leftover []string
-	// LastSegment is the number of the last segment with a file.
+	// LastSegment is the number of the last segment with a file. A last log file that the process
+	// had only created when it ended does not count.
 	LastSegment uint64
 
 	tail     uint64 // the last segment if records may be appended to it, otherwise 0
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxFrameData is the size in bytes of the record data in one frame, from which on the next
+	// maxFrameData is a size in bytes: when the record data of a frame has reached it, the next
 	// record begins another frame.
 	maxFrameData = 4 << 20
 	// maxRetainedBuffer is the maximum size in bytes of a buffer that is reused for the next frame.
