--- a/idempotency/entry.go
+++ b/idempotency/entry.go
@@ -53,7 +53,8 @@
 	EntrySegmentOpened EntryKind = 6
 	// EntryIncarnation records that a process started to use the store.
 	EntryIncarnation EntryKind = 7
-	// EntryHistoryAccepted records that an operator accepted all history losses up to now.
+	// EntryHistoryAccepted records that all history losses up to now are ended, because an operator
+	// accepted them or other nodes supplied the history.
 	EntryHistoryAccepted EntryKind = 8
 	// EntrySegmentDropped records that the fingerprints of a segment may be deleted.
 	EntrySegmentDropped EntryKind = 9
--- a/idempotency/finish.go
+++ b/idempotency/finish.go
@@ -111,8 +111,8 @@
 }
 
 // AbandonInFlight marks the outcomes of all requests in flight as unknown, as after a restart,
-// because the component that ran them is gone. Requests whose completion record is being written
-// are not affected.
+// because the component that ran them is gone. Retries that wait for these requests get no outcome
+// from the store. Requests whose completion record is being written are not affected.
 func (s *Store) AbandonInFlight(now time.Duration) {
 	s.advanceClock(now)
 	var keys []Key
--- a/idempotency/history.go
+++ b/idempotency/history.go
@@ -22,7 +22,7 @@
 // request made before that time and without a record may have run.
 func (s *Store) AddHistoryLoss(until time.Duration) {
 	s.lostBefore = max(s.lostBefore, until)
-	// The loss is in the last segment, or in the unreadable segments at the end of the list.
+	// The lost records may belong to the last readable segment and to the unreadable ones after it.
 	for i := len(s.segments) - 1; i >= 0; i-- {
 		seg := s.segments[i]
 		seg.LostBefore = max(seg.LostBefore, until)
@@ -75,7 +75,8 @@
 
 // MarkRefilled marks the lost history as supplied by other nodes, for all keys. Like the acceptance
 // by an operator, it ends all history losses. It reports whether that holds for later incarnations
-// too. It does not if fingerprints of other nodes were merged, because those are not on this disk.
+// too. It does not if fingerprints of other nodes were merged, because those are not on this disk,
+// or if the disk has failed.
 func (s *Store) MarkRefilled(now time.Duration) bool {
 	s.refilled = true
 	s.Sweep(now)
--- a/idempotency/segment.go
+++ b/idempotency/segment.go
@@ -22,7 +22,8 @@
 	// LostBefore is set if log records in this segment or after it are lost: a request made before
 	// this time and without a record may have run. It is 0 if none are lost.
 	LostBefore time.Duration
-	// Accepted is set if an operator accepted all history losses up to this segment.
+	// Accepted is set if all history losses up to this segment were ended, because an operator
+	// accepted them or other nodes supplied the history.
 	Accepted bool
 	// Filter is the Bloom filter of the expired keys, or nil if there are none. The filter of a
 	// retired segment no longer changes.
--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -47,7 +47,7 @@
 type record struct {
 	state             recordState
 	completion        EntryKind     // kind of its completion record; 0 without one
-	at                time.Duration // time of its completion, or of its intent while the outcome is unknown
+	at                time.Duration // time of its completion; before that, of its intent or the loss of its outcome
 	result            []byte
 	intentSegment     *segment // segment with its intent
 	completionSegment *segment // segment with its completion record; nil without one
@@ -57,7 +57,7 @@
 // flight is the part of a record that exists until the request has finished.
 type flight struct {
 	seq        uint64   // of the log record that must become durable next
-	originalID uint64   // request ID of the request that runs; 0 after it was withdrawn
+	originalID uint64   // request ID of the request that runs or is to run; 0 after it was withdrawn
 	waitingIDs []uint64 // request IDs of its retries, which receive the same outcome
 	handler    string
 }
--- a/idempotency/stats.go
+++ b/idempotency/stats.go
@@ -51,8 +51,9 @@
 }
 
 // ForEachKey calls f for each key with a record, in no particular order. at is the time of the
-// completion, or of the intent if the key has not completed; state is the name of its state in the
-// output of the operators' commands; bytes is the size of its result.
+// completion; if the key has not completed, at is the time of the intent or the later time at which
+// the outcome became unknown. state is the name of the key's state in the output of the operators'
+// commands; bytes is the size of its result.
 func (s *Store) ForEachKey(f func(key Key, at time.Duration, state string, bytes int)) {
 	for key, rec := range s.records {
 		f(key, rec.at, rec.stateName(), len(rec.result))
