--- a/overload/admission.go
+++ b/overload/admission.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// take consumes a token and reports whether one was available.
+// take consumes a token and reports whether one was available, which is always the case without a quota.
 func (q *customerQuota) take(now time.Duration) bool {
 	q.tokens = math.Min(q.rate*quotaBurstSeconds, q.tokens+q.rate*(now-q.refilledAt).Seconds())
 	q.refilledAt = now
@@ -114,7 +114,8 @@
 	return 1 + hintWeight*(hint.Seconds()/mean-1)
 }
 
-// admit queues a request that is expected to end well before its target, and rejects it otherwise.
+// admit queues a request that is expected to end by a safety margin before its target (see finishShare), and rejects
+// it otherwise.
 func (c *Controller) admit(now time.Duration, r *request, e *Event, withinQuota bool) {
 	h := r.handler
 	share := finishShare
--- a/overload/deadline.go
+++ b/overload/deadline.go
@@ -28,8 +28,8 @@
 	if !r.needsAnswer() {
 		return
 	}
-	// Uses the handler's response target, because r.target may have been shortened to the time that clients are
-	// estimated to wait.
+	// This check uses the handler's response target, because r.target may have been shortened to the time that
+	// clients are estimated to wait.
 	worthless := now > r.arrivedAt+r.handler.responseTarget && r.handler.lateValue == 0
 	switch {
 	case c.dueBeforeNextTimer(now, r):
--- a/overload/doc.go
+++ b/overload/doc.go
@@ -19,7 +19,8 @@
 // The following parts cover what that mechanism leaves open or needs as safeguards:
 //
 //   - Queues and admission. Each handler has a queue, and the queues are served in turn by weight (queue.go). A new
-//     request that is not expected to end well before its response target is rejected at once (admission.go).
+//     request that is not expected to end by a safety margin before its response target is rejected at once
+//     (admission.go).
 //   - Client advice. A rejection carries a delay before the next attempt and whether to try another server
 //     (rejection.go). Responses carry a load signal (signal.go); where the signal is an allowance, it is computed per
 //     edge node (edgenodes.go). Idle connections are closed early when there are too many (connections.go). How
--- a/overload/signal.go
+++ b/overload/signal.go
@@ -72,9 +72,9 @@
 	case SignalFloor:
 		return 1 - load
 	case SignalAllowance:
-		// Divides this server's capacity by the effective number of edge nodes. An even split would starve the
-		// busiest edge node while cores are idle, and no queue would reveal it. The drawback is that the allowances
-		// are too high if all edge nodes become busy at once.
+		// The allowance is this server's capacity divided by the effective number of edge nodes. A division by their
+		// total number would starve the busiest edge node while cores are idle, and no queue would reveal it. The
+		// drawback is that the allowances are too high if all edge nodes become busy at once.
 		return load * math.Max(1, c.concurrency.advertisedCapacity()/math.Max(1, c.edgeNodes.effective))
 	}
 	return load
--- a/overload/window.go
+++ b/overload/window.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	windowBuckets = 10                     // buckets of a sliding window, which is 5 s long
+	windowBuckets = 10                     // number of buckets in a sliding window, which covers 5 s
 	bucketWidth   = 500 * time.Millisecond // duration of a bucket
-	minSamples    = 4                      // values that a window must contain before its mean is used
+	minSamples    = 4                      // number of values that a window must contain before its mean is used
 )
 
 // slidingWindow sums values over the last five seconds, in buckets of fixed duration.
