--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -110,8 +110,8 @@
 // closed.
 func (l *Log) awaitEntries() bool {
 	for {
-		waiting, closed := l.queueState()
-		if waiting > 0 {
+		queued, closed := l.queueState()
+		if queued > 0 {
 			return true
 		}
 		if closed {
@@ -130,8 +130,8 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
-		waiting, closed := l.queueState()
-		if waiting >= l.batchThreshold || closed {
+		queued, closed := l.queueState()
+		if queued >= l.batchThreshold || closed {
 			return
 		}
 		select {
@@ -143,7 +143,7 @@
 }
 
 // queueState returns the number of queued entries and whether the log is closed.
-func (l *Log) queueState() (waiting int, closed bool) {
+func (l *Log) queueState() (queued int, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue), l.closed
