--- a/idempotency/history.go
+++ b/idempotency/history.go
@@ -43,8 +43,8 @@
 	s.appendEntry(LogEntry{Kind: EntryHistoryLost})
 }
 
-// AcceptHistory ends all history losses because an operator accepts them: a request without a
-// record is fresh again. It is written to the log.
+// AcceptHistory ends all history losses, because an operator accepts them or other nodes have
+// supplied the history: a request without a record is fresh again. It is written to the log.
 func (s *Store) AcceptHistory(now time.Duration) {
 	s.advanceClock(now)
 	s.acceptHistory()
--- a/idempotency/state.go
+++ b/idempotency/state.go
@@ -47,7 +47,7 @@
 type record struct {
 	state             recordState
 	completion        EntryKind     // kind of its completion record; 0 without one
-	at                time.Duration // time of its completion; before that, of its intent or the loss of its outcome
+	at                time.Duration // time of its completion; before that, of its intent or of when its outcome became unknown
 	result            []byte
 	intentSegment     *segment // segment with its intent
 	completionSegment *segment // segment with its completion record; nil without one
--- a/idempotency/store.go
+++ b/idempotency/store.go
@@ -20,8 +20,8 @@
 	unknownHandlers map[Key]string // handlers of the records in stateUnknown, where they are known
 
 	// expiryQueue has the keys that completed or whose outcome is unknown, in the order in which
-	// they expire. It may still have keys whose record was removed or is in flight again, and has a
-	// key twice that completed in flight after its outcome was unknown.
+	// they expire. It may still have keys whose record was removed or is in flight again, and may
+	// have a key twice whose outcome was unknown before it completed.
 	expiryQueue []Key
 	// queueStart is the position of the first key in expiryQueue, counted from the creation of the
 	// store.
