--- a/overload/backpressure.go
+++ b/overload/backpressure.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// refillRate refills the rate budget for the elapsed time.
-func (b *backpressure) refillRate(span time.Duration) {
+// refillRateBudget refills the rate budget for the elapsed time.
+func (b *backpressure) refillRateBudget(span time.Duration) {
 	b.rateTokens = math.Min(cancellationBurst, b.rateTokens+cancellationRate*float64(span/time.Millisecond))
 }
 
@@ -115,7 +115,7 @@
 func (c *Controller) observe(now, span time.Duration) {
 	b := &c.backpressure
 	b.recordObservation(c.gauges.busy, &c.memory)
-	b.refillRate(span)
+	b.refillRateBudget(span)
 	if !b.underDuress() {
 		return
 	}
--- a/overload/backpressure_test.go
+++ b/overload/backpressure_test.go
@@ -67,7 +67,7 @@
 	for range 10 {
 		b.spendCancellation()
 	}
-	b.refillRate(time.Hour)
+	b.refillRateBudget(time.Hour)
 	if got := b.budget(); got != 0 {
 		t.Errorf("budget without completions %d, want 0", got)
 	}
@@ -78,7 +78,7 @@
 		t.Errorf("budget after 25 completions %d, want 2", got)
 	}
 	b.rateTokens = 0
-	b.refillRate(400 * time.Millisecond)
+	b.refillRateBudget(400 * time.Millisecond)
 	if got := b.budget(); got != 1 {
 		t.Errorf("budget after 400 ms %d, want 1", got)
 	}
