--- a/failover/claim.go
+++ b/failover/claim.go
@@ -198,8 +198,8 @@
 }
 
 // Claim claims the key of a request that this node has read. madeAt is the time
-// since 1970 at which the client created the request, 0 if unknown; id must be
-// unique on this node.
+// since the Unix epoch at which the client created the request, 0 if unknown;
+// id must be unique on this node.
 //
 // The decision is idempotency.Fresh (the request may be queued; Start must be
 // called before it runs), idempotency.Duplicate (the request may wait for the
--- a/failover/decide.go
+++ b/failover/decide.go
@@ -4,11 +4,11 @@
 
 // tally summarizes the votes on a claim in claimAcquiring or claimQuerying.
 type tally struct {
-	// finished is a reply with the outcome; one with a result takes precedence.
-	finished *Message
-	// holder is the reply that names the highest holder; a holder that has
+	// finishedReply is a reply with the outcome; one with a result takes precedence.
+	finishedReply *Message
+	// holderReply is the reply that names the highest holder; a holder that has
 	// started the request takes precedence.
-	holder *Message
+	holderReply *Message
 	// finishing: some member is writing the outcome to disk.
 	finishing bool
 	// outcomeUnknown, expired, abstained, full: some member has cast this vote.
@@ -44,17 +44,17 @@
 func (t *tally) add(vote *Message) {
 	switch vote.Vote {
 	case VoteFinished:
-		if t.finished == nil || vote.Outcome == idempotency.EntryResult {
-			t.finished = vote
+		if t.finishedReply == nil || vote.Outcome == idempotency.EntryResult {
+			t.finishedReply = vote
 		}
 	case VoteRunning:
 		t.finishing = t.finishing || vote.Outcome != 0
-		if !t.holderStarted() || vote.Holder.compare(t.holder.Holder) > 0 {
-			t.holder = vote
+		if !t.holderStarted() || vote.Holder.compare(t.holderReply.Holder) > 0 {
+			t.holderReply = vote
 		}
 	case VoteHeld, VoteSuperseded:
-		if t.holder == nil || !t.holderStarted() && vote.Holder.compare(t.holder.Holder) > 0 {
-			t.holder = vote
+		if t.holderReply == nil || !t.holderStarted() && vote.Holder.compare(t.holderReply.Holder) > 0 {
+			t.holderReply = vote
 		}
 	case VoteOutcomeUnknown:
 		t.outcomeUnknown = true
@@ -70,12 +70,13 @@
 
 // holderStarted reports whether the holder has started the request.
 func (t *tally) holderStarted() bool {
-	return t.holder != nil && t.holder.Vote == VoteRunning
+	return t.holderReply != nil && t.holderReply.Vote == VoteRunning
 }
 
 // enoughVotes reports whether the votes may decide against the claim: either
-// all members have voted, or a majority has and further votes are unlikely to
-// change the result or are overdue.
+// all members have voted, or a majority has. If any vote shows that the request
+// may have run, a missing vote may carry its outcome, so the claim waits a
+// quarter of Config.SuspectAfter for the missing votes.
 func (n *Node) enoughVotes(claim *claim, totals *tally) bool {
 	if totals.allVoted {
 		return true
@@ -91,9 +92,9 @@
 func (n *Node) evaluateVotes(claim *claim) {
 	totals := n.tallyVotes(claim)
 	switch {
-	case totals.finished != nil:
+	case totals.finishedReply != nil:
 		n.releaseGrants(claim)
-		n.adoptOutcome(claim, totals.finished)
+		n.adoptOutcome(claim, totals.finishedReply)
 	case claim.state == claimAcquiring && n.majorityVoted(claim, VoteGranted):
 		// Any other ballot was granted by less than a majority, and can no
 		// longer get one.
@@ -116,7 +117,7 @@
 // report its outcome.
 func (n *Node) outcomeLost(totals *tally) bool {
 	if totals.holderStarted() {
-		return n.suspects(totals.holder.Holder)
+		return n.suspects(totals.holderReply.Holder)
 	}
 	return totals.outcomeUnknown
 }
@@ -143,15 +144,15 @@
 func (n *Node) evaluateHolder(claim *claim, totals *tally) {
 	acquiring := claim.state == claimAcquiring
 	switch {
-	case totals.holder != nil && n.holderActive(totals):
-		if !n.keepsContending(claim, totals.holder) {
-			n.waitFor(claim, totals.holder.Holder)
+	case totals.holderReply != nil && n.holderActive(totals):
+		if !n.keepsContending(claim, totals.holderReply) {
+			n.waitFor(claim, totals.holderReply.Holder)
 		}
-	case totals.holder != nil && acquiring && claim.ballotAttempts < maxBallotAttempts:
+	case totals.holderReply != nil && acquiring && claim.ballotAttempts < maxBallotAttempts:
 		// The holder is lost, or is an earlier incarnation of this node.
 		n.acquire(claim, true)
-	case totals.holder != nil && claim.state == claimQuerying:
-		n.waitFor(claim, totals.holder.Holder)
+	case totals.holderReply != nil && claim.state == claimQuerying:
+		n.waitFor(claim, totals.holderReply.Holder)
 	case totals.missingVotes && n.now-claim.enteredAt < n.cfg.SuspectAfter: // wait for more votes
 	case acquiring:
 		n.reject(claim, totals.rejectDecision())
@@ -164,7 +165,7 @@
 	if totals.finishing {
 		return true
 	}
-	holder := totals.holder.Holder
+	holder := totals.holderReply.Holder
 	serves := totals.holderStarted() || !n.suspects(holder)
 	return serves && holder.Node != n.cfg.Name
 }
--- a/failover/message.go
+++ b/failover/message.go
@@ -131,8 +131,8 @@
 	Ballot Ballot
 	// Force (MsgAcquire) requests the key even if another ballot holds it.
 	Force bool
-	// Made is the time since 1970 at which the client created the request; 0 if
-	// the client did not specify it.
+	// Made is the time since the Unix epoch at which the client created the
+	// request; 0 if the client did not specify it.
 	Made time.Duration
 	// Vote (replies) is the sender's vote.
 	Vote Vote
--- a/failover/node.go
+++ b/failover/node.go
@@ -24,8 +24,8 @@
 // that it serves (claims) and for those that it records for other nodes
 // (reservations). Create it with New. It is not safe for concurrent use.
 //
-// Every method with a time parameter expects the time since 1970. A time before
-// that of an earlier call is treated as the time of that call.
+// Every method with a time parameter expects the time since the Unix epoch. A
+// time before that of an earlier call is treated as the time of that call.
 type Node struct {
 	cfg      Config
 	store    *idempotency.Store
--- a/failover/roster.go
+++ b/failover/roster.go
@@ -24,8 +24,8 @@
 	// Previous is the list that Members replaces; empty when no change is in
 	// progress.
 	Previous []Member
-	// Since is the time, since 1970, from which all other nodes are known to
-	// use both lists; 0 if some are not known to.
+	// Since is the time, since the Unix epoch, from which all other nodes are
+	// known to use both lists; 0 if some are not known to.
 	Since time.Duration
 }
 
--- a/failover/sim_cluster_test.go
+++ b/failover/sim_cluster_test.go
@@ -14,7 +14,7 @@
 
 var schedules = flag.Int("schedules", 2000, "clusters to simulate; each takes several hundred steps")
 
-// simStart is the time since 1970 at which a simulation begins.
+// simStart is the time since the Unix epoch at which a simulation begins.
 const simStart = 500_000 * time.Hour
 
 // faultFreeSeeds is the first seed of clusters without faults.
