--- a/internal/conn/netpoll.go
+++ b/internal/conn/netpoll.go
@@ -74,7 +74,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if suppressed, ok := w.limiter.Allow(); ok {
-		w.log.Warn("netpoll", "line", string(bytes.TrimSpace(p)), "left_out", suppressed)
+		w.log.Warn("netpoll", "line", string(bytes.TrimSpace(p)), "suppressed", suppressed)
 	}
 	return len(p), nil
 }
