--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	bed := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, options: map[string]string{}}
-	bed.startPeers("")
+	bed.startFakes("")
 	var address [2]string
 	for i := range address {
 		var err error
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -46,7 +46,7 @@
 			bed.backend.now += partialTimeout
 			bed.backend.frontend.sweep()
 		})
-		if got := client.readAnswer(); !strings.HasSuffix(got, " Status: 400 Bad Request") {
+		if got := client.readResponse(); !strings.HasSuffix(got, " Status: 400 Bad Request") {
 			t.Error(got)
 		}
 	}
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -26,13 +26,13 @@
 	cfg.Accounting = backend.AccountingConfig{MaxCustomers: 16}
 
 	b := backend.New(cfg, slog.New(slog.DiscardHandler))
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error)
 	go func() { served <- b.Serve(ctx) }()
 
 	counters := b.Counters()
 	fmt.Println("open connections:", counters.Open, "unanswered requests:", counters.Pending)
-	leave()
+	stop()
 	fmt.Println("served:", <-served)
 	// Output:
 	// open connections: 0 unanswered requests: 0
--- a/backend/fastcgi_forms_test.go
+++ b/backend/fastcgi_forms_test.go
@@ -105,10 +105,10 @@
 			return runs
 		})
 		bed.completeRun(slot)
-		got := client.readAnswer()
+		got := client.readResponse()
 		for range form.records {
 			if strings.HasPrefix(got, "record") {
-				got = client.readAnswer()
+				got = client.readResponse()
 			}
 		}
 		if want := fmt.Sprintf("%d%s", slot, succeededLine); got != want {
@@ -116,7 +116,7 @@
 		}
 	}
 	bed.completeRun(openSlot)
-	if got, want := client.readAnswer(), fmt.Sprintf("%d%s", openSlot, succeededLine); got != want {
+	if got, want := client.readResponse(), fmt.Sprintf("%d%s", openSlot, succeededLine); got != want {
 		bed.t.Errorf("%s, the concurrent request: got %q, want %q", form.name, got, want)
 	}
 	_ = client.conn.Close()
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -10,10 +10,10 @@
 
 // Timeouts and limits of the link to the processor.
 const (
-	// firstRedialWait is the delay before the first retry to connect to the processor.
-	firstRedialWait = 2 * time.Millisecond
-	// maxRedialWait bounds the delay between later retries. The processor may start long after this backend.
-	maxRedialWait = 500 * time.Millisecond
+	// firstRedialDelay is the delay before the first retry to connect to the processor.
+	firstRedialDelay = 2 * time.Millisecond
+	// maxRedialDelay bounds the delay between later retries. The processor may start long after this backend.
+	maxRedialDelay = 500 * time.Millisecond
 	// quiesceTimeout limits the wait for the last answer on a connection that is to be replaced.
 	quiesceTimeout = 50 * time.Millisecond
 	// oldAddressGrace is how long runs in flight may continue at an address that was replaced. The processor at that
@@ -78,7 +78,7 @@
 	quiesceDeadline time.Duration // when conn is replaced without that proof
 	dialing         bool
 	redialAt        time.Duration
-	redialWait      time.Duration
+	redialDelay     time.Duration
 	processorAge    time.Duration // stated in its last hello
 
 	// Queries and notices.
@@ -95,7 +95,7 @@
 func (l *processorLink) init(b *Backend) {
 	l.backend = b
 	l.address = b.cfg.Processor
-	l.redialWait = firstRedialWait
+	l.redialDelay = firstRedialDelay
 }
 
 // state returns the state of the link.
@@ -172,8 +172,8 @@
 
 // scheduleRedial delays the next dial, with exponential backoff that is reset by the processor's hello.
 func (l *processorLink) scheduleRedial() {
-	l.redialAt = l.backend.now + l.redialWait
-	l.redialWait = min(2*l.redialWait, maxRedialWait)
+	l.redialAt = l.backend.now + l.redialDelay
+	l.redialDelay = min(2*l.redialDelay, maxRedialDelay)
 }
 
 // quiesce prepares the switch from a ready connection to its replacement, such that no run's outcome becomes unknown.
@@ -214,7 +214,7 @@
 	}
 	l.address = address
 	l.redialAt = l.backend.now
-	l.redialWait = firstRedialWait
+	l.redialDelay = firstRedialDelay
 	if !l.addressReplaced {
 		l.addressReplaced = true
 		l.oldConnDeadline = l.backend.now + oldAddressGrace
--- a/backend/processor_notices.go
+++ b/backend/processor_notices.go
@@ -60,7 +60,7 @@
 func (l *processorLink) onHello(n *processor.Notice) {
 	b := l.backend
 	l.helloReceived = true
-	l.redialWait = firstRedialWait
+	l.redialDelay = firstRedialDelay
 	if b.controller == nil {
 		b.startController(n.WarmingUp, b.now-min(n.Elapsed, b.now))
 	} else if n.Elapsed < l.processorAge { // the same process would be older, however late the notice is read
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -126,8 +126,8 @@
 
 // retryStart resends a start if lifecycle.CheckRetry allows it.
 func (l *processorLink) retryStart(r *request, command lifecycle.Command, reason string) {
-	if verdict := lifecycle.CheckRetry(command); verdict != lifecycle.Allowed {
-		l.backend.recordViolation("retry start", r, verdict)
+	if decision := lifecycle.CheckRetry(command); decision != lifecycle.Allowed {
+		l.backend.recordViolation("retry start", r, decision)
 		return
 	}
 	l.logRetry(r, "begin", reason)
--- a/backend/response.go
+++ b/backend/response.go
@@ -71,8 +71,8 @@
 func (f *frontend) sendFinalResponse(r *request, reason accounting.Reason, resp *response) {
 	clientWaits := r.client != nil
 	answered := clientWaits && r.client.requests[r.slot] != r
-	if verdict := lifecycle.CheckAnswer(answered, clientWaits); verdict != lifecycle.Allowed {
-		f.backend.recordViolation("answer", r, verdict)
+	if decision := lifecycle.CheckAnswer(answered, clientWaits); decision != lifecycle.Allowed {
+		f.backend.recordViolation("answer", r, decision)
 		return
 	}
 	delete(r.client.requests, r.slot)
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -12,10 +12,10 @@
 // newCacheBackend returns a backend that does not serve, for tests of its result cache that set the clock.
 func newCacheBackend(t *testing.T, memoryMB string) *Backend {
 	t.Helper()
-	s := &testbed{t: t, listenAddress: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
-	s.startPeers("")
-	t.Cleanup(func() { s.processor.stop(); s.upstream.stop() })
-	return New(s.config(), nil)
+	bed := &testbed{t: t, listenAddress: "127.0.0.1:0", options: map[string]string{"claim": "dedup", "memory_mb": memoryMB}}
+	bed.startFakes("")
+	t.Cleanup(func() { bed.processor.stop(); bed.upstream.stop() })
+	return New(bed.config(), nil)
 }
 
 // Handlers of the test's settings.
@@ -108,16 +108,16 @@
 	for _, front := range []string{"fastcgi", "ajp"} {
 		t.Run(front, func(t *testing.T) {
 			t.Parallel()
-			s := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, useAJP: front == "ajp"}
-			s.start(map[string]string{})
-			s.awaitQuiet(2)
-			s.step([]string{"processor", "says", "hi warm 500000"})
-			s.awaitQuiet(1)
-			s.step([]string{"edge", "a", "sends", "1", "HTTP_X_TENANT=south", "HTTP_X_TIMEOUT_MS=700"})
-			s.step([]string{"edge", "a", "sends", "2", "HTTP_X_TENANT=east"})
-			s.awaitQuiet(2)
-			s.backend.runOnOwner(func() {
-				known, unknown := s.backend.requests[1], s.backend.requests[2]
+			bed := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, useAJP: front == "ajp"}
+			bed.start(map[string]string{})
+			bed.awaitQuiet(2)
+			bed.step([]string{"processor", "says", "hi warm 500000"})
+			bed.awaitQuiet(1)
+			bed.step([]string{"edge", "a", "sends", "1", "HTTP_X_TENANT=south", "HTTP_X_TIMEOUT_MS=700"})
+			bed.step([]string{"edge", "a", "sends", "2", "HTTP_X_TENANT=east"})
+			bed.awaitQuiet(2)
+			bed.backend.runOnOwner(func() {
+				known, unknown := bed.backend.requests[1], bed.backend.requests[2]
 				if known == nil || known.arrival.Customer != 1 || known.arrival.Remaining <= 0 || known.arrival.Remaining > 700*time.Millisecond {
 					t.Error("request of a configured customer with a timeout:", known)
 				}
--- a/backend/shutdown_crossing_test.go
+++ b/backend/shutdown_crossing_test.go
@@ -114,7 +114,7 @@
 		client := bed.dialClient()
 		client.send(fastcgiRequest(2, nil))
 		release()
-		if got := client.readAnswer(); got != "2"+rejectedLine && got != "end" { // "end" if its bytes arrived after the connection was closed
+		if got := client.readResponse(); got != "2"+rejectedLine && got != "end" { // "end" if its bytes arrived after the connection was closed
 			bed.t.Error(got)
 		}
 		bed.expectExit()
--- a/backend/signal_test.go
+++ b/backend/signal_test.go
@@ -14,7 +14,7 @@
 func TestSignals(t *testing.T) {
 	bed := newTestbed(t)
 	bed.options = map[string]string{"stop_ms": "500"}
-	bed.startPeers("")
+	bed.startFakes("")
 	bed.listenAddress = "127.0.0.1:0"
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("PROXY_CONFIG", path)
@@ -38,7 +38,7 @@
 	_ = os.Remove(path)
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	got = append(got, bed.awaitQuiet(0)...)
-	bed.startPeers("new ")
+	bed.startFakes("new ")
 	write(bed.configText())
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	got = append(got, bed.awaitQuiet(2)...)
--- a/backend/test_client_test.go
+++ b/backend/test_client_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// readAnswer reads a complete response and returns its slot and first line, or "end" if the connection was closed
+// readResponse reads a complete response and returns its slot and first line, or "end" if the connection was closed
 // gracefully.
-func (c *testClient) readAnswer() string {
+func (c *testClient) readResponse() string {
 	text := ""
 	for {
 		head := make([]byte, 8)
@@ -67,7 +67,7 @@
 func (c *testClient) expect(all ...string) {
 	c.t.Helper()
 	for _, want := range all {
-		if got := c.readAnswer(); got != want {
+		if got := c.readResponse(); got != want {
 			c.t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -167,9 +167,9 @@
 	return cfg
 }
 
-// startPeers starts new fakes of the processor, the upstream tier and the control plane. Their party names begin with
+// startFakes starts new fakes of the processor, the upstream tier and the control plane. Their party names begin with
 // prefix.
-func (bed *testbed) startPeers(prefix string) {
+func (bed *testbed) startFakes(prefix string) {
 	bed.processor = newFakeServer(bed, prefix+"processor")
 	bed.upstream = newFakeServer(bed, prefix+"tier")
 	bed.fakeServers = append(bed.fakeServers, bed.processor, bed.upstream)
@@ -241,7 +241,7 @@
 			bed.t.Fatal(err)
 		}
 	}
-	bed.startPeers("")
+	bed.startFakes("")
 	bed.listenAddress = bed.freeAddress()
 	cfg := bed.config()
 	if bed.disk != nil {
--- a/backend/trace_test.go
+++ b/backend/trace_test.go
@@ -98,9 +98,9 @@
 	"figures":   func(bed *testbed, _ []string) { bed.print("figures", "%s", bed.reasons()) },
 	"kept":      (*testbed).printKept,
 	"counters":  (*testbed).printCounters,
-	"processor": func(bed *testbed, words []string) { bed.peerStep(bed.processor, words) },
-	"tier":      func(bed *testbed, words []string) { bed.peerStep(bed.upstream, words) },
-	"old":       (*testbed).movedPeerStep,
+	"processor": func(bed *testbed, words []string) { bed.fakeStep(bed.processor, words) },
+	"tier":      func(bed *testbed, words []string) { bed.fakeStep(bed.upstream, words) },
+	"old":       (*testbed).replacedFakeStep,
 	"edge":      (*testbed).clientStep,
 }
 
@@ -156,7 +156,7 @@
 
 // moveStep starts new fakes and reloads the configuration with their addresses.
 func (bed *testbed) moveStep([]string) {
-	bed.startPeers("new ")
+	bed.startFakes("new ")
 	bed.backend.Reload(bed.config())
 }
 
@@ -269,40 +269,40 @@
 	return fmt.Sprintf("reasons %v", reasons)
 }
 
-// movedPeerStep plays a step of a fake that moveStep has replaced.
-func (bed *testbed) movedPeerStep(words []string) {
-	peer := map[string]*fakeServer{"processor": bed.fakeServers[0], "tier": bed.fakeServers[1]}[words[0]]
-	bed.peerStep(peer, words[1:])
+// replacedFakeStep plays a step of a fake that moveStep has replaced.
+func (bed *testbed) replacedFakeStep(words []string) {
+	server := map[string]*fakeServer{"processor": bed.fakeServers[0], "tier": bed.fakeServers[1]}[words[0]]
+	bed.fakeStep(server, words[1:])
 }
 
-// peerStep plays a step of the fake of the processor or the upstream tier.
-func (bed *testbed) peerStep(peer *fakeServer, words []string) {
+// fakeStep plays a step of the fake of the processor or the upstream tier.
+func (bed *testbed) fakeStep(server *fakeServer, words []string) {
 	verb, rest := words[0], words[1:]
 	switch verb {
 	case "says":
-		peer.write(bed.unescape(rest) + "\r\n")
+		server.write(bed.unescape(rest) + "\r\n")
 	case "notes": // a numbered notice: its first word, its arguments, and a body
 		bed.noticeCount++
 		last := len(rest) - 1
 		body := bed.unescape(rest[last:])
-		peer.write(fmt.Sprintf("%s %d %s %d\r\n%s\r\n", rest[0], bed.noticeCount, strings.Join(rest[1:last], " "), len(body), body))
+		server.write(fmt.Sprintf("%s %d %s %d\r\n%s\r\n", rest[0], bed.noticeCount, strings.Join(rest[1:last], " "), len(body), body))
 	case "replies":
 		body := bed.unescape(rest[1:])
-		peer.write(fmt.Sprintf("%s ok %d\r\n%s\r\n", rest[0], len(body), body))
+		server.write(fmt.Sprintf("%s ok %d\r\n%s\r\n", rest[0], len(body), body))
 	case "misses": // the processor rejects this id from now on
 		bed.mu.Lock()
 		bed.knownIDs[rest[0]] = false
 		bed.mu.Unlock()
 	case "runs":
-		peer.setMode(&peer.completesAll, rest)
+		server.setMode(&server.completesAll, rest)
 	case "forgets":
-		peer.setMode(&peer.resetsReused, rest)
+		server.setMode(&server.resetsReused, rest)
 	case "mute":
-		peer.setMode(&peer.ignoresGaugeRequests, rest)
+		server.setMode(&server.ignoresGaugeRequests, rest)
 	case "breaks":
-		peer.close()
+		server.close()
 	case "shuts":
-		peer.stop()
+		server.stop()
 	}
 }
 
--- a/backend/upstream.go
+++ b/backend/upstream.go
@@ -24,7 +24,7 @@
 	// connectionLimit returns the number of connections that the upstream may hold.
 	connectionLimit() int
 	// invoke makes the call of r with the given timeout.
-	invoke(r *request, after time.Duration)
+	invoke(r *request, timeout time.Duration)
 	// cancel aborts the call of r, if there is one, and does not report its end.
 	cancel(r *request)
 	// reconfigure directs new calls to the addresses of another configuration. Calls in flight may finish on their
