--- a/backend/accounting.go
+++ b/backend/accounting.go
@@ -27,7 +27,7 @@
 // exactly once.
 type requestAccounting struct {
 	ledger         *accounting.Ledger  // nil until Serve
-	ledgerRows     []uint16            // row in the ledger of each handler
+	ledgerRows     []uint16            // row of each handler in the ledger
 	recorder       *statsfile.Recorder // nil without a statistics file
 	nextComparison time.Duration       // when the ledger is next compared with the requests of the backend
 }
@@ -82,12 +82,13 @@
 	return retryAfter
 }
 
+// recordFlush appends the mark that stands before or after a flush to the statistics file.
 func (b *Backend) recordFlush(before bool) {
 	b.ledger.SetFlushing(b.wallTime, before)
 	b.recorder.Append(b.ledger, b.wallTime)
 }
 
-// closeAccounts closes the accounts when the process exits regularly.
+// closeAccounts closes the accounts at the end of the last turn.
 func (b *Backend) closeAccounts() {
 	b.ledger.EndIncarnation(accounting.OpenAtExit, accounting.Exited)
 	if b.recorder != nil {
--- a/backend/audit.go
+++ b/backend/audit.go
@@ -55,6 +55,7 @@
 	invariant.Check(float64(b.results.usedBytes) <= b.memoryShare(resultCacheShare), "the result cache stays within its memory limit")
 }
 
+// checkRequests checks the requests, the slots that they hold and the calls of their runs.
 func (b *Backend) checkRequests() {
 	waiting, calls := 0, 0
 	for _, r := range b.requests {
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -71,7 +71,7 @@
 	replayable    bool          // a request may safely run more than once
 	deduplicated  bool          // its requests carry a key that identifies repeats; each key runs once
 	repeatWindow  time.Duration // how long after the original a repeat is recognized
-	clientTimeout time.Duration // how long its clients wait for an answer
+	clientTimeout time.Duration // how long its clients wait for a response
 	weight        float64       // its value relative to other handlers
 }
 
@@ -128,6 +128,7 @@
 	}
 }
 
+// newHandler returns the configuration of a handler with the given settings of the overload controller.
 func newHandler(settings *overload.Handler) handler {
 	return handler{
 		name:          settings.Name,
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -23,10 +23,11 @@
 	// MajorityAfter is how long after a start to wait for the recorded states of all recovery peers. After that, those
 	// of a majority suffice. 0 means the default.
 	MajorityAfter time.Duration
-	// DegradeAfter is how long to wait for a majority of the recovery peers. 0 means the default.
+	// DegradeAfter is how long to wait for a majority of the recovery peers. After that, this node's store counts as
+	// outdated. 0 means the default.
 	DegradeAfter time.Duration
-	// ReplayableHandlers maps the handlers whose requests may run twice and are taken over too to the key parts of
-	// their requests.
+	// ReplayableHandlers names the handlers whose requests may run twice and that are taken over nevertheless. It maps
+	// each of them to the key parts of its requests.
 	ReplayableHandlers map[string][]KeyPart
 }
 
@@ -35,7 +36,7 @@
 	failover.Member
 	Address string `json:"address"`
 	// Processor is the address at which other nodes query the node's processor for the outcomes of its runs once the
-	// node seems lost. If it is empty, they do not.
+	// node seems lost. If it is empty, they make no such query.
 	Processor string `json:"processor,omitempty"`
 }
 
@@ -50,8 +51,8 @@
 	replayableResultShare = 0.02
 )
 
-// cluster connects the backend with the failure detector, the failover node and the recovery node: it transports their
-// messages and carries out their decisions.
+// cluster connects the backend with the failure detector (a membership.Detector), the failover node (a failover.Node)
+// and the recovery node (a recovery.Node): it transports their messages and carries out their decisions.
 //
 // A node joins its cluster in three steps: init, then startRecovery once the store is loaded, then start once the
 // recovery has established whether the store is complete. Until then the node admits no guarded request.
@@ -179,6 +180,7 @@
 	return progress
 }
 
+// runDetector queues the messages of the failure detector and handles the changes of member states.
 func (c *cluster) runDetector() {
 	messages, changes := c.detector.Ready()
 	for _, message := range messages {
@@ -193,6 +195,8 @@
 	}
 }
 
+// runFailover queues the messages of the failover node and carries out its decisions, until it has no more of either.
+// It reports whether there was a decision.
 func (c *cluster) runFailover() (progress bool) {
 	for {
 		messages, decisions := c.node.Ready()
--- a/backend/cluster_link.go
+++ b/backend/cluster_link.go
@@ -104,6 +104,7 @@
 	link.batch = peerproto.Batch{}
 }
 
+// dialed starts using the connection to a peer that was dialed. If err is set, a later flush dials again.
 func (c *cluster) dialed(link *peerLink, address string, opened *conn.Conn, err error) {
 	link.dialing = false
 	link.redialAt = c.backend.now + peerRedialInterval
--- a/backend/cluster_processor_query.go
+++ b/backend/cluster_processor_query.go
@@ -20,7 +20,7 @@
 }
 
 // queryProcessor queries the processor of a lost node for the outcomes of the runs that the node had started. The
-// processor sends its notices after the one with the given number.
+// processor sends the notices that it numbered higher than wanted.Notice.
 func (c *cluster) queryProcessor(wanted failover.ProcessorQuery) {
 	b := c.backend
 	link := c.links[wanted.Node]
--- a/backend/cluster_requests.go
+++ b/backend/cluster_requests.go
@@ -14,7 +14,8 @@
 // defaultSizeKB is the assumed size in kilobytes of a taken-over request whose size is not known.
 const defaultSizeKB = 24.0
 
-// claim claims the key of a guarded request in its group, before the request is submitted to the overload controller.
+// claim claims the key of a guarded request in its group, the nodes that record the state of that key, before the
+// request is submitted to the overload controller.
 func (c *cluster) claim(r *request) {
 	r.unverify()
 	handler := &c.backend.handlers[r.handler]
@@ -50,6 +51,7 @@
 	c.backend.submitArrival(r)
 }
 
+// endClaim ends the wait for the decision on a claim, and adds its duration to the queue delay of the request.
 func (c *cluster) endClaim(r *request) {
 	r.hold()
 	r.arrival.QueueDelay += c.backend.now - r.guard.claimedAt
--- a/backend/config.go
+++ b/backend/config.go
@@ -43,7 +43,7 @@
 
 	Accounting  AccountingConfig
 	AJP         AJPConfig
-	AJPUpstream AJPUpstreamConfig // if it has peers, calls go to these instead of to Upstream
+	AJPUpstream AJPUpstreamConfig // if its Balancer has peers, calls go to these servers instead of to Upstream
 	Idempotency IdempotencyConfig
 	Cluster     ClusterConfig // requires Idempotency
 }
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// usesAJPUpstream reports whether calls go to AJP peers instead of the upstream proxy.
+// usesAJPUpstream reports whether calls go to the servers of AJPUpstream instead of to the upstream proxy.
 func (c *Config) usesAJPUpstream() bool { return len(c.AJPUpstream.Balancer.Peers) > 0 }
 
 // Apply sets the limits of the Go runtime: the number of threads that run Go code at the same time, and the soft memory
--- a/backend/controller.go
+++ b/backend/controller.go
@@ -211,7 +211,7 @@
 	case r.failedOver && r.state < stateAwaitingIntent:
 		b.cluster.recordFailoverResponse(r, accounting.Cancelled)
 		b.releaseUnstarted(r)
-	case r.state >= stateAwaitingCall: // no client waits for the answer, but the run waits for a call
+	case r.state >= stateAwaitingCall: // no client waits for the response, but the run waits for a call
 		b.cancelRun(r)
 	}
 }
--- a/backend/eviction.go
+++ b/backend/eviction.go
@@ -20,6 +20,7 @@
 	f.evict()
 }
 
+// sweepConnection applies the timeouts to one connection.
 func (f *frontend) sweepConnection(client *clientConn, idleTimeout time.Duration) {
 	b := f.backend
 	idleTime := b.now - client.lastUsed
@@ -83,8 +84,8 @@
 	}
 }
 
-// closeAllRejectingPartials closes all connections like closeAllWhenIdle, but without waiting for the rest of partially
-// read input: it rejects partially read requests and discards partial messages.
+// closeAllRejectingPartials closes all connections like closeAllWhenIdle, but without waiting for the rest of a message:
+// it rejects incomplete requests and discards partial messages.
 func (f *frontend) closeAllRejectingPartials() {
 	for client := range f.clients {
 		f.rejectPartials(client)
@@ -95,7 +96,7 @@
 	}
 }
 
-// rejectPartials rejects all partially read requests of a connection.
+// rejectPartials rejects all incomplete requests of a connection.
 func (f *frontend) rejectPartials(client *clientConn) {
 	for {
 		partial, found := client.protocol.overdue(f.backend.now)
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -69,7 +69,7 @@
 	idempotencyKey string // value of the Idempotency-Key header, for the result cache
 	problem        string // describes an invalid field; empty if all are valid
 
-	// Both are read only if the idempotency guard is enabled.
+	// The key of a guarded request is computed from these two, among others.
 	customerID []byte // full name of the customer
 	guardKey   []byte // idempotency key of a guarded request
 
@@ -131,7 +131,7 @@
 
 const notANumber = "a numeric field is malformed or out of range"
 
-// number parses a number from 0 to limit.
+// parseNumber parses a number from 0 to limit. If value is not one, parseNumber records that in p.problem.
 func (p *parsedRequest) parseNumber(value []byte, limit float64) float64 {
 	n, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(n >= 0 && n <= limit) {
@@ -140,6 +140,7 @@
 	return n
 }
 
+// parseMilliseconds parses a duration of up to maxDurationMillis milliseconds like parseNumber.
 func (p *parsedRequest) parseMilliseconds(value []byte) time.Duration {
 	return time.Duration(p.parseNumber(value, maxDurationMillis) * float64(time.Millisecond))
 }
@@ -156,6 +157,7 @@
 	}
 }
 
+// setCustomer sets the customer that the request is accounted to, and the customer's full name if a key may need it.
 func (p *parsedRequest) setCustomer(value []byte) {
 	p.customer = accounting.NewCustomerName(value)
 	if p.backend.guard.enabled() {
--- a/backend/request_intake.go
+++ b/backend/request_intake.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// rejectPartial rejects a partly read request during shutdown. It will not run.
+// rejectPartial rejects an incomplete request during shutdown. The request will not run.
 func (f *frontend) rejectPartial(partial exchange) {
 	ticket := f.openAccountWithoutID(partial.client)
 	f.writeResponse(partial, f.rejectionResponse())
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -61,7 +61,7 @@
 // hold makes the transition to held; the caller then submits the request to the controller.
 func (r *request) hold() { r.state = stateHeld }
 
-// run makes the transition to running, from held or from awaiting intent.
+// run makes the transition to running, from held, awaiting intent or awaiting call.
 func (r *request) run() { r.state = stateRunning }
 
 // unverify makes the transition to unverified, from held; the caller then claims the request's key in the cluster.
