--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -39,16 +39,16 @@
 
 // IdempotencyStats holds the state of the idempotency store and counts of its decisions.
 type IdempotencyStats struct {
-	Loading        bool              `json:"reading"`
-	StoreFailed    bool              `json:"broken"` // no new request can be guarded until a restart
+	Loading        bool              `json:"reading"` // the store is being loaded
+	StoreFailed    bool              `json:"broken"`  // no new request can be guarded until a restart
 	Store          idempotency.Stats `json:"store"`
 	Log            wal.LogStats      `json:"log"`
-	Replayed       int64             `json:"repeated"`
+	Replayed       int64             `json:"repeated"` // requests that ended with the decision of this name, as in the next three fields
 	OutcomeUnknown int64             `json:"in_doubt"`
 	Expired        int64             `json:"aged"`
 	HistoryLost    int64             `json:"blind"`
-	Rejected       int64             `json:"refused"`
-	LoadingMS      int64             `json:"reading_ms"`
+	Rejected       int64             `json:"refused"`    // requests that ended with another decision, except idempotency.OriginalFailed
+	LoadingMS      int64             `json:"reading_ms"` // how long it took to load the store
 }
 
 // init determines which handlers are guarded, and returns the settings of all handlers with the guarded ones marked as
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -16,8 +16,8 @@
 	maxRedialDelay = 500 * time.Millisecond
 	// quiesceTimeout limits the wait for the last answer on a connection that is to be replaced.
 	quiesceTimeout = 50 * time.Millisecond
-	// oldAddressGrace is how long runs in flight may continue at an address that was replaced. The processor at that
-	// address closes its connections after 1.5 s.
+	// oldAddressGrace is how long runs and calls in flight may continue at an address that was replaced. The processor at
+	// that address closes its connections after 1.5 s.
 	oldAddressGrace = 1400 * time.Millisecond
 	// linkMemoryShare is the part of the memory limit for buffered commands, and again for buffered notices.
 	linkMemoryShare = 0.25
@@ -116,6 +116,7 @@
 // ready reports whether commands may be sent. The resynchronization sends those that could not be sent before.
 func (l *processorLink) ready() bool { return l.state() == linkReady }
 
+// onTimer carries out what is due on the link: the end of waits for the processor, and dials.
 func (l *processorLink) onTimer() {
 	b := l.backend
 	if l.addressReplaced && l.conn != nil {
@@ -152,6 +153,7 @@
 	b.loop.Dial(address, func(c *conn.Conn, err error) { l.dialed(address, c, err) })
 }
 
+// dialed starts using the connection that was dialed, or schedules another dial if err is set.
 func (l *processorLink) dialed(address string, c *conn.Conn, err error) {
 	l.dialing = false
 	switch {
@@ -224,6 +226,7 @@
 	}
 }
 
+// useConn makes a new connection the one of the link, and sends the hello on it.
 func (l *processorLink) useConn(c *conn.Conn) {
 	b := l.backend
 	l.conn = c
@@ -236,6 +239,8 @@
 	c.Write(processor.AppendHello(nil, l.lastNotice))
 }
 
+// onClosed handles the loss of a connection. The link continues with the replacement if there is one, and redials
+// otherwise.
 func (l *processorLink) onClosed(c *conn.Conn, err error) {
 	if l.conn != c {
 		return // already replaced
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// resyncRun retries the last command about one run if the command may have been lost. See resync.
 func (l *processorLink) resyncRun(r *request, ackedTag uint64) {
 	b := l.backend
 	maybeLost := r.tagBeforeCommand >= ackedTag
--- a/backend/recovery.go
+++ b/backend/recovery.go
@@ -105,6 +105,7 @@
 	}
 }
 
+// markHistoryLost marks the store as outdated: it lacks entries that peers have recorded.
 func (c *cluster) markHistoryLost() {
 	b := c.backend
 	c.store.MarkOutdated(b.guard.now())
@@ -112,6 +113,8 @@
 		"consequence", "keys that it lacks are not treated as new until the retry horizon has passed")
 }
 
+// raiseIncarnation raises this node's incarnation to at least the one that a peer has recorded. If the store rejects
+// that, no new request can be guarded until a restart.
 func (c *cluster) raiseIncarnation(recorded uint64) {
 	b := c.backend
 	if !c.store.RaiseIncarnation(recorded) {
--- a/backend/refill.go
+++ b/backend/refill.go
@@ -38,7 +38,7 @@
 	}
 	c.refill.history = refill
 	c.store.SetRefillCheck(func(key idempotency.Key) bool { return refill.Covers(c.node.GroupPeers(key)) })
-	c.finishRefill() // done at once if an operator has declared all other nodes forgotten
+	c.finishRefill() // done at once if an operator has confirmed that no other node returns
 }
 
 // others returns the names of all other nodes of the roster.
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -32,11 +32,11 @@
 	memoryField
 	rankField
 	objectField
-	customerField // customer that the request is accounted to
-	guardKeyField // idempotency key of a guarded request
-	createdField  // time of the first attempt
-	idempotencyKeyField
-	tenantField // customer whose quota the request counts against
+	customerField       // customer that the request is accounted to
+	guardKeyField       // header IdempotencyConfig.KeyField, which can be a part of the key of a guarded request
+	createdField        // time of the first attempt
+	idempotencyKeyField // key under which the result cache recognizes repeats of a request that must run only once
+	tenantField         // customer whose quota the request counts against
 	timeoutField
 )
 
@@ -71,7 +71,7 @@
 
 	// The key of a guarded request is computed from these two, among others.
 	customerID []byte // full name of the customer
-	guardKey   []byte // idempotency key of a guarded request
+	guardKey   []byte // value of the header IdempotencyConfig.KeyField
 
 	createdAt float64 // time of the first attempt in Unix milliseconds; 0 if not stated
 }
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -153,6 +153,7 @@
 	return true
 }
 
+// hasRoom reports whether the cache stays within its share of the memory limit with the given number of bytes more.
 func (c *resultCache) hasRoom(bytes int) bool {
 	return float64(c.usedBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
 }
@@ -173,6 +174,7 @@
 	return entryOverheadBytes + len(e.key.customer) + len(e.key.name)
 }
 
+// drop removes an entry; a nil entry is ignored.
 func (c *resultCache) drop(entry *cacheEntry) {
 	if entry == nil {
 		return
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -80,6 +80,7 @@
 	return roster, nil
 }
 
+// writeRosterFile writes a roster to the store's directory, and returns once it is durable.
 func writeRosterFile(dir string, roster clusterRoster) error {
 	text, err := json.MarshalIndent(roster, "", " ")
 	if err != nil {
--- a/backend/shutdown.go
+++ b/backend/shutdown.go
@@ -20,7 +20,8 @@
 	retryAfter   time.Duration // retry-after time of requests that are rejected during shutdown; 0 for none
 }
 
-// startDrain starts the shutdown when its notice arrives. A second notice has no effect.
+// startDrain starts the shutdown when its notice arrives: the end of the context of Serve. A second notice has no
+// effect.
 func (b *Backend) startDrain() {
 	if !b.process.BeginDrain(b.heartbeat.Earliest(), b.drain.grace, b.cfg.StopTimeout) {
 		return
--- a/backend/upstream_ajp.go
+++ b/backend/upstream_ajp.go
@@ -167,6 +167,7 @@
 	}
 }
 
+// forbidsRetry reports whether a reply has the header dontRetryHeader with the value 1.
 func forbidsRetry(reply *ajp.Reply) (forbidden bool) {
 	reply.Headers.Each(func(name, value []byte) {
 		if bytes.EqualFold(name, dontRetryHeader) && string(value) == "1" {
@@ -196,6 +197,7 @@
 	u.assignTarget(call)
 }
 
+// endCall removes a call and reports its end to the overload controller.
 func (u *ajpUpstream) endCall(call *upstreamCall, outcome overload.Outcome) {
 	invariant.Check(call.target == nil, "a call has released its target before it ends")
 	u.remove(call)
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -28,7 +28,7 @@
 	idle []*ajpConn
 }
 
-// ajpConn is one connection to a target.
+// ajpConn is one connection to a target, a server of the upstream tier.
 type ajpConn struct {
 	conn          *conn.Conn // nil once this side has closed it
 	parser        *ajp.Client
@@ -40,6 +40,7 @@
 	queuedBefore  int // bytes queued before the call
 }
 
+// pool returns the pool of a target, and creates it if there is none.
 func (u *ajpUpstream) pool(target *loadbalance.Target) *connPool {
 	pool := u.pools[target]
 	if pool == nil {
@@ -84,6 +85,8 @@
 	u.backend.loop.Dial(target.Address, func(c *conn.Conn, err error) { u.dialed(target, call, c, err) })
 }
 
+// dialed assigns a connection that was dialed to its call, or to the pool if the call no longer waits for it. If the dial
+// failed, the call is retried at another target.
 func (u *ajpUpstream) dialed(target *loadbalance.Target, call *upstreamCall, c *conn.Conn, err error) {
 	b := u.backend
 	stillWaiting := call.request.call == call && call.target == target && call.ajpConn == nil
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// dialed starts using the connection that was dialed, or handles the failure of the dial.
 func (u *proxyUpstream) dialed(address string, c *conn.Conn, err error) {
 	u.dialing--
 	if address != u.address { // the address was replaced during the dial
@@ -178,6 +179,7 @@
 	u.idle = append(u.idle, connection)
 }
 
+// send writes a call to a connection.
 func (u *proxyUpstream) send(connection *proxyConn, call *upstreamCall) {
 	b := u.backend
 	r := call.request
@@ -193,6 +195,7 @@
 	connection.conn.Write(b.scratch)
 }
 
+// onReply ends the call that a reply belongs to, and passes the body of a successful one to the run.
 func (u *proxyUpstream) onReply(connection *proxyConn, reply upstreamproto.Reply) {
 	call := connection.calls[reply.ID]
 	if call == nil {
@@ -230,6 +233,7 @@
 	u.dialMore()
 }
 
+// removeConn removes a connection from the connections that carry calls. It does not close the connection.
 func (u *proxyUpstream) removeConn(connection *proxyConn) {
 	connection.retired = true
 	delete(u.conns, connection)
@@ -258,6 +262,7 @@
 	u.remove(call)
 }
 
+// endCall removes a call and reports its end to the overload controller.
 func (u *proxyUpstream) endCall(call *upstreamCall, outcome overload.Outcome) {
 	u.detach(call)
 	u.backend.reportCallEnd(call, outcome)
