--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -41,7 +41,7 @@
 	return strings.Contains(b.text.String(), text)
 }
 
-// emptyPeer is a stand-in for node n1. It has recorded no state of other nodes, and answers queries accordingly.
+// emptyPeer is a fake of node n1. It has recorded no state of other nodes, and answers queries accordingly.
 type emptyPeer struct {
 	listener        net.Listener
 	queryingAddress string // address of the node whose queries it answers
--- a/backend/crossing_test.go
+++ b/backend/crossing_test.go
@@ -86,7 +86,7 @@
 	bed.runInTurn(func() {
 		r := bed.backend.requests[1]
 		connection := r.client
-		bed.backend.runEnded(r, overload.OK, accounting.Completed, 0, []byte("done")) // the response is written here and sent at the end of the turn
+		bed.backend.runEnded(r, overload.OK, accounting.Completed, 0, []byte("done")) // writes the response, which the end of the turn would send
 		connection.conn.Abort(syscall.ECONNRESET)
 	})
 	bed.await(func() bool {
@@ -102,7 +102,7 @@
 	address := bed.control.LocalAddr().String()
 	_ = bed.control.Close()
 	sent := bed.backend.Counters().Reports
-	bed.await(func() bool { return bed.backend.stats.Reports >= sent+2 }) // at least one of them got the refusal that an earlier one caused
+	bed.await(func() bool { return bed.backend.stats.Reports >= sent+2 }) // at least one of them got the ICMP error that an earlier one caused
 	client := bed.dialClient()
 	bed.serveRequest(client, 1)
 	restored, err := net.ListenPacket("udp", address)
--- a/backend/fake_server_test.go
+++ b/backend/fake_server_test.go
@@ -11,7 +11,7 @@
 	"sync"
 )
 
-// fakeServer is a stand-in for the processor or for the upstream tier. It listens for connections of the backend.
+// fakeServer is a fake of the processor or of the upstream tier. It listens for connections of the backend.
 type fakeServer struct {
 	bed      *testbed
 	name     string
@@ -32,6 +32,7 @@
 	return p
 }
 
+// open listens on an address and reads from each connection that it accepts.
 func (p *fakeServer) open(address string) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -99,6 +100,7 @@
 	return p.resetsReused && commands > 0
 }
 
+// sendGauges replies to a gauge request, unless the fake ignores these.
 func (p *fakeServer) sendGauges(conn net.Conn, tag string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,11 +137,12 @@
 		if rejected {
 			_, _ = fmt.Fprintf(conn, "reject interrupt %s\r\n", words[1])
 		}
-		return rejected || !begun // no reply means that the processor has the request
+		return rejected || !begun // no reply means that the processor recognizes the request
 	}
 	return false
 }
 
+// quoteBody returns a quoted body; of a long one only the first bytes and the length.
 func quoteBody(body string) string {
 	if len(body) > 80 {
 		return fmt.Sprintf("%q... of %d bytes", body[:8], len(body))
--- a/backend/fastcgi_forms_test.go
+++ b/backend/fastcgi_forms_test.go
@@ -23,6 +23,7 @@
 // beginResponder is the content of a begin record with the responder role and the keep-connection flag.
 const beginResponder = "\x00\x01\x01\x00\x00\x00\x00\x00"
 
+// beginText returns the record that begins a request.
 func beginText(slot uint16) string { return fake.FastCGIRecord(beginRecord, slot, beginResponder) }
 
 // paramsText returns the parameter records of a request, with at most size bytes of content each.
@@ -35,6 +36,7 @@
 	return out.String()
 }
 
+// stdinText returns the records of a request's body.
 func stdinText(slot uint16, body string) string {
 	return fake.FastCGIRecord(stdinRecord, slot, body) + fake.FastCGIRecord(stdinRecord, slot, "")
 }
@@ -53,7 +55,7 @@
 	name    string
 	input   string
 	slots   []uint16 // slots of its requests, in the order of their completion
-	records int      // number of records in the answer that are no responses
+	records int      // number of records that the backend sends back and that are no part of a response
 }
 
 func fastcgiForms() []fastcgiForm {
--- a/backend/result_cache_test.go
+++ b/backend/result_cache_test.go
@@ -20,7 +20,7 @@
 
 // Handlers of the test's settings.
 const (
-	readHandler  = 0 // reads, whose results are shared for 0.8 s
+	readHandler  = 0 // requests that only read, whose results are shared for 0.8 s
 	claimHandler = 1 // requests that run only once, with a repeat window of 60 s
 )
 
--- a/backend/test_client_test.go
+++ b/backend/test_client_test.go
@@ -19,6 +19,7 @@
 	reader *bufio.Reader
 }
 
+// dialClient opens a connection whose reads and writes fail after eventTimeout.
 func (bed *testbed) dialClient() *testClient {
 	bed.t.Helper()
 	c, err := net.Dial("tcp", bed.listenAddress)
@@ -64,6 +65,7 @@
 	}
 }
 
+// expect reads as many responses as there are arguments, and compares each with what readResponse must return for it.
 func (c *testClient) expect(all ...string) {
 	c.t.Helper()
 	for _, want := range all {
--- a/backend/testbed_await_test.go
+++ b/backend/testbed_await_test.go
@@ -71,6 +71,7 @@
 	}
 }
 
+// eventually calls f until it returns true or eventTimeout has passed, and reports whether it returned true.
 func (bed *testbed) eventually(f func() bool) bool {
 	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if f() {
@@ -111,7 +112,7 @@
 	bed.expect(fmt.Sprintf("processor: begin %016x status \"\"", slot))
 }
 
-// serveRequest runs a request to its answer, which verifies the client's connection.
+// serveRequest sends a request, completes its run and reads the response. The connection is verified from then on.
 func (bed *testbed) serveRequest(client *testClient, slot uint16) {
 	bed.t.Helper()
 	bed.startRun(client, slot)
@@ -124,6 +125,7 @@
 	bed.step([]string{"processor", "notes", "complete", fmt.Sprintf("%016x", slot), "ok", "5", "done"})
 }
 
+// expectExit waits until Serve has returned without an error.
 func (bed *testbed) expectExit() {
 	bed.t.Helper()
 	bed.expect("backend: ended: <nil>")
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -24,7 +24,8 @@
 	stepTimeout = 5 * time.Second       // for the output expected after a step; long, since test machines stall at times
 )
 
-// testbed runs a backend with fakes of all processes that it communicates with. Each fake prints what it receives.
+// testbed runs a backend with fakes of all processes that it communicates with. Each party (a fake, a client or the
+// backend itself) prints the texts that it receives, to be compared with a trace or awaited by a test.
 type testbed struct {
 	t         *testing.T
 	mu        sync.Mutex
@@ -58,6 +59,7 @@
 	return &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}}
 }
 
+// print records a text that a party prints.
 func (bed *testbed) print(party, format string, args ...any) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -107,6 +109,8 @@
 	}
 }
 
+// takeIfQuiet returns the printed lines, sorted by party, if none was printed for the given period and the expected number
+// was printed or stepTimeout has passed since start.
 func (bed *testbed) takeIfQuiet(expected int, start time.Time, period time.Duration) (lines []string, quiet bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
