--- a/backend/backend.go
+++ b/backend/backend.go
@@ -164,6 +164,7 @@
 // process. Reload returns without waiting for the change; it may be called from any goroutine.
 func (b *Backend) Reload(cfg Config) { b.loop.Post(func() { b.reload(cfg) }) }
 
+// reload carries out Reload on the owner goroutine.
 func (b *Backend) reload(cfg Config) {
 	b.stats.Reloads++
 	if cfg.ControlPlane != b.cfg.ControlPlane {
--- a/backend/cluster.go
+++ b/backend/cluster.go
@@ -81,6 +81,7 @@
 	change      rosterChange
 }
 
+// enabled reports whether the node belongs to a cluster.
 func (c *cluster) enabled() bool { return c.backend != nil }
 
 // init prepares a node of a cluster. It does nothing if no cluster is configured.
--- a/backend/cluster_operator.go
+++ b/backend/cluster_operator.go
@@ -23,6 +23,7 @@
 	return err
 }
 
+// trustDisk carries out Trust on the owner goroutine.
 func (c *cluster) trustDisk() error {
 	b := c.backend
 	switch {
@@ -50,6 +51,7 @@
 	return err
 }
 
+// forgetNode carries out Forget on the owner goroutine.
 func (c *cluster) forgetNode(name string) error {
 	b := c.backend
 	switch {
--- a/backend/cluster_stats.go
+++ b/backend/cluster_stats.go
@@ -49,6 +49,7 @@
 	return out
 }
 
+// stats returns the state of the cluster. Until the failover node has started, it is the state of the recovery only.
 func (c *cluster) stats() *ClusterStats {
 	out := &ClusterStats{
 		Name:         c.backend.cfg.Cluster.Name,
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// answer handles a batch of messages. It answers a query for recorded state on a connection of its own, as peers do.
 func (p *emptyPeer) answer(batch *peerproto.Batch) error {
 	if batch.Hello == nil || !batch.Hello.QueryState {
 		return nil
--- a/backend/counters.go
+++ b/backend/counters.go
@@ -25,7 +25,7 @@
 	// Requests.
 	Checks      int64 // health checks
 	BadRequests int64 // rejected as malformed
-	Unanswered  int64 // whose client disconnected before it was answered
+	Unanswered  int64 // whose client disconnected before it got the whole response
 	Pending     int64 // now: not answered yet
 	FailedOver  int64 // taken over from other nodes of the cluster
 	HandedOff   int64 // handed off to other nodes of the cluster
--- a/backend/frontend.go
+++ b/backend/frontend.go
@@ -31,7 +31,7 @@
 
 	maxIdle            = 3 * time.Second        // between requests; some clients never close an idle connection
 	bufferReleaseDelay = 300 * time.Millisecond // idle time after which a connection releases its buffers
-	deepCheckTimeout   = time.Second            // for the processor's answer; clients wait no longer than this for a health check
+	deepCheckTimeout   = time.Second            // for the processor's answer to a deep check; clients wait no longer than this
 )
 
 // Limits on malformed requests of a connection since the last successful one.
--- a/backend/frontend_ajp.go
+++ b/backend/frontend_ajp.go
@@ -17,6 +17,7 @@
 	MaxPacket int    // maximum size of a packet in bytes, including its header; 0 for ajp.DefaultPacketSize
 }
 
+// packet returns the maximum size of a packet, which is the default if none is configured.
 func (c AJPConfig) packet() int {
 	if c.MaxPacket == 0 {
 		return ajp.DefaultPacketSize
--- a/backend/health_check.go
+++ b/backend/health_check.go
@@ -53,11 +53,13 @@
 	}
 }
 
+// respondToDeepCheck answers a deep check and removes it from the pending ones.
 func (f *frontend) respondToDeepCheck(client *clientConn, slot uint16, check deepCheck, healthy bool) {
 	delete(client.deepChecks, slot)
 	f.respondToCheck(exchange{client: client, slot: slot, keepOpen: check.keepOpen}, healthy)
 }
 
+// respondToCheck answers a health check.
 func (f *frontend) respondToCheck(to exchange, healthy bool) {
 	status := 503
 	if healthy {
--- a/backend/idempotency.go
+++ b/backend/idempotency.go
@@ -75,6 +75,7 @@
 	return handlers
 }
 
+// enabled reports whether the backend has an idempotency store, loaded or not.
 func (g *idempotencyGuard) enabled() bool { return g.keyParts != nil }
 
 // now returns the time that the store uses, as the time since 1970.
--- a/backend/idempotency_config.go
+++ b/backend/idempotency_config.go
@@ -105,6 +105,7 @@
 	}
 }
 
+// setDefault sets a setting that is zero to the given value.
 func setDefault(setting *int, value float64) {
 	if *setting == 0 {
 		*setting = int(value)
--- a/backend/idempotency_outcome.go
+++ b/backend/idempotency_outcome.go
@@ -8,6 +8,7 @@
 	"frosthub/overload"
 )
 
+// applyOutcomes carries out each of the given decisions of the store.
 func (g *idempotencyGuard) applyOutcomes(outcomes []idempotency.Outcome) {
 	for _, outcome := range outcomes {
 		g.applyOutcome(outcome)
--- a/backend/idempotency_store.go
+++ b/backend/idempotency_store.go
@@ -249,6 +249,7 @@
 	}
 }
 
+// sweep removes expired entries from the store.
 func (g *idempotencyGuard) sweep() {
 	if g.store != nil {
 		g.store.Sweep(g.now())
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -87,6 +87,7 @@
 	}
 }
 
+// endProbe ends the probe of a run, whatever its result.
 func (l *processorLink) endProbe(r *request) {
 	l.probeCount--
 	r.probeTag = 0
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -76,6 +76,7 @@
 	createdAt float64 // time of the first attempt in Unix milliseconds; 0 if not stated
 }
 
+// newParsedRequest returns a request with the given body whose fields are not parsed yet.
 func (f *frontend) newParsedRequest(from exchange, body []byte) *parsedRequest {
 	return &parsedRequest{
 		backend: f.backend,
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -19,7 +19,7 @@
 //	calling           awaiting call     the call has ended
 //	awaiting call     running           the call succeeded, and its reply was sent to the run
 //	running           awaiting result   the run of a guarded request succeeded
-//	any               (removed)         the request was answered or abandoned, and no run is in progress
+//	any               (removed)         the request was answered or its client is gone, and no run is in progress
 //
 // The order of the constants matters: a run is in progress from stateRunning on, and a request in a state before
 // stateAwaitingIntent never ran.
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -98,7 +98,7 @@
 // batch.
 //
 // It returns the reason why the request can't be admitted, or accounting.NoReason: there is no room to cache it, the
-// processor could not be queried about its id, or its id is that of an earlier attempt. Each attempt has an id of its
+// processor has not confirmed its id, or its id is that of an earlier attempt. Each attempt has an id of its
 // own, so a request with a known id is a replay of an edge node's message. The processor rejects known ids, but does
 // not see requests that are answered from the cache.
 func (c *resultCache) checkRepeat(r *request) accounting.Reason {
@@ -117,7 +117,7 @@
 // linkRepeat marks r as a repeat of a cached request.
 func (c *resultCache) linkRepeat(r *request, entry *cacheEntry) accounting.Reason {
 	if c.backend.canCancel && !r.verified {
-		return accounting.NotReady // the processor could not be queried whether the request is an edge node's
+		return accounting.NotReady // the processor has not confirmed that the request came from an edge node
 	}
 	if r.id == entry.id || slices.Contains(entry.recentRepeats, r.id) {
 		return accounting.UnknownRequest
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// failoverMembers returns members without their addresses, for package failover.
 func failoverMembers(members []ClusterMember) (out []failover.Member) {
 	for _, member := range members {
 		out = append(out, member.Member)
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -220,8 +220,8 @@
 	bed.disk.CutPower()
 	after := bed.disk.AfterPowerLoss(rand.New(rand.NewPCG(1, 1)))
 	bed.shutDown()
-	for _, peer := range bed.fakeServers {
-		peer.stop()
+	for _, server := range bed.fakeServers {
+		server.stop()
 	}
 	for _, client := range bed.clients {
 		_ = client.conn.Close()
@@ -270,8 +270,8 @@
 	go func() { print("ended: %v", b.Serve(ctx)) }()
 	bed.t.Cleanup(func() {
 		cancel()
-		for _, peer := range bed.fakeServers {
-			peer.stop()
+		for _, server := range bed.fakeServers {
+			server.stop()
 		}
 		for _, client := range bed.clients {
 			_ = client.conn.Close()
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -105,6 +105,7 @@
 	return least
 }
 
+// dial opens a connection for the calls in the queue.
 func (u *proxyUpstream) dial() {
 	u.dialing++
 	address := u.address
@@ -240,6 +241,7 @@
 	u.removeIdle(connection)
 }
 
+// removeIdle removes a connection from the idle ones, if it is among them.
 func (u *proxyUpstream) removeIdle(connection *proxyConn) {
 	u.idle = slices.DeleteFunc(u.idle, func(other *proxyConn) bool { return other == connection })
 }
