--- a/backend/request.go
+++ b/backend/request.go
@@ -131,8 +131,8 @@
 	b.releaseUnstarted(r)
 }
 
-// releaseUnstarted withdraws a request that never ran, and cancels a run that waits for a call. The simulator, in which
-// the overload controller also runs, does the same.
+// releaseUnstarted withdraws a request that never ran, and cancels a run that waits for a call. The simulator, in
+// which the overload controller runs too, does the same.
 func (b *Backend) releaseUnstarted(r *request) {
 	switch r.state {
 	case stateUnverified, stateHeld, stateJoined:
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -98,9 +98,9 @@
 // batch.
 //
 // It returns the reason why the request can't be admitted, or accounting.NoReason: there is no room to cache it, the
-// processor has not confirmed its id, or its id is that of an earlier attempt. Each attempt has an id of its
-// own, so a request with a known id is a replay of an edge node's message. The processor rejects known ids, but does
-// not see requests that are answered from the cache.
+// processor has not confirmed its id, or its id is that of an earlier attempt. Each attempt has an id of its own, so a
+// request with a known id is a replay of an edge node's message. The processor rejects known ids, but does not see
+// requests that are answered from the cache.
 func (c *resultCache) checkRepeat(r *request) accounting.Reason {
 	if r.cacheKey.name == "" {
 		return accounting.NoReason // without a key no repeat can be recognized
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -234,7 +234,7 @@
 	u.dialMore()
 }
 
-// removeConn removes a connection from the connections that carry calls. It does not close the connection.
+// removeConn retires a connection and removes it from the connections of u. It does not close it.
 func (u *proxyUpstream) removeConn(connection *proxyConn) {
 	connection.retired = true
 	delete(u.conns, connection)
