--- a/backend/backend.go
+++ b/backend/backend.go
@@ -71,7 +71,7 @@
 	replayable    bool          // a request may safely run more than once
 	deduplicated  bool          // its requests carry a key that identifies repeats; each key runs once
 	repeatWindow  time.Duration // how long after the original a repeat is recognized
-	clientTimeout time.Duration // how long its clients wait for an answer
+	clientTimeout time.Duration // how long its clients wait for a response
 	weight        float64       // its value relative to other handlers
 }
 
@@ -128,6 +128,7 @@
 	}
 }
 
+// newHandler returns the configuration of a handler with the given settings of the overload controller.
 func newHandler(settings *overload.Handler) handler {
 	return handler{
 		name:          settings.Name,
@@ -163,6 +164,7 @@
 // process. Reload returns without waiting for the change; it may be called from any goroutine.
 func (b *Backend) Reload(cfg Config) { b.loop.Post(func() { b.reload(cfg) }) }
 
+// reload carries out Reload on the owner goroutine.
 func (b *Backend) reload(cfg Config) {
 	b.stats.Reloads++
 	if cfg.ControlPlane != b.cfg.ControlPlane {
--- a/backend/cluster_test.go
+++ b/backend/cluster_test.go
@@ -41,7 +41,7 @@
 	return strings.Contains(b.text.String(), text)
 }
 
-// emptyPeer is a stand-in for node n1. It has recorded no state of other nodes, and answers queries accordingly.
+// emptyPeer is a fake of node n1. It has recorded no state of other nodes, and answers queries accordingly.
 type emptyPeer struct {
 	listener        net.Listener
 	queryingAddress string // address of the node whose queries it answers
@@ -69,6 +69,7 @@
 	}
 }
 
+// answer handles a batch of messages. It answers a query for recorded state on a connection of its own, as peers do.
 func (p *emptyPeer) answer(batch *peerproto.Batch) error {
 	if batch.Hello == nil || !batch.Hello.QueryState {
 		return nil
@@ -93,7 +94,7 @@
 		t.Fatal(err)
 	}
 	bed := &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}, options: map[string]string{}}
-	bed.startPeers("")
+	bed.startFakes("")
 	var address [2]string
 	for i := range address {
 		var err error
--- a/backend/processor_resync.go
+++ b/backend/processor_resync.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// resyncRun retries the last command about one run if the command may have been lost. See resync.
 func (l *processorLink) resyncRun(r *request, ackedTag uint64) {
 	b := l.backend
 	maybeLost := r.tagBeforeCommand >= ackedTag
@@ -86,6 +87,7 @@
 	}
 }
 
+// endProbe ends the probe of a run, whatever its result.
 func (l *processorLink) endProbe(r *request) {
 	l.probeCount--
 	r.probeTag = 0
@@ -126,8 +128,8 @@
 
 // retryStart resends a start if lifecycle.CheckRetry allows it.
 func (l *processorLink) retryStart(r *request, command lifecycle.Command, reason string) {
-	if verdict := lifecycle.CheckRetry(command); verdict != lifecycle.Allowed {
-		l.backend.recordViolation("retry start", r, verdict)
+	if decision := lifecycle.CheckRetry(command); decision != lifecycle.Allowed {
+		l.backend.recordViolation("retry start", r, decision)
 		return
 	}
 	l.logRetry(r, "begin", reason)
--- a/backend/request_fields.go
+++ b/backend/request_fields.go
@@ -32,11 +32,11 @@
 	memoryField
 	rankField
 	objectField
-	customerField // customer that the request is accounted to
-	guardKeyField // idempotency key of a guarded request
-	createdField  // time of the first attempt
-	idempotencyKeyField
-	tenantField // customer whose quota the request counts against
+	customerField       // customer that the request is accounted to
+	guardKeyField       // header IdempotencyConfig.KeyField, which can be a part of the key of a guarded request
+	createdField        // time of the first attempt
+	idempotencyKeyField // key under which the result cache recognizes repeats of a request that must run only once
+	tenantField         // customer whose quota the request counts against
 	timeoutField
 )
 
@@ -69,13 +69,14 @@
 	idempotencyKey string // value of the Idempotency-Key header, for the result cache
 	problem        string // describes an invalid field; empty if all are valid
 
-	// Both are read only if the idempotency guard is enabled.
+	// The key of a guarded request is computed from these two, among others.
 	customerID []byte // full name of the customer
-	guardKey   []byte // idempotency key of a guarded request
+	guardKey   []byte // value of the header IdempotencyConfig.KeyField
 
 	createdAt float64 // time of the first attempt in Unix milliseconds; 0 if not stated
 }
 
+// newParsedRequest returns a request with the given body whose fields are not parsed yet.
 func (f *frontend) newParsedRequest(from exchange, body []byte) *parsedRequest {
 	return &parsedRequest{
 		backend: f.backend,
@@ -131,7 +132,7 @@
 
 const notANumber = "a numeric field is malformed or out of range"
 
-// number parses a number from 0 to limit.
+// parseNumber parses a number from 0 to limit. If value is not one, parseNumber records that in p.problem.
 func (p *parsedRequest) parseNumber(value []byte, limit float64) float64 {
 	n, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || !(n >= 0 && n <= limit) {
@@ -140,6 +141,7 @@
 	return n
 }
 
+// parseMilliseconds parses a duration of up to maxDurationMillis milliseconds like parseNumber.
 func (p *parsedRequest) parseMilliseconds(value []byte) time.Duration {
 	return time.Duration(p.parseNumber(value, maxDurationMillis) * float64(time.Millisecond))
 }
@@ -156,6 +158,7 @@
 	}
 }
 
+// setCustomer sets the customer that the request is accounted to, and the customer's full name if a key may need it.
 func (p *parsedRequest) setCustomer(value []byte) {
 	p.customer = accounting.NewCustomerName(value)
 	if p.backend.guard.enabled() {
--- a/backend/request_state.go
+++ b/backend/request_state.go
@@ -19,7 +19,7 @@
 //	calling           awaiting call     the call has ended
 //	awaiting call     running           the call succeeded, and its reply was sent to the run
 //	running           awaiting result   the run of a guarded request succeeded
-//	any               (removed)         the request was answered or abandoned, and no run is in progress
+//	any               (removed)         the request was answered or its client is gone, and no run is in progress
 //
 // The order of the constants matters: a run is in progress from stateRunning on, and a request in a state before
 // stateAwaitingIntent never ran.
@@ -61,7 +61,7 @@
 // hold makes the transition to held; the caller then submits the request to the controller.
 func (r *request) hold() { r.state = stateHeld }
 
-// run makes the transition to running, from held or from awaiting intent.
+// run makes the transition to running, from held, awaiting intent or awaiting call.
 func (r *request) run() { r.state = stateRunning }
 
 // unverify makes the transition to unverified, from held; the caller then claims the request's key in the cluster.
--- a/backend/result_cache.go
+++ b/backend/result_cache.go
@@ -98,9 +98,9 @@
 // batch.
 //
 // It returns the reason why the request can't be admitted, or accounting.NoReason: there is no room to cache it, the
-// processor could not be queried about its id, or its id is that of an earlier attempt. Each attempt has an id of its
-// own, so a request with a known id is a replay of an edge node's message. The processor rejects known ids, but does
-// not see requests that are answered from the cache.
+// processor has not confirmed its id, or its id is that of an earlier attempt. Each attempt has an id of its own, so a
+// request with a known id is a replay of an edge node's message. The processor rejects known ids, but does not see
+// requests that are answered from the cache.
 func (c *resultCache) checkRepeat(r *request) accounting.Reason {
 	if r.cacheKey.name == "" {
 		return accounting.NoReason // without a key no repeat can be recognized
@@ -117,7 +117,7 @@
 // linkRepeat marks r as a repeat of a cached request.
 func (c *resultCache) linkRepeat(r *request, entry *cacheEntry) accounting.Reason {
 	if c.backend.canCancel && !r.verified {
-		return accounting.NotReady // the processor could not be queried whether the request is an edge node's
+		return accounting.NotReady // the processor has not confirmed that the request came from an edge node
 	}
 	if r.id == entry.id || slices.Contains(entry.recentRepeats, r.id) {
 		return accounting.UnknownRequest
@@ -153,6 +153,7 @@
 	return true
 }
 
+// hasRoom reports whether the cache stays within its share of the memory limit with the given number of bytes more.
 func (c *resultCache) hasRoom(bytes int) bool {
 	return float64(c.usedBytes+bytes) <= c.backend.memoryShare(resultCacheShare)
 }
@@ -173,6 +174,7 @@
 	return entryOverheadBytes + len(e.key.customer) + len(e.key.name)
 }
 
+// drop removes an entry; a nil entry is ignored.
 func (c *resultCache) drop(entry *cacheEntry) {
 	if entry == nil {
 		return
--- a/backend/roster.go
+++ b/backend/roster.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// failoverMembers returns members without their addresses, for package failover.
 func failoverMembers(members []ClusterMember) (out []failover.Member) {
 	for _, member := range members {
 		out = append(out, member.Member)
@@ -80,6 +81,7 @@
 	return roster, nil
 }
 
+// writeRosterFile writes a roster to the store's directory, and returns once it is durable.
 func writeRosterFile(dir string, roster clusterRoster) error {
 	text, err := json.MarshalIndent(roster, "", " ")
 	if err != nil {
--- a/backend/test_client_test.go
+++ b/backend/test_client_test.go
@@ -19,6 +19,7 @@
 	reader *bufio.Reader
 }
 
+// dialClient opens a connection whose reads and writes fail after eventTimeout.
 func (bed *testbed) dialClient() *testClient {
 	bed.t.Helper()
 	c, err := net.Dial("tcp", bed.listenAddress)
@@ -37,9 +38,9 @@
 	}
 }
 
-// readAnswer reads a complete response and returns its slot and first line, or "end" if the connection was closed
+// readResponse reads a complete response and returns its slot and first line, or "end" if the connection was closed
 // gracefully.
-func (c *testClient) readAnswer() string {
+func (c *testClient) readResponse() string {
 	text := ""
 	for {
 		head := make([]byte, 8)
@@ -64,10 +65,11 @@
 	}
 }
 
+// expect reads as many responses as there are arguments, and compares each with what readResponse must return for it.
 func (c *testClient) expect(all ...string) {
 	c.t.Helper()
 	for _, want := range all {
-		if got := c.readAnswer(); got != want {
+		if got := c.readResponse(); got != want {
 			c.t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/backend/testbed_test.go
+++ b/backend/testbed_test.go
@@ -24,7 +24,8 @@
 	stepTimeout = 5 * time.Second       // for the output expected after a step; long, since test machines stall at times
 )
 
-// testbed runs a backend with fakes of all processes that it communicates with. Each fake prints what it receives.
+// testbed runs a backend with fakes of all processes that it communicates with. Each party (a fake, a client or the
+// backend itself) prints the texts that it receives, to be compared with a trace or awaited by a test.
 type testbed struct {
 	t         *testing.T
 	mu        sync.Mutex
@@ -58,6 +59,7 @@
 	return &testbed{t: t, clients: map[string]*clientSocket{}, knownIDs: map[string]bool{}}
 }
 
+// print records a text that a party prints.
 func (bed *testbed) print(party, format string, args ...any) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -107,6 +109,8 @@
 	}
 }
 
+// takeIfQuiet returns the printed lines, sorted by party, if none was printed for the given period and the expected number
+// was printed or stepTimeout has passed since start.
 func (bed *testbed) takeIfQuiet(expected int, start time.Time, period time.Duration) (lines []string, quiet bool) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -167,9 +171,9 @@
 	return cfg
 }
 
-// startPeers starts new fakes of the processor, the upstream tier and the control plane. Their party names begin with
+// startFakes starts new fakes of the processor, the upstream tier and the control plane. Their party names begin with
 // prefix.
-func (bed *testbed) startPeers(prefix string) {
+func (bed *testbed) startFakes(prefix string) {
 	bed.processor = newFakeServer(bed, prefix+"processor")
 	bed.upstream = newFakeServer(bed, prefix+"tier")
 	bed.fakeServers = append(bed.fakeServers, bed.processor, bed.upstream)
@@ -216,8 +220,8 @@
 	bed.disk.CutPower()
 	after := bed.disk.AfterPowerLoss(rand.New(rand.NewPCG(1, 1)))
 	bed.shutDown()
-	for _, peer := range bed.fakeServers {
-		peer.stop()
+	for _, server := range bed.fakeServers {
+		server.stop()
 	}
 	for _, client := range bed.clients {
 		_ = client.conn.Close()
@@ -241,7 +245,7 @@
 			bed.t.Fatal(err)
 		}
 	}
-	bed.startPeers("")
+	bed.startFakes("")
 	bed.listenAddress = bed.freeAddress()
 	cfg := bed.config()
 	if bed.disk != nil {
@@ -266,8 +270,8 @@
 	go func() { print("ended: %v", b.Serve(ctx)) }()
 	bed.t.Cleanup(func() {
 		cancel()
-		for _, peer := range bed.fakeServers {
-			peer.stop()
+		for _, server := range bed.fakeServers {
+			server.stop()
 		}
 		for _, client := range bed.clients {
 			_ = client.conn.Close()
--- a/backend/upstream_proxy.go
+++ b/backend/upstream_proxy.go
@@ -105,6 +105,7 @@
 	return least
 }
 
+// dial opens a connection for the calls in the queue.
 func (u *proxyUpstream) dial() {
 	u.dialing++
 	address := u.address
@@ -118,6 +119,7 @@
 	}
 }
 
+// dialed starts using the connection that was dialed, or handles the failure of the dial.
 func (u *proxyUpstream) dialed(address string, c *conn.Conn, err error) {
 	u.dialing--
 	if address != u.address { // the address was replaced during the dial
@@ -178,6 +180,7 @@
 	u.idle = append(u.idle, connection)
 }
 
+// send writes a call to a connection.
 func (u *proxyUpstream) send(connection *proxyConn, call *upstreamCall) {
 	b := u.backend
 	r := call.request
@@ -193,6 +196,7 @@
 	connection.conn.Write(b.scratch)
 }
 
+// onReply ends the call that a reply belongs to, and passes the body of a successful one to the run.
 func (u *proxyUpstream) onReply(connection *proxyConn, reply upstreamproto.Reply) {
 	call := connection.calls[reply.ID]
 	if call == nil {
@@ -230,12 +234,14 @@
 	u.dialMore()
 }
 
+// removeConn retires a connection and removes it from the connections of u. It does not close it.
 func (u *proxyUpstream) removeConn(connection *proxyConn) {
 	connection.retired = true
 	delete(u.conns, connection)
 	u.removeIdle(connection)
 }
 
+// removeIdle removes a connection from the idle ones, if it is among them.
 func (u *proxyUpstream) removeIdle(connection *proxyConn) {
 	u.idle = slices.DeleteFunc(u.idle, func(other *proxyConn) bool { return other == connection })
 }
@@ -258,6 +264,7 @@
 	u.remove(call)
 }
 
+// endCall removes a call and reports its end to the overload controller.
 func (u *proxyUpstream) endCall(call *upstreamCall, outcome overload.Outcome) {
 	u.detach(call)
 	u.backend.reportCallEnd(call, outcome)
