--- a/backend/audit.go
+++ b/backend/audit.go
@@ -7,21 +7,22 @@
 	"frosthub/internal/invariant"
 )
 
-// auditLedger has the ledger check that its sums add up, from time to time compares it with the requests that are known here,
-// and logs what differs.
+// auditLedger checks the sums of the ledger, every ledgerComparisonInterval compares its open accounts with the
+// requests of the backend, and logs the mismatches.
 func (b *Backend) auditLedger() {
 	b.ledger.Audit(b.wallTime)
-	if b.now >= b.compareAt {
-		b.compareAt = b.now + compareInterval
+	if b.now >= b.nextComparison {
+		b.nextComparison = b.now + ledgerComparisonInterval
 		b.compareLedger()
 	}
 	b.logMismatches()
 }
 
-// compareLedger compares the open accounts of the ledger with the requests that are known here.
+// compareLedger compares the open accounts of the ledger with the requests of the backend that are not answered and the
+// responses that are not delivered.
 func (b *Backend) compareLedger() {
 	b.ledger.CompareOpenRequests(b.wallTime, func(open func(accounting.Ticket, uint64)) {
-		for _, r := range b.requests { // a sum: the order does not matter
+		for _, r := range b.requests { // the comparison does not depend on the order
 			if b.hasClient(r) || r.failedOver && !r.accountClosed {
 				open(r.ticket, r.id)
 			}
@@ -34,34 +35,37 @@
 	})
 }
 
-// logMismatches logs what the ledger found not to add up.
+// logMismatches logs the mismatches that the ledger has found.
 func (b *Backend) logMismatches() {
 	for _, mismatch := range b.ledger.TakeMismatches() {
-		b.log.Error("accounting mismatch", "what", mismatch.What, "one", mismatch.Left, "other", mismatch.Right, "trail", mismatch.Trail)
-		invariant.Check(false, "figures add up: "+mismatch.What)
+		b.log.Error("accounting mismatch", "mismatch", mismatch.What, "left", mismatch.Left, "right", mismatch.Right,
+			"trail", mismatch.Trail)
+		invariant.Check(false, "accounts match: "+mismatch.What)
 	}
 }
 
-// checkInvariants goes through all requests, slots and calls. A debug build does so after each batch: each unanswered
-// request holds one slot of its client's connection, and what nobody waits for runs.
+// checkInvariants checks all requests, slots, calls and accounts. A debug build calls it after each batch. Among other
+// things, each unanswered request holds one slot of its client's connection, and each request without a client runs or
+// was taken over from another node.
 func (b *Backend) checkInvariants() {
 	b.checkRequests()
 	b.compareLedger()
 	b.ledger.Audit(b.wallTime)
 	b.logMismatches()
-	invariant.Check(float64(b.results.usedBytes) <= b.memoryShare(resultCacheShare), "kept results stay within their bound")
+	invariant.Check(float64(b.results.usedBytes) <= b.memoryShare(resultCacheShare), "the result cache stays within its memory limit")
 }
 
+// checkRequests checks the requests, the slots that they hold and the calls of their runs.
 func (b *Backend) checkRequests() {
 	waiting, calls := 0, 0
 	for _, r := range b.requests {
 		if b.hasClient(r) {
 			waiting++
 			invariant.Check(r.client.requests[r.slot] == r, "an unanswered request holds its slot")
-			asked := r.guard != nil || slices.Contains(b.processor.unverified, r)
-			invariant.Check(r.state != stateUnverified || asked, "an unverified request is asked for")
+			queryPending := r.guard != nil || slices.Contains(b.processor.unverified, r)
+			invariant.Check(r.state != stateUnverified || queryPending, "the processor is queried about an unverified request")
 		} else {
-			invariant.Check(r.failedOver || r.state >= stateAwaitingIntent, "a request for which nobody waits runs")
+			invariant.Check(r.failedOver || r.state >= stateAwaitingIntent, "a request without a client runs")
 		}
 		if r.call != nil {
 			calls++
@@ -71,9 +75,9 @@
 	slots := 0
 	for client := range b.frontend.clients {
 		slots += len(client.requests)
-		known := client.readStopped || client.protocol.openSlots() >= client.pendingResponses()
-		invariant.Check(known, "open slots are known to the parser")
+		slotsOpen := client.readStopped || client.protocol.openSlots() >= client.pendingResponses()
+		invariant.Check(slotsOpen, "the protocol parser counts at least the slots with pending responses")
 	}
 	invariant.Check(waiting == b.unanswered && waiting == slots, "unanswered requests hold one slot each")
-	invariant.Check(calls == b.upstream.callsInFlight(), "calls in flight are those of requests")
+	invariant.Check(calls == b.upstream.callsInFlight(), "each call in flight belongs to a request")
 }
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -8,8 +8,8 @@
 	"frosthub/backend"
 )
 
-// A program that embeds a backend parses a configuration, adds what its operator chose, and serves until its context is
-// done. Serve returns once every request that was read is answered.
+// A program that embeds a backend parses a configuration, adds the operator's settings, and serves until its context is
+// done. Serve returns once every request that it has read is answered.
 func Example() {
 	cfg, err := backend.ParseConfig([]byte(`{
 		"name": "n1",
@@ -26,20 +26,20 @@
 	cfg.Accounting = backend.AccountingConfig{MaxCustomers: 16}
 
 	b := backend.New(cfg, slog.New(slog.DiscardHandler))
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error)
 	go func() { served <- b.Serve(ctx) }()
 
 	counters := b.Counters()
 	fmt.Println("open connections:", counters.Open, "unanswered requests:", counters.Pending)
-	leave()
+	stop()
 	fmt.Println("served:", <-served)
 	// Output:
 	// open connections: 0 unanswered requests: 0
 	// served: <nil>
 }
 
-// What is wrong with a configuration is said in one line.
+// An error for an invalid configuration names the fault in one line.
 func ExampleParseConfig() {
 	_, err := backend.ParseConfig([]byte(`{"name": "n1", "listen": "127.0.0.1:4100"}`))
 	fmt.Println(err)
--- a/backend/processor_link.go
+++ b/backend/processor_link.go
@@ -10,14 +10,14 @@
 
 // Timeouts and limits of the link to the processor.
 const (
-	// firstRedialWait is the delay before the first retry to connect to the processor.
-	firstRedialWait = 2 * time.Millisecond
-	// maxRedialWait bounds the delay between later retries. The processor may start long after this backend.
-	maxRedialWait = 500 * time.Millisecond
+	// firstRedialDelay is the delay before the first retry to connect to the processor.
+	firstRedialDelay = 2 * time.Millisecond
+	// maxRedialDelay bounds the delay between later retries. The processor may start long after this backend.
+	maxRedialDelay = 500 * time.Millisecond
 	// quiesceTimeout limits the wait for the last answer on a connection that is to be replaced.
 	quiesceTimeout = 50 * time.Millisecond
-	// oldAddressGrace is how long runs in flight may continue at an address that was replaced. The processor at that
-	// address closes its connections after 1.5 s.
+	// oldAddressGrace is how long runs and calls in flight may continue at an address that was replaced. The processor at
+	// that address closes its connections after 1.5 s.
 	oldAddressGrace = 1400 * time.Millisecond
 	// linkMemoryShare is the part of the memory limit for buffered commands, and again for buffered notices.
 	linkMemoryShare = 0.25
@@ -78,7 +78,7 @@
 	quiesceDeadline time.Duration // when conn is replaced without that proof
 	dialing         bool
 	redialAt        time.Duration
-	redialWait      time.Duration
+	redialDelay     time.Duration
 	processorAge    time.Duration // stated in its last hello
 
 	// Queries and notices.
@@ -95,7 +95,7 @@
 func (l *processorLink) init(b *Backend) {
 	l.backend = b
 	l.address = b.cfg.Processor
-	l.redialWait = firstRedialWait
+	l.redialDelay = firstRedialDelay
 }
 
 // state returns the state of the link.
@@ -116,6 +116,7 @@
 // ready reports whether commands may be sent. The resynchronization sends those that could not be sent before.
 func (l *processorLink) ready() bool { return l.state() == linkReady }
 
+// onTimer carries out what is due on the link: the end of waits for the processor, and dials.
 func (l *processorLink) onTimer() {
 	b := l.backend
 	if l.addressReplaced && l.conn != nil {
@@ -152,6 +153,7 @@
 	b.loop.Dial(address, func(c *conn.Conn, err error) { l.dialed(address, c, err) })
 }
 
+// dialed starts using the connection that was dialed, or schedules another dial if err is set.
 func (l *processorLink) dialed(address string, c *conn.Conn, err error) {
 	l.dialing = false
 	switch {
@@ -172,8 +174,8 @@
 
 // scheduleRedial delays the next dial, with exponential backoff that is reset by the processor's hello.
 func (l *processorLink) scheduleRedial() {
-	l.redialAt = l.backend.now + l.redialWait
-	l.redialWait = min(2*l.redialWait, maxRedialWait)
+	l.redialAt = l.backend.now + l.redialDelay
+	l.redialDelay = min(2*l.redialDelay, maxRedialDelay)
 }
 
 // quiesce prepares the switch from a ready connection to its replacement, such that no run's outcome becomes unknown.
@@ -214,7 +216,7 @@
 	}
 	l.address = address
 	l.redialAt = l.backend.now
-	l.redialWait = firstRedialWait
+	l.redialDelay = firstRedialDelay
 	if !l.addressReplaced {
 		l.addressReplaced = true
 		l.oldConnDeadline = l.backend.now + oldAddressGrace
@@ -224,6 +226,7 @@
 	}
 }
 
+// useConn makes a new connection the one of the link, and sends the hello on it.
 func (l *processorLink) useConn(c *conn.Conn) {
 	b := l.backend
 	l.conn = c
@@ -236,6 +239,8 @@
 	c.Write(processor.AppendHello(nil, l.lastNotice))
 }
 
+// onClosed handles the loss of a connection. The link continues with the replacement if there is one, and redials
+// otherwise.
 func (l *processorLink) onClosed(c *conn.Conn, err error) {
 	if l.conn != c {
 		return // already replaced
--- a/backend/signal_test.go
+++ b/backend/signal_test.go
@@ -9,11 +9,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSignals: a configuration is read again at SIGHUP, one that can't be used changes nothing, SIGTERM ends well.
+// TestSignals checks that SIGHUP reloads the configuration, that an invalid configuration changes nothing, and that
+// Main returns without an error after SIGTERM.
 func TestSignals(t *testing.T) {
 	bed := newTestbed(t)
 	bed.options = map[string]string{"stop_ms": "500"}
-	bed.startPeers("")
+	bed.startFakes("")
 	bed.listenAddress = "127.0.0.1:0"
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("PROXY_CONFIG", path)
@@ -28,8 +29,8 @@
 		ended <- Main(func(*Config) error { return nil }, func(*Backend) (func(), error) { return func() {}, nil })
 	}()
 	got := bed.awaitQuiet(2)
-	complete := bed.configText()
-	for _, bad := range [][]byte{nil, complete[:len(complete)/2], []byte("[]"), []byte(`{"name":"n3"}`)} {
+	validConfig := bed.configText()
+	for _, bad := range [][]byte{nil, validConfig[:len(validConfig)/2], []byte("[]"), []byte(`{"name":"n3"}`)} {
 		write(bad)
 		_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 		got = append(got, bed.awaitQuiet(0)...)
@@ -37,7 +38,7 @@
 	_ = os.Remove(path)
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	got = append(got, bed.awaitQuiet(0)...)
-	bed.startPeers("new ")
+	bed.startFakes("new ")
 	write(bed.configText())
 	_ = syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	got = append(got, bed.awaitQuiet(2)...)
--- a/backend/test_client_test.go
+++ b/backend/test_client_test.go
@@ -12,13 +12,14 @@
 	"time"
 )
 
-// testClient is one connection of a client whose answers are read one by one.
+// testClient is one FastCGI connection of a client whose responses are read one at a time.
 type testClient struct {
 	t      *testing.T
 	conn   *net.TCPConn
 	reader *bufio.Reader
 }
 
+// dialClient opens a connection whose reads and writes fail after eventTimeout.
 func (bed *testbed) dialClient() *testClient {
 	bed.t.Helper()
 	c, err := net.Dial("tcp", bed.listenAddress)
@@ -37,8 +38,9 @@
 	}
 }
 
-// readAnswer reads a whole answer: its slot and first line; "end" is the orderly end of the connection.
-func (c *testClient) readAnswer() string {
+// readResponse reads a complete response and returns its slot and first line, or "end" if the connection was closed
+// gracefully.
+func (c *testClient) readResponse() string {
 	text := ""
 	for {
 		head := make([]byte, 8)
@@ -63,11 +65,12 @@
 	}
 }
 
+// expect reads as many responses as there are arguments, and compares each with what readResponse must return for it.
 func (c *testClient) expect(all ...string) {
 	c.t.Helper()
 	for _, want := range all {
-		if got := c.readAnswer(); got != want {
-			c.t.Errorf("%q, not %q", got, want)
+		if got := c.readResponse(); got != want {
+			c.t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
--- a/backend/upstream_ajp_conn.go
+++ b/backend/upstream_ajp_conn.go
@@ -11,35 +11,36 @@
 	"frosthub/overload"
 )
 
-// Times of connections to AJP servers.
+// Timeouts of connections to AJP servers.
 const (
-	// trustIdle is how long a connection may be idle and be used without asking first whether the server is there.
-	trustIdle = time.Second
-	// pongTimeout is how long that answer is waited for: giving it takes the server no work.
-	pongTimeout = 100 * time.Millisecond
+	// cpingIdleThreshold is how long a connection may have been idle and still be used without a CPing.
+	cpingIdleThreshold = time.Second
+	// cpongTimeout is the timeout for the answer to a CPing, which takes the server hardly any work.
+	cpongTimeout = 100 * time.Millisecond
 	// ajpMaxIdle is how long a connection may be idle before it is closed.
 	ajpMaxIdle = 30 * time.Second
 )
 
-var errNoPong = errors.New("no answer to CPing")
+var errNoCPong = errors.New("no CPong within the timeout")
 
-// connPool holds the idle connections to a target, the last used at the end.
+// connPool holds the idle connections to a target, ordered by last use, the most recent at the end.
 type connPool struct {
 	idle []*ajpConn
 }
 
-// ajpConn is one connection to a target.
+// ajpConn is one connection to a target, a server of the upstream tier.
 type ajpConn struct {
-	conn       *conn.Conn // nil once it was closed here
-	parser     *ajp.Client
-	target     *loadbalance.Target
-	call       *upstreamCall // in flight; nil while the connection is idle
-	pongBy     time.Duration // when the wait for a CPong ends; 0 none is awaited
-	unsentBody []byte        // the part of the call's body that the server has not asked for yet
-	usedAt     time.Duration
-	sentMark   int // bytes written before the call
+	conn          *conn.Conn // nil once this side has closed it
+	parser        *ajp.Client
+	target        *loadbalance.Target
+	call          *upstreamCall // the call in flight; nil while the connection is idle
+	cpongDeadline time.Duration // when the wait for a CPong ends; 0 if none is pending
+	unsentBody    []byte        // the part of the call's body that the server has not requested yet
+	usedAt        time.Duration
+	queuedBefore  int // bytes queued before the call
 }
 
+// pool returns the pool of a target, and creates it if there is none.
 func (u *ajpUpstream) pool(target *loadbalance.Target) *connPool {
 	pool := u.pools[target]
 	if pool == nil {
@@ -49,7 +50,7 @@
 	return pool
 }
 
-// takeIdle takes the connection to a target that was used last out of its pool. It returns nil if none is idle.
+// takeIdle removes the most recently used connection to a target from its pool and returns it, or nil if none is idle.
 func (u *ajpUpstream) takeIdle(target *loadbalance.Target) *ajpConn {
 	pool := u.pool(target)
 	last := len(pool.idle) - 1
@@ -61,10 +62,11 @@
 	return taken
 }
 
-// closeOldest makes room by closing the connection that has been idle for longest, and reports whether there was one.
+// closeOldest closes the connection that has been idle for longest, to make room for another. It reports whether there
+// was one.
 func (u *ajpUpstream) closeOldest() bool {
 	var oldest *ajpConn
-	for _, pool := range u.pools { // which of several equal ones doesn't matter
+	for _, pool := range u.pools { // which of several equally old ones is closed does not matter
 		if len(pool.idle) > 0 && (oldest == nil || pool.idle[0].usedAt < oldest.usedAt) {
 			oldest = pool.idle[0]
 		}
@@ -76,86 +78,88 @@
 	return true
 }
 
-// dial opens a connection for a call.
-func (u *ajpUpstream) dial(waiting *upstreamCall) {
-	u.open++
-	target := waiting.target
-	u.backend.loop.Dial(target.Address, func(c *conn.Conn, err error) { u.dialed(target, waiting, c, err) })
+// dial opens a connection to the target of a call.
+func (u *ajpUpstream) dial(call *upstreamCall) {
+	u.openConns++
+	target := call.target
+	u.backend.loop.Dial(target.Address, func(c *conn.Conn, err error) { u.dialed(target, call, c, err) })
 }
 
-func (u *ajpUpstream) dialed(target *loadbalance.Target, waiting *upstreamCall, c *conn.Conn, err error) {
+// dialed assigns a connection that was dialed to its call, or to the pool if the call no longer waits for it. If the dial
+// failed, the call is retried at another target.
+func (u *ajpUpstream) dialed(target *loadbalance.Target, call *upstreamCall, c *conn.Conn, err error) {
 	b := u.backend
-	stillWaits := waiting.request.call == waiting && waiting.target == target && waiting.ajpConn == nil
+	stillWaiting := call.request.call == call && call.target == target && call.ajpConn == nil
 	if err != nil {
-		u.open--
+		u.openConns--
 		b.logLimited("upstream unreachable", "peer", target.Address, "reason", err)
-		if stillWaits {
-			u.retryElsewhere(waiting, loadbalance.Fault, overload.NoConnection)
+		if stillWaiting {
+			u.retryAtAnotherTarget(call, loadbalance.Fault, overload.NoConnection)
 		}
 		return
 	}
 	opened := &ajpConn{conn: c, parser: ajp.NewClient(b.cfg.AJP.packet()), target: target, usedAt: b.now}
 	c.MaxUnsent = maxUnsentCalls
 	c.OnData = b.parseLogged("upstream protocol error", func(text []byte) error {
-		return opened.parser.Feed(text, func(answer ajp.Reply) { u.onAnswer(opened, answer) })
+		return opened.parser.Feed(text, func(reply ajp.Reply) { u.onReply(opened, reply) })
 	})
 	c.OnClosed = func(error) { u.onClosed(opened) }
-	if !stillWaits {
+	if !stillWaiting {
 		u.release(opened)
 		return
 	}
-	u.assign(opened, waiting)
+	u.assignConn(opened, call)
 }
 
-// release makes a connection idle.
-func (u *ajpUpstream) release(free *ajpConn) {
-	if free.target.Removed {
-		u.close(free)
+// release returns a connection to the pool of its target, or closes it if the target was removed.
+func (u *ajpUpstream) release(connection *ajpConn) {
+	if connection.target.Removed {
+		u.close(connection)
 		return
 	}
-	pool := u.pool(free.target)
-	pool.idle = append(pool.idle, free)
+	pool := u.pool(connection.target)
+	pool.idle = append(pool.idle, connection)
 }
 
-// close ends a connection. The caller sees to the call that was in flight on it.
-func (u *ajpUpstream) close(closed *ajpConn) {
-	if closed.conn == nil {
+// close closes a connection. The caller handles the call that was in flight on it.
+func (u *ajpUpstream) close(connection *ajpConn) {
+	if connection.conn == nil {
 		return
 	}
-	pool := u.pool(closed.target)
-	pool.idle = slices.DeleteFunc(pool.idle, func(other *ajpConn) bool { return other == closed })
-	if closed.target.Removed && len(pool.idle) == 0 {
-		delete(u.pools, closed.target)
+	pool := u.pool(connection.target)
+	pool.idle = slices.DeleteFunc(pool.idle, func(other *ajpConn) bool { return other == connection })
+	if connection.target.Removed && len(pool.idle) == 0 {
+		delete(u.pools, connection.target)
 	}
-	c := closed.conn
-	closed.conn = nil
-	u.open--
+	c := connection.conn
+	connection.conn = nil
+	u.openConns--
 	c.CloseAfterSend(conn.ErrClosedLocally)
 }
 
-// onClosed handles the end of a connection by the other side. A call of which no byte had left, or that waited for a
-// CPong, never ran; of any other nothing is proved.
-func (u *ajpUpstream) onClosed(closed *ajpConn) {
-	c := closed.conn
+// onClosed handles a connection that the peer has closed or that has failed. If no byte of its call was sent, or the
+// call was waiting for a CPong, the call never ran. Otherwise its outcome is unknown.
+func (u *ajpUpstream) onClosed(connection *ajpConn) {
+	c := connection.conn
 	if c == nil {
-		return // closed here
+		return // closed by this side
 	}
-	broken := closed.call
-	closed.call = nil
-	u.close(closed)
+	call := connection.call
+	connection.call = nil
+	u.close(connection)
 	switch {
-	case broken == nil:
-	case closed.pongBy > 0 || c.SentTotal() <= closed.sentMark:
-		u.retryElsewhere(broken, loadbalance.Fault, overload.NoConnection)
+	case call == nil:
+	case connection.cpongDeadline > 0 || c.SentTotal() <= connection.queuedBefore:
+		u.retryAtAnotherTarget(call, loadbalance.Fault, overload.NoConnection)
 	default:
-		u.leaveTarget(broken, loadbalance.Fault)
-		u.end(broken, overload.ConnectionLost)
+		u.releaseTarget(call, loadbalance.Fault)
+		u.endCall(call, overload.ConnectionLost)
 	}
 }
 
 // closeIdle closes the connections that have been idle for too long.
 func (u *ajpUpstream) closeIdle() {
-	for _, pool := range u.pools { // each by itself: the order doesn't matter
+	for _, pool := range u.pools { // the order does not matter
 		for len(pool.idle) > 0 && u.backend.now-pool.idle[0].usedAt >= ajpMaxIdle {
 			u.close(pool.idle[0])
 		}
--- a/backend/upstream_crossing_test.go
+++ b/backend/upstream_crossing_test.go
@@ -14,7 +14,8 @@
 	"frosthub/overload"
 )
 
-// TestSlowDial: a connection that stands only after its call was given up carries another one, and never that call.
+// TestSlowDial checks that a connection that is established only after its call was cancelled carries the next call,
+// and that the cancelled call is never sent.
 func TestSlowDial(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -23,15 +24,16 @@
 	bed.runInTurn(func() {
 		r := bed.backend.requests[1]
 		bed.backend.processor.onCallRequest(r, []byte("what"))
-		bed.backend.runController() // its call is being dialled for
+		bed.backend.runController() // dials a connection for its call
 		if !bed.eventually(func() bool {
 			bed.upstream.mu.Lock()
 			defer bed.upstream.mu.Unlock()
 			return len(bed.upstream.conns) == 1
 		}) {
-			t.Error("nobody dials")
+			t.Error("the backend does not dial")
 		}
-		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil) // the connection stands, and the owner does not know of it yet
+		// The connection is established, but the owner has not handled that yet.
+		bed.backend.runEnded(r, overload.Failed, accounting.RunFailed, 0, nil)
 	})
 	client.expect("1" + failedLine)
 	bed.await(func() bool { return bed.backend.upstream.callsInFlight() == 0 })
@@ -45,8 +47,9 @@
 	client.expect("2" + succeededLine)
 }
 
-// fullListener is a next tier whose queue of connections is full: a dial hangs until it is let go.
-func fullListener(t *testing.T) (address string, goes func() net.Listener) {
+// fullListener returns the address of an upstream tier whose accept queue is full, so that dials hang. After a call of
+// release the caller can accept connections from the returned listener.
+func fullListener(t *testing.T) (address string, release func() net.Listener) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -64,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	for { // until one hangs
+	for { // until a dial times out
 		c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond)
 		if err != nil {
 			return ln.Addr().String(), func() net.Listener { return ln }
@@ -73,11 +76,11 @@
 	}
 }
 
-// TestSilentDial: a dial that nobody answers does not end its call while that has time.
+// TestSilentDial checks that a dial timeout does not end the call before its own timeout.
 func TestSilentDial(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
-	address, goes := fullListener(t)
+	address, release := fullListener(t)
 	cfg := bed.config()
 	cfg.Upstream = address
 	bed.backend.Reload(cfg)
@@ -86,7 +89,7 @@
 	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	bed.await(func() bool { return bed.backend.logLimits["upstream unreachable"] != nil })
 	go func() {
-		ln := goes()
+		ln := release()
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -105,8 +108,8 @@
 	client.expect("1" + succeededLine)
 }
 
-// TestReplyCrossesCancel: the reply to a call that is given up in the same moment goes nowhere, and the connection that
-// carried it carries no other call.
+// TestReplyCrossesCancel checks that a reply that crosses the cancellation of its call is discarded, and that the
+// connection is closed and carries no other call.
 func TestReplyCrossesCancel(t *testing.T) {
 	t.Parallel()
 	bed := newReadyTestbed(t, nil)
@@ -115,11 +118,12 @@
 	bed.step([]string{"processor", "notes", "ask", "0000000000000001", "what"})
 	bed.expect(`tier: invoke 0000000000000001 "what"`)
 	release := bed.holdOwner()
-	bed.backend.loop.Post(func() { bed.backend.frontend.abortRequest(bed.backend.requests[1].client, 1) }) // as an abort that is read first
+	// Stands for an abort from the client that is read before the reply.
+	bed.backend.loop.Post(func() { bed.backend.frontend.abortRequest(bed.backend.requests[1].client, 1) })
 	bed.step([]string{"tier", "replies", "0000000000000001", "late"})
 	release()
 	bed.await(func() bool {
-		return bed.backend.upstream.callsInFlight() == 0 && bed.backend.upstream.connections() == 0
+		return bed.backend.upstream.callsInFlight() == 0 && bed.backend.upstream.connectionCount() == 0
 	})
 	bed.expect("tier: cancel 0000000000000001")
 	bed.step([]string{"processor", "notes", "complete", "0000000000000001", "halted", "5", "-"})
--- a/failover/node.go
+++ b/failover/node.go
@@ -24,8 +24,8 @@
 // that it serves (claims) and for those that it records for other nodes
 // (reservations). Create it with New. It is not safe for concurrent use.
 //
-// Every method with a time parameter expects the time since 1970. A time before
-// that of an earlier call is treated as the time of that call.
+// Every method with a time parameter expects the time since the Unix epoch. A
+// time before that of an earlier call is treated as the time of that call.
 type Node struct {
 	cfg      Config
 	store    *idempotency.Store
@@ -67,12 +67,12 @@
 // New returns a node that records reservations in the store. The seed
 // determines its random numbers: two nodes with equal seeds and equal events
 // behave identically.
-func New(cfg Config, store *idempotency.Store, peers FailureDetector, seed uint64, now time.Duration) *Node {
+func New(cfg Config, store *idempotency.Store, detector FailureDetector, seed uint64, now time.Duration) *Node {
 	cfg = cfg.withDefaults()
 	return &Node{
 		cfg:                 cfg,
 		store:               store,
-		detector:            peers,
+		detector:            detector,
 		now:                 now,
 		random:              prng.New(seed),
 		configurationDigest: cfg.roster().configurationDigest(),
