--- a/accounting/decode.go
+++ b/accounting/decode.go
@@ -168,7 +168,7 @@
 // decodeOpenRequest decodes a message Open into its slot.
 func (l *Ledger) decodeOpenRequest(message []byte) error {
 	var slot uint64
-	request := openRequest{generation: 1} // no ticket of an earlier process is in use
+	request := openRequest{generation: 1} // generations start again, because tickets do not outlive the process
 	err := forEachField(message, func(f field) error {
 		if f.number != requestID && f.number != requestOpenedAt && f.value > math.MaxUint32 {
 			return ErrCorrupt
--- a/accounting/entry.go
+++ b/accounting/entry.go
@@ -16,7 +16,7 @@
 	EntryResponseWritten                      // the final response was written, but not yet handed to the operating system
 	EntryResponseSent                         // the last byte of the response was handed over, which closes the request
 	EntryClose                                // the request was closed without a response, or before the response was handed over
-	EntryFlush                                // handing over the remaining responses begins (Slot is flushStart) or ends (Slot is 0)
+	EntryFlush                                // handing over the written responses begins (Slot is flushStart) or ends (Slot is 0)
 	EntryMismatch                             // a mismatch was recorded
 )
 
--- a/accounting/report.go
+++ b/accounting/report.go
@@ -30,7 +30,8 @@
 	Reasons  map[string]int64 `json:"reasons"` // closed requests by the name of their reason
 }
 
-// Customer holds the counts of a customer since the customer got a row of its own.
+// Customer holds the counts of a customer since the customer got a row of its own. The customer named "(others)" stands
+// for all requests that are not counted in such a row.
 type Customer struct {
 	Name   string `json:"name"`
 	Counts Counts `json:"figures"`
--- a/accounting/request.go
+++ b/accounting/request.go
@@ -120,7 +120,7 @@
 
 // SetFlushing records that the node begins or ends handing responses to the operating system. A response that was just
 // written counts as being handed over until SetFlushing ends the flush, so that the common case needs no entry of its
-// own. SetFlushing adds an entry only while there are written responses that their clients have not read yet.
+// own. SetFlushing adds an entry only while there are written responses that are not handed over completely.
 func (l *Ledger) SetFlushing(at time.Duration, flushing bool) {
 	if flushing == l.flushing || l.responseWrittenCount == 0 {
 		return
--- a/accounting/restart.go
+++ b/accounting/restart.go
@@ -21,7 +21,7 @@
 	}
 	next.mismatches = l.mismatches
 	if l.incarnations.running() {
-		l.StartIncarnation(at, boot) // closes the open requests, in the rows of the old configuration
+		l.StartIncarnation(at, boot) // counts the open requests as closed, before the handlers are mapped to new rows
 		next.adoptIncarnations(l)
 	} else {
 		next.adoptIncarnations(l)
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -27,7 +27,7 @@
 		_ = netConn.AddCloseCallback(c.onClose)
 		l.Post(func() {
 			done(c, nil)
-			c.deliver() // the peer may have closed it before it had callbacks
+			c.deliver() // reports a close that preceded the callbacks of the connection
 		})
 		_ = netConn.SetOnRequest(c.onReadable)
 		if !netConn.IsActive() { // closed before netpoll had the callbacks
--- a/internal/conn/listener.go
+++ b/internal/conn/listener.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	file, err := ln.(*net.TCPListener).File() // a duplicate
+	file, err := ln.(*net.TCPListener).File() // duplicates the descriptor, so that ln can be closed
 	_ = ln.Close()
 	return file, ln.Addr(), err
 }
