--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -124,8 +124,8 @@
 	InUse          bool              `json:"runs"` // a process holds the lock of the file
 	Report         accounting.Report `json:"report"`
 	OutcomeUnknown int64             `json:"in_doubt"`   // requests whose response may or may not have been sent
-	Settled        int64             `json:"settled"`    // how many of them the tally settled
-	UnsettledIDs   []string          `json:"doubt_ids"`  // ids of those that the tally did not settle
+	Settled        int64             `json:"settled"`    // number of these requests whose outcome is in the tally
+	UnsettledIDs   []string          `json:"doubt_ids"`  // ids of these requests whose outcome is not in the tally
 	Mismatch       string            `json:"difference"` // description of a mismatch; empty if all figures add up
 }
 
@@ -155,7 +155,8 @@
 	}
 	node := nodeFigures{File: file, InUse: statsfile.Locked(file)}
 	if !node.InUse && wasKilled(ledger) {
-		ledger.EndIncarnation(accounting.OpenAtKill, accounting.Killed) // as the next start of the node does
+		// The next start of the node ends the incarnation in the same way.
+		ledger.EndIncarnation(accounting.OpenAtKill, accounting.Killed)
 	}
 	node.Report = ledger.Report(o.cutoff > 0 || o.by == byPeriod || o.json)
 	node.settle(outcomes)
--- a/internal/conffile/argument.go
+++ b/internal/conffile/argument.go
@@ -22,7 +22,7 @@
 // field is given as a function because the configuration is allocated only when a
 // file is read.
 
-// keyword returns a fixed word, which stores nothing.
+// keyword returns an argument that must be the given word. It stores nothing.
 func keyword(word string) argument { return argument{name: "word", keyword: word} }
 
 // named returns a copy of the argument with another name.
@@ -31,13 +31,13 @@
 	return a
 }
 
-// withExample returns a copy of the argument whose messages hold an example.
+// withExample returns a copy of the argument whose error messages show an example.
 func (a argument) withExample(example string) argument {
 	a.kind += ", such as " + example
 	return a
 }
 
-// integer returns a whole number from minimum to maximum.
+// integer returns an argument for a whole number from minimum to maximum.
 func integer(field func(*Config) *int, minimum, maximum int) argument {
 	return argument{
 		name: "number",
@@ -50,7 +50,7 @@
 	}
 }
 
-// weight returns a relative weight.
+// weight returns an argument for a relative weight.
 func weight(field func(*Config) *float64) argument {
 	const minimum, maximum = 1, 1000
 	return argument{
@@ -64,7 +64,7 @@
 	}
 }
 
-// duration returns a duration from minimum to maximum.
+// duration returns an argument for a duration from minimum to maximum.
 func duration(field func(*Config) *time.Duration, minimum, maximum time.Duration) argument {
 	return argument{
 		name: "span",
@@ -77,8 +77,8 @@
 	}
 }
 
-// durationFrom returns a duration that is not shorter than the one in the field
-// minimum, which an argument before it on the line has set.
+// durationFrom returns an argument for a duration that is not shorter than the one
+// in the field minimum, which an earlier argument of the same line has set.
 func durationFrom(minimum, field func(*Config) *time.Duration, maximum time.Duration) argument {
 	return argument{
 		name: "span",
@@ -91,7 +91,7 @@
 	}
 }
 
-// percentage returns a percentage, stored as a fraction of 1.
+// percentage returns an argument for a percentage, stored as a fraction of 1.
 func percentage(field func(*Config) *float64) argument {
 	return argument{
 		name: "share",
@@ -104,7 +104,7 @@
 	}
 }
 
-// listenAddress returns an IP address and port to listen on.
+// listenAddress returns an argument for an IP address and port to listen on.
 func listenAddress(field func(*Config) *string, example string) argument {
 	return argument{
 		name: "address",
@@ -117,7 +117,7 @@
 	}
 }
 
-// peerAddress returns the address and port of another server.
+// peerAddress returns an argument for the address and port of another server.
 func peerAddress(name string, field func(*Config) *string, example string) argument {
 	return argument{
 		name: name,
@@ -129,7 +129,7 @@
 	}
 }
 
-// shortName returns a name; kind describes it in messages.
+// shortName returns an argument for a name. kind describes the name in messages.
 func shortName(name, kind string, field func(*Config) *string) argument {
 	return argument{
 		name: name,
@@ -141,7 +141,7 @@
 	}
 }
 
-// headerName returns the name of a header.
+// headerName returns an argument for the name of a header.
 func headerName(field func(*Config) *string, example string) argument {
 	return argument{
 		name: "header",
@@ -153,7 +153,7 @@
 	}
 }
 
-// absolutePath returns the path of a file or directory.
+// absolutePath returns an argument for the absolute path of a file or directory.
 func absolutePath(field func(*Config) *string) argument {
 	return argument{
 		name: "path",
@@ -168,8 +168,8 @@
 	}
 }
 
-// secretFile returns the path of a file. The argument stores the first line of the
-// file.
+// secretFile returns an argument for the path of a file. The argument stores the
+// first line of the file, not the path.
 func secretFile(field func(*Config) *string) argument {
 	return argument{
 		name: "path",
@@ -213,7 +213,7 @@
 // formatDuration formats a whole number of a unit in the notation of the operator's
 // file.
 func formatDuration(d time.Duration) string {
-	text := strings.TrimSuffix(d.String(), "0m0s") // of whole hours
+	text := strings.TrimSuffix(d.String(), "0m0s") // String ends whole hours like this
 	return strings.Replace(text, "µs", "us", 1)
 }
 
--- a/internal/conffile/conffile.go
+++ b/internal/conffile/conffile.go
@@ -33,8 +33,8 @@
 // Error describes a problem at one position of a file.
 type Error struct {
 	File     string
-	Line     int // from 1
-	Column   int // from 1
+	Line     int // number of the line; the first is 1
+	Column   int // position in the line; the first is 1
 	Problem  string
 	Expected string // the text that is valid at this position; may be empty
 }
@@ -88,7 +88,7 @@
 type parser struct {
 	file   string
 	config Config
-	seen   map[string]*word // by the name of a directive: the first word of its last line
+	seen   map[string]*word // first word of the last line of each directive, by the directive's name
 }
 
 func (p *parser) errorAt(w *word, problem, expected string) error {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// missing returns the error for a line that ends before an argument.
+// missingArgument returns the error for a line that ends before an argument.
 func (p *parser) missingArgument(d *directive, arg argument, last *word) error {
 	return &Error{
 		File:     p.file,
--- a/internal/conffile/grammar.go
+++ b/internal/conffile/grammar.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The syntax tree: a file consists of lines, a line of words.
+// The types of the syntax tree. A file consists of lines, and a line of words.
 type (
 	file struct {
 		Lines []*line `parser:"@@*"`
@@ -34,7 +34,8 @@
 	participle.Unquote("String"),
 )
 
-// splitLines returns the words of each line of a file that is not empty.
+// splitLines returns the words of each line of a file, without the lines that hold
+// no word. name is the name of the file in errors.
 func splitLines(name, text string) ([][]*word, error) {
 	if text != "" && !strings.HasSuffix(text, "\n") {
 		text += "\n"
--- a/internal/statsfile/read.go
+++ b/internal/statsfile/read.go
@@ -11,15 +11,16 @@
 	"frosthub/internal/filelock"
 )
 
-// ReadFile retries the reading of a file that changes while it is read.
+// Retries of ReadFile, for a file that another process changes while it is read.
 const (
 	readAttempts   = 5
 	readRetryDelay = 10 * time.Millisecond
 )
 
-// ReadFile reads the ledger in the named file. Another process may be writing the file: if it changes while it is read,
-// ReadFile reads it again, up to readAttempts times. Besides the ledger it returns the content of the file, for
-// RecentEntries. Any process may call ReadFile at any time. The errors are those of os.ReadFile and of Read.
+// ReadFile reads the ledger in the named file. Another process may be changing the file meanwhile, so that
+// Read fails; ReadFile therefore reads the file up to readAttempts times until Read succeeds. Besides the ledger it
+// returns the content of the file, for RecentEntries. Any process may call ReadFile at any time. The errors are those of
+// os.ReadFile and of Read.
 func ReadFile(path string) (ledger *accounting.Ledger, data []byte, err error) {
 	for range readAttempts {
 		data, err = os.ReadFile(path)
--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -8,7 +8,7 @@
 	"frosthub/accounting"
 )
 
-// Intervals of the background tasks of a Recorder, in the time of the ledger.
+// Intervals of the background tasks of a Recorder, measured by the times that are passed to Append.
 const (
 	checkInterval = 10 * time.Second // between checks that the path still refers to the file
 	retryInterval = 5 * time.Second  // between attempts to create a new file after a failure
