--- a/accounting/period.go
+++ b/accounting/period.go
@@ -117,7 +117,7 @@
 // appendPeriod appends a message Period.
 func appendPeriod(b []byte, start, length time.Duration, cells []int64) []byte {
 	b = appendInt(b, periodStart, start)
-	b = appendInt(b, periodSpan, length)
+	b = appendInt(b, periodLength, length)
 	return appendCells(b, periodCells, cells)
 }
 
@@ -128,7 +128,7 @@
 		switch f.number {
 		case periodStart:
 			period.start = time.Duration(f.value)
-		case periodSpan:
+		case periodLength:
 			period.length = time.Duration(f.value)
 		case periodCells:
 			period.cells = f.bytes
@@ -143,7 +143,7 @@
 
 // Field numbers of message Period.
 const (
-	periodStart protowire.Number = 1
-	periodSpan  protowire.Number = 2
-	periodCells protowire.Number = 3
+	periodStart  protowire.Number = 1
+	periodLength protowire.Number = 2
+	periodCells  protowire.Number = 3
 )
--- a/internal/cli/cluster.go
+++ b/internal/cli/cluster.go
@@ -67,7 +67,8 @@
 }
 
 // fetchClusterStats fetches the cluster statistics of the node whose admin server
-// listens at the address. It returns an error for a node that is in no cluster.
+// listens at the address. It returns an error for a node that is in no cluster
+// or whose store is still loading.
 func fetchClusterStats(ctx context.Context, address string) (*backend.ClusterStats, error) {
 	if address == "" {
 		return nil, errNoAddress
--- a/internal/cli/figures.go
+++ b/internal/cli/figures.go
@@ -33,7 +33,7 @@
 	trail  bool
 	since  string
 	by     string
-	tally  string
+	tally  string        // path of the tally file; empty for none
 	cutoff time.Duration // parsed from since, in nanoseconds since 1970; 0 selects all periods
 }
 
--- a/internal/conffile/directive.go
+++ b/internal/conffile/directive.go
@@ -32,9 +32,9 @@
 // argument is a value of a directive, or a fixed word between values.
 type argument struct {
 	name    string
-	keyword string // the fixed word; empty for a value
-	kind    string // description of valid values, for messages
-	set     func(c *Config, value string) error
+	keyword string                              // the fixed word; empty for a value
+	kind    string                              // description of valid values, for messages
+	set     func(c *Config, value string) error // stores a value, and returns an error if it is not valid; nil for a fixed word
 }
 
 // conflict describes why a directive is not valid in combination with others.
--- a/internal/peerproto/batch.go
+++ b/internal/peerproto/batch.go
@@ -111,7 +111,7 @@
 	b = appendBytes(b, helloFrom, hello.From)
 	b = appendUint(b, helloIncarnation, hello.Incarnation)
 	for _, digest := range hello.RosterDigests {
-		b = appendFixedElement(b, helloList, digest)
+		b = appendFixedElement(b, helloRosterDigests, digest)
 	}
 	b = appendUint(b, helloSeq, hello.Seq)
 	b = appendFixed(b, helloMark, hello.Mark)
@@ -130,7 +130,7 @@
 			hello.From = f.string()
 		case helloIncarnation:
 			hello.Incarnation = f.uint
-		case helloList:
+		case helloRosterDigests:
 			if len(hello.RosterDigests) < maxRosterDigests {
 				hello.RosterDigests = append(hello.RosterDigests, f.uint)
 			}
--- a/internal/peerproto/fields.go
+++ b/internal/peerproto/fields.go
@@ -18,14 +18,14 @@
 
 // Fields of Hello, which identifies the sending node and reports its state.
 const (
-	helloCluster     fieldNumber = 1 // string: name of the cluster
-	helloFrom        fieldNumber = 2 // string: name of the node
-	helloIncarnation fieldNumber = 3 // uint64: incarnation of the node
-	helloList        fieldNumber = 4 // repeated fixed64: digests of the rosters that the node has adopted
-	helloSeq         fieldNumber = 5 // uint64: sequence number of the node's last durable record
-	helloMark        fieldNumber = 6 // fixed64: random number of the node's process
-	helloQueryState  fieldNumber = 7 // bool: requests a PeerState
-	helloFeatures    fieldNumber = 8 // uint64: feature level of the node's program, see recovery.FeatureFences
+	helloCluster       fieldNumber = 1 // string: name of the cluster
+	helloFrom          fieldNumber = 2 // string: name of the node
+	helloIncarnation   fieldNumber = 3 // uint64: incarnation of the node
+	helloRosterDigests fieldNumber = 4 // repeated fixed64: digests of the rosters that the node has adopted
+	helloSeq           fieldNumber = 5 // uint64: sequence number of the node's last durable record
+	helloMark          fieldNumber = 6 // fixed64: random number of the node's process
+	helloQueryState    fieldNumber = 7 // bool: requests a PeerState
+	helloFeatures      fieldNumber = 8 // uint64: feature level of the node's program, see recovery.FeatureFences
 )
 
 // Fields of PeerState, the state that the sender keeps of the receiver.
--- a/internal/statsfile/open.go
+++ b/internal/statsfile/open.go
@@ -20,7 +20,7 @@
 	lock    *os.File           // nil if the lock could not be acquired, for example because another process holds it
 	errs    []error
 	keptAs  string // new name of a file that could not be read
-	aborted bool   // the existing file must not be replaced
+	aborted bool   // the existing file could not be read or renamed, so openFile did not replace it
 }
 
 func (o *openResult) addError(err error) { o.errs = append(o.errs, err) }
--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -21,6 +21,7 @@
 //	state      event                                   next state
 //	-          Open succeeds                           recording
 //	-          Open can't create a file                retrying
+//	-          Open can't read or rename the old file  retrying
 //	-          Open finds it locked, or times out      disabled
 //	recording  a write fails, the file was replaced    retrying
 //	retrying   a background task created a new file    recording
