--- a/internal/cli/figures_table.go
+++ b/internal/cli/figures_table.go
@@ -139,7 +139,7 @@
 
 func printCSV(out io.Writer, rows []figuresRow) error {
 	w := csv.NewWriter(out)
-	_ = w.Write(append([]string{"key"}, columns...)) // w.Error returns the first error
+	_ = w.Write(append([]string{"key"}, columns...)) // an error is kept and returned by w.Error below
 	for _, row := range rows {
 		_ = w.Write(append([]string{row.key}, row.cells()...))
 	}
--- a/internal/peerproto/batch.go
+++ b/internal/peerproto/batch.go
@@ -8,7 +8,8 @@
 	"frosthub/recovery"
 )
 
-// maxRosterDigests bounds the digests that are kept of a received Hello. Two are in use.
+// maxRosterDigests bounds the digests that are kept of a received Hello. A node sends one, or two during a
+// membership change.
 const maxRosterDigests = 8
 
 // Hello identifies the sending node and reports its state.
--- a/internal/statsfile/file.go
+++ b/internal/statsfile/file.go
@@ -159,7 +159,7 @@
 	tooMany := false
 	ledger.TakeEntries(func(entries []accounting.Entry) {
 		if len(entries) > limit {
-			tooMany = true // writing them could overwrite entries that the last snapshot needs; the next snapshot includes them all
+			tooMany = true // writing them could overwrite entries that follow the last snapshot; the snapshot below includes them all
 			return
 		}
 		f.writeEntries(entries)
