--- a/internal/peerproto/batch.go
+++ b/internal/peerproto/batch.go
@@ -8,7 +8,8 @@
 	"frosthub/recovery"
 )
 
-// maxRosterDigests bounds the digests that are kept of a received Hello. Two are in use.
+// maxRosterDigests bounds the digests that are kept of a received Hello. A node sends one, or two during a
+// membership change.
 const maxRosterDigests = 8
 
 // Hello identifies the sending node and reports its state.
@@ -111,7 +112,7 @@
 	b = appendBytes(b, helloFrom, hello.From)
 	b = appendUint(b, helloIncarnation, hello.Incarnation)
 	for _, digest := range hello.RosterDigests {
-		b = appendFixedElement(b, helloList, digest)
+		b = appendFixedElement(b, helloRosterDigests, digest)
 	}
 	b = appendUint(b, helloSeq, hello.Seq)
 	b = appendFixed(b, helloMark, hello.Mark)
@@ -130,7 +131,7 @@
 			hello.From = f.string()
 		case helloIncarnation:
 			hello.Incarnation = f.uint
-		case helloList:
+		case helloRosterDigests:
 			if len(hello.RosterDigests) < maxRosterDigests {
 				hello.RosterDigests = append(hello.RosterDigests, f.uint)
 			}
--- a/internal/statsfile/recorder.go
+++ b/internal/statsfile/recorder.go
@@ -8,7 +8,7 @@
 	"frosthub/accounting"
 )
 
-// Intervals of the background tasks of a Recorder, in the time of the ledger.
+// Intervals of the background tasks of a Recorder, measured by the times that are passed to Append.
 const (
 	checkInterval = 10 * time.Second // between checks that the path still refers to the file
 	retryInterval = 5 * time.Second  // between attempts to create a new file after a failure
@@ -21,6 +21,7 @@
 //	state      event                                   next state
 //	-          Open succeeds                           recording
 //	-          Open can't create a file                retrying
+//	-          Open can't read or rename the old file  retrying
 //	-          Open finds it locked, or times out      disabled
 //	recording  a write fails, the file was replaced    retrying
 //	retrying   a background task created a new file    recording
