--- a/accounting/apply.go
+++ b/accounting/apply.go
@@ -108,7 +108,7 @@
 	request.state = responseWritten
 	request.reason = entry.Reason
 	l.responseWrittenCount++
-	l.flushing = true // see SetFlushing
+	l.flushing = true // the response counts as being handed over until SetFlushing ends the flush
 }
 
 // countOpened adds a request that was received to all counts.
--- a/failover/acceptor.go
+++ b/failover/acceptor.go
@@ -103,7 +103,7 @@
 			if reservation.started {
 				reservation = n.replaceReservation(reservation)
 			}
-		case held && message.Ballot == reservation.ballot: // a retransmission
+		case held && message.Ballot == reservation.ballot: // the message is a retransmission
 			granted = true
 		case held && message.Force:
 			reply.Vote = VoteSuperseded
@@ -302,7 +302,7 @@
 	decision := n.store.PeekOutcome(n.now, message.Made, message.Key).Decision
 	switch decision {
 	case idempotency.Replay, idempotency.OriginalFailed, idempotency.ResultExpired:
-		return nil, VoteGranted // already recorded
+		return nil, VoteGranted // the outcome is already recorded
 	case idempotency.Fresh, idempotency.OutcomeUnknown:
 	case idempotency.HistoryLost:
 		if !n.store.Merge(n.now, idempotency.Record{Key: message.Key}) {
--- a/failover/claim.go
+++ b/failover/claim.go
@@ -67,10 +67,10 @@
 // that depend on it.
 type claim struct {
 	key        idempotency.Key
-	madeAt     time.Duration // see Message.Made
+	madeAt     time.Duration // when the client created the request, since the Unix epoch; 0 if not specified
 	work       Work
 	replayable bool
-	deadline   time.Duration // client timeout
+	deadline   time.Duration // when the client timeout expires
 
 	state     claimState
 	enteredAt time.Duration // when the claim entered the state
@@ -79,8 +79,8 @@
 	votes map[string]receivedVote
 	// holder (claimWaiting) is the ballot whose run the requests wait for.
 	holder         Ballot
-	ballotAttempts int           // ballots tried to acquire the key
-	lastSentAt     time.Duration // of the last broadcast
+	ballotAttempts int           // number of ballots tried to acquire the key
+	lastSentAt     time.Duration // when the last broadcast was sent
 	force          bool          // the key is requested although another node holds it
 	// startWhenHeld: the request was about to start when its ballot was
 	// superseded. It starts once the new ballot is granted.
@@ -103,8 +103,8 @@
 	lastRequestAt time.Duration // when the last duplicate arrived
 	createdAt     time.Duration
 
-	runID      uint64 // see Message.Run
-	lastNotice uint64 // see Message.Notice
+	runID      uint64 // ID of the request at this node's processor
+	lastNotice uint64 // sequence number of the last notice read from the processor
 
 	// outcome and result (claimFinishing) are sent to the group for recording.
 	outcome idempotency.EntryKind
@@ -297,7 +297,7 @@
 
 // evaluateStartVotes decides on the announced start after a further vote.
 func (n *Node) evaluateStartVotes(claim *claim, reply *Message) {
-	superseded := false // some vote is VoteSuperseded, up to the first group that can no longer confirm
+	superseded := false // whether some vote is VoteSuperseded, up to the first group that can no longer confirm
 	possible := n.hasMajority(claim.key, func(name string) bool {
 		received, ok := claim.votes[name]
 		superseded = superseded || received.Vote == VoteSuperseded
--- a/failover/finish.go
+++ b/failover/finish.go
@@ -106,7 +106,7 @@
 		n.queueDuplicateDecisions(claim, idempotency.Fresh, nil)
 		return
 	}
-	claim.originalID = 0 // already answered
+	claim.originalID = 0 // the original request is already answered
 	n.settle(claim, idempotency.Replay, result)
 }
 
--- a/failover/reservation.go
+++ b/failover/reservation.go
@@ -12,9 +12,9 @@
 // for the holder of the key.
 type reservation struct {
 	key        idempotency.Key
-	ballot     Ballot // to which the key is granted
-	madeAt     time.Duration
-	deadline   time.Duration // client timeout
+	ballot     Ballot        // ballot to which the key is granted
+	madeAt     time.Duration // when the client created the request, since the Unix epoch; 0 if not specified
+	deadline   time.Duration // when the client timeout expires
 	work       Work
 	replayable bool
 
@@ -28,9 +28,9 @@
 	finished bool
 	result   []byte
 
-	intentID   uint64          // of the intent in the store, 0 if there is none
-	runID      uint64          // see Message.Run
-	lastNotice uint64          // see Message.Notice
+	intentID   uint64          // ID of the intent in the store; 0 if there is none
+	runID      uint64          // ID of the request at the holder's processor; 0 if there is none
+	lastNotice uint64          // sequence number of the last notice that the holder has read from its processor
 	waiters    map[string]bool // nodes to notify of the outcome
 
 	suspectedSince time.Duration // since when the holder is suspected, 0 if it is not
@@ -66,7 +66,7 @@
 	order []*reservation
 
 	replayableCount int
-	resultBytes     int // of replayable reservations
+	resultBytes     int // total size of the results of replayable reservations
 }
 
 func newReservationTable() reservationTable {
--- a/failover/transfer.go
+++ b/failover/transfer.go
@@ -17,11 +17,11 @@
 // Cursor is the current position of a transfer.
 type Cursor struct {
 	Step     TransferStep
-	Position uint64 // in the store (StepRecords)
+	Position uint64 // StepRecords: position in the store
 	// End is the position at which StepRecords ends. The node receives later
 	// records in the messages of the protocol.
 	End     uint64
-	Segment uint64 // of fingerprints (StepExpired)
+	Segment uint64 // StepExpired: segment of fingerprints
 }
 
 // TransferStep is one step of a transfer.
@@ -41,13 +41,13 @@
 
 // PageRequest requests a page from a peer.
 type PageRequest struct {
-	Incarnation uint64 // of the requesting node
+	Incarnation uint64 // incarnation of the requesting node
 	From        Cursor
 }
 
 // Page is a part of the records that a peer transfers.
 type Page struct {
-	Incarnation uint64 // of the requesting node
+	Incarnation uint64 // incarnation of the requesting node
 	// Configuration is the digest of the peer's member lists. A node discards
 	// pages from a peer with different lists; see Node.SameConfiguration.
 	Configuration uint64
@@ -67,10 +67,10 @@
 type InFlightRequest struct {
 	Key    idempotency.Key
 	Ballot Ballot
-	Made   time.Duration // see Message
+	Made   time.Duration // when the client created the request, since the Unix epoch; 0 if not specified
 	Left   time.Duration // remaining time until the client timeout
-	Run    uint64        // see Message
-	Notice uint64        // see Message
+	Run    uint64        // ID of the request at the holder's processor; 0 if there is none
+	Notice uint64        // sequence number of the last notice that the holder has read from its processor
 }
 
 // Limits of a page.
--- a/failover/wait.go
+++ b/failover/wait.go
@@ -151,7 +151,7 @@
 }
 
 func (n *Node) tickQuerying(claim *claim, retry bool) {
-	if n.now > claim.deadline && !claim.hasRequests() { // see ResolveUnknown
+	if n.now > claim.deadline && !claim.hasRequests() { // a query of ResolveUnknown, or one whose requests are gone
 		delete(n.claims, claim.key)
 		return
 	}
