--- a/loadbalance/balancer.go
+++ b/loadbalance/balancer.go
@@ -19,7 +19,7 @@
 	EjectionTime         time.Duration // duration of a first ejection, doubled for each further one; 1 s
 	MaxEjectionTime      time.Duration // upper limit of the duration of an ejection, before jitter; 60 s
 	TrialShare           float64       // share of the picks that a recovering or unhealthy peer receives; 0.1
-	TrialSuccesses       int           // successful calls that end the trial of a recovering peer; 5
+	TrialSuccesses       int           // answered calls, overload answers included, that end the trial of a recovering peer; 5
 	MinHealthyShare      float64       // share of the peers that are never ejected, at least one peer; 0.5
 	RetryBudget          float64       // retries per first attempt; 0.1
 	Seed                 uint64        // seed of the random source
@@ -77,7 +77,7 @@
 	cfg         Config
 	targets     []*Target // in the order of the configuration
 	random      *rand.Rand
-	picks       uint64
+	picks       uint64  // number of picks so far
 	retryTokens float64 // retries that the budget currently permits
 }
 
@@ -178,8 +178,9 @@
 	case target.State == Recovering:
 		return target.Outstanding == 0 && b.drawTrial(target)
 	case target.unhealthy(b.cfg.MaxConsecutiveFaults):
-		// The peer is in service only because of MinHealthyShare. Because it fails or rejects calls at once, it would appear to
-		// be the least loaded.
+		// The peer is in service although it fails, because MinHealthyShare does not permit its ejection, or it rejects calls
+		// as overloaded, which ejects no peer. Because it fails or rejects calls at once, it would appear to be the least
+		// loaded.
 		return b.drawTrial(target)
 	}
 	return true
@@ -201,7 +202,8 @@
 	})
 }
 
-// tierFailing reports whether the whole tier fails: every peer is ejected, is recovering or had a fault in its last call.
+// tierFailing reports whether the whole tier fails: every peer is ejected, is recovering or has had a fault since its
+// last answer.
 func (b *Balancer) tierFailing() bool {
 	return !slices.ContainsFunc(b.targets, func(target *Target) bool {
 		return target.State == InService && target.consecutiveFaults == 0
--- a/loadbalance/outcome.go
+++ b/loadbalance/outcome.go
@@ -12,7 +12,7 @@
 const (
 	Succeeded  Outcome = iota + 1 // the peer answered, with a success or an error of the call itself
 	Overloaded                    // the peer answered that it accepts no more calls at the moment
-	Fault                         // connection refused or reset, protocol violation, or no CPong: the peer does not work
+	Fault                         // connection refused or reset, protocol violation, or no reply to a health check (an AJP CPong): the peer does not work
 	TimedOut                      // no answer within the timeout: the peer or one of its dependencies is slow
 	Abandoned                     // cancelled by the caller: no evidence of the peer's health
 )
@@ -44,7 +44,7 @@
 }
 
 // recordResponse records an answer of a peer, which proves that the peer works. It ends the trial of a recovering peer after
-// enough of them.
+// TrialSuccesses answers.
 func (b *Balancer) recordResponse(now time.Duration, target *Target) {
 	target.consecutiveFaults = 0
 	if target.State == Recovering {
@@ -57,7 +57,7 @@
 }
 
 // recordFault records a fault of a peer. If the peer is due for ejection but MinHealthyShare does not permit it, the ejection
-// that would end first ends now instead.
+// that would end first ends now instead, unless a peer is recovering already.
 func (b *Balancer) recordFault(now time.Duration, target *Target) {
 	target.consecutiveFaults++
 	switch target.State {
--- a/loadbalance/target.go
+++ b/loadbalance/target.go
@@ -7,8 +7,8 @@
 //	state       event                                                     next
 //	InService   MaxConsecutiveFaults faults in a row, ejection permitted  Ejected
 //	Ejected     a pick after the end of the ejection time                 Recovering
-//	Recovering  a fault                                                   Ejected, for twice as long
-//	Recovering  TrialSuccesses successful calls                           InService
+//	Recovering  a fault                                                   Ejected, for twice as long, up to MaxEjectionTime
+//	Recovering  TrialSuccesses answered calls                             InService
 //
 // An ejection is permitted if MinHealthyShare of the peers, and at least one, stay in service.
 type State uint8
@@ -37,17 +37,17 @@
 type Target struct {
 	Peer
 	State       State
-	Outstanding int  // calls without Done
+	Outstanding int  // calls for which Done was not called yet
 	Removed     bool // no longer configured: the peer receives no more calls
 
-	lastPick             uint64 // sequence number of the last pick
+	lastPick             uint64 // number of the last pick of this peer among all picks; 0 if never picked
 	consecutiveFaults    int
 	consecutiveOverloads int // consecutive answers that the peer accepts no more calls
 
-	consecutiveEjections int           // ejections since the last reset: see resetEjections
+	consecutiveEjections int           // ejections since the peer was last in service for long enough
 	lastEjectionTime     time.Duration // duration of the last ejection
 	ejectedUntil         time.Duration // Ejected: when the trial may start
-	trialSuccesses       int           // Recovering: successful calls of the trial so far
+	trialSuccesses       int           // Recovering: calls of the trial that the peer has answered
 	recoveredAt          time.Duration // InService: when the last trial ended
 }
 
@@ -109,8 +109,8 @@
 
 // resetEjections makes the next ejection count as a first one if the peer has been in service for long enough.
 func (t *Target) resetEjections(now time.Duration) {
-	memory := time.Duration(ejectionResetFactor * float64(t.lastEjectionTime))
-	if t.State == InService && t.consecutiveEjections > 0 && now-t.recoveredAt >= memory {
+	resetAfter := time.Duration(ejectionResetFactor * float64(t.lastEjectionTime))
+	if t.State == InService && t.consecutiveEjections > 0 && now-t.recoveredAt >= resetAfter {
 		t.consecutiveEjections = 0
 	}
 }
