--- a/membership/config.go
+++ b/membership/config.go
@@ -13,14 +13,15 @@
 	Incarnation uint64
 	// Others lists the names of all nodes that may exist. It may contain Name, which is ignored.
 	Others []string
-	// ProbeInterval is the time between the starts of two probes, SWIM's protocol period.
+	// ProbeInterval is the time between the starts of two probes, SWIM's protocol period. It is also how long after its start a probe fails
+	// without an ack. A node that appears to be slow itself extends it: see Detector.LocalHealth.
 	ProbeInterval time.Duration
 	// ProbeTimeout is how long to wait for the ack of a direct ping before relays are requested to ping the target.
 	ProbeTimeout time.Duration
 	// IndirectProbes is the number of relays per indirect probe.
 	IndirectProbes int
-	// SuspicionFactor determines how long a node stays suspected before it is declared dead: this many probe intervals, times the logarithm
-	// of the cluster size.
+	// SuspicionFactor determines how long a node stays suspected before it is declared dead: this many probe intervals, times one plus
+	// the binary logarithm of the cluster size, rounded down.
 	SuspicionFactor float64
 }
 
--- a/membership/detector.go
+++ b/membership/detector.go
@@ -15,13 +15,13 @@
 	self  Update
 	peers map[string]*peer
 
-	// Probing: see probe.go.
+	// State of the probes.
 	probeOrder   []string // names of all peers, shuffled at the start of each round
 	nextTarget   int      // index in probeOrder
 	nextProbeAt  time.Duration
-	probes       []probe // pending, in the order in which they started
+	probes       []probe // pending probes, in the order in which they started
 	lastProbe    uint64  // number of the latest probe
-	healthScore  int     // Lifeguard's local health score: see LocalHealth
+	healthScore  int     // Lifeguard's local health score, 0 (healthy) to maxHealthScore
 	randomSource prng.Source
 
 	suspects []*peer // in the order in which their suspicions started
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -3,8 +3,8 @@
 const (
 	// maxPiggybackedUpdates limits the updates on one message so that the message fits into one packet.
 	maxPiggybackedUpdates = 12
-	// retransmitFactor, times the logarithm of the cluster size, is SWIM's dissemination limit: an update that was transmitted more often
-	// is dropped.
+	// retransmitFactor, times one plus the binary logarithm of the cluster size, rounded down, is SWIM's dissemination limit: an update that
+	// was transmitted more often is dropped.
 	retransmitFactor = 3
 )
 
@@ -35,7 +35,7 @@
 	// byTransmitCount holds the entries by their number of transmissions, each list in the order of insertion. An entry that is not the
 	// latest of its name is skipped.
 	byTransmitCount [][]gossipEntry
-	sequence        uint64 // of the newest entry
+	sequence        uint64 // sequence number of the newest entry
 }
 
 // gossipEntry is a name in a gossipQueue.
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// maxHealthScore limits the local health multiplier: timeouts of probes and suspicions grow to at most 1 + maxHealthScore times their
-// value.
+// maxHealthScore limits the local health multiplier: the probe interval and the timeouts of probes and suspicions grow to at most
+// 1 + maxHealthScore times their configured values.
 const maxHealthScore = 8
 
-// LocalHealth returns Lifeguard's local health score, from 0 to 8; 0 means that the local node appears to be healthy. The timeouts of its
-// probes and suspicions are multiplied by the score plus one, so that a node that is slow itself suspects others later.
+// LocalHealth returns Lifeguard's local health score, from 0 to 8; 0 means that the local node appears to be healthy. Its probe interval
+// and the timeouts of its probes and suspicions are multiplied by the score plus one, so that a node that is slow itself suspects others later.
 func (d *Detector) LocalHealth() int { return d.healthScore }
 
 // adjustLocalHealth adds delta to the health score of the local node, within its bounds. A positive delta makes it less healthy.
@@ -18,7 +18,7 @@
 	d.healthScore = min(max(d.healthScore+delta, 0), maxHealthScore)
 }
 
-// scaleByLocalHealth multiplies a timeout by the local health multiplier.
+// scaleByLocalHealth multiplies an interval or a timeout by the local health multiplier.
 func (d *Detector) scaleByLocalHealth(timeout time.Duration) time.Duration {
 	return timeout * time.Duration(1+d.healthScore)
 }
--- a/membership/update.go
+++ b/membership/update.go
@@ -31,7 +31,7 @@
 // one with the higher State.
 type Update struct {
 	Name        string
-	Incarnation uint64 // of the node's process: a restart increases it
+	Incarnation uint64 // number of the node's process; a restart increases it
 	Refutation  uint64 // increased by the node itself to refute a suspicion; SWIM's incarnation number
 	State       State
 }
