--- a/recovery/node.go
+++ b/recovery/node.go
@@ -38,7 +38,7 @@
 
 // DiskState is the state that was loaded from the node's own disk.
 type DiskState struct {
-	Incarnation uint64 // of the process that loaded it
+	Incarnation uint64 // incarnation of the process that loaded the state
 	Seq         uint64 // sequence number of the last record; 0 if there is none
 	NewStore    bool   // this process created the store, and the node's name has no history
 }
@@ -77,7 +77,7 @@
 type Node struct {
 	cfg    Config
 	phase  Phase
-	reason string // of the last change of phase
+	reason string // reason for the last change of phase
 	disk   DiskState
 
 	// waitStartedAt is when Querying started or when the latest loss of history was detected.
@@ -89,7 +89,7 @@
 	answers       map[string]Answer // by the name of the peer
 	randomSource  prng.Source
 
-	actions []Action // not yet returned by Ready
+	actions []Action // actions that Ready has not returned yet
 }
 
 // New returns a Node in phase Cold. The seed determines the times of its queries.
@@ -235,7 +235,7 @@
 	}
 	peers := len(n.cfg.Others)
 	confirmed := n.countConfirmations()
-	majority := 2*confirmed >= peers // of all nodes, including this one
+	majority := 2*confirmed >= peers // the confirming peers and this node are a majority of all nodes
 	allAnswered := len(n.answers) == peers
 	waited := now - n.waitStartedAt
 	switch {
--- a/recovery/peer_states.go
+++ b/recovery/peer_states.go
@@ -22,7 +22,7 @@
 	ForgottenAt map[string]time.Duration `json:"gone,omitempty"`
 
 	empty   bool // there are no records from before this process
-	changed bool // since the last call of Changed
+	changed bool // the records have changed since the last call of Changed
 }
 
 // peerRecord holds the states that one other node has reported.
@@ -30,8 +30,8 @@
 	PeerState              // the highest state from its latest process
 	Mark         uint64    `json:"mark"`   // identifies the latest process
 	Earlier      PeerState `json:"before"` // the highest state from all earlier processes
-	EarlierMarks []uint64  `json:"past"`   // identify the earlier processes, the latest last
-	Features     uint64    `json:"knows"`  // feature level of its program: see SetFeatures
+	EarlierMarks []uint64  `json:"past"`   // marks of the earlier processes, the latest last
+	Features     uint64    `json:"knows"`  // feature level of its program, which includes all lower levels
 }
 
 // NewPeerStates returns a PeerStates without records. empty is true if there are no stored records, and false if the caller is about to
--- a/recovery/refill.go
+++ b/recovery/refill.go
@@ -10,7 +10,7 @@
 
 // RefillConfig configures a Refill. PageInterval and MaxConcurrent take their defaults if they are zero.
 type RefillConfig struct {
-	// Incarnation is the incarnation of this node. Pages for an earlier incarnation are ignored.
+	// Incarnation is the incarnation of this node. Pages that answer queries of another incarnation are ignored.
 	Incarnation uint64
 	// Others lists the names of all nodes that share keys with this one.
 	Others []string
@@ -62,13 +62,13 @@
 // source is a node that is queried for its records.
 type source[C comparable] struct {
 	state       sourceState
-	incarnation uint64 // of the source's process: cursors are valid only for the process that issued them
+	incarnation uint64 // incarnation of the source, whose cursors are valid only for the process that issued them
 	cursor      C      // start of the next page; the zero value is the start of the first
 	outstanding bool   // a query was sent and its page has not arrived
 	nextQueryAt time.Duration
-	timeout     time.Duration // of the next query
-	pages       int
-	keys        int
+	timeout     time.Duration // timeout of the next query
+	pages       int           // pages received
+	keys        int           // keys in these pages
 }
 
 // PageQuery is a query for one page, sent to a source.
@@ -79,7 +79,7 @@
 
 // PageInfo is the metadata of a page.
 type PageInfo[C comparable] struct {
-	Incarnation uint64 // of the node that sent the query
+	Incarnation uint64 // incarnation of the node that sent the query
 	From        C      // start of the page
 	Next        C      // start of the next page
 	Keys        int    // number of keys in the page
@@ -260,8 +260,8 @@
 	// State is "not asked", "tells" (sending), "silent" (no answer within the timeout), "not whole" (all records sent, but the source has
 	// lost history itself) or "told" (all records sent).
 	State string `json:"state"`
-	Keys  int    `json:"keys"`  // received
-	Pages int    `json:"pages"` // received
+	Keys  int    `json:"keys"`  // number of keys received
+	Pages int    `json:"pages"` // number of pages received
 }
 
 // Progress returns the progress of each source, in the order of their first queries.
--- a/recovery/unknown_outcomes.go
+++ b/recovery/unknown_outcomes.go
@@ -7,7 +7,8 @@
 	outcomeQueryInterval = 50 * time.Millisecond
 	outcomeBatchSize     = 16 // keys
 
-	// Queries about one key: the interval doubles from the minimum to the maximum, so that the last query follows after several minutes.
+	// Queries about one key: the interval doubles from the minimum to the maximum, so that the last query follows about three
+	// minutes after the first.
 	maxOutcomeQueries   = 8
 	minOutcomeRetryWait = 2 * time.Second
 	maxOutcomeRetryWait = time.Minute
@@ -24,8 +25,8 @@
 
 // outcomeQueries counts the queries about one key.
 type outcomeQueries struct {
-	count  int
-	nextAt time.Duration
+	count  int           // queries sent
+	nextAt time.Duration // when the next query is due
 }
 
 // NewUnknownOutcomes returns an UnknownOutcomes for the keys whose outcomes are unknown when the node starts, in the order in which to
