--- a/failover/wait.go
+++ b/failover/wait.go
@@ -151,7 +151,7 @@
 }
 
 func (n *Node) tickQuerying(claim *claim, retry bool) {
-	if n.now > claim.deadline && !claim.hasRequests() { // a query of ResolveUnknown, or one whose requests are gone
+	if n.now > claim.deadline && !claim.hasRequests() { // no request waits for the outcome, as with ResolveUnknown
 		delete(n.claims, claim.key)
 		return
 	}
