--- a/recovery/node.go
+++ b/recovery/node.go
@@ -11,7 +11,7 @@
 
 // Config configures a Node. MajorityAfter and DegradeAfter take their defaults if they are zero.
 type Config struct {
-	// Mark identifies the process of this node. Each process draws its own.
+	// Mark identifies the process of this node. Each process draws a random one when it starts.
 	Mark uint64
 	// Others lists the names of the peers that record this node's state.
 	Others []string
@@ -86,7 +86,7 @@
 	// Queries to the peers.
 	nextQueryAt   time.Duration
 	queryInterval time.Duration
-	answers       map[string]Answer // by the name of the peer
+	answers       map[string]Answer // latest answer of each peer, by the name of the peer
 	randomSource  prng.Source
 
 	actions []Action // actions that Ready has not returned yet
