--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -165,7 +165,7 @@
 
 func (o object) number(name string) overload.Optional[float64] { return number(o[name]) }
 
-// micros returns a member that is a number of microseconds.
+// duration returns a member that is a number of microseconds, as a duration.
 func (o object) duration(name string) overload.Optional[time.Duration] {
 	n := number(o[name])
 	if !n.Set {
